--- a/packages/core/src/core/spread.ts
+++ b/packages/core/src/core/spread.ts
@@ -8,96 +8,103 @@
  */
 
 import type {
-	GoodValue,
-	Held,
+	GossipEffect,
+	GossipMessage,
+	GossipNode,
 	Random,
-	SpreadEffect,
-	SpreadMessage,
-	SpreadNode,
 	Topic,
+	TopicState,
+	ValidValue,
 } from '../internal.ts'
 import {
 	answerFetch,
-	drawIndex,
-	hear,
-	hold,
+	applyFullValue,
+	applyPatches,
+	handleRevisionNotice,
 	READERS,
-	repeatFetch,
-	send,
+	randomIndex,
+	retryFetch,
+	sendTo,
+	storeValue,
 	TOPICS,
-	takePatches,
-	takeValue,
 } from '../internal.ts'
 
 /** Time between exchanges with a random member, ms. */
-export const EXCHANGE_MS = 10_000
+export const ANTI_ENTROPY_MS = 10_000
 /** Time between a standby's looks at the readers, ms. */
-export const LOOK_MS = 1_500
+export const READER_CHECK_MS = 1_500
 /** So is one whose watch, which waits 30 s, has not been answered, ms. */
-export const CONTACT_MS = 40_000
+export const CONTACT_TIMEOUT_MS = 40_000
 
 /** Makes a node that knows nothing yet. */
-export function createSpreadNode(
+export function createGossipNode(
 	self: string,
 	region: string,
 	now: number,
-): SpreadNode {
-	const empty = (): Held => ({
+): GossipNode {
+	const empty = (): TopicState => ({
 		revision: 0,
 		text: '',
 		patches: [],
 		fetching: undefined,
-		heard: 0,
-		good: undefined,
+		highestSeen: 0,
+		lastValid: undefined,
 	})
 	return {
 		self,
 		region,
-		held: { config: empty(), vms: empty() },
+		topics: { config: empty(), vms: empty() },
 		members: [],
 		neighbours: [],
 		readers: [],
 		contactAt: now,
-		readerSeen: new Map(),
-		nextExchange: now,
-		nextLook: now,
+		readerContactAt: new Map(),
+		nextAntiEntropy: now,
+		nextReaderCheck: now,
 	}
 }
 
 /** The platform answered, with a value or without news. */
-export function takePublished(
-	node: SpreadNode,
+export function applyPublished(
+	node: GossipNode,
 	topic: Topic,
 	published: { revision: number; text: string } | undefined,
 	now: number,
-): SpreadEffect[] {
+): GossipEffect[] {
 	node.contactAt = now
 	if (!published) return []
-	return hold(node, topic, published.revision, published.text, '')
+	return storeValue(node, topic, published.revision, published.text, '')
 }
 
 /** Takes a message from another process. */
-export function takeSpreadMessage(
-	node: SpreadNode,
+export function handleGossipMessage(
+	node: GossipNode,
 	from: string,
-	message: SpreadMessage,
+	message: GossipMessage,
 	now: number,
-): SpreadEffect[] {
+): GossipEffect[] {
 	switch (message.type) {
 		case 'notice':
-			return hear(node, message.topic, message.revision, from, now)
+			return handleRevisionNotice(
+				node,
+				message.topic,
+				message.revision,
+				from,
+				now,
+			)
 		case 'fetch':
-			return [send(from, answerFetch(node, message.topic, message.have))]
+			return [sendTo(from, answerFetch(node, message.topic, message.have))]
 		case 'patches':
-			return takePatches(node, from, message)
+			return applyPatches(node, from, message)
 		case 'value':
-			return takeValue(node, from, message)
+			return applyFullValue(node, from, message)
 		case 'compare':
 			return compare(node, from, message, now)
 		case 'look':
-			return [send(from, { type: 'contact', ageMs: now - node.contactAt })]
+			return [sendTo(from, { type: 'contact', ageMs: now - node.contactAt })]
 		case 'contact':
-			if (message.ageMs <= CONTACT_MS) node.readerSeen.set(from, now)
+			if (message.ageMs <= CONTACT_TIMEOUT_MS)
+				node.readerContactAt.set(from, now)
 			return []
 		default:
 			return message satisfies never
@@ -105,85 +112,88 @@
 }
 
 /** Runs the periodic parts. */
-export function tickSpread(
-	node: SpreadNode,
+export function tickGossip(
+	node: GossipNode,
 	now: number,
 	random: Random,
-): SpreadEffect[] {
-	const effects = TOPICS.flatMap(topic => repeatFetch(node, topic, now, random))
+): GossipEffect[] {
+	const effects = TOPICS.flatMap(topic => retryFetch(node, topic, now, random))
 	const others = node.members.length
-	if (now >= node.nextExchange && others > 0) {
+	if (now >= node.nextAntiEntropy && others > 0) {
 		// Jitter keeps a healed fleet from speaking all at once.
-		node.nextExchange = now + EXCHANGE_MS * (0.5 + random())
-		const { name } = node.members[drawIndex(random, others)]!
-		if (name !== node.self) effects.push(send(name, compareOf(node, true)))
+		node.nextAntiEntropy = now + ANTI_ENTROPY_MS * (0.5 + random())
+		const { name } = node.members[randomIndex(random, others)]!
+		if (name !== node.self) effects.push(sendTo(name, compareOf(node, true)))
 	}
 	const place = node.readers.indexOf(node.self)
-	if (place >= READERS && now >= node.nextLook) {
-		node.nextLook = now + LOOK_MS * (0.75 + random() / 2)
+	if (place >= READERS && now >= node.nextReaderCheck) {
+		node.nextReaderCheck = now + READER_CHECK_MS * (0.75 + random() / 2)
 		for (const reader of node.readers.slice(0, place))
-			effects.push(send(reader, { type: 'look' }))
+			effects.push(sendTo(reader, { type: 'look' }))
 	}
 	return effects
 }
 
 /** The first questions of a process that has just started. */
-export function askMembers(
-	node: SpreadNode,
+export function compareWithRandomMembers(
+	node: GossipNode,
 	count: number,
 	random: Random,
-): SpreadEffect[] {
+): GossipEffect[] {
 	const names = new Set<string>()
 	const others = node.members.filter(member => member.name !== node.self)
 	const most = Math.min(count, others.length)
 	while (names.size < most)
-		names.add(others[drawIndex(random, others.length)]!.name)
-	return [...names].map(name => send(name, compareOf(node, true)))
+		names.add(others[randomIndex(random, others.length)]!.name)
+	return [...names].map(name => sendTo(name, compareOf(node, true)))
 }
 
 /**
  * Notes that the value held was judged invalid and `good` stays in force, so
  * that a process that starts now can be given it.
  */
-export function keepGood(
-	node: SpreadNode,
+export function setLastValid(
+	node: GossipNode,
 	topic: Topic,
-	good: GoodValue | undefined,
+	good: ValidValue | undefined,
 ): void {
-	node.held[topic].good = good
+	node.topics[topic].lastValid = good
 }
 
 /** Asks a random member for all it holds, also for what is in force there. */
-export function askWhole(
-	node: SpreadNode,
+export function requestFullValue(
+	node: GossipNode,
 	topic: Topic,
 	random: Random,
-): SpreadEffect[] {
+): GossipEffect[] {
 	const others = node.members.filter(member => member.name !== node.self)
-	const member = others[drawIndex(random, others.length)]
+	const member = others[randomIndex(random, others.length)]
 	if (!member) return []
-	return [send(member.name, { type: 'fetch', topic, have: -1 })]
+	return [sendTo(member.name, { type: 'fetch', topic, have: -1 })]
 }
 
 /** Compares with one member what both hold. */
-export function greetMember(node: SpreadNode, name: string): SpreadEffect[] {
-	return [send(name, compareOf(node, true))]
+export function compareWithMember(
+	node: GossipNode,
+	name: string,
+): GossipEffect[] {
+	return [sendTo(name, compareOf(node, true))]
 }
 
 function compare(
-	node: SpreadNode,
+	node: GossipNode,
 	from: string,
-	message: Extract<SpreadMessage, { type: 'compare' }>,
+	message: Extract<GossipMessage, { type: 'compare' }>,
 	now: number,
-): SpreadEffect[] {
+): GossipEffect[] {
 	const effects = TOPICS.flatMap((topic, at) =>
-		hear(node, topic, message.revisions[at] ?? 0, from, now),
+		handleRevisionNotice(node, topic, message.revisions[at] ?? 0, from, now),
 	)
-	if (message.answer) effects.push(send(from, compareOf(node, false)))
+	if (message.answer) effects.push(sendTo(from, compareOf(node, false)))
 	return effects
 }
 
-function compareOf(node: SpreadNode, answer: boolean): SpreadMessage {
-	const revisions = TOPICS.map(topic => node.held[topic].revision)
+function compareOf(node: GossipNode, answer: boolean): GossipMessage {
+	const revisions = TOPICS.map(topic => node.topics[topic].revision)
 	return { type: 'compare', revisions, answer }
 }
--- a/packages/gateway/src/attemptLog.ts
+++ b/packages/gateway/src/attemptLog.ts
@@ -1,6 +1,6 @@
 /** What is written and counted of each attempt. */
 
-import { perSecondOf, restLeftMs } from '@juniperhook/core'
+import { backoffLeftMs, rateLimitOf } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
@@ -28,8 +28,8 @@
 		config: request.routes.config.version,
 		list: ctx.list.revision.revision,
 		term: ctx.list.revision.term || undefined,
-		perSecond: perSecondOf(ctx.rateLimits, serverId),
-		restMs: Math.round(restLeftMs(ctx.rests, serverId, now)) || undefined,
+		perSecond: rateLimitOf(ctx.rateLimits, serverId),
+		restMs: Math.round(backoffLeftMs(ctx.rests, serverId, now)) || undefined,
 		...inputs,
 	})
 }
--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -5,13 +5,13 @@
 
 import type { ServerRecord, TermRevision } from '@juniperhook/core'
 import {
+	confirmRemovals,
+	confirmReturns,
 	createRouteTable,
 	findMissing,
 	formatRevision,
 	isSameRevision,
-	noteRead,
-	settleRemovals,
-	settleReturns,
+	recordRead,
 } from '@juniperhook/core'
 import { readElapsed, readNow, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -187,7 +187,7 @@
 		from: isCopy ? 'copy' : 'source',
 		doubtUntil: follower.doubtUntil,
 	})
-	noteRead(ctx.list, snapshot.revision)
+	recordRead(ctx.list, snapshot.revision)
 	if (isCopy) logTerm(ctx, before, snapshot, missing.length)
 }
 
@@ -232,18 +232,18 @@
 		backTo: formatRevision(revision),
 		listed: servers.length,
 		missing,
-		doubted: list.doubted.size,
-		returning: list.returning.size,
+		doubted: list.pendingRemovals.size,
+		returning: list.pendingReturns.size,
 	})
 }
 
 /** Believes removals whose time has come. */
 export function tickCatalog(ctx: GatewayContext): void {
-	const settled = settleRemovals(ctx.list, readElapsed())
+	const settled = confirmRemovals(ctx.list, readElapsed())
 	for (const { name } of settled)
 		ctx.log.write('server', { server: name, state: 'gone', from: 'not back' })
 	ctx.settledRemovals.push(...settled)
-	const returned = settleReturns(ctx.list, readElapsed())
+	const returned = confirmReturns(ctx.list, readElapsed())
 	for (const record of returned) logRecord(ctx, record, 'still listed')
 	if (settled.length + returned.length > 0) refreshFleet(ctx)
 }
--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -1,14 +1,18 @@
 /** Lock-step groups that are broken and refuse at every rank. */
 
-import type { ListedServer, Spell, TrafficRoute } from '@juniperhook/core'
+import type {
+	BlockageTracker,
+	ListedServer,
+	TrafficRoute,
+} from '@juniperhook/core'
 import {
-	beginSpell,
-	createSpell,
-	endSpell,
-	expectSpellEnd,
-	noteClosed,
-	noteOpen,
-	noteToldClosed,
+	clearGroupClosure,
+	createBlockageTracker,
+	estimateBlockageMs,
+	markBlocked,
+	markUnblocked,
+	recordGroupRefused,
+	recordGroupReportedBroken,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -54,7 +58,7 @@
 /** Notes that a group refuses, as one of its ranks has answered. */
 export function closeGroup(ctx: GatewayContext, group: string): void {
 	beginOutage(ctx, group, 'answer')
-	noteClosed(ctx.closures, group, readNow())
+	recordGroupRefused(ctx.closures, group, readNow())
 }
 
 /** Notes that a group is broken, as its coordinator or the end of a rank says. */
@@ -64,7 +68,7 @@
 	from: 'coordinator' | 'end',
 ): void {
 	beginOutage(ctx, group, from)
-	noteToldClosed(ctx.closures, group, readNow())
+	recordGroupReportedBroken(ctx.closures, group, readNow())
 }
 
 /**
@@ -93,7 +97,7 @@
 function beginOutage(ctx: GatewayContext, group: string, from: Witness): void {
 	const now = readNow()
 	if (!ctx.closures.has(group)) ctx.log.write('group closed', { group, from })
-	beginSpell(outageOf(ctx, group), now)
+	markBlocked(outageOf(ctx, group), now)
 	if (ctx.openUntil.has(group)) return
 	ctx.openUntil.set(group, now + FIRST_OUTAGE_MS + reformMsOf(ctx, group))
 }
@@ -106,9 +110,10 @@
 ): boolean {
 	if (from === 'answer') ctx.openUntil.set(group, 0)
 	const since = ctx.closures.get(group)?.since
-	if (since === undefined || !noteOpen(ctx.closures, group)) return false
+	if (since === undefined || !clearGroupClosure(ctx.closures, group))
+		return false
 	const now = readNow()
-	endSpell(outageOf(ctx, group), now)
+	markUnblocked(outageOf(ctx, group), now)
 	const closedMs = Math.round(now - since)
 	ctx.log.write('group open', { group, closedMs, from })
 	return true
@@ -122,10 +127,10 @@
 }
 
 /** Outages of a group. */
-function outageOf(ctx: GatewayContext, group: string): Spell {
+function outageOf(ctx: GatewayContext, group: string): BlockageTracker {
 	const known = ctx.outages.get(group)
 	if (known) return known
-	const outage = createSpell(FIRST_OUTAGE_MS + reformMsOf(ctx, group))
+	const outage = createBlockageTracker(FIRST_OUTAGE_MS + reformMsOf(ctx, group))
 	ctx.outages.set(group, outage)
 	return outage
 }
@@ -145,7 +150,7 @@
 	const outages = rows.map(row =>
 		outageOf(ctx, groupOf(ctx.fleet.servers[row]!)),
 	)
-	return Math.min(...outages.map(outage => expectSpellEnd(outage, now)))
+	return Math.min(...outages.map(outage => estimateBlockageMs(outage, now)))
 }
 
 /** How long a request may wait for a service that refuses, ms. */
--- a/packages/gateway/src/comeBack.ts
+++ b/packages/gateway/src/comeBack.ts
@@ -1,6 +1,10 @@
 /** When a caller that is turned away is to come back. */
 
-import { bookReturn, expectSpellEnd, gapNow } from '@juniperhook/core'
+import {
+	currentIntervalMs,
+	estimateBlockageMs,
+	scheduleRetryAfter,
+} from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import { expectOpenMs } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
@@ -20,17 +24,30 @@
 	const { flow, full, returns } = pressureOf(ctx.pressures, service)
 	const closedMs = expectOpenMs(ctx, service, now)
 	const outlook = outlookOf(ctx, service)
-	const heededMs = leftMs * ctx.settings.heededShare - WAY_MS
+	const maxHonoredMs = leftMs * ctx.settings.heededShare - WAY_MS
 	if (outlook?.kind === 'resting') {
 		const { moreMs } = outlook
-		const forecast = { openInMs: closedMs, notBeforeMs: moreMs, heededMs }
+		const forecast = {
+			availableInMs: closedMs,
+			notBeforeMs: moreMs,
+			maxHonoredMs: maxHonoredMs,
+		}
 		// While nothing is sent, the gaps seen tell nothing of the server.
-		const gapMs = Math.max(flow.gapMs, outlook.gapMs)
-		return bookReturn(returns, { ...forecast, gapMs }, now, ctx.random)
+		const gapMs = Math.max(flow.intervalMs, outlook.gapMs)
+		return scheduleRetryAfter(returns, { ...forecast, gapMs }, now, ctx.random)
 	}
 	const permitMs = outlook?.moreMs ?? 0
-	const openInMs = Math.max(closedMs, expectSpellEnd(full, now), permitMs)
-	const gapMs = gapNow(flow, now)
-	const forecast = { openInMs, notBeforeMs: 0, gapMs, heededMs }
-	return bookReturn(returns, forecast, now, ctx.random)
+	const availableInMs = Math.max(
+		closedMs,
+		estimateBlockageMs(full, now),
+		permitMs,
+	)
+	const gapMs = currentIntervalMs(flow, now)
+	const forecast = {
+		availableInMs: availableInMs,
+		notBeforeMs: 0,
+		gapMs,
+		maxHonoredMs: maxHonoredMs,
+	}
+	return scheduleRetryAfter(returns, forecast, now, ctx.random)
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,17 +1,17 @@
 /** What all parts of a gateway share. */
 
 import type {
-	Closures,
-	NewsBook,
+	BlockageTracker,
+	GroupClosures,
 	Random,
 	RateLimits,
-	Rests,
 	RetryAllowance,
 	RetryWindow,
 	RouteTable,
+	ServerBackoffs,
 	ServerList,
 	ServerRecord,
-	Spell,
+	SharedState,
 } from '@juniperhook/core'
 import type { EventLog } from '@juniperhook/runtime'
 import type { EndWatch } from './endWatch.ts'
@@ -89,14 +89,14 @@
 	/** When the configuration came into force, ms. */
 	configSince: number
 	/** Lock-step groups that refuse at every rank. */
-	readonly closures: Closures
+	readonly closures: GroupClosures
 	/**
 	 * Until when a group that refused before it ever served this process is
 	 * expected to open, ms; 0 once it has served.
 	 */
 	readonly openUntil: Map<string, number>
 	/** Outages of lock-step groups, by group. */
-	readonly outages: Map<string, Spell>
+	readonly outages: Map<string, BlockageTracker>
 	/** What is observed of each service that may be full. */
 	readonly pressures: Map<string, Pressure>
 	/** Retries to each service. */
@@ -108,12 +108,12 @@
 	/** Servers that may have ended. */
 	readonly ends: EndWatch
 	/** What is known of servers and shared with other entries; what they are to be told. */
-	readonly book: NewsBook
+	readonly book: SharedState
 	readonly outbox: Outbox
 	/** What servers say of how many requests a second they take. */
 	readonly rateLimits: RateLimits
 	/** Servers that want nothing from this entry for a while. */
-	readonly rests: Rests
+	readonly rests: ServerBackoffs
 	/** Permits that this entry has, and those that it gives to others. */
 	readonly permits: PermitGate
 	readonly permitHomes: PermitHomes
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -5,7 +5,7 @@
  */
 
 import type { EntryDemand } from '@juniperhook/core'
-import { dealServers, partTaken } from '@juniperhook/core'
+import { admittedFraction, assignServers } from '@juniperhook/core'
 import type { GatewayContext } from './context.ts'
 import type { Fleet, FlowMeter, RequestFlow } from './fleet.ts'
 import { meterOf, serviceOfGroup, settlePeerLoads } from './fleet.ts'
@@ -48,7 +48,7 @@
 ): boolean {
 	const meter = meterOf(fleet, serviceOfGroup(fleet, group))
 	if (!meter.intake) return room >= 1
-	const part = partTaken(room, meter.intake)
+	const part = admittedFraction(room, meter.intake)
 	meter.taken = Math.min(meter.taken, part)
 	return luck < part
 }
@@ -97,7 +97,7 @@
 function settleAlone(fleet: Fleet, service: string, meter: FlowMeter): void {
 	meter.intake = undefined
 	for (const row of fleet.rowsOf.get(service) ?? [])
-		fleet.table.dealtElsewhere[row] = 0
+		fleet.table.assignedElsewhere[row] = 0
 }
 
 function settleService(
@@ -129,7 +129,7 @@
 	}))
 	const rows = fleet.rowsOf.get(service) ?? []
 	const servers = rows.map(row => fleet.servers[row]!)
-	const dealt = new Set(dealServers(own, others, servers))
+	const dealt = new Set(assignServers(own, others, servers))
 	for (const [place, row] of rows.entries())
-		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 1
+		fleet.table.assignedElsewhere[row] = dealt.has(place) ? 0 : 1
 }
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -2,7 +2,7 @@
 
 import type {
 	FairQueue,
-	GroupIntake,
+	GroupTraffic,
 	ListedServer,
 	RouteTable,
 	ServerList,
@@ -58,7 +58,7 @@
 	untold: number
 	flow: RequestFlow
 	/** All entries together. */
-	intake: GroupIntake | undefined
+	intake: GroupTraffic | undefined
 	/** Least part of the requests that one of its groups took since the last turn. */
 	taken: number
 }
@@ -169,7 +169,7 @@
 	else fleet.held.delete(id)
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
-	fleet.table.sentSince[row] = Math.max(0, held)
+	fleet.table.sentSinceReport[row] = Math.max(0, held)
 	const meter = meterOf(fleet, fleet.servers[row]!.service)
 	if (change < 0) meter.end++
 	else meter.untold++
@@ -202,7 +202,7 @@
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
 	const own = fleet.held.get(id) ?? 0
-	fleet.table.reported[row] = Math.max(0, running + waiting - own)
+	fleet.table.reportedLoad[row] = Math.max(0, running + waiting - own)
 	fleet.table.reportedAt[row] = now
 }
 
@@ -212,9 +212,9 @@
 		const told = fleet.toldGroups.get(groupOf(server))
 		const { table } = fleet
 		const paces = Object.values(told?.slow ?? {})
-		table.pace[row] = Math.max(1, told?.slow[server.address] ?? 1)
-		table.groupPace[row] = Math.max(1, ...paces)
-		table.most[row] = told?.limit ?? Number.POSITIVE_INFINITY
+		table.slowdown[row] = Math.max(1, told?.slow[server.address] ?? 1)
+		table.groupSlowdown[row] = Math.max(1, ...paces)
+		table.maxInFlight[row] = told?.limit ?? Number.POSITIVE_INFINITY
 	}
 }
 
@@ -253,7 +253,7 @@
 		else heldByOthers.delete(id)
 		const row = table.rowOf.get(id)
 		if (row === undefined) continue
-		table.reported[row] = Math.max(0, sum)
+		table.reportedLoad[row] = Math.max(0, sum)
 		table.reportedAt[row] = now
 	}
 }
@@ -265,7 +265,7 @@
 export function settlePeerLoads(fleet: Fleet, now: number): void {
 	if (fleet.heldByPeer.size === 0) return
 	for (const [row, { id }] of fleet.servers.entries()) {
-		fleet.table.reported[row] = fleet.heldByOthers.get(id) ?? 0
+		fleet.table.reportedLoad[row] = fleet.heldByOthers.get(id) ?? 0
 		fleet.table.reportedAt[row] = now
 	}
 }
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -2,7 +2,7 @@
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ErrorKind } from '@juniperhook/core'
-import { drawService, ERRORS, noteRequest } from '@juniperhook/core'
+import { ERRORS, pickService, recordRequest } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import { makeAttempt } from './attempt.ts'
 import { logAnswer, logAttempt } from './attemptLog.ts'
@@ -86,7 +86,7 @@
 	request: CallerRequest,
 	res: ServerResponse,
 ): Promise<void> {
-	const service = drawService(request.route.shares, ctx.random)
+	const service = pickService(request.route.shares, ctx.random)
 	const control = new AbortController()
 	const job: Job = {
 		request,
@@ -111,7 +111,7 @@
 		return
 	}
 	// What is sent to no server is no demand, and earns no second sends.
-	noteRequest(retriesOf(ctx, service), ctx.settings.retries, readNow())
+	recordRequest(retriesOf(ctx, service), ctx.settings.retries, readNow())
 	countRequest(ctx.fleet, service)
 	const left = request.givenUpAt - readElapsed()
 	const timer = setTimeout(() => giveUp('timeOver'), left)
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -5,9 +5,9 @@
 import { createServer, STATUS_CODES } from 'node:http'
 import type { Duplex } from 'node:stream'
 import {
-	createNewsBook,
 	createRandom,
 	createServerList,
+	createSharedState,
 	ERRORS,
 	splitAddress,
 } from '@juniperhook/core'
@@ -66,7 +66,7 @@
 	log: EventLog,
 ): Promise<GatewayContext> {
 	const list = createServerList()
-	const book = createNewsBook(list.left)
+	const book = createSharedState(list.departed)
 	const ctx: GatewayContext = {
 		settings,
 		wire: names,
--- a/packages/gateway/src/outlook.ts
+++ b/packages/gateway/src/outlook.ts
@@ -4,10 +4,10 @@
  */
 
 import {
+	BACKOFF_PROBE_MS,
+	backoffLeftMs,
 	listDueMs,
-	perSecondOf,
-	REST_TRY_MS,
-	restLeftMs,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -47,7 +47,12 @@
 	if (!first) return undefined
 	const { kind, moreMs } = first
 	const dueMs = all.flatMap(one => one.dueMs).sort((a, b) => a - b)
-	return { kind, dueMs, moreMs, gapMs: kind === 'resting' ? REST_TRY_MS : 0 }
+	return {
+		kind,
+		dueMs,
+		moreMs,
+		gapMs: kind === 'resting' ? BACKOFF_PROBE_MS : 0,
+	}
 }
 
 function outlookOfServer(
@@ -55,13 +60,13 @@
 	server: string,
 	now: number,
 ): ServerOutlook | undefined {
-	const restMs = restLeftMs(ctx.rests, server, now)
-	if (perSecondOf(ctx.rateLimits, server) === undefined)
+	const restMs = backoffLeftMs(ctx.rests, server, now)
+	if (rateLimitOf(ctx.rateLimits, server) === undefined)
 		return restMs > 0
 			? { kind: 'resting', dueMs: [], moreMs: restMs }
 			: undefined
 	const held = heldOf(ctx, server)
-	const { isAsking, notBefore } = held
+	const { isRequestPending: isAsking, notBefore } = held
 	const moreMs = isAsking ? 0 : Math.max(0, notBefore - now)
 	return {
 		kind: restMs > moreMs ? 'resting' : 'limited',
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -8,9 +8,9 @@
 	isLater,
 	isSameRevision,
 	NO_REVISION,
-	noteEntryHeard,
-	noteEntryNamed,
-	PEER_SILENT_MS,
+	PEER_TIMEOUT_MS,
+	recordEntryContact,
+	recordEntryDiscovered,
 	splitAddress,
 } from '@juniperhook/core'
 import type { RpcLink } from '@juniperhook/runtime'
@@ -198,9 +198,9 @@
 	noteAddresses(peers, addresses)
 	const { roster } = ctx.permitHomes
 	for (const address of addresses)
-		noteEntryNamed(roster, address, readElapsed())
+		recordEntryDiscovered(roster, address, readElapsed())
 	if (isOtherEntry(ctx, state.control))
-		noteEntryHeard(roster, state.control, readElapsed())
+		recordEntryContact(roster, state.control, readElapsed())
 	takeTold(ctx, state.limits, state.name)
 	ctx.isTold = true
 	if (state.sourceAway) states.withoutSource.add(link)
@@ -241,7 +241,8 @@
 export function forgetSilent(ctx: GatewayContext, states: PeerStates): void {
 	const now = readElapsed()
 	for (const [name, heardAt] of states.heardAt) {
-		if (now - heardAt > PEER_SILENT_MS) dropPeerLoad(ctx.fleet, name, readNow())
+		if (now - heardAt > PEER_TIMEOUT_MS)
+			dropPeerLoad(ctx.fleet, name, readNow())
 		if (now - heardAt > REMEMBERED_MS) states.heardAt.delete(name)
 	}
 	const seeds = ctx.settings.seeds.length
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -3,7 +3,7 @@
  * to other entries.
  */
 
-import { noteEntryNamed } from '@juniperhook/core'
+import { recordEntryDiscovered } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import {
 	call,
@@ -91,7 +91,7 @@
 	ctx.permits.askHome = (home, ask) => askHome(peers, home, ask)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
-			noteEntryNamed(ctx.permitHomes.roster, seed, readElapsed())
+			recordEntryDiscovered(ctx.permitHomes.roster, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
 		keepLinks(ctx, peers)
--- a/packages/gateway/src/permitAsk.ts
+++ b/packages/gateway/src/permitAsk.ts
@@ -3,8 +3,12 @@
  * has room; the next request finds it.
  */
 
-import type { HeldPermits, Permits, PermitWish } from '@juniperhook/core'
-import { isAskDue, restLeftMs, takeGiven } from '@juniperhook/core'
+import type { HeldPermits, PermitGrant, PermitRequest } from '@juniperhook/core'
+import {
+	addGrantedPermits,
+	backoffLeftMs,
+	shouldRequestPermits,
+} from '@juniperhook/core'
 import { messageOf, readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
@@ -23,7 +27,7 @@
 export function askForPermits(
 	ctx: GatewayContext,
 	service: string,
-	wish: PermitWish,
+	wish: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	if (ctx.rateLimits.size === 0) return
@@ -33,8 +37,8 @@
 		const { id } = ctx.fleet.servers[row]!
 		const held = heldOf(ctx, id)
 		const now = readElapsed()
-		if (restLeftMs(ctx.rests, id, now) > withinMs) continue
-		if (isAskDue(held, withinMs, now))
+		if (backoffLeftMs(ctx.rests, id, now) > withinMs) continue
+		if (shouldRequestPermits(held, withinMs, now))
 			askFor(ctx, id, held, { count, withinMs }, onAnswer)
 	}
 }
@@ -43,7 +47,7 @@
 	ctx: GatewayContext,
 	server: string,
 	held: HeldPermits,
-	wish: PermitWish,
+	wish: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	const known = ctx.rateLimits.get(server)
@@ -61,7 +65,7 @@
 		noteNone(ctx, held, 'unlinked')
 		return
 	}
-	held.isAsking = true
+	held.isRequestPending = true
 	void reply
 		.then(
 			got => takeReply(ctx, held, perSecond, got),
@@ -75,7 +79,7 @@
 			},
 		)
 		.finally(() => {
-			held.isAsking = false
+			held.isRequestPending = false
 			onAnswer()
 		})
 }
@@ -102,9 +106,9 @@
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
-	permits: Permits,
+	permits: PermitGrant,
 ): void {
-	takeGiven(held, perSecond, permits, readElapsed())
+	addGrantedPermits(held, perSecond, permits, readElapsed())
 	const outcome = permits.dueMs.length > 0 ? 'given' : 'wait'
 	ctx.metrics.permits.inc({ outcome })
 }
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -5,10 +5,10 @@
 
 import type { HeldPermits } from '@juniperhook/core'
 import {
+	consumePermit,
 	createHeldPermits,
 	hasPermit,
-	perSecondOf,
-	usePermit,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -32,7 +32,7 @@
 	const now = readElapsed()
 	for (const row of fleet.rowsOf.get(service) ?? []) {
 		const { id } = fleet.servers[row]!
-		if (perSecondOf(rateLimits, id) === undefined) continue
+		if (rateLimitOf(rateLimits, id) === undefined) continue
 		const held = permits.held.get(id)
 		if (held && hasPermit(held, now)) permitted.add(row)
 		else spent.add(row)
@@ -43,7 +43,7 @@
 /** Uses a permit for a request that is about to be sent, where it needs one. */
 export function spendPermit({ permits }: GatewayContext, server: string): void {
 	const held = permits.held.get(server)
-	if (held) usePermit(held, readElapsed())
+	if (held) consumePermit(held, readElapsed())
 }
 
 /** What is held of a server's permits. */
@@ -68,5 +68,5 @@
 	const { permits, permitHomes, rateLimits } = ctx
 	for (const known of [permits.held, permitHomes.pools, permitHomes.homes])
 		for (const server of known.keys())
-			if (perSecondOf(rateLimits, server) === undefined) known.delete(server)
+			if (rateLimitOf(rateLimits, server) === undefined) known.delete(server)
 }
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -1,7 +1,11 @@
 /** What an entry knows of permits to send to servers with a limit. */
 
-import type { EntryRoster, HeldPermits, PermitPool } from '@juniperhook/core'
-import { createEntryRoster } from '@juniperhook/core'
+import type {
+	EntryMembership,
+	HeldPermits,
+	PermitPool,
+} from '@juniperhook/core'
+import { createEntryMembership } from '@juniperhook/core'
 import type { PermitAsk, PermitReply } from './peerMessages.ts'
 
 /** Asks a home; undefined while there is no link to it. */
@@ -25,7 +29,7 @@
 
 /** Homes, and the pools of those servers that this entry is home to. */
 export interface PermitHomes {
-	readonly roster: EntryRoster
+	readonly roster: EntryMembership
 	/** By server id. */
 	readonly pools: Map<string, PermitPool>
 	/** Control address of each server's home, by server id. */
@@ -35,7 +39,7 @@
 /** Makes an entry's homes while it knows of itself only. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
-		roster: createEntryRoster(own),
+		roster: createEntryMembership(own),
 		pools: new Map(),
 		homes: new Map(),
 	}
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -4,8 +4,16 @@
  * given at once.
  */
 
-import type { PlaceFlow, Returns, Spell } from '@juniperhook/core'
-import { createPlaceFlow, createReturns, createSpell } from '@juniperhook/core'
+import type {
+	BlockageTracker,
+	DispatchRate,
+	RetryAfterSchedule,
+} from '@juniperhook/core'
+import {
+	createBlockageTracker,
+	createDispatchRate,
+	createRetryAfterSchedule,
+} from '@juniperhook/core'
 
 /** How long a service is assumed to stay full before a spell was seen, ms. */
 const FIRST_FULL_MS = 1_000
@@ -16,9 +24,9 @@
 
 /** Observations of one service. */
 export interface Pressure {
-	readonly flow: PlaceFlow
-	readonly full: Spell
-	readonly returns: Returns
+	readonly flow: DispatchRate
+	readonly full: BlockageTracker
+	readonly returns: RetryAfterSchedule
 	/** From the sending to the beginning of an answer, smoothed, ms. */
 	firstMs: number
 }
@@ -31,9 +39,9 @@
 	const known = pressures.get(service)
 	if (known) return known
 	const pressure = {
-		flow: createPlaceFlow(),
-		full: createSpell(FIRST_FULL_MS),
-		returns: createReturns(),
+		flow: createDispatchRate(),
+		full: createBlockageTracker(FIRST_FULL_MS),
+		returns: createRetryAfterSchedule(),
 		firstMs: 0,
 	}
 	pressures.set(service, pressure)
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -3,11 +3,11 @@
  * hears from others, and whom it refuses.
  */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	barredForMs,
-	listBarred,
-	takeServerNews,
+	listQuarantined,
+	mergeServerUpdates,
+	quarantineLeftMs,
 	topByRendezvous,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
@@ -45,12 +45,12 @@
 	const { quarantine } = ctx.gate
 	const fingerprint = fingerprintOf(request)
 	const turnMs = turnOf(ctx, fingerprint) * TURN_MS
-	return barredForMs(quarantine, fingerprint, readElapsed(), turnMs)
+	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
 /** How many other entries try a request again before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
-	const { heard } = permitHomes.roster
+	const { reachable: heard } = permitHomes.roster
 	const order = topByRendezvous(key, heard, heard.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
@@ -95,11 +95,11 @@
 /** Takes news of servers that ended, and of requests that others have served. */
 export function noteEndNews(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'end' | 'served'>[],
+	told: readonly UpdateOf<'end' | 'served'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, told, now)
+	const fresh = mergeServerUpdates(ctx.book, told, now)
 	if (fresh.length === 0) return
 	postNews(ctx.outbox, fresh)
 	judgeAnew(ctx, from)
@@ -114,7 +114,7 @@
 	const suspects = [...quarantine.suspects.keys()]
 	gate.lengths = new Set(suspects.map(bodyLengthOf))
 	const before = gate.barred
-	gate.barred = new Set(listBarred(quarantine))
+	gate.barred = new Set(listQuarantined(quarantine))
 	ctx.metrics.quarantined.set(gate.barred.size)
 	for (const fingerprint of gate.barred)
 		if (!before.has(fingerprint)) bar(ctx, fingerprint, from)
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -3,11 +3,11 @@
  * tell each other.
  */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	forgetRateNotices,
-	perSecondOf,
-	takeServerNews,
+	mergeServerUpdates,
+	pruneRateNotices,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -34,7 +34,7 @@
 /** Takes news of limits. */
 export function noteLimits(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'limit'>[],
+	told: readonly UpdateOf<'limit'>[],
 	from: string,
 ): void {
 	for (const news of told) noteLimit(ctx, news, from)
@@ -42,19 +42,19 @@
 
 function noteLimit(
 	ctx: GatewayContext,
-	news: NewsOf<'limit'>,
+	news: UpdateOf<'limit'>,
 	from: string,
 ): void {
 	const { rateLimits, book, outbox } = ctx
 	const { server, perSecond } = news
-	const before = perSecondOf(rateLimits, server)
-	const fresh = takeServerNews(book, [news], readElapsed())
+	const before = rateLimitOf(rateLimits, server)
+	const fresh = mergeServerUpdates(book, [news], readElapsed())
 	if (fresh.length === 0) return
 	postNews(outbox, fresh)
 	dropPermits(ctx, server)
 	ctx.log.write('server limit', { server, perSecond, before, from })
 	const inForce = [...rateLimits.keys()].filter(
-		id => perSecondOf(rateLimits, id) !== undefined,
+		id => rateLimitOf(rateLimits, id) !== undefined,
 	)
 	ctx.metrics.limitedServers.set(inForce.length)
 }
@@ -63,5 +63,5 @@
 export function forgetRates({ rateLimits, fleet }: GatewayContext): void {
 	if (rateLimits.size === 0) return
 	const isListed = (id: string) => fleet.table.rowOf.has(id)
-	forgetRateNotices(rateLimits, isListed, readElapsed())
+	pruneRateNotices(rateLimits, isListed, readElapsed())
 }
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -1,7 +1,7 @@
 /** What the outcome of a send proves, and what it changes for those that follow. */
 
-import type { TryResult } from '@juniperhook/core'
-import { noteTry } from '@juniperhook/core'
+import type { AttemptOutcome } from '@juniperhook/core'
+import { recordAttempt } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import { logAttempt } from './attemptLog.ts'
 import {
@@ -143,10 +143,10 @@
 function noteResult(
 	{ fleet }: GatewayContext,
 	{ server }: Send,
-	result: TryResult,
+	result: AttemptOutcome,
 ): void {
 	const row = fleet.table.rowOf.get(server.id)
-	if (row !== undefined) noteTry(fleet.table, row, result, readNow())
+	if (row !== undefined) recordAttempt(fleet.table, row, result, readNow())
 }
 
 /** A connection that the server closed, or that this entry did. */
--- a/packages/gateway/src/serverEnds.ts
+++ b/packages/gateway/src/serverEnds.ts
@@ -6,7 +6,7 @@
 
 import { connect } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
-import { MAX_NAMED, splitAddress } from '@juniperhook/core'
+import { MAX_REQUESTS_PER_CRASH, splitAddress } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import { noteRankGone, standsStill } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
@@ -67,7 +67,7 @@
 	return {
 		server,
 		at: readElapsed(),
-		hadLeft: list.left.has(server.id),
+		hadLeft: list.departed.has(server.id),
 		running: new Map(),
 		tries: 0,
 		settled,
@@ -183,7 +183,7 @@
 	dropDoubt(ctx, doubt)
 	const running = [...doubt.running.values()]
 		.sort((a, b) => b.since - a.since)
-		.slice(0, MAX_NAMED)
+		.slice(0, MAX_REQUESTS_PER_CRASH)
 	ctx.metrics.serverEnds.inc({ witness })
 	ctx.log.write('server ended', {
 		server: server.id,
--- a/packages/gateway/src/serverRests.ts
+++ b/packages/gateway/src/serverRests.ts
@@ -1,14 +1,14 @@
 /** Rests that servers have asked this entry for. */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	forgetNews,
-	forgetRests,
-	MAX_REST_MS,
-	noteRest,
-	noteTakenAfterRest,
-	restLeftMs,
-	takeServerNews,
+	backoffLeftMs,
+	endBackoff,
+	MAX_BACKOFF_MS,
+	mergeServerUpdates,
+	pruneBackoffs,
+	pruneExpiredBackoffs,
+	startBackoff,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -21,7 +21,7 @@
 	forMs: number,
 ): void {
 	const entry = ctx.settings.control
-	const endsAt = readElapsed() + Math.min(forMs, MAX_REST_MS)
+	const endsAt = readElapsed() + Math.min(forMs, MAX_BACKOFF_MS)
 	noteRests(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
 }
 
@@ -31,11 +31,11 @@
  */
 export function noteRests(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'rest'>[],
+	told: readonly UpdateOf<'rest'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, told, now)
+	const fresh = mergeServerUpdates(ctx.book, told, now)
 	if (from === 'answer') postNews(ctx.outbox, fresh)
 	for (const { entry, server, endsAt } of fresh)
 		if (entry === ctx.settings.control) keepRest(ctx, server, endsAt, from)
@@ -48,9 +48,9 @@
 	from: string,
 ): void {
 	const now = readElapsed()
-	const before = Math.round(restLeftMs(ctx.rests, server, now))
+	const before = Math.round(backoffLeftMs(ctx.rests, server, now))
 	const forMs = Math.round(endsAt - now)
-	if (!noteRest(ctx.rests, server, forMs, now)) return
+	if (!startBackoff(ctx.rests, server, forMs, now)) return
 	ctx.log.write('server rests', { server, forMs, before, from })
 	countResting(ctx, now)
 }
@@ -62,7 +62,7 @@
 	sentAt: number,
 ): void {
 	if (ctx.rests.size === 0) return
-	if (!noteTakenAfterRest(ctx.rests, server, sentAt)) return
+	if (!endBackoff(ctx.rests, server, sentAt)) return
 	ctx.log.write('server rested', { server })
 	countResting(ctx, readElapsed())
 }
@@ -75,14 +75,16 @@
 	if (rests.size === 0) return []
 	const now = readElapsed()
 	const rows = fleet.rowsOf.get(service) ?? []
-	return rows.filter(row => restLeftMs(rests, fleet.servers[row]!.id, now) > 0)
+	return rows.filter(
+		row => backoffLeftMs(rests, fleet.servers[row]!.id, now) > 0,
+	)
 }
 
 /** Forgets rests that are long over. */
 export function tickRests(ctx: GatewayContext): void {
 	const now = readElapsed()
-	forgetRests(ctx.rests, now)
-	forgetNews(ctx.book, now)
+	pruneBackoffs(ctx.rests, now)
+	pruneExpiredBackoffs(ctx.book, now)
 	countResting(ctx, now)
 }
 
--- a/packages/gateway/src/waiter.ts
+++ b/packages/gateway/src/waiter.ts
@@ -1,6 +1,6 @@
 /** What a request asks a service's servers for, and what it gets. */
 
-import type { Waiting } from '@juniperhook/core'
+import type { QueueItem } from '@juniperhook/core'
 
 /** What a request that asks for a server gets. */
 export type Grant =
@@ -14,7 +14,7 @@
 	| { readonly kind: 'none' }
 
 /** A request that waits. */
-export interface Waiter extends Waiting {
+export interface Waiter extends QueueItem {
 	readonly service: string
 	/** Ids of servers it has been to. */
 	readonly tried: ReadonlySet<string>
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -1,19 +1,19 @@
 /** Requests that wait for a server with room, by priority and then by team. */
 
 import {
-	beginSpell,
 	chooseRow,
 	dequeue,
-	endSpell,
 	enqueue,
 	type FairQueue,
-	isShut,
+	isGroupClosed,
 	listFullGroups,
-	mayEnter,
-	notePlace,
-	noteSentAfterRest,
+	markBlocked,
+	markUnblocked,
 	predictWaitMs,
-	removeWaiting,
+	recordBackoffProbe,
+	recordDispatch,
+	removeQueued,
+	tryEnterGroup,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -49,13 +49,14 @@
 	if (queue.waiting.length === 0) {
 		const grant = choose(ctx, wish.service, wish.tried, wish.luck)
 		if (grant.kind === 'server') {
-			notePlace(pressure.flow, now)
+			recordDispatch(pressure.flow, now)
 			// One that is taken of many that are not does not end a full spell.
-			if (!isRationed(ctx.fleet, wish.service)) endSpell(pressure.full, now)
+			if (!isRationed(ctx.fleet, wish.service))
+				markUnblocked(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
-	beginSpell(pressure.full, now)
+	markBlocked(pressure.full, now)
 	askAhead(ctx, wish.service, callers, wish.waitMs)
 	const outlook = outlookOf(ctx, wish.service)
 	if (waitsTooLong(queue, wish, pressure, outlook, now))
@@ -74,7 +75,7 @@
 		const leave = (grant: Grant) => {
 			clearTimeout(timer)
 			wish.signal.removeEventListener('abort', giveUp)
-			removeWaiting(queue, waiter)
+			removeQueued(queue, waiter)
 			resolve(grant)
 		}
 		const giveUp = () =>
@@ -121,7 +122,7 @@
 		}
 		dequeue(queue)
 		if (grant.kind === 'server')
-			notePlace(pressureOf(ctx.pressures, next.service).flow, readNow())
+			recordDispatch(pressureOf(ctx.pressures, next.service).flow, readNow())
 		next.grant(grant)
 	}
 }
@@ -170,20 +171,21 @@
 	const query = {
 		rows: fleet.rowsOf.get(service) ?? [],
 		tried,
-		queueRoom: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
-		shutGroups: listShutGroups(ctx, luck, now),
-		near: fleet.near,
-		untold: meterOf(fleet, service).untold,
+		queueCapacity: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
+		closedGroups: listShutGroups(ctx, luck, now),
+		localRows: fleet.near,
+		unreportedSends: meterOf(fleet, service).untold,
 		permitted,
 		withheld: new Set([...spent, ...listResting(ctx, service)]),
 	}
 	const choice = chooseRow(fleet.table, query, now, ctx.random)
 	if (choice.kind !== 'row') return choice
 	const server = fleet.servers[choice.row]!
-	if (!mayEnter(ctx.closures, groupOf(server), now)) return { kind: 'full' }
+	if (!tryEnterGroup(ctx.closures, groupOf(server), now))
+		return { kind: 'full' }
 	const { id } = server
 	spendPermit(ctx, id)
-	noteSentAfterRest(ctx.rests, id, readElapsed())
+	recordBackoffProbe(ctx.rests, id, readElapsed())
 	noteHeld(fleet, id, 1)
 	return { kind: 'server', id }
 }
@@ -195,7 +197,7 @@
 ): Set<number> {
 	const shut = new Set<number>()
 	for (const [number, group] of ctx.fleet.groups.entries())
-		if (isShut(ctx.closures, group, now)) shut.add(number)
+		if (isGroupClosed(ctx.closures, group, now)) shut.add(number)
 	const { fleet } = ctx
 	const isOpen = (group: number, room: number) =>
 		isTaken(fleet, group, room, luck)
--- a/packages/gateway/test/gatewayState.test.ts
+++ b/packages/gateway/test/gatewayState.test.ts
@@ -79,7 +79,7 @@
 	})
 	await until(() => fleet.table.rowOf.has(born(20).id))
 	assert.is(fleet.table.failureRate[0], 0)
-	assert.is(fleet.table.sentSince[0], 0)
+	assert.is(fleet.table.sentSinceReport[0], 0)
 	const answer = await ask('new-life')
 	assert.is(answer.status, 200)
 	const expected = backends.arrivals.at(-1)?.headers[WIRE.expectServer]
@@ -131,7 +131,7 @@
 	catalog.down = false
 	await until(() => other.ctx.fleet.servers.length === 2)
 	assert.is(other.ctx.fleet.servers.length, 2)
-	assert.is(other.ctx.list.doubted.size, 0)
+	assert.is(other.ctx.list.pendingRemovals.size, 0)
 	catalog.tell({ servers: [{ name, revision: revisionOf(3), server: first }] })
 	await until(() => other.ctx.fleet.servers.length === 3)
 	assert.is(other.ctx.fleet.servers.length, 3)
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -117,7 +117,7 @@
 	const started = await openEntry(world)
 	while ((await callGateway(started.readiness, '/')).status !== 200)
 		await pause(5)
-	assert.ok(started.ctx.list.left.has(server.listed.id))
+	assert.ok(started.ctx.list.departed.has(server.listed.id))
 	const before = server.arrivals.length
 	await askSteadily(world, ASKED)
 	closeWorld(world)
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -19,9 +19,9 @@
 
 /** No server has room, and places come free `gapMs` apart. */
 function fill(gapMs: number): Pressure {
-	ctx.fleet.table.most.fill(0)
+	ctx.fleet.table.maxInFlight.fill(0)
 	const pressure = pressureOf(ctx.pressures, SERVICE)
-	pressure.flow.gapMs = gapMs
+	pressure.flow.intervalMs = gapMs
 	pressure.flow.lastAt = readNow()
 	return pressure
 }
@@ -57,10 +57,10 @@
 	fill(5)
 	const grant = ask(2_000)
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
-	ctx.fleet.table.most.fill(1)
+	ctx.fleet.table.maxInFlight.fill(1)
 	assert.is((await grant).kind, 'server')
 	ctx.fleet.held.clear()
-	ctx.fleet.table.sentSince.fill(0)
+	ctx.fleet.table.sentSinceReport.fill(0)
 })
 
 test('full service: each that waits makes the next wait longer', async () => {
@@ -68,16 +68,16 @@
 	const [first, second] = [ask(500), ask(500)]
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
 	assert.is((await second).kind, 'full')
-	ctx.fleet.table.most.fill(1)
+	ctx.fleet.table.maxInFlight.fill(1)
 	assert.is((await first).kind, 'server')
 	ctx.fleet.held.clear()
-	ctx.fleet.table.sentSince.fill(0)
+	ctx.fleet.table.sentSinceReport.fill(0)
 })
 
 test('full service: callers are told to return one after the other', () => {
 	const pressure = fill(200)
 	pressure.full.since = readNow()
-	pressure.full.usualMs = 1_000
+	pressure.full.typicalMs = 1_000
 	const told = [0, 1, 2].map(() => chooseComeBack(ctx, SERVICE, 8_000))
 	assert.ok(told[0]! >= 1_000, `${told}`)
 	assert.ok(told[2]! > told[0]!, `${told}`)
@@ -100,7 +100,7 @@
 	const { fleet } = ctx
 	fleet.groups.push(`${SERVICE}/g`)
 	fleet.table.group.fill(0)
-	fleet.table.most.fill(2.5)
+	fleet.table.maxInFlight.fill(2.5)
 	const meter = meterOf(fleet, SERVICE)
 	// 2.5 places within 50 ms, in which 5 requests come: half of them.
 	meter.intake = { perSecond: 100, endedPerSecond: 0, horizonMs: 50 }
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -252,7 +252,7 @@
 			servers: [{ name: server.name, revision: revisionOf(at), server: one }],
 		})
 	tell(9, { ...server, leaving: true })
-	await until(() => ctx.list.left.has(server.id))
+	await until(() => ctx.list.departed.has(server.id))
 	tell(10, undefined)
 	await until(() => ctx.list.records.get(server.name)?.server === undefined)
 	assert.is(ctx.gate.quarantine.ends.size, 0)
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/rest.test.ts
@@ -1,11 +1,11 @@
 /** Servers that turn requests away and ask for rest. */
 
-import type { Rests, TrafficConfig } from '@juniperhook/core'
+import type { ServerBackoffs, TrafficConfig } from '@juniperhook/core'
 import {
-	noteRest,
-	noteSentAfterRest,
-	noteTakenAfterRest,
-	restLeftMs,
+	backoffLeftMs,
+	endBackoff,
+	recordBackoffProbe,
+	startBackoff,
 } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -232,25 +232,25 @@
 })
 
 test('a shorter rest ends no longer one, and one beyond all bounds is bounded', () => {
-	const rests: Rests = new Map()
-	assert.ok(noteRest(rests, 'one', 5_000, 0))
+	const rests: ServerBackoffs = new Map()
+	assert.ok(startBackoff(rests, 'one', 5_000, 0))
 	for (const forMs of [0, 1_000, 5_000])
-		assert.not(noteRest(rests, 'one', forMs, 0))
-	assert.is(restLeftMs(rests, 'one', 0), 5_000)
-	assert.ok(noteRest(rests, 'one', Number.POSITIVE_INFINITY, 0))
-	assert.is(restLeftMs(rests, 'one', 0), 600_000)
+		assert.not(startBackoff(rests, 'one', forMs, 0))
+	assert.is(backoffLeftMs(rests, 'one', 0), 5_000)
+	assert.ok(startBackoff(rests, 'one', Number.POSITIVE_INFINITY, 0))
+	assert.is(backoffLeftMs(rests, 'one', 0), 600_000)
 })
 
 test('a rest is not ended by what was under way before it', () => {
-	const rests: Rests = new Map()
-	noteRest(rests, 'one', 1_000, 100)
-	assert.not(noteTakenAfterRest(rests, 'one', 50))
-	assert.not(noteTakenAfterRest(rests, 'one', 1_050))
-	assert.is(restLeftMs(rests, 'one', 500), 600)
-	noteSentAfterRest(rests, 'one', 1_200)
-	assert.ok(restLeftMs(rests, 'one', 1_210) > 0)
-	assert.ok(noteTakenAfterRest(rests, 'one', 1_200))
-	assert.is(restLeftMs(rests, 'one', 1_210), 0)
+	const rests: ServerBackoffs = new Map()
+	startBackoff(rests, 'one', 1_000, 100)
+	assert.not(endBackoff(rests, 'one', 50))
+	assert.not(endBackoff(rests, 'one', 1_050))
+	assert.is(backoffLeftMs(rests, 'one', 500), 600)
+	recordBackoffProbe(rests, 'one', 1_200)
+	assert.ok(backoffLeftMs(rests, 'one', 1_210) > 0)
+	assert.ok(endBackoff(rests, 'one', 1_200))
+	assert.is(backoffLeftMs(rests, 'one', 1_210), 0)
 })
 
 test('a rest ends with its server: the next life under that name is sent to', async () => {
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -182,8 +182,8 @@
 	{
 		name: 'untoldSends',
 		file: WAITING,
-		on: '		untold: meterOf(fleet, service).untold,',
-		off: '		untold: 0,',
+		on: '		unreportedSends: meterOf(fleet, service).untold,',
+		off: '		unreportedSends: 0,',
 	},
 	{
 		name: 'tree',
@@ -206,8 +206,8 @@
 	{
 		name: 'dealtServers',
 		file: ENTRY_DEMAND,
-		on: '		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 1',
-		off: '		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 0',
+		on: '		fleet.table.assignedElsewhere[row] = dealt.has(place) ? 0 : 1',
+		off: '		fleet.table.assignedElsewhere[row] = dealt.has(place) ? 0 : 0',
 	},
 	{
 		name: 'engineRoom',
@@ -218,8 +218,8 @@
 	{
 		name: 'fullSpells',
 		file: WAITING,
-		on: '			if (!isRationed(ctx.fleet, wish.service)) endSpell(pressure.full, now)',
-		off: '			if (isRationed(ctx.fleet, wish.service) || now) endSpell(pressure.full, now)',
+		on: '			if (!isRationed(ctx.fleet, wish.service))',
+		off: '			if (isRationed(ctx.fleet, wish.service) || now)',
 	},
 	{
 		name: 'shiftBounds',
@@ -278,8 +278,8 @@
 	{
 		name: 'afterRest',
 		file: 'packages/core/src/core/serverRests.ts',
-		on: 'export const REST_TRY_MS = 50',
-		off: 'export const REST_TRY_MS = 0',
+		on: 'export const BACKOFF_PROBE_MS = 50',
+		off: 'export const BACKOFF_PROBE_MS = 0',
 	},
 	{
 		name: 'leavingByAnswers',
