--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -113,7 +113,7 @@
 				bytes: result.bytes,
 				tookMs: Math.round(now - begunAt),
 			})
-			noteAway(ctx, follower, now, result.reason)
+			recordAway(ctx, follower, now, result.reason)
 			if (result.lostHistory) {
 				revision = undefined
 				pause = MIN_PAUSE_MS
@@ -123,7 +123,7 @@
 			continue
 		}
 		pause = MIN_PAUSE_MS
-		noteBack(ctx, follower, now)
+		recordBack(ctx, follower, now)
 		takeSnapshot(ctx, result.value, whole, follower, now)
 		const isNews = !whole && !isSameRevision(result.value.revision, revision!)
 		revision = result.value.revision
@@ -137,7 +137,7 @@
 	return Math.round(settings.contactMs * WATCH_SHARE)
 }
 
-function noteAway(
+function recordAway(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
@@ -152,7 +152,7 @@
 	})
 }
 
-function noteBack(
+function recordBack(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
@@ -179,7 +179,7 @@
 		ctx.log.write('published value refused', { reason })
 	if (snapshot.config) adoptConfig(ctx, snapshot.config, 'source')
 	const isCopy = whole && isOlderCopy(ctx, follower, snapshot.revision)
-	if (whole) noteTerm(ctx, follower, snapshot.revision)
+	if (whole) recordTerm(ctx, follower, snapshot.revision)
 	if (isCopy) follower.doubtUntil = now + LAPSED_GRACE_MS
 	const missing = whole ? listMissing(ctx, snapshot) : []
 	const before = ctx.list.revision
@@ -191,7 +191,7 @@
 	if (isCopy) logTerm(ctx, before, snapshot, missing.length)
 }
 
-function noteTerm(
+function recordTerm(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	{ term }: TermRevision,
@@ -259,7 +259,7 @@
 	if (held !== undefined && version <= held) return false
 	ctx.routes = createRouteTable(published.config)
 	ctx.published = published
-	ctx.configSince = readNow()
+	ctx.configAppliedAt = readNow()
 	ctx.metrics.configVersion.set(version)
 	ctx.log.write('configuration in force', {
 		version,
--- a/packages/gateway/src/news.ts
+++ b/packages/gateway/src/news.ts
@@ -9,16 +9,16 @@
 import type { GatewayContext } from './context.ts'
 import { drainOutbox } from './outbox.ts'
 import type { NewsItem } from './peerMessages.ts'
-import { noteEndNews } from './quarantineGate.ts'
-import { noteLimits } from './rateLimits.ts'
-import { noteLeaving } from './serverRecords.ts'
-import { noteRests } from './serverRests.ts'
+import { recordEndNews } from './quarantineGate.ts'
+import { recordLimits } from './rateLimits.ts'
+import { recordLeaving } from './serverRecords.ts'
+import { recordRests } from './serverRests.ts'
 
 /** Ids of servers that left, of which a new link is told the last ones. */
 const MAX_LEFT_TOLD = 512
 
 /** Takes what another entry tells. */
-export function takeTold(
+export function receiveUpdates(
 	ctx: GatewayContext,
 	items: readonly NewsItem[],
 	from: string,
@@ -27,10 +27,10 @@
 	const news = items.map(item => fromWire(item, now))
 	const of = <K extends ServerUpdate['kind']>(...kinds: readonly K[]) =>
 		news.filter((one): one is UpdateOf<K> => kinds.some(k => k === one.kind))
-	noteLimits(ctx, of('limit'), from)
-	noteLeaving(ctx, of('left'), from)
-	noteEndNews(ctx, of('end', 'served'), from)
-	noteRests(ctx, of('rest'), from)
+	recordLimits(ctx, of('limit'), from)
+	recordLeaving(ctx, of('left'), from)
+	recordEndNews(ctx, of('end', 'served'), from)
+	recordRests(ctx, of('rest'), from)
 }
 
 /** What has changed since other entries were last told. */
@@ -40,13 +40,13 @@
 }
 
 /** All that is known, for an entry that may know nothing. */
-export function listNews({ book }: GatewayContext): NewsItem[] {
+export function listNews({ sharedState: book }: GatewayContext): NewsItem[] {
 	const now = readElapsed()
 	return listServerUpdates(book, MAX_LEFT_TOLD).map(one => toWire(one, now))
 }
 
 /** What is known of limits, which is told again and again while they last. */
-export function listLimits({ book }: GatewayContext): NewsItem[] {
+export function listLimits({ sharedState: book }: GatewayContext): NewsItem[] {
 	const now = readElapsed()
 	return listLimitUpdates(book).map(one => toWire(one, now))
 }
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -51,7 +51,7 @@
 }
 
 /** Notes addresses of entries. */
-export function noteAddresses(
+export function recordAddresses(
 	{ links }: PeerLinks,
 	addresses: readonly string[],
 ): void {
@@ -86,7 +86,7 @@
 export function keepLinks(ctx: GatewayContext, peers: PeerLinks): void {
 	const { links } = peers
 	const { control, seeds } = ctx.settings
-	noteAddresses(
+	recordAddresses(
 		peers,
 		seeds.filter(address => address !== control),
 	)
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -15,7 +15,7 @@
 import * as v from 'valibot'
 import { answerPiece, createConfigServer } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import { drainNews, takeTold } from './news.ts'
+import { drainNews, receiveUpdates } from './news.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import {
 	createPeerLinks,
@@ -43,7 +43,7 @@
 } from './peerStates.ts'
 import { answerPermits, lookAtHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
-import { forgetGroups, takePaces } from './toldGroups.ts'
+import { forgetGroups, receiveGroupReport } from './toldGroups.ts'
 
 /** Between looks at whether peers are to be told, ms. */
 const LOOK_MS = 50
@@ -68,7 +68,7 @@
 		},
 		held: (params: unknown) => takeHeld(ctx, params),
 		news: (params: unknown) =>
-			takeTold(ctx, v.parse(NewsSchema, params).items, 'peer'),
+			receiveUpdates(ctx, v.parse(NewsSchema, params).items, 'peer'),
 		permits: (params: unknown) => answerPermits(ctx, params),
 		configPiece: (params: unknown, link: RpcLink) =>
 			answerPiece(
@@ -80,7 +80,7 @@
 		records: (params: unknown) => answerRecords(ctx, params),
 		removals: (params: unknown) => takeRemovals(ctx, params),
 		paces: (params: unknown, link: RpcLink) => {
-			const news = takePaces(ctx, params)
+			const news = receiveGroupReport(ctx, params)
 			if (news) tellOn(peers, news, link)
 			return listSome(peers)
 		},
--- a/packages/gateway/src/permitAsk.ts
+++ b/packages/gateway/src/permitAsk.ts
@@ -12,7 +12,7 @@
 import { messageOf, readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
-import { heldOf, listLimited } from './permitGate.ts'
+import { heldPermitsOf, listLimited } from './permitGate.ts'
 import { givePermits, homeOf } from './permitHome.ts'
 
 /** Permits that one question asks for at most. */
@@ -24,7 +24,7 @@
  * Asks for permits of a service's servers that have none left. `onAnswer` follows
  * answers that come later.
  */
-export function askForPermits(
+export function requestPermits(
 	ctx: GatewayContext,
 	service: string,
 	wish: PermitRequest,
@@ -35,9 +35,9 @@
 	const { withinMs } = wish
 	for (const row of listLimited(ctx, service).spent) {
 		const { id } = ctx.fleet.servers[row]!
-		const held = heldOf(ctx, id)
+		const held = heldPermitsOf(ctx, id)
 		const now = readElapsed()
-		if (backoffLeftMs(ctx.rests, id, now) > withinMs) continue
+		if (backoffLeftMs(ctx.backoffs, id, now) > withinMs) continue
 		if (shouldRequestPermits(held, withinMs, now))
 			askFor(ctx, id, held, { count, withinMs }, onAnswer)
 	}
@@ -62,7 +62,7 @@
 	const ask = { server, limit: perSecond, limitAgoMs, ...wish }
 	const reply = ctx.permits.askHome(home, ask)
 	if (!reply) {
-		noteNone(ctx, held, 'unlinked')
+		recordNone(ctx, held, 'unlinked')
 		return
 	}
 	held.isRequestPending = true
@@ -75,7 +75,7 @@
 					home,
 					reason: messageOf(err),
 				})
-				noteNone(ctx, held, 'failed')
+				recordNone(ctx, held, 'failed')
 			},
 		)
 		.finally(() => {
@@ -95,7 +95,7 @@
 			keepPermits(ctx, held, perSecond, reply)
 			return
 		case 'notHome':
-			noteNone(ctx, held, 'notHome')
+			recordNone(ctx, held, 'notHome')
 			return
 		default:
 			reply satisfies never
@@ -113,7 +113,7 @@
 	ctx.metrics.permits.inc({ outcome })
 }
 
-function noteNone(
+function recordNone(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	outcome: 'unlinked' | 'failed' | 'notHome',
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -30,7 +30,7 @@
 	const permitted = new Set<number>()
 	const spent = new Set<number>()
 	const now = readElapsed()
-	for (const row of fleet.rowsOf.get(service) ?? []) {
+	for (const row of fleet.rowsByService.get(service) ?? []) {
 		const { id } = fleet.servers[row]!
 		if (rateLimitOf(rateLimits, id) === undefined) continue
 		const held = permits.held.get(id)
@@ -47,7 +47,7 @@
 }
 
 /** What is held of a server's permits. */
-export function heldOf(
+export function heldPermitsOf(
 	{ permits }: GatewayContext,
 	server: string,
 ): HeldPermits {
@@ -64,7 +64,7 @@
 }
 
 /** Forgets permits, given and held, of servers that have no limit any more. */
-export function forgetPermits(ctx: GatewayContext): void {
+export function dropUnlimitedPermits(ctx: GatewayContext): void {
 	const { permits, permitHomes, rateLimits } = ctx
 	for (const known of [permits.held, permitHomes.pools, permitHomes.homes])
 		for (const server of known.keys())
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -17,7 +17,7 @@
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
 import { PermitAskSchema } from './peerMessages.ts'
-import { noteLimits } from './rateLimits.ts'
+import { recordLimits } from './rateLimits.ts'
 
 /** Takes stock of the entries that are heard; homes move with them. */
 export function lookAtHomes(
@@ -70,7 +70,7 @@
 	const ask = v.parse(PermitAskSchema, params)
 	const { server, limit, limitAgoMs, count, withinMs } = ask
 	const at = readElapsed() - limitAgoMs
-	noteLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
+	recordLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
 	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
 	const perSecond = rateLimitOf(ctx.rateLimits, server)
 	// What is believed to have no limit any more: the asker will hear of it.
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -15,7 +15,7 @@
 ) => Promise<PermitReply> | undefined
 
 /** What this entry has of the permits of all servers with a limit. */
-export interface PermitGate {
+export interface PermitStore {
 	/** By server id. */
 	readonly held: Map<string, HeldPermits>
 	/** What other entries are asked by; set once there are any. */
@@ -23,7 +23,7 @@
 }
 
 /** Makes a gate that has nothing. */
-export function createPermitGate(): PermitGate {
+export function createPermitStore(): PermitStore {
 	return { held: new Map(), askHome: () => undefined }
 }
 
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -28,7 +28,7 @@
 	readonly full: BlockageTracker
 	readonly returns: RetryAfterSchedule
 	/** From the sending to the beginning of an answer, smoothed, ms. */
-	firstMs: number
+	firstByteMs: number
 }
 
 /** The observations of a service. */
@@ -42,22 +42,22 @@
 		flow: createDispatchRate(),
 		full: createBlockageTracker(FIRST_FULL_MS),
 		returns: createRetryAfterSchedule(),
-		firstMs: 0,
+		firstByteMs: 0,
 	}
 	pressures.set(service, pressure)
 	return pressure
 }
 
 /** Notes how long an answer took to begin, from its sending. */
-export function noteFirst(pressure: Pressure, tookMs: number): void {
-	const { firstMs } = pressure
-	pressure.firstMs =
+export function recordFirstByte(pressure: Pressure, tookMs: number): void {
+	const { firstByteMs: firstMs } = pressure
+	pressure.firstByteMs =
 		firstMs === 0 ? tookMs : firstMs + FIRST_WEIGHT * (tookMs - firstMs)
 }
 
 /** How long a request may wait and still be answered in time, ms. */
-export function spareMs(
-	{ firstMs }: Pressure,
+export function waitBudgetMs(
+	{ firstByteMs: firstMs }: Pressure,
 	targetMs: number,
 	elapsedMs: number,
 ): number {
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -13,12 +13,12 @@
 import type { GatewayContext } from './context.ts'
 import { postNews } from './outbox.ts'
 import { dropPermits } from './permitGate.ts'
-import type { Heard } from './ports.ts'
+import type { StatementOrigin } from './ports.ts'
 
 /** Takes the limit that an answer names, or that it names none. */
-export function noteNamedLimit(
+export function recordAnnouncedLimit(
 	ctx: GatewayContext,
-	{ server, sentAt, ran }: Heard,
+	{ server, sentAt, ran }: StatementOrigin,
 	perSecond: number | undefined,
 ): void {
 	const at = readElapsed()
@@ -28,24 +28,24 @@
 		// An answer to a request from before the limit says nothing of its end.
 		if (sentAt <= known.since) return
 	}
-	noteLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
+	recordLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
 }
 
 /** Takes news of limits. */
-export function noteLimits(
+export function recordLimits(
 	ctx: GatewayContext,
 	told: readonly UpdateOf<'limit'>[],
 	from: string,
 ): void {
-	for (const news of told) noteLimit(ctx, news, from)
+	for (const news of told) recordLimit(ctx, news, from)
 }
 
-function noteLimit(
+function recordLimit(
 	ctx: GatewayContext,
 	news: UpdateOf<'limit'>,
 	from: string,
 ): void {
-	const { rateLimits, book, outbox } = ctx
+	const { rateLimits, sharedState: book, outbox } = ctx
 	const { server, perSecond } = news
 	const before = rateLimitOf(rateLimits, server)
 	const fresh = mergeServerUpdates(book, [news], readElapsed())
@@ -60,7 +60,7 @@
 }
 
 /** Forgets old notices of servers. */
-export function forgetRates({ rateLimits, fleet }: GatewayContext): void {
+export function expireRateLimits({ rateLimits, fleet }: GatewayContext): void {
 	if (rateLimits.size === 0) return
 	const isListed = (id: string) => fleet.table.rowOf.has(id)
 	pruneRateNotices(rateLimits, isListed, readElapsed())
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -19,7 +19,7 @@
 import { postNews } from './outbox.ts'
 import { settleByList } from './serverEnds.ts'
 import { closeIdle } from './serverPool.ts'
-import { serveWaiting } from './waiting.ts'
+import { serveQueues } from './waiting.ts'
 
 /** Where records come from: the source, an older copy of it, or another entry. */
 export type RecordOrigin =
@@ -86,12 +86,12 @@
  * Takes news of servers that leave or have left. Nothing that the source tells of the
  * same lives brings them back.
  */
-export function noteLeaving(
+export function recordLeaving(
 	ctx: GatewayContext,
 	told: readonly UpdateOf<'left'>[],
 	from: string,
 ): void {
-	const fresh = mergeServerUpdates(ctx.book, told, readElapsed())
+	const fresh = mergeServerUpdates(ctx.sharedState, told, readElapsed())
 	if (fresh.length === 0) return
 	postNews(ctx.outbox, fresh)
 	for (const { server } of fresh)
@@ -113,7 +113,7 @@
 	applyServerList(fleet, list, settings.dataCentre, routes)
 	closeEnded(ctx, before)
 	settleByList(ctx)
-	serveWaiting(ctx)
+	serveQueues(ctx)
 }
 
 /**
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -78,7 +78,7 @@
 				const revision = { term: 2, revision: 1 }
 				const { servers } = catalog.snapshot
 				const copied = servers.map(one => ({ ...one, revision }))
-				catalog.tell({ servers: copied })
+				catalog.publish({ servers: copied })
 			}
 		},
 		sent: false,
@@ -86,7 +86,7 @@
 	{
 		name: 'the source is away',
 		happen: ({ catalogs }) => {
-			for (const catalog of catalogs) catalog.down = true
+			for (const catalog of catalogs) catalog.isDown = true
 		},
 		sent: false,
 	},
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -6,8 +6,8 @@
 import type { ListedServer, TrafficConfig } from '@juniperhook/core'
 import type { OpenGateway } from './openGateway.ts'
 import { openGatewayAt, until } from './openGateway.ts'
-import { delaysBetween } from './ownDelays.ts'
-import type { Got, StandInCatalog } from './standIns.ts'
+import { loopDelayBetween } from './ownDelays.ts'
+import type { CallerResponse, FakeCatalog } from './standIns.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -84,7 +84,7 @@
 	readonly port: number
 	readonly config: TrafficConfig
 	/** What each entry follows. */
-	readonly catalogs: StandInCatalog[]
+	readonly catalogs: FakeCatalog[]
 }
 
 /** Opens worlds whose entries listen from `firstPort` on. */
@@ -134,7 +134,7 @@
 ): void {
 	for (const catalog of catalogs) {
 		const revision = nextRevision(catalog)
-		catalog.tell({ servers: [{ name, revision, server }] })
+		catalog.publish({ servers: [{ name, revision, server }] })
 	}
 }
 
@@ -218,7 +218,7 @@
 
 /** How a request ended. */
 export interface Asked {
-	readonly got: Got
+	readonly got: CallerResponse
 	/** After how long, without what this process itself was late, ms. */
 	readonly tookMs: number
 }
@@ -262,7 +262,7 @@
 	}
 	const got = await callGateway(entries[entry]!.callers, path, headers)
 	const endedAt = performance.now()
-	const tookMs = endedAt - begunAt - delaysBetween(begunAt, endedAt)
+	const tookMs = endedAt - begunAt - loopDelayBetween(begunAt, endedAt)
 	return { got, tookMs }
 }
 
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -3,11 +3,11 @@
 import { readNow } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { chooseComeBack } from '../src/comeBack.ts'
+import { chooseRetryAfterMs } from '../src/comeBack.ts'
 import { meterOf } from '../src/fleet.ts'
 import type { Pressure } from '../src/pressure.ts'
-import { pressureOf, spareMs } from '../src/pressure.ts'
-import { awaitServer } from '../src/waiting.ts'
+import { pressureOf, waitBudgetMs } from '../src/pressure.ts'
+import { acquireServer } from '../src/waiting.ts'
 import { createOpener } from './openGateway.ts'
 import { CONFIG, createCatalog, startBackends } from './standIns.ts'
 
@@ -27,14 +27,14 @@
 }
 
 function ask(waitMs: number, inTurn = true, luck = 0) {
-	return awaitServer(ctx, {
+	return acquireServer(ctx, {
 		service: SERVICE,
 		team: 't',
 		priority: 1,
-		luck,
+		admissionDraw: luck,
 		tried: new Set(),
 		waitMs,
-		inTurn,
+		slotsFreeOneByOne: inTurn,
 		signal: NEVER,
 	})
 }
@@ -59,7 +59,7 @@
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
 	ctx.fleet.table.maxInFlight.fill(1)
 	assert.is((await grant).kind, 'server')
-	ctx.fleet.held.clear()
+	ctx.fleet.inFlight.clear()
 	ctx.fleet.table.sentSinceReport.fill(0)
 })
 
@@ -70,7 +70,7 @@
 	assert.is((await second).kind, 'full')
 	ctx.fleet.table.maxInFlight.fill(1)
 	assert.is((await first).kind, 'server')
-	ctx.fleet.held.clear()
+	ctx.fleet.inFlight.clear()
 	ctx.fleet.table.sentSinceReport.fill(0)
 })
 
@@ -78,7 +78,7 @@
 	const pressure = fill(200)
 	pressure.full.since = readNow()
 	pressure.full.typicalMs = 1_000
-	const told = [0, 1, 2].map(() => chooseComeBack(ctx, SERVICE, 8_000))
+	const told = [0, 1, 2].map(() => chooseRetryAfterMs(ctx, SERVICE, 8_000))
 	assert.ok(told[0]! >= 1_000, `${told}`)
 	assert.ok(told[2]! > told[0]!, `${told}`)
 	assert.ok(told[2]! <= 8_000 / 3, 'within what callers heed')
@@ -93,7 +93,7 @@
 for (const { firstMs, elapsedMs, spare } of SPARES)
 	test(`time to wait: answers begin after ${firstMs} ms, ${elapsedMs} ms gone`, () => {
 		const pressure = { ...pressureOf(ctx.pressures, SERVICE), firstMs }
-		assert.is(spareMs(pressure, 500, elapsedMs), spare)
+		assert.is(waitBudgetMs(pressure, 500, elapsedMs), spare)
 	})
 
 test('nearly full group: a part is taken, and that does not end the full spell', async () => {
@@ -110,7 +110,7 @@
 	assert.ok(full.since !== undefined)
 	assert.is((await ask(-1, true, 0.2)).kind, 'server')
 	assert.ok(full.since !== undefined, 'others are still turned away')
-	meter.taken = 1
+	meter.minAdmittedFraction = 1
 	meter.intake = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
 	assert.is((await ask(-1, true, 0.9)).kind, 'server')
 	assert.is(full.since, undefined)
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/rest.test.ts
@@ -174,7 +174,7 @@
 	closeWorld(world)
 	const failed = asked.filter(({ got }) => got.status !== 200)
 	assert.is(failed.length, 0)
-	for (const { ctx } of world.entries) assert.is(ctx.outages.size, 0)
+	for (const { ctx } of world.entries) assert.is(ctx.blockages.size, 0)
 })
 
 test('a closed group is tried at ranks that do not rest', async () => {
@@ -187,7 +187,7 @@
 	closeWorld(world)
 	assert.ok(server.told.length > 0)
 	assert.ok(mostInRest(server, 3) <= MAX_IN_REST)
-	assert.ok(world.entries[0]!.ctx.outages.size > 0)
+	assert.ok(world.entries[0]!.ctx.blockages.size > 0)
 })
 
 test('while all servers rest, callers are refused at once and told a time that comes true', async () => {
@@ -273,7 +273,7 @@
 		world.servers[0]!.answer = () => ({ status, retryAfter: '5' })
 		await askSteadily(world, { perSecond: 20, forMs: 300 })
 		closeWorld(world)
-		assert.is(world.entries[0]!.ctx.rests.size, 0)
+		assert.is(world.entries[0]!.ctx.backoffs.size, 0)
 		assert.ok(world.servers[0]!.arrivals.length > 0)
 	})
 
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -74,7 +74,7 @@
 	{
 		name: 'predictedWaits',
 		file: WAITING,
-		on: '	if (!wish.inTurn) return wish.waitMs <= 0',
+		on: '	if (!wish.slotsFreeOneByOne) return wish.waitMs <= 0',
 		off: '	if (flow) return wish.waitMs <= 0',
 	},
 	{
@@ -128,8 +128,8 @@
 	{
 		name: 'resume',
 		file: 'packages/gateway/src/streamRelay.ts',
-		on: '			if (!mayTryAgain(ctx, job)) {',
-		off: '			if (lastAt > 0 || !mayTryAgain(ctx, job)) {',
+		on: '			if (!mayRetry(ctx, job)) {',
+		off: '			if (lastAt > 0 || !mayRetry(ctx, job)) {',
 	},
 	{
 		name: 'peerCounts',
@@ -146,14 +146,14 @@
 	{
 		name: 'toldOpen',
 		file: 'packages/gateway/src/toldGroups.ts',
-		on: "	if (broken) shutGroup(ctx, group, 'coordinator')",
+		on: "	if (broken) handleGroupBroken(ctx, group, 'coordinator')",
 		off: "	if (broken && !at) shutGroup(ctx, group, 'coordinator')",
 	},
 	{
 		name: 'rankEnds',
 		file: 'packages/gateway/src/closedGroups.ts',
-		on: '	if (isGrouped(ctx, server.service)) shutGroup(',
-		off: '	if (!server.service) shutGroup(',
+		on: '	if (isGrouped(ctx, server.service))',
+		off: '	if (!server.service)',
 	},
 	{
 		name: 'quarantine',
@@ -182,7 +182,7 @@
 	{
 		name: 'untoldSends',
 		file: WAITING,
-		on: '		unreportedSends: meterOf(fleet, service).untold,',
+		on: '		unreportedSends: meterOf(fleet, service).sentSinceReport,',
 		off: '		unreportedSends: 0,',
 	},
 	{
@@ -266,13 +266,13 @@
 	{
 		name: 'rests',
 		file: STATEMENT,
-		on: '		if (restMs !== undefined) takeRest(ctx, server, restMs)',
-		off: '		if (restMs === -1) takeRest(ctx, server, restMs)',
+		on: '		if (restMs !== undefined) recordRequestedBackoff(ctx, server, restMs)',
+		off: '		if (restMs === -1) recordRequestedBackoff(ctx, server, restMs)',
 	},
 	{
 		name: 'restOfOneRank',
 		file: 'packages/gateway/src/closedGroups.ts',
-		on: 'isGrouped(ctx, service) && !ctx.rests.has(id)',
+		on: 'isGrouped(ctx, service) && !ctx.backoffs.has(id)',
 		off: "isGrouped(ctx, service) && id !== ''",
 	},
 	{
@@ -284,8 +284,8 @@
 	{
 		name: 'leavingByAnswers',
 		file: STATEMENT,
-		on: "		if (leaving) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')",
-		off: "		if (leaving && !server) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')",
+		on: "		if (leaving) recordLeaving(ctx, [{ kind: 'left', server }], 'answer')",
+		off: "		if (leaving && !server) recordLeaving(ctx, [{ kind: 'left', server }], 'answer')",
 	},
 ]
 
