--- a/bench/config.ts
+++ b/bench/config.ts
@@ -4,7 +4,7 @@
  * memory. Baseline: every process watches the service itself.
  */
 
-import type { GossipNet } from '../packages/core/test/models/spreadNet.ts'
+import type { GossipNet } from '../packages/core/test/models/gossipNet.ts'
 import {
 	createNet,
 	killNode,
@@ -13,7 +13,7 @@
 	publishChange,
 	restartNode,
 	runNet,
-} from '../packages/core/test/models/spreadNet.ts'
+} from '../packages/core/test/models/gossipNet.ts'
 import { isQuick, print, printTable } from './output.ts'
 
 const SIZES = [50, 500, 4_230]
--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -5,11 +5,11 @@
  */
 
 import { createRandom, randomIndex } from '@juniperhook/core'
-import { createLifecycleModel } from '../packages/core/test/models/fateModel.ts'
+import { createLifecycleModel } from '../packages/core/test/models/lifecycleModel.ts'
 import type {
 	LifecycleBounds,
 	LifecycleModelEvent,
-} from '../packages/core/test/models/fateModelState.ts'
+} from '../packages/core/test/models/lifecycleModelState.ts'
 import { isQuick, print, printTable } from './output.ts'
 
 const REQUESTS = 20_000
--- a/packages/core/src/core/groupPlan.ts
+++ b/packages/core/src/core/groupPlan.ts
@@ -5,11 +5,11 @@
  */
 
 import type { ExpertLayout } from '../types/traffic.ts'
+import type { SetPlacement } from './placementSearch.ts'
+import { createSearch, maxOf, readPlacement } from './placementSearch.ts'
 import { applyChange, findBestChange } from './placementStep.ts'
-import type { SetPlacement } from './placementTable.ts'
-import { createSearch, maxOf, readPlacement } from './placementTable.ts'
 
-export type { SetPlacement } from './placementTable.ts'
+export type { SetPlacement } from './placementSearch.ts'
 
 /** Steps of a search for each rank of a set. */
 export const STEPS_PER_RANK = 4
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -5,19 +5,19 @@
 
 import type { ExpertLayout } from '../types/traffic.ts'
 import { STEPS_PER_RANK } from './groupPlan.ts'
-import type { PlaceChange } from './placementStep.ts'
-import { applyChange, findBestChange } from './placementStep.ts'
 import type {
 	CopyBudget,
 	PlacementSearch,
 	SetPlacement,
-} from './placementTable.ts'
+} from './placementSearch.ts'
 import {
 	createBudget,
 	createSearch,
 	maxOf,
 	readPlacement,
-} from './placementTable.ts'
+} from './placementSearch.ts'
+import type { PlaceChange } from './placementStep.ts'
+import { applyChange, findBestChange } from './placementStep.ts'
 
 /** A plan for all sets of a group, under a limit on what one rank copies. */
 export interface GroupPlan {
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -3,7 +3,7 @@
  * off the most loaded rank are weighed, and the best for each copy is taken.
  */
 
-import type { PlacementSearch } from './placementTable.ts'
+import type { PlacementSearch } from './placementSearch.ts'
 import {
 	canTake,
 	FREE_PLACE,
@@ -11,7 +11,7 @@
 	isNew,
 	refreshLoad,
 	setPlace,
-} from './placementTable.ts'
+} from './placementSearch.ts'
 
 /** A step of the search must lower the sum by this share. */
 const MIN_PROGRESS = 0.002
--- a/packages/core/test/spread.test.ts
+++ b/packages/core/test/gossip.test.ts
@@ -12,7 +12,7 @@
 	setMembers,
 	tickGossip,
 } from '../src/index.ts'
-import type { GossipNet } from './models/spreadNet.ts'
+import type { GossipNet } from './models/gossipNet.ts'
 import {
 	createNet,
 	killNode,
@@ -21,7 +21,7 @@
 	publishChange,
 	restartNode,
 	runNet,
-} from './models/spreadNet.ts'
+} from './models/gossipNet.ts'
 
 const DOCUMENT = 'line = 1\n'.repeat(200)
 const TICK_MS = 100
--- a/packages/core/test/models/fateModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -29,7 +29,7 @@
 	nameOf,
 	send,
 	sendAnswer,
-} from './fateModelLinks.ts'
+} from './lifecycleModelLinks.ts'
 import type {
 	Draft,
 	Frame,
@@ -38,7 +38,7 @@
 	LifecycleModelState,
 	LifecycleMutant,
 	Message,
-} from './fateModelState.ts'
+} from './lifecycleModelState.ts'
 import {
 	BORN_WALL,
 	createInitial,
@@ -46,7 +46,7 @@
 	KEY,
 	KEY_WALL,
 	ROOMY_MS,
-} from './fateModelState.ts'
+} from './lifecycleModelState.ts'
 
 /** The model for given bounds. */
 export function createLifecycleModel(
--- a/packages/core/test/models/fateModelLinks.ts
+++ b/packages/core/test/models/lifecycleModelLinks.ts
@@ -6,8 +6,8 @@
 	Frame,
 	LifecycleModelState,
 	Message,
-} from './fateModelState.ts'
-import { CHUNKS, KEY } from './fateModelState.ts'
+} from './lifecycleModelState.ts'
+import { CHUNKS, KEY } from './lifecycleModelState.ts'
 
 /** Sends a run's answer to all who wait for it. */
 export function answerReaders(draft: Draft, run: string): void {
--- a/packages/core/test/fate.test.ts
+++ b/packages/core/test/requestLifecycle.test.ts
@@ -4,11 +4,11 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { explore } from './models/explore.ts'
-import { createLifecycleModel } from './models/fateModel.ts'
+import { createLifecycleModel } from './models/lifecycleModel.ts'
 import type {
 	LifecycleBounds,
 	LifecycleMutant,
-} from './models/fateModelState.ts'
+} from './models/lifecycleModelState.ts'
 
 const QUIET: LifecycleBounds = {
 	entries: 1,
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -5,9 +5,9 @@
 import type { GatewayContext } from './context.ts'
 import type { AttemptResult, Job } from './job.ts'
 import { pressureOf, waitBudgetMs } from './pressure.ts'
+import { acquireServer } from './serverQueue.ts'
 import { sendToServer } from './serverSend.ts'
 import type { Grant } from './waiter.ts'
-import { acquireServer } from './waiting.ts'
 
 /** A request that was sent before may wait for this part of its target time. */
 const AGAIN_WAIT_SHARE = 0.2
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -14,11 +14,10 @@
 	SharedState,
 } from '@juniperhook/core'
 import type { EventLog } from '@juniperhook/runtime'
-import type { CrashDetector } from './endWatch.ts'
+import type { CrashDetector } from './crashDetectorState.ts'
 import type { Fleet } from './fleet.ts'
 import type { CallerRequest, CancelRequest } from './job.ts'
 import type { GatewayMetrics } from './metrics.ts'
-import type { UnrecognizedSignals } from './oddSignals.ts'
 import type { Outbox } from './outbox.ts'
 import type { PermitHomes, PermitStore } from './permitState.ts'
 import type {
@@ -29,9 +28,10 @@
 } from './ports.ts'
 import type { Pressure } from './pressure.ts'
 import type { QuarantineGate } from './quarantineState.ts'
-import type { SentRequests } from './runs.ts'
+import type { SentRequests } from './sentRequests.ts'
 import type { ServerPool } from './serverPool.ts'
 import type { SuspensionWatch } from './suspensionWatch.ts'
+import type { UnrecognizedSignals } from './unrecognizedSignals.ts'
 
 /** What a gateway is told of its VM. */
 export interface GatewaySettings {
--- a/packages/gateway/src/serverEnds.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -10,9 +10,9 @@
 import { readElapsed } from '@juniperhook/runtime'
 import { handleRankCrash, standsStill } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
-import type { CrashCheck } from './endWatch.ts'
+import type { CrashCheck } from './crashDetectorState.ts'
 import { recordServerEnd } from './quarantineGate.ts'
-import { listInFlight } from './runs.ts'
+import { listInFlight } from './sentRequests.ts'
 
 /** Servers that are asked at the same time; each takes one round trip. */
 const MAX_PROBES = 4
--- a/packages/gateway/src/endWatch.ts
+++ b/packages/gateway/src/crashDetectorState.ts
@@ -1,7 +1,7 @@
 /** State of the watch for servers that may have ended. */
 
 import type { ListedServer } from '@juniperhook/core'
-import type { InFlightSummary } from './runs.ts'
+import type { InFlightSummary } from './sentRequests.ts'
 
 /** A server whose connections broke. */
 export interface CrashCheck {
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -8,8 +8,8 @@
 import { logAttempt, logServed } from './attemptLog.ts'
 import { readCallerRequest } from './callerRequest.ts'
 import { isGrouped } from './closedGroups.ts'
-import { chooseRetryAfterMs } from './comeBack.ts'
 import type { GatewayContext } from './context.ts'
+import { awaitCrashCheck } from './crashDetector.ts'
 import { countArrival } from './entryDemand.ts'
 import type {
 	AnswerEnd,
@@ -25,9 +25,9 @@
 	quarantinedForMs,
 } from './quarantineGate.ts'
 import { writeAnswer, writeFailure } from './reply.ts'
+import { chooseRetryAfterMs } from './retryAfter.ts'
 import { mayRetry, retryWindowOf } from './retryDecision.ts'
 import { readAnswerBody } from './serverCall.ts'
-import { awaitCrashCheck } from './serverEnds.ts'
 import { relayStream } from './streamRelay.ts'
 
 const SERVER_ERROR = 500
--- a/packages/gateway/src/toldGroups.ts
+++ b/packages/gateway/src/groupReports.ts
@@ -10,7 +10,7 @@
 import type { GatewayContext } from './context.ts'
 import { applyGroupReports, serviceOf } from './fleet.ts'
 import { PacesSchema } from './peerMessages.ts'
-import { serveQueues } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** Coordinators repeat what they tell each second; older is forgotten, ms. */
 const PACES_MS = 2_500
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -3,8 +3,8 @@
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { connectRpc, messageOf, notify, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
+import type { GroupNews } from './groupReports.ts'
 import { chooseLinks } from './peerMesh.ts'
-import type { GroupNews } from './toldGroups.ts'
 
 /** Before another try to link to an entry, ms; it doubles up to the second. */
 const RECONNECT_MS = 100
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -25,13 +25,13 @@
 import type { GatewayContext } from './context.ts'
 import { settleDemand, tellFlows } from './entryDemand.ts'
 import { dropPeerLoad, recordPeerLoad } from './fleet.ts'
-import { listLimits, listNews, receiveUpdates } from './news.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import { countUnlinked, listOpen, recordAddresses } from './peerLinks.ts'
 import type { HeldNews, State } from './peerMessages.ts'
 import { HeldNewsSchema, StateSchema } from './peerMessages.ts'
-import type { PeerNews } from './peerNews.ts'
-import { heldVersion, takeNews } from './peerNews.ts'
+import type { PeerNews } from './peerPull.ts'
+import { heldVersion, takeNews } from './peerPull.ts'
+import { listLimits, listNews, receiveUpdates } from './updateExchange.ts'
 
 /**
  * Between states told to peers while something changes, ms: so much at least, and
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -15,7 +15,7 @@
 import * as v from 'valibot'
 import { answerPiece, createConfigServer } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import { drainNews, receiveUpdates } from './news.ts'
+import { forgetGroups, receiveGroupReport } from './groupReports.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import {
 	createPeerLinks,
@@ -31,7 +31,7 @@
 	PermitReplySchema,
 	PieceRequestSchema,
 } from './peerMessages.ts'
-import { answerRecords, createPeerNews, takeRemovals } from './peerNews.ts'
+import { answerRecords, createPeerNews, takeRemovals } from './peerPull.ts'
 import {
 	createPeerStates,
 	forgetSilent,
@@ -43,7 +43,7 @@
 } from './peerStates.ts'
 import { answerPermits, lookAtHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
-import { forgetGroups, receiveGroupReport } from './toldGroups.ts'
+import { drainNews, receiveUpdates } from './updateExchange.ts'
 
 /** Between looks at whether peers are to be told, ms. */
 const LOOK_MS = 50
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -16,7 +16,7 @@
 import { bodyLengthOf, fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
 import { postNews } from './outbox.ts'
-import type { InFlightSummary } from './runs.ts'
+import type { InFlightSummary } from './sentRequests.ts'
 
 /**
  * For which each entry has the turn to try a request again, ms: longer than a server takes
--- a/packages/gateway/src/comeBack.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -6,9 +6,9 @@
 	scheduleRetryAfter,
 } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
+import { forecastAvailability } from './availabilityForecast.ts'
 import { expectedReopenAt } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
-import { forecastAvailability } from './outlook.ts'
 import { pressureOf } from './pressure.ts'
 
 /** For a refusal to reach its caller, who reckons from then on, ms. */
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -2,7 +2,7 @@
 
 import type { ListedServer } from '@juniperhook/core'
 import type { Job } from './job.ts'
-import type { SentRequest } from './runs.ts'
+import type { SentRequest } from './sentRequests.ts'
 
 /** One sending of a request to a server. */
 export interface Send {
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -11,23 +11,22 @@
 	isGroupRefusal,
 } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
+import {
+	recordBrokenConnection,
+	recordServerAlive,
+	scheduleCrashCheck,
+} from './crashDetector.ts'
 import { groupOf } from './fleet.ts'
 import type { AnswerEnd, AttemptResult } from './job.ts'
 import { pressureOf, recordFirstByte } from './pressure.ts'
 import { isSuspected, recordServed } from './quarantineGate.ts'
-import { trackAbandoned } from './runs.ts'
 import type { Send } from './send.ts'
+import { trackAbandoned } from './sentRequests.ts'
+import { recordAccepted } from './serverBackoffs.ts'
 import type { CallResult, ServerAnswer } from './serverCall.ts'
-import {
-	recordBrokenConnection,
-	recordServerAlive,
-	scheduleCrashCheck,
-} from './serverEnds.ts'
+import { serveQueues } from './serverQueue.ts'
 import { dropDisplaced } from './serverRecords.ts'
-import { recordAccepted } from './serverRests.ts'
-
 import { applyStatement } from './serverStatement.ts'
-import { serveQueues } from './waiting.ts'
 
 /** The address belongs to another server now. */
 const MISDIRECTED = 421
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -16,16 +16,16 @@
 	tryEnterGroup,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
+import type { AvailabilityForecast } from './availabilityForecast.ts'
+import { forecastAvailability, forecastWaitMs } from './availabilityForecast.ts'
 import type { GatewayContext } from './context.ts'
 import { isAdmitted, isRationed } from './entryDemand.ts'
 import { groupOf, meterOf, queueOf, trackInFlight } from './fleet.ts'
-import type { AvailabilityForecast } from './outlook.ts'
-import { forecastAvailability, forecastWaitMs } from './outlook.ts'
-import { requestPermits } from './permitAsk.ts'
 import { listLimited, spendPermit } from './permitGate.ts'
+import { requestPermits } from './permitRequest.ts'
 import type { Pressure } from './pressure.ts'
 import { pressureOf } from './pressure.ts'
-import { listBackingOff } from './serverRests.ts'
+import { listBackingOff } from './serverBackoffs.ts'
 import type { AcquireOptions, Grant, Waiter } from './waiter.ts'
 
 /**
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -15,11 +15,11 @@
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
+import { settleByList } from './crashDetector.ts'
 import { applyServerList } from './fleet.ts'
 import { postNews } from './outbox.ts'
-import { settleByList } from './serverEnds.ts'
 import { closeIdle } from './serverPool.ts'
-import { serveQueues } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** Where records come from: the source, an older copy of it, or another entry. */
 export type RecordOrigin =
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -5,13 +5,13 @@
 import type { GatewayContext } from './context.ts'
 import { trackInFlight } from './fleet.ts'
 import type { AttemptResult, Job } from './job.ts'
-import { trackRequest, untrackRequest } from './runs.ts'
 import type { Send } from './send.ts'
 import { judgeAnswer, recordUnanswered } from './sendOutcome.ts'
+import { trackRequest, untrackRequest } from './sentRequests.ts'
 import type { CallResult } from './serverCall.ts'
 import { callServer } from './serverCall.ts'
 import { buildServerHeaders } from './serverHeaders.ts'
-import { serveQueues } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** An attempt with less time left than this is not made, ms. */
 const MIN_LEFT_MS = 5
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -8,8 +8,8 @@
 import { recordReportedLoad } from './fleet.ts'
 import type { ServerStatement, SignalValues, StatementOrigin } from './ports.ts'
 import { recordAnnouncedLimit } from './rateLimits.ts'
+import { recordRequestedBackoff } from './serverBackoffs.ts'
 import { recordLeaving } from './serverRecords.ts'
-import { recordRequestedBackoff } from './serverRests.ts'
 
 /** Headers that are counted by name, and signals that are logged as unreadable. */
 const MAX_UNKNOWN = 32
--- a/packages/gateway/src/news.ts
+++ b/packages/gateway/src/updateExchange.ts
@@ -11,8 +11,8 @@
 import type { NewsItem } from './peerMessages.ts'
 import { recordEndNews } from './quarantineGate.ts'
 import { recordLimits } from './rateLimits.ts'
+import { recordRests } from './serverBackoffs.ts'
 import { recordLeaving } from './serverRecords.ts'
-import { recordRests } from './serverRests.ts'
 
 /** Ids of servers that left, of which a new link is told the last ones. */
 const MAX_LEFT_TOLD = 512
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -9,6 +9,7 @@
 } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import { ENGINE } from './fakeBackends.ts'
 import type { LimitedServer } from './limitedServers.ts'
 import {
 	askSteadily,
@@ -19,7 +20,6 @@
 	relist,
 	TAKEN,
 } from './limitedServers.ts'
-import { ENGINE } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(25_900)
 /** What was under way when a server asked for rest still comes, ms. */
--- a/packages/gateway/test/mortalServers.ts
+++ b/packages/gateway/test/crashingServers.ts
@@ -4,8 +4,8 @@
 import { createServer } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
-import type { FakeCatalog } from './standIns.ts'
-import { nextRevision, WIRE } from './standIns.ts'
+import type { FakeCatalog } from './fakeBackends.ts'
+import { nextRevision, WIRE } from './fakeBackends.ts'
 
 /** A body with this in it ends the server that begins to run it. */
 export const POISON = 'deadly'
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -5,8 +5,7 @@
 import { connect } from 'node:net'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createOpener, until } from './openGateway.ts'
-import type { BackendAction } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -14,7 +13,8 @@
 	STREAM_EVENTS,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_340, backends.listed)
--- a/packages/gateway/test/gatewayState.test.ts
+++ b/packages/gateway/test/gatewayState.test.ts
@@ -6,8 +6,7 @@
 import * as assert from 'uvu/assert'
 import { queueOf } from '../src/fleet.ts'
 import { endOpenRequests } from '../src/index.ts'
-import { CONTACT_MS, createOpener, until } from './openGateway.ts'
-import type { BackendAction } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -16,7 +15,8 @@
 	revisionOf,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { CONTACT_MS, createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_540, backends.listed)
--- a/packages/gateway/test/groups.test.ts
+++ b/packages/gateway/test/groups.test.ts
@@ -7,9 +7,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { queueOf } from '../src/fleet.ts'
-import { receiveGroupReport } from '../src/toldGroups.ts'
-import { createOpener, until } from './openGateway.ts'
-import type { BackendAction } from './standIns.ts'
+import { receiveGroupReport } from '../src/groupReports.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -17,7 +16,8 @@
 	ENGINE,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_960, backends.listed)
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -2,6 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import { callGateway } from './fakeBackends.ts'
 import type { LimitedServer, LimitedWorld } from './limitedServers.ts'
 import {
 	askSteadily,
@@ -11,7 +12,6 @@
 	pause,
 	relist,
 } from './limitedServers.ts'
-import { callGateway } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(26_100)
 const ASKED = { perSecond: 60, forMs: 500 }
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -4,10 +4,8 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { ListedServer, TrafficConfig } from '@juniperhook/core'
-import type { OpenGateway } from './openGateway.ts'
-import { openGatewayAt, until } from './openGateway.ts'
-import { loopDelayBetween } from './ownDelays.ts'
-import type { CallerResponse, FakeCatalog } from './standIns.ts'
+import { loopDelayBetween } from './eventLoopDelays.ts'
+import type { CallerResponse, FakeCatalog } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -15,7 +13,9 @@
 	nextRevision,
 	SIGNALS,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { OpenGateway } from './openGateway.ts'
+import { openGatewayAt, until } from './openGateway.ts'
 
 /** Spans over which requests are counted, and what is allowed beside the limit, ms. */
 export const SPAN_MS = 4_000
--- a/packages/gateway/test/openGateway.ts
+++ b/packages/gateway/test/openGateway.ts
@@ -4,8 +4,8 @@
 import { createEventLog } from '@juniperhook/runtime'
 import type { CatalogSource, GatewayContext } from '../src/index.ts'
 import { startGateway } from '../src/index.ts'
-import type { FakeCatalog } from './standIns.ts'
-import { CONFIG, createCatalog, SERVER_WIRE } from './standIns.ts'
+import type { FakeCatalog } from './fakeBackends.ts'
+import { CONFIG, createCatalog, SERVER_WIRE } from './fakeBackends.ts'
 
 /** After trouble, a gateway must be up to date again after this time, ms. */
 export const CONTACT_MS = 3_000
--- a/packages/gateway/test/peers.test.ts
+++ b/packages/gateway/test/peers.test.ts
@@ -4,16 +4,16 @@
 import { call, connectRpc, serveRpc } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { OpenGateway } from './openGateway.ts'
-import { createOpener, openGatewayAt, until } from './openGateway.ts'
-import type { BackendAction } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
 	createCatalog,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { OpenGateway } from './openGateway.ts'
+import { createOpener, openGatewayAt, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_900, backends.listed)
--- a/packages/gateway/test/deadlyRequests.test.ts
+++ b/packages/gateway/test/poisonRequests.test.ts
@@ -10,11 +10,11 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { World } from './deadlyWorld.ts'
-import { ask, createWorlds, pause } from './deadlyWorld.ts'
-import { POISON } from './mortalServers.ts'
+import { POISON } from './crashingServers.ts'
+import { WIRE } from './fakeBackends.ts'
 import { CONTACT_MS } from './openGateway.ts'
-import { WIRE } from './standIns.ts'
+import type { World } from './poisonWorld.ts'
+import { ask, createWorlds, pause } from './poisonWorld.ts'
 
 /** Sends after the third end that are allowed, once the contact time is over. */
 const MOST_AFTER = 3
--- a/packages/gateway/test/deadlyWorld.ts
+++ b/packages/gateway/test/poisonWorld.ts
@@ -1,12 +1,12 @@
 /** Entries before servers that end under some requests, for tests. */
 
 import type { EngineProfile, TrafficConfig } from '@juniperhook/core'
-import type { CrashingServers } from './mortalServers.ts'
-import { startCrashingServers } from './mortalServers.ts'
+import type { CrashingServers } from './crashingServers.ts'
+import { startCrashingServers } from './crashingServers.ts'
+import type { CallerResponse } from './fakeBackends.ts'
+import { CONFIG, callGateway, createCatalog, WIRE } from './fakeBackends.ts'
 import type { OpenGateway } from './openGateway.ts'
 import { openGatewayAt, until } from './openGateway.ts'
-import type { CallerResponse } from './standIns.ts'
-import { CONFIG, callGateway, createCatalog, WIRE } from './standIns.ts'
 
 const PORTS_EACH = 4
 /** For entries to find each other, ms. */
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -3,13 +3,13 @@
 import { readNow } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { chooseRetryAfterMs } from '../src/comeBack.ts'
 import { meterOf } from '../src/fleet.ts'
 import type { Pressure } from '../src/pressure.ts'
 import { pressureOf, waitBudgetMs } from '../src/pressure.ts'
-import { acquireServer } from '../src/waiting.ts'
+import { chooseRetryAfterMs } from '../src/retryAfter.ts'
+import { acquireServer } from '../src/serverQueue.ts'
+import { CONFIG, createCatalog, startBackends } from './fakeBackends.ts'
 import { createOpener } from './openGateway.ts'
-import { CONFIG, createCatalog, startBackends } from './standIns.ts'
 
 const backends = await startBackends(1)
 const openGateway = createOpener(21_740, backends.listed)
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -3,16 +3,16 @@
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { receiveUpdates } from '../src/news.ts'
-import type { TestGateway } from './openGateway.ts'
-import { createOpener, until } from './openGateway.ts'
+import { receiveUpdates } from '../src/updateExchange.ts'
 import {
 	CONFIG,
 	callGateway,
 	createCatalog,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { TestGateway } from './openGateway.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const SUSPENDED_MS = 20_000
 /** Far less than the time that such a request had left. */
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -15,7 +15,7 @@
 	readonly off: string
 }
 
-const NEED = 'packages/core/src/core/mapNeed.ts'
+const NEED = 'packages/core/src/core/groupPolicy.ts'
 const QUARANTINE = 'packages/core/src/core/quarantine.ts'
 const DISPATCH = 'packages/core/src/core/dispatch.ts'
 const DEMAND = 'packages/groups/src/demand.ts'
@@ -23,7 +23,7 @@
 const SEND = 'packages/gateway/src/serverSend.ts'
 const RETRIES = 'packages/gateway/src/retryDecision.ts'
 const STATEMENT = 'packages/gateway/src/serverStatement.ts'
-const WAITING = 'packages/gateway/src/waiting.ts'
+const WAITING = 'packages/gateway/src/serverQueue.ts'
 const ENTRY_DEMAND = 'packages/gateway/src/entryDemand.ts'
 const DEMAND_WATCH = 'packages/groups/src/demandWatch.ts'
 
@@ -139,13 +139,13 @@
 	},
 	{
 		name: 'closures',
-		file: 'packages/core/src/core/closure.ts',
+		file: 'packages/core/src/core/groupClosure.ts',
 		on: '	closures.set(group, { since, until: now + tryMs, tryMs })',
 		off: '	closures.set(group, { since, until: since, tryMs })\n	closures.delete(group)',
 	},
 	{
 		name: 'toldOpen',
-		file: 'packages/gateway/src/toldGroups.ts',
+		file: 'packages/gateway/src/groupReports.ts',
 		on: "	if (broken) handleGroupBroken(ctx, group, 'coordinator')",
 		off: "	if (broken && !at) shutGroup(ctx, group, 'coordinator')",
 	},
@@ -277,7 +277,7 @@
 	},
 	{
 		name: 'afterRest',
-		file: 'packages/core/src/core/serverRests.ts',
+		file: 'packages/core/src/core/serverBackoff.ts',
 		on: 'export const BACKOFF_PROBE_MS = 50',
 		off: 'export const BACKOFF_PROBE_MS = 0',
 	},
