--- a/packages/core/src/core/comeBack.ts
+++ b/packages/core/src/core/comeBack.ts
@@ -1,52 +1,56 @@
 /**
- * When a refused caller should come back: once the service is expected to take
- * requests again, and after those who were sent away before.
+ * Computes the Retry-After of refused callers: the time at which the service is
+ * expected to accept requests again, staggered behind the callers refused before.
  */
 
 import type { Random } from '../internal.ts'
 
-/** The shortest time told, ms: a way there and back. */
-const MIN_MS = 50
-/** Callers of one moment come back spread over this part of a gap. */
-const SPREAD = 0.5
+/** Minimum Retry-After, ms: one round trip. */
+const MIN_RETRY_AFTER_MS = 50
+/** Jitter of a Retry-After, as a share of the interval between two free slots. */
+const JITTER_SHARE = 0.5
 
-/** Callers that were told to come back to a service. */
+/** Retry times handed out to the refused callers of a service. */
 export interface Returns {
-	/** When the last of them is due, ms. */
+	/** Latest retry time handed out, ms. */
 	lastDueAt: number
 }
 
-/** Makes a record of nobody. */
+/** Creates an empty schedule. */
 export function createReturns(): Returns {
 	return { lastDueAt: 0 }
 }
 
-/** What the time told to a caller follows from. */
+/** Inputs for the Retry-After of a caller. */
 export interface ReturnForecast {
-	/** When the service is expected to take requests again, from now, ms. */
+	/** Expected time until the service accepts requests again, ms. */
 	readonly openInMs: number
-	/** Surely none before, ms. */
+	/** Time before which the service certainly accepts none, ms. */
 	readonly notBeforeMs: number
-	/** Between two places that come free, ms. */
+	/** Interval between two slots that become free, ms. */
 	readonly gapMs: number
-	/** The caller comes back when told to only within this time, ms. */
+	/** Longest Retry-After that the caller honors, ms. */
 	readonly heededMs: number
 }
 
-/** Books the next place for a caller, and gives the time to tell it, ms. */
+/** Reserves the next free slot for a caller and returns its Retry-After, ms. */
 export function bookReturn(
-	returns: Returns,
+	schedule: Returns,
 	{ openInMs, notBeforeMs, gapMs, heededMs }: ReturnForecast,
 	now: number,
 	random: Random,
 ): number {
-	// A time that surely can't come true is not told, whether it is heeded or not.
-	const isBeyond = notBeforeMs + gapMs > heededMs
-	const latestMs = isBeyond ? notBeforeMs + heededMs : heededMs
-	const openAt = now + Math.max(openInMs, notBeforeMs)
-	const afterOthers = Math.max(openAt, returns.lastDueAt) + gapMs
-	const dueAt = Math.min(afterOthers, now + latestMs)
-	returns.lastDueAt = Math.max(returns.lastDueAt, dueAt)
-	const spreadMs = SPREAD * gapMs * (random() - 0.5)
-	return Math.max(MIN_MS, Math.min(dueAt - now + spreadMs, latestMs))
+	// Never returns a time at which the service certainly accepts nothing, even if the
+	// caller does not honor a longer one.
+	const isUnreachable = notBeforeMs + gapMs > heededMs
+	const latestMs = isUnreachable ? notBeforeMs + heededMs : heededMs
+	const availableAt = now + Math.max(openInMs, notBeforeMs)
+	const nextSlotAt = Math.max(availableAt, schedule.lastDueAt) + gapMs
+	const dueAt = Math.min(nextSlotAt, now + latestMs)
+	schedule.lastDueAt = Math.max(schedule.lastDueAt, dueAt)
+	const jitterMs = JITTER_SHARE * gapMs * (random() - 0.5)
+	return Math.max(
+		MIN_RETRY_AFTER_MS,
+		Math.min(dueAt - now + jitterMs, latestMs),
+	)
 }
--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -1,7 +1,7 @@
 /**
- * Which server takes a request when an entry sends to servers itself: the one
- * with the least part of its slots taken, as far as this entry and its peers
- * know, among those that have room.
+ * Selects the server for a request where an entry dispatches to servers directly: the
+ * least utilized one with free capacity, according to the load known to this entry and
+ * its peers. Load is requests in flight per slot.
  */
 
 import type { Random, ServerTable } from '../internal.ts'
@@ -12,98 +12,100 @@
 	noteResult,
 } from '../internal.ts'
 
-/** What a choice is made from. */
+/** Inputs for a selection. */
 export interface DispatchQuery {
 	/** Rows of the service. */
 	readonly rows: readonly number[]
-	/** Rows that this request has been to. */
+	/** Rows to which this request has already been sent. */
 	readonly tried: ReadonlySet<number>
-	/** Requests that a server may hold beyond its slots. */
+	/** Requests that a server may queue beyond its slots. */
 	readonly queueRoom: number
-	/** Numbers of the lock-step groups that take nothing now. */
+	/** Numbers of the lock-step groups that accept no requests now. */
 	readonly shutGroups: ReadonlySet<number>
-	/** This entry's data centre is where these rows are. */
+	/** Rows of servers in this entry's data centre. */
 	readonly near: ReadonlySet<number>
-	/** Requests sent to the service since entries told each other what they hold. */
+	/** Requests sent to the service since the entries last exchanged their loads. */
 	readonly untold: number
-	/** Servers that may be sent so many requests a second, with a permit for one now. */
+	/** Rate-limited servers for which this entry has a usable permit. */
 	readonly permitted: ReadonlySet<number>
-	/** Servers that may be sent nothing now: without a permit, or at rest. */
+	/** Servers that must not be sent anything now: no permit, or in backoff. */
 	readonly withheld: ReadonlySet<number>
 }
 
-/** What a choice gives. */
+/** Result of a selection. */
 export type DispatchChoice =
 	| { readonly kind: 'row'; readonly row: number }
-	/** All servers are full, or their groups take nothing. */
+	/** All servers are full, or their groups are closed. */
 	| { readonly kind: 'full' }
-	/** There is no server at all. */
+	/** The service has no open server. */
 	| { readonly kind: 'none' }
 
-/** Load that a server in another data centre seems to have in addition. */
-const FAR_LOAD = 0.02
-/** Least places that are left to an entry at servers that it turns to first. */
-const LEFT_ELSEWHERE = 1
-/** Servers of other entries that a choice draws, and the least that it compares. */
-const LEAST_DRAWN = 2
-const LEAST_COMPARED = 4
-/** Most of a service's servers that may be left alone for their failures. */
-const MAX_EJECTED = 0.5
+/** Load added to a server in another data centre. */
+const REMOTE_LOAD = 0.02
+/** Minimum capacity reserved at a server for the entry to which it is assigned. */
+const MIN_RESERVED = 1
+/** Minimum servers sampled among those of other entries, and minimum compared in all. */
+const MIN_SAMPLED = 2
+const MIN_COMPARED = 4
+/** Largest share of a service's servers that may be ejected at the same time. */
+const MAX_EJECTED_SHARE = 0.5
 
-/** Weight of a new result in the share of failures and the time taken. */
+/** Smoothing weight of a new sample in the failure rate and the service time. */
 const RESULT_WEIGHT = 0.2
-/** What is held against a server counts half after this time, ms. */
-const FORGIVE_MS = 3_000
-/** Load that a server seems to have for failing all tries the others serve. */
+/** Half-life of the failure and slowness penalties, ms. */
+const PENALTY_HALF_LIFE_MS = 3_000
+/** Load added to a server that fails every attempt while the others fail none. */
 const FAILURE_LOAD = 3
-/** Load that a server seems to have for being twice as slow as the fastest. */
+/** Load added to a server that is twice as slow as the fastest. */
 const SLOW_LOAD = 0.25
 /**
- * Load that a rank seems to have for being twice as slow as usual: its requests
- * lengthen every pass of its group, not its own alone.
+ * Load added to a rank that is twice as slow as normal: its requests lengthen every
+ * pass of its group, not only their own.
  */
-const PACE_LOAD = 0.5
+const SLOWDOWN_LOAD = 0.5
 /**
- * Load that all ranks of a group seem to have for one that is twice as slow as usual,
- * and the most: every pass waits for it. From 2.5 times on no stream of the group is
- * in time, whatever it holds, and another group is better as long as it has room.
+ * Load added to all ranks of a group for one rank that is twice as slow as normal, and
+ * its maximum: every pass waits for the slowest rank. From 2.5 times on, no stream of
+ * the group meets its deadline at any load, and another group is preferable as long as
+ * it has capacity.
  */
-const GROUP_PACE_LOAD = 0.6
-const MOST_GROUP_LOAD = 1
-/** A server counts as at most this many times slower. */
-const MAX_SLOW = 6
-/** Failures in a row that one connection which never came up stands for. */
-const UNREACHED_FAILURES = 3
+const GROUP_SLOWDOWN_LOAD = 0.6
+const MAX_GROUP_LOAD = 1
+/** Maximum slowness factor counted against a server. */
+const MAX_SLOWNESS = 6
+/** Consecutive failures counted for one connection that could not be established. */
+const FAILURES_PER_UNREACHED = 3
 
-/** How a try on a server went. */
+/** Outcome of an attempt on a server. */
 export type TryResult =
-	/** With the time of a whole answer; a stream's tells nothing. */
+	/** With the time of a complete answer; undefined for a stream, whose length varies. */
 	| { readonly kind: 'good'; readonly tookMs: number | undefined }
 	| { readonly kind: 'failed' }
-	/** No connection came up. */
+	/** No connection could be established. */
 	| { readonly kind: 'unreached' }
 
-/** Notes how a try went. */
+/** Records the outcome of an attempt. */
 export function noteTry(
 	table: ServerTable,
 	row: number,
 	result: TryResult,
 	now: number,
 ): void {
-	forgive(table, row, now)
+	decayFailureRate(table, row, now)
 	const rate = table.failureRate[row]!
 	const failed = result.kind === 'good' ? 0 : 1
 	table.failureRate[row] = rate + RESULT_WEIGHT * (failed - rate)
 	switch (result.kind) {
 		case 'good':
-			if (result.tookMs !== undefined) noteTime(table, row, result.tookMs)
+			if (result.tookMs !== undefined)
+				recordServiceTime(table, row, result.tookMs)
 			noteResult(table, row, true, now)
 			return
 		case 'failed':
 			noteResult(table, row, false, now)
 			return
 		case 'unreached':
-			for (let count = 0; count < UNREACHED_FAILURES; count++)
+			for (let count = 0; count < FAILURES_PER_UNREACHED; count++)
 				noteResult(table, row, false, now)
 			return
 		default:
@@ -111,40 +113,44 @@
 	}
 }
 
-function noteTime(table: ServerTable, row: number, tookMs: number): void {
-	const usual = table.serviceMs[row]! || tookMs
-	table.serviceMs[row] = usual + RESULT_WEIGHT * (tookMs - usual)
+function recordServiceTime(
+	table: ServerTable,
+	row: number,
+	tookMs: number,
+): void {
+	const smoothed = table.serviceMs[row]! || tookMs
+	table.serviceMs[row] = smoothed + RESULT_WEIGHT * (tookMs - smoothed)
 }
 
-/** Lets what is held against a server grow old, so that it is tried again. */
-function forgive(table: ServerTable, row: number, now: number): void {
+/** Decays the failure rate, so that a server that failed is tried again. */
+function decayFailureRate(table: ServerTable, row: number, now: number): void {
 	const age = now - table.ratedAt[row]!
 	table.ratedAt[row] = now
-	table.failureRate[row]! *= 0.5 ** (age / FORGIVE_MS)
+	table.failureRate[row]! *= 0.5 ** (age / PENALTY_HALF_LIFE_MS)
 }
 
-/** Failures and slowness, as load, against the best of `rows`. */
-function penaltiesOf(
+/** Returns failure and slowness penalties as load, relative to the best of `rows`. */
+function penaltyLoads(
 	table: ServerTable,
 	rows: readonly number[],
 	now: number,
 ): Map<number, number> {
 	const rates = rows.map(row => {
 		const age = now - table.ratedAt[row]!
-		return table.failureRate[row]! * 0.5 ** (age / FORGIVE_MS)
+		return table.failureRate[row]! * 0.5 ** (age / PENALTY_HALF_LIFE_MS)
 	})
 	const times = rows.map(row => table.serviceMs[row]!).filter(time => time > 0)
-	const fewest = Math.min(...rates)
+	const lowestRate = Math.min(...rates)
 	const fastest = Math.min(...times)
 	const penalties = new Map<number, number>()
 	for (const [at, row] of rows.entries()) {
-		const failing = FAILURE_LOAD * (rates[at]! - fewest)
-		penalties.set(row, failing + slownessOf(table, row, fastest, now))
+		const failing = FAILURE_LOAD * (rates[at]! - lowestRate)
+		penalties.set(row, failing + slownessLoad(table, row, fastest, now))
 	}
 	return penalties
 }
 
-function slownessOf(
+function slownessLoad(
 	table: ServerTable,
 	row: number,
 	fastest: number,
@@ -152,12 +158,12 @@
 ): number {
 	const time = table.serviceMs[row]!
 	if (time === 0) return 0
-	const times = Math.min(MAX_SLOW, time / fastest)
+	const ratio = Math.min(MAX_SLOWNESS, time / fastest)
 	const age = now - table.ratedAt[row]!
-	return SLOW_LOAD * (times - 1) * 0.5 ** (age / FORGIVE_MS)
+	return SLOW_LOAD * (ratio - 1) * 0.5 ** (age / PENALTY_HALF_LIFE_MS)
 }
 
-/** Chooses a server. */
+/** Selects a server. */
 export function chooseRow(
 	table: ServerTable,
 	query: DispatchQuery,
@@ -168,23 +174,28 @@
 	if (open.length === 0) return { kind: 'none' }
 	const free = open.filter(row => !query.withheld.has(row))
 	if (free.length === 0) return { kind: 'full' }
-	const candidates = listSound(table, query, free, now)
-	const own = listOwn(table, query)
-	// Where none of its own is free, what it has sent says nothing of other entries.
-	const isOwnFree = own.length === 0 || own.some(row => free.includes(row))
-	const elsewhere = expectElsewhere(isOwnFree ? query.untold : 0, own.length)
-	const withRoom = candidates.filter(row =>
-		hasRoom(table, query, row, elsewhere),
+	const candidates = listHealthy(table, query, free, now)
+	const assigned = listAssigned(table, query)
+	// If none of its assigned servers is free, this entry sends elsewhere, and its own
+	// sends do not indicate what other entries send to their servers.
+	const isAssignedFree =
+		assigned.length === 0 || assigned.some(row => free.includes(row))
+	const unreported = expectElsewhere(
+		isAssignedFree ? query.untold : 0,
+		assigned.length,
 	)
-	if (withRoom.length === 0) return { kind: 'full' }
-	const penalties = penaltiesOf(table, candidates, now)
+	const withCapacity = candidates.filter(row =>
+		hasCapacity(table, query, row, unreported),
+	)
+	if (withCapacity.length === 0) return { kind: 'full' }
+	const penalties = penaltyLoads(table, candidates, now)
 	let best = -1
 	let bestLoad = Number.POSITIVE_INFINITY
-	for (const row of drawCompared(table, query, withRoom, random)) {
-		const far = query.near.has(row) ? 0 : FAR_LOAD
-		const slow = slownessOfRank(table, row)
-		const held = heldBy(table, row) + elsewhere * table.dealtElsewhere[row]!
-		const load = held / table.slots[row]! + far + slow + penalties.get(row)!
+	for (const row of sampleCandidates(table, query, withCapacity, random)) {
+		const remote = query.near.has(row) ? 0 : REMOTE_LOAD
+		const slow = rankSlowdownLoad(table, row)
+		const held = heldBy(table, row) + unreported * table.dealtElsewhere[row]!
+		const load = held / table.slots[row]! + remote + slow + penalties.get(row)!
 		if (load >= bestLoad) continue
 		best = row
 		bestLoad = load
@@ -192,13 +203,15 @@
 	return { kind: 'row', row: best }
 }
 
-function slownessOfRank(table: ServerTable, row: number): number {
-	const ofGroup = GROUP_PACE_LOAD * (table.groupPace[row]! - 1)
-	return PACE_LOAD * (table.pace[row]! - 1) + Math.min(MOST_GROUP_LOAD, ofGroup)
+function rankSlowdownLoad(table: ServerTable, row: number): number {
+	const ofGroup = GROUP_SLOWDOWN_LOAD * (table.groupPace[row]! - 1)
+	return (
+		SLOWDOWN_LOAD * (table.pace[row]! - 1) + Math.min(MAX_GROUP_LOAD, ofGroup)
+	)
 }
 
-/** Servers that the request has not been to, without those left alone. */
-function listSound(
+/** Servers not yet tried by the request, without ejected ones unless too many are. */
+function listHealthy(
 	table: ServerTable,
 	{ tried }: DispatchQuery,
 	open: readonly number[],
@@ -206,82 +219,83 @@
 ): readonly number[] {
 	const fresh = open.filter(row => !tried.has(row))
 	const untried = fresh.length > 0 ? fresh : open
-	const sound = untried.filter(row => !isEjected(table, row, now))
-	const enough = sound.length >= open.length * (1 - MAX_EJECTED)
-	return enough && sound.length > 0 ? sound : untried
+	const healthy = untried.filter(row => !isEjected(table, row, now))
+	const enough = healthy.length >= open.length * (1 - MAX_EJECTED_SHARE)
+	return enough && healthy.length > 0 ? healthy : untried
 }
 
-function hasRoom(
+function hasCapacity(
 	table: ServerTable,
 	{ queueRoom, shutGroups, permitted }: DispatchQuery,
 	row: number,
-	elsewhere: number,
+	unreported: number,
 ): boolean {
 	if (shutGroups.has(table.group[row]!)) return false
-	const left = Math.max(LEFT_ELSEWHERE, Math.floor(elsewhere))
-	// A permit is for this entry, whoever turns to the server first.
+	const reserved = Math.max(MIN_RESERVED, Math.floor(unreported))
+	// A permit is for this entry, even at a server assigned to another one.
 	const isElsewhere = table.dealtElsewhere[row] === 1 && !permitted.has(row)
-	const places = table.slots[row]! + queueRoom - (isElsewhere ? left : 0)
-	return heldBy(table, row) < Math.min(places, Math.ceil(table.most[row]!))
+	const capacity = table.slots[row]! + queueRoom - (isElsewhere ? reserved : 0)
+	return heldBy(table, row) < Math.min(capacity, Math.ceil(table.most[row]!))
 }
 
 /**
- * The servers that are compared, in random order: those that this entry turns to first or
- * has a permit for, and a few of the others. What entries know of each other is up to a
- * fifth of a second old; if all compared all, all would send to the same emptiest ones,
- * where requests get behind slots and wait for a stream to end.
+ * Returns the servers to compare, in random order: those assigned to this entry or for
+ * which it has a permit, and a sample of the others. Loads reported by other entries are
+ * up to 200 ms old; if every entry compared all servers, all would send to the same least
+ * loaded ones, where requests exceed the slots and wait for a stream to end.
  */
-function drawCompared(
+function sampleCandidates(
 	table: ServerTable,
 	{ permitted }: DispatchQuery,
 	rows: readonly number[],
 	random: Random,
 ): number[] {
-	const isOwn = (row: number) =>
+	const isPreferred = (row: number) =>
 		table.dealtElsewhere[row] === 0 || permitted.has(row)
-	const own = rows.filter(isOwn)
-	const others = rows.filter(row => !isOwn(row))
-	const drawn = Math.max(LEAST_DRAWN, LEAST_COMPARED - own.length)
-	const compared = [...own, ...drawSome(others, drawn, random)]
-	return drawSome(compared, compared.length, random)
+	const preferred = rows.filter(isPreferred)
+	const others = rows.filter(row => !isPreferred(row))
+	const sampleSize = Math.max(MIN_SAMPLED, MIN_COMPARED - preferred.length)
+	const compared = [...preferred, ...sampleRows(others, sampleSize, random)]
+	return sampleRows(compared, compared.length, random)
 }
 
-/** Some of `rows`, in random order. */
-function drawSome(
+/** Returns a random sample of `rows`, in random order. */
+function sampleRows(
 	rows: readonly number[],
 	count: number,
 	random: Random,
 ): number[] {
-	const left = [...rows]
-	const drawn: number[] = []
-	while (left.length > 0 && drawn.length < count) {
-		const at = drawIndex(random, left.length)
-		drawn.push(left[at]!)
-		left[at] = left.at(-1)!
-		left.pop()
+	const remaining = [...rows]
+	const sampled: number[] = []
+	while (remaining.length > 0 && sampled.length < count) {
+		const at = drawIndex(random, remaining.length)
+		sampled.push(remaining[at]!)
+		remaining[at] = remaining.at(-1)!
+		remaining.pop()
 	}
-	return drawn
+	return sampled
 }
 
-/** Servers that this entry turns to first and whose groups take requests now. */
-function listOwn(table: ServerTable, query: DispatchQuery): number[] {
+/** Open servers assigned to this entry whose groups are not closed. */
+function listAssigned(table: ServerTable, query: DispatchQuery): number[] {
 	const { rows, shutGroups } = query
-	const isOwn = (row: number) =>
+	const isAssigned = (row: number) =>
 		table.open[row] === 1 &&
 		table.dealtElsewhere[row] === 0 &&
 		!shutGroups.has(table.group[row]!)
-	return rows.filter(isOwn)
+	return rows.filter(isAssigned)
 }
 
 /**
- * Lock-step groups that take no more, by `isOpen`, which is asked for those with a
- * limit: what their ranks may hold together, less what they do. A limit may be a
- * fraction: each rank may then hold one more than that, but not all of them. What
- * is reported of other entries counts `othersTimes`, for those not heard of.
+ * Returns the lock-step groups that are full. `isOpen` decides for each group with a
+ * limit, given its free capacity: the sum of its ranks' limits less their requests in
+ * flight. A limit may be fractional: a rank may then hold up to the next whole number,
+ * but not all ranks at once. Loads reported by other entries are multiplied by
+ * `othersTimes`, to account for entries that have not reported.
  */
 export function listFullGroups(
 	table: ServerTable,
-	isOpen: (group: number, room: number) => boolean = hasWholePlace,
+	isOpen: (group: number, room: number) => boolean = hasWholeSlot,
 	othersTimes = 1,
 ): Set<number> {
 	const rooms = new Map<number, number>()
@@ -296,11 +310,11 @@
 	return new Set(full.map(([group]) => group))
 }
 
-function hasWholePlace(_group: number, room: number): boolean {
+function hasWholeSlot(_group: number, room: number): boolean {
 	return room >= 1
 }
 
-/** Requests that a server holds, as far as is known. */
+/** Returns the requests known to be in flight at a server. */
 export function heldBy(table: ServerTable, row: number): number {
 	return Math.max(0, table.reported[row]!) + table.sentSince[row]!
 }
--- a/packages/core/src/core/heldPermits.ts
+++ b/packages/core/src/core/heldPermits.ts
@@ -1,38 +1,38 @@
-/** The permits of one server that an entry has been given, and when it asks for more. */
+/** Permits of one server that an entry holds, and when it requests more. */
 
 import type { Permits } from '../internal.ts'
-import { permitLifeMs } from '../internal.ts'
+import { permitLifetimeMs } from '../internal.ts'
 
-/** The right to send one request to a server. */
+/** Right to send one request to a server. */
 interface Permit {
-	/** When it may be used, and until when, ms. */
-	readonly dueAt: number
-	readonly until: number
+	/** Start and end of its validity, ms. */
+	readonly usableAt: number
+	readonly expiresAt: number
 }
 
-/** What an entry has of the permits of one server. */
+/** An entry's permits of one server. */
 export interface HeldPermits {
 	permits: readonly Permit[]
 	isAsking: boolean
-	/** The server's home gives none before, ms. */
+	/** Time before which the server's home grants no further permit, ms. */
 	notBefore: number
 }
 
-/** Makes a record of no permits. */
+/** Creates a holder without permits. */
 export function createHeldPermits(): HeldPermits {
 	return { permits: [], isAsking: false, notBefore: Number.NEGATIVE_INFINITY }
 }
 
-/** Whether a request may be sent now. */
+/** Whether a permit is usable now. */
 export function hasPermit({ permits }: HeldPermits, now: number): boolean {
 	return permits.some(one => isUsable(one, now))
 }
 
-function isUsable({ dueAt, until }: Permit, now: number): boolean {
-	return dueAt <= now && now < until
+function isUsable({ usableAt, expiresAt }: Permit, now: number): boolean {
+	return usableAt <= now && now < expiresAt
 }
 
-/** Uses a permit; false if there is none. */
+/** Consumes a usable permit; returns false if there is none. */
 export function usePermit(held: HeldPermits, now: number): boolean {
 	const used = held.permits.find(one => isUsable(one, now))
 	if (!used) return false
@@ -40,36 +40,36 @@
 	return true
 }
 
-/** Whether to ask for permits for callers who can wait for `withinMs`. */
+/** Whether to request permits on behalf of callers who can wait for `withinMs`. */
 export function isAskDue(
 	held: HeldPermits,
 	withinMs: number,
 	now: number,
 ): boolean {
-	held.permits = held.permits.filter(({ until }) => now < until)
+	held.permits = held.permits.filter(({ expiresAt }) => now < expiresAt)
 	if (held.isAsking || held.permits.length > 0) return false
 	return held.notBefore <= now + withinMs
 }
 
-/** Takes what a home has given out of `perSecond`. */
+/** Adds permits that the server's home has granted at a limit of `perSecond`. */
 export function takeGiven(
 	held: HeldPermits,
 	perSecond: number,
 	{ dueMs, waitMs }: Permits,
 	now: number,
 ): void {
-	const lifeMs = permitLifeMs(perSecond)
-	const given = dueMs.map(ms => ({
-		dueAt: now + ms,
-		until: now + ms + lifeMs,
+	const lifetimeMs = permitLifetimeMs(perSecond)
+	const granted = dueMs.map(ms => ({
+		usableAt: now + ms,
+		expiresAt: now + ms + lifetimeMs,
 	}))
-	held.permits = [...held.permits, ...given]
+	held.permits = [...held.permits, ...granted]
 	held.notBefore = now + waitMs
 }
 
-/** When the permits that are held may be used, from now, the soonest first, ms. */
+/** Returns the times until the unexpired permits become usable, ms, soonest first. */
 export function listDueMs({ permits }: HeldPermits, now: number): number[] {
 	return permits
-		.filter(({ until }) => now < until)
-		.map(({ dueAt }) => Math.max(0, dueAt - now))
+		.filter(({ expiresAt }) => now < expiresAt)
+		.map(({ usableAt }) => Math.max(0, usableAt - now))
 }
--- a/packages/core/src/core/home.ts
+++ b/packages/core/src/core/home.ts
@@ -1,35 +1,38 @@
-/** Which backend server is home to a key of a request that may not be repeated. */
+/**
+ * Assigns each idempotency key of a non-repeatable request to a home: the one backend
+ * server that runs requests with this key.
+ */
 
 import type { Config } from '../internal.ts'
 import { pickByRendezvous } from '../internal.ts'
 
-/** Most sets of configured servers that are remembered. */
-const MAX_SETS = 16
+/** Maximum number of server sets kept in a history. */
+const MAX_HISTORY = 16
 
-/** The servers of a service, as configured from `sinceWall` (Unix ms) on. */
+/** Configured servers of a service since `sinceWall` (Unix ms). */
 export interface ServerSet {
 	readonly sinceWall: number
 	readonly servers: readonly string[]
 }
 
-/** The sets that an agent has seen in force, newest last. */
+/** Server sets that an agent has seen in force, newest last. */
 export type HomeHistory = ServerSet[]
 
-/** Names of the backend servers that run `service`, configured, live or not. */
+/** Returns the names of the servers configured for `service`, whether live or not. */
 export function listServiceServers(config: Config, service: string): string[] {
 	return Object.entries(config.server)
 		.filter(([, server]) => server.service === service)
 		.map(([name]) => name)
 }
 
-/** One name for a key; teams and services may use the same key apart. */
+/** Qualifies a key by team and service, which may use the same keys independently. */
 export function scopeKey(team: string, service: string, key: string): string {
 	return `${team}/${service}/${key}`
 }
 
 /**
- * The key's home: over the *configured* servers, so that all entries agree
- * without talking, and a dead home stays home.
+ * Returns the key's home, by rendezvous hashing over the *configured* servers: all
+ * entries agree without coordination, and a home that is down remains the home.
  */
 export function findHome(
 	config: Config,
@@ -39,7 +42,7 @@
 	return pickByRendezvous(scopedKey, listServiceServers(config, service))
 }
 
-/** Notes the set in force at `wall`, if it differs from the last. */
+/** Records the set in force at `wall` (Unix ms) if it differs from the last one. */
 export function noteServerSet(
 	history: HomeHistory,
 	servers: readonly string[],
@@ -49,12 +52,12 @@
 	const last = history.at(-1)
 	if (last && last.servers.join() === sorted.join()) return
 	history.push({ sinceWall: wall, servers: sorted })
-	if (history.length > MAX_SETS) history.shift()
+	if (history.length > MAX_HISTORY) history.shift()
 }
 
 /**
- * Since when, Unix ms, `server` has been the key's home without a break;
- * `undefined` if it is not its home now.
+ * Returns the time (Unix ms) since which `server` has been the key's home without
+ * interruption; `undefined` if it is not the home now.
  */
 export function findHomeSince(
 	history: HomeHistory,
--- a/packages/core/src/core/limits.ts
+++ b/packages/core/src/core/limits.ts
@@ -1,8 +1,9 @@
 /**
- * Limits of teams, kept by the sum of all entries. Where a limit gives every entry enough
- * to keep its part alone, each has a whole part. The others one entry keeps for all: the
- * team's home, which the others ask. A part of less than a few requests for each entry
- * would do neither: rounded up it is too much in all, rounded down some get nothing.
+ * Team limits on concurrency, request rate and token rate, enforced across all entries.
+ * Where a limit is large enough, it is divided and each entry enforces its own share.
+ * Smaller limits are enforced by one entry for all, the team's home, which the others
+ * ask for admission. Dividing a limit of only a few requests per entry would not work:
+ * rounded up the shares exceed the limit, rounded down some entries get nothing.
  */
 
 import type { Bucket, ErrorKind, NotRun, TeamConfig } from '../internal.ts'
@@ -15,68 +16,71 @@
 	waitFor,
 } from '../internal.ts'
 
-const MS = 1000
-/** Least requests, under way or in a bucket, with which an entry keeps its part. */
-const LEAST_REQUESTS = 4
-/** Least tokens in a bucket with which an entry keeps its part: some large requests. */
-const LEAST_TOKENS = 16_384
+const CONCURRENCY_RETRY_MS = 1000
+/** Minimum share, in concurrent requests or bucket size, that an entry enforces itself. */
+const MIN_REQUESTS_PER_ENTRY = 4
+/** Minimum token bucket that an entry enforces itself: a few large requests. */
+const MIN_TOKENS_PER_ENTRY = 16_384
 
-/** What one entry knows of one team's use. */
+/** One entry's record of a team's usage. */
 export interface TeamRow {
 	readonly requests: Bucket
 	readonly tokens: Bucket
-	/** Requests under way at this entry. */
+	/** Requests in flight at this entry. */
 	inFlight: number
-	/** Requests of this entry about which the team's home has been asked. */
+	/** Admission requests of this entry that the team's home has not answered yet. */
 	asking: number
-	/** What the team's home was last told that this entry holds. */
+	/** Number of requests that this entry last reported to the team's home. */
 	told: number
-	/** Whether that was told by a question: the home adds what it admits. */
+	/**
+	 * Whether the last report was part of an admission request: the home then adds the
+	 * requests that it admits.
+	 */
 	isToldByAsk: boolean
-	/** At the team's home: requests under way at the others, by entry. */
+	/** At the team's home: requests in flight at the other entries, by entry. */
 	readonly elsewhere: Map<string, number>
 }
 
-/** All teams seen at this entry. */
+/** Usage of all teams seen at this entry. */
 export type LimitTable = Map<string, TeamRow>
 
-/** One of the entries that share the limits. */
+/** An entry's share of the limits. */
 export interface EntryPart {
-	/** Live entries, this one counted. */
+	/** Live entries, including this one. */
 	readonly count: number
-	/** Its place in their order, which all share, from 0. */
+	/** Index of this entry in the order that all entries use, from 0. */
 	readonly place: number
 }
 
-/** The part of an entry that is alone. */
+/** Share of a single entry. */
 export const WHOLE_PART: EntryPart = { count: 1, place: 0 }
 
-/** What an entry asks a team's home. */
+/** Request of an entry to a team's home for the admission of one request. */
 export interface TeamAsk {
 	readonly entry: string
-	/** Requests under way there, and asked about before this one. */
+	/** Requests in flight at the entry, plus earlier admission requests not yet answered. */
 	readonly held: number
-	/** Tokens that the request is expected to cost. */
+	/** Expected token cost of the request. */
 	readonly tokens: number
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createLimits(): LimitTable {
 	return new Map()
 }
 
-/** Whether a team's home decides for all of `entries` live entries. */
+/** Whether the team's home enforces the limit for all of `entries` live entries. */
 export function isKeptAtHome(limit: TeamConfig, entries: number): boolean {
 	if (entries <= 1) return false
 	const { concurrency, ratePerSecond, tokensPerSecond } = limit
 	return (
-		concurrency < LEAST_REQUESTS * entries ||
-		ratePerSecond * BURST_SECONDS < LEAST_REQUESTS * entries ||
-		tokensPerSecond * BURST_SECONDS < LEAST_TOKENS * entries
+		concurrency < MIN_REQUESTS_PER_ENTRY * entries ||
+		ratePerSecond * BURST_SECONDS < MIN_REQUESTS_PER_ENTRY * entries ||
+		tokensPerSecond * BURST_SECONDS < MIN_TOKENS_PER_ENTRY * entries
 	)
 }
 
-/** Which of the live entries keeps a team's limit for all. */
+/** Returns the team's home among the live entries, by rendezvous hashing. */
 export function findTeamHome(
 	team: string,
 	entries: readonly string[],
@@ -85,8 +89,8 @@
 }
 
 /**
- * Admits a request of `tokens` expected tokens within this entry's part of the limit, or
- * refuses it with the time at which the part will allow it.
+ * Admits a request of `tokens` expected tokens within this entry's share of the limit,
+ * or refuses it with the time until the share allows it.
  */
 export function admitTeam(
 	table: LimitTable,
@@ -98,14 +102,22 @@
 ): NotRun | undefined {
 	const share = 1 / part.count
 	const row = teamRow(table, team, limit, share, now)
-	// One at least: an entry whose team's home is silent goes on.
-	const most = Math.max(1, wholePart(limit.concurrency, part))
-	const refusal = admit(row, limit, share, row.inFlight, most, tokens, now)
+	// At least one, so that an entry keeps serving while the team's home does not answer.
+	const maxRunning = Math.max(1, integerShare(limit.concurrency, part))
+	const refusal = admit(
+		row,
+		limit,
+		share,
+		row.inFlight,
+		maxRunning,
+		tokens,
+		now,
+	)
 	if (!refusal) row.inFlight++
 	return refusal
 }
 
-/** Admits a request of another entry at the team's home. */
+/** Admits or refuses a request of another entry, at the team's home. */
 export function admitForEntry(
 	table: LimitTable,
 	team: string,
@@ -120,7 +132,7 @@
 	return refusal
 }
 
-/** Admits a request of the team's home itself. */
+/** Admits or refuses a request that the team's home itself received. */
 export function admitAtHome(
 	table: LimitTable,
 	team: string,
@@ -134,7 +146,7 @@
 	return refusal
 }
 
-/** Notes that the team's home is about to be asked; gives what to tell it as held. */
+/** Begins an admission request to the team's home; returns its `held` count. */
 export function beginTeamAsk(
 	table: LimitTable,
 	team: string,
@@ -142,15 +154,16 @@
 	now: number,
 ): number {
 	const row = teamRow(table, team, limit, 1, now)
-	row.told = heldByEntry(row)
+	row.told = countOwn(row)
 	row.isToldByAsk = true
 	row.asking++
 	return row.told
 }
 
 /**
- * Notes what came of a question to the team's home; answers come in the order of the
- * questions. True when the home believes something else than what is under way.
+ * Ends an admission request to the team's home; answers arrive in the order of the
+ * requests. Returns true if the home's count differs from the requests in flight, so
+ * that a new report is needed.
  */
 export function endTeamAsk(
 	table: LimitTable,
@@ -166,7 +179,7 @@
 	return row.told + added !== row.inFlight
 }
 
-/** Notes at the team's home what another entry has under way. */
+/** Records at the team's home the requests in flight at another entry. */
 export function noteTeamHeld(
 	table: LimitTable,
 	team: string,
@@ -179,16 +192,16 @@
 	else row.elsewhere.delete(entry)
 }
 
-/** Notes that the team's home is told what this entry holds; gives that. */
+/** Records a report to the team's home and returns the count to report. */
 export function tellTeamHeld(table: LimitTable, team: string): number {
 	const row = table.get(team)
 	if (!row) return 0
-	row.told = heldByEntry(row)
+	row.told = countOwn(row)
 	row.isToldByAsk = false
 	return row.told
 }
 
-/** Forgets what entries held that are gone, or all of a team that has another home. */
+/** Drops the counts of entries that are gone, and of teams whose home is another entry. */
 export function forgetElsewhere(
 	table: LimitTable,
 	entries: ReadonlySet<string>,
@@ -199,13 +212,13 @@
 			if (!entries.has(entry) || !isHome(team)) elsewhere.delete(entry)
 }
 
-/** Notes that an admitted request ended. */
+/** Records that an admitted request has ended. */
 export function releaseTeam(table: LimitTable, team: string): void {
 	const row = table.get(team)
 	if (row) row.inFlight--
 }
 
-function heldByEntry({ inFlight, asking }: TeamRow): number {
+function countOwn({ inFlight, asking }: TeamRow): number {
 	return inFlight + asking
 }
 
@@ -213,8 +226,8 @@
 	return [...elsewhere.values()].reduce((sum, held) => sum + held, inFlight)
 }
 
-/** An entry's part of a whole number; all parts add up to it. */
-function wholePart(whole: number, { count, place }: EntryPart): number {
+/** Returns an entry's share of an integer; the shares of all entries add up to it. */
+function integerShare(whole: number, { count, place }: EntryPart): number {
 	return Math.floor(whole / count) + (place < whole % count ? 1 : 0)
 }
 
@@ -240,7 +253,7 @@
 	return row
 }
 
-/** Admits a request within the whole limit, as all entries use it. */
+/** Admits or refuses a request against the whole limit, counting all entries. */
 function admitForAll(
 	row: TeamRow,
 	limit: TeamConfig,
@@ -251,17 +264,18 @@
 	return admit(row, limit, 1, countRunning(row), concurrency, tokens, now)
 }
 
-/** Takes a request out of both buckets, or tells what it is to wait for. */
+/** Takes a request from both buckets, or returns a refusal with its waiting time. */
 function admit(
 	row: TeamRow,
 	limit: TeamConfig,
 	share: number,
 	running: number,
-	most: number,
+	maxRunning: number,
 	tokens: number,
 	now: number,
 ): NotRun | undefined {
-	if (running >= most) return notRun('teamConcurrency', MS)
+	if (running >= maxRunning)
+		return notRun('teamConcurrency', CONCURRENCY_RETRY_MS)
 	const wait = waitFor(row.requests, limit.ratePerSecond * share, 1, now)
 	if (wait > 0) return refuse('teamRate', wait)
 	const tokenRate = limit.tokensPerSecond * share
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -1,75 +1,77 @@
 /**
- * Keeps a server's limit across all entries: one of them, its home, hands out permits
- * one after the other, and nothing is sent without one. A part of the limit for each
- * entry would not do: where it is less than a request, either each may send one, which
- * is too much in all, or callers that all use one entry get next to nothing.
+ * Enforces a server's rate limit across all entries: one entry, the server's home, issues
+ * permits at the permitted rate, and no entry sends a request without one. Dividing the
+ * limit between the entries would not work: with shares below one request, either each
+ * entry may send one, which exceeds the limit in total, or callers that all use the same
+ * entry get almost nothing.
  */
 
 import { pickByRendezvous } from '../internal.ts'
 
-/** The permits of one server, at its home. */
+/** Permits of one server, at its home. */
 export interface PermitPool {
-	/** When the next permit falls due, ms. */
+	/** When the next permit becomes usable, ms. */
 	nextAt: number
 }
 
-/** How fast a home gives permits out. */
+/** Rate at which a home issues permits. */
 export interface PermitPace {
-	/** Between two permits, ms. */
+	/** Interval between two permits, ms. */
 	readonly gapMs: number
 	/**
-	 * Of a home of a few entries that are cut off from the others: where in each gap its
-	 * permit falls due, from 0 to 1. The homes of all parts give theirs in turn.
+	 * Set for the home of a minority partition: position of its permit within each
+	 * interval, from 0 to 1. The homes of the partitions thus issue permits in turn.
 	 */
 	readonly phase: number | undefined
 }
 
-/** What an entry asks a home for. */
+/** Request of an entry to a server's home. */
 export interface PermitWish {
 	readonly count: number
-	/** How long its callers can wait, ms. */
+	/** Longest wait of the entry's callers, ms. */
 	readonly withinMs: number
 }
 
-/** What it gets. */
+/** Permits granted to an entry. */
 export interface Permits {
-	/** When each of them may be used, from now, ms. */
+	/** Time until each of them becomes usable, ms. */
 	readonly dueMs: readonly number[]
-	/** Until the next one falls due that was not given, ms. */
+	/** Time until the next permit beyond those granted becomes usable, ms. */
 	readonly waitMs: number
 }
 
-/** Entries that a home hears, and that it knows of; itself is one of both. */
+/** Numbers of reachable and of known entries, both including this one. */
 export interface EntryCount {
 	readonly heard: number
 	readonly known: number
-	/** Its place among those that it knows of, in an order that all share. */
+	/** Index of this entry among the known ones, in the order that all entries use. */
 	readonly place: number
 }
 
 const SECOND_MS = 1_000
-/** Permits that nobody asked for are kept for this long, ms. */
+/** Unclaimed permits accumulate for this long, ms. */
 const BURST_MS = 250
 /**
- * So much is let through whatever the limit, a second: only an answer can tell that the
- * limit has ended.
+ * Minimum requests per second let through at any limit: only an answer of the server can
+ * show that the limit has ended.
  */
-const LEAST_PER_SECOND = 0.1
+const MIN_PER_SECOND = 0.1
 /**
- * So many permits of a server may be out and unused, or what falls due in the least life
- * of one: an entry that few requests come to keeps its permit for the next one. All that
- * is out may be used at once; servers bear half as much again as their limit for seconds.
+ * Maximum permits of a server that are issued and unused, unless more fall within the
+ * minimum lifetime of a permit. Permits live long enough for an entry with little traffic
+ * to use its permit for its next request. All unused permits may be used at the same
+ * moment; servers tolerate 1.5 times their limit for some seconds.
  */
-const UNUSED_PERMITS = 2
-const LEAST_LIFE_MS = 1_500
-const MOST_LIFE_MS = 4_000
+const MAX_UNUSED_PERMITS = 2
+const MIN_LIFETIME_MS = 1_500
+const MAX_LIFETIME_MS = 4_000
 
-/** Makes a pool that has given nothing. */
+/** Creates a pool that has issued no permits. */
 export function createPermitPool(): PermitPool {
 	return { nextAt: Number.NEGATIVE_INFINITY }
 }
 
-/** Takes permits from a pool. */
+/** Grants permits from a pool. */
 export function takePermits(
 	pool: PermitPool,
 	pace: PermitPace,
@@ -77,42 +79,42 @@
 	now: number,
 ): Permits {
 	const dueMs: number[] = []
-	let next = fitToPhase(Math.max(pool.nextAt, now - BURST_MS), pace)
-	while (dueMs.length < count && next <= now + withinMs) {
-		dueMs.push(Math.max(0, next - now))
-		next += pace.gapMs
+	let nextAt = alignToPhase(Math.max(pool.nextAt, now - BURST_MS), pace)
+	while (dueMs.length < count && nextAt <= now + withinMs) {
+		dueMs.push(Math.max(0, nextAt - now))
+		nextAt += pace.gapMs
 	}
-	if (dueMs.length > 0) pool.nextAt = next
-	return { dueMs, waitMs: Math.max(0, next - now) }
+	if (dueMs.length > 0) pool.nextAt = nextAt
+	return { dueMs, waitMs: Math.max(0, nextAt - now) }
 }
 
-function fitToPhase(at: number, { gapMs, phase }: PermitPace): number {
+function alignToPhase(at: number, { gapMs, phase }: PermitPace): number {
 	if (phase === undefined) return at
 	const first = phase * gapMs
 	return first + Math.ceil((at - first) / gapMs) * gapMs
 }
 
-/** How long a permit may be used once it is due, ms. */
-export function permitLifeMs(perSecond: number): number {
-	const lifeMs = (UNUSED_PERMITS * SECOND_MS) / perSecond
-	return Math.min(MOST_LIFE_MS, Math.max(LEAST_LIFE_MS, lifeMs))
+/** Returns how long a permit stays valid once it is usable, ms. */
+export function permitLifetimeMs(perSecond: number): number {
+	const lifetimeMs = (MAX_UNUSED_PERMITS * SECOND_MS) / perSecond
+	return Math.min(MAX_LIFETIME_MS, Math.max(MIN_LIFETIME_MS, lifetimeMs))
 }
 
 /**
- * How fast a home gives permits to those that it hears. Where entries are cut into
- * parts each part has a home: the largest goes on as before, the others keep to their
- * part of the limit.
+ * Returns the rate at which a home issues permits to the reachable entries. In a network
+ * partition each side has a home: that of a majority continues at the full rate, the
+ * others at the fraction of entries that they reach.
  */
 export function paceOfHome(
 	perSecond: number,
 	{ heard, known, place }: EntryCount,
 ): PermitPace {
-	const gapMs = SECOND_MS / Math.max(perSecond, LEAST_PER_SECOND)
+	const gapMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
 	if (2 * heard > known) return { gapMs, phase: undefined }
 	return { gapMs: (gapMs * known) / heard, phase: place / known }
 }
 
-/** Which of the entries that are heard is home to a server's permits. */
+/** Returns the home of a server's permits among the reachable entries. */
 export function findPermitHome(
 	server: string,
 	entries: readonly string[],
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -1,114 +1,124 @@
 /**
- * Requests that end the servers that run them. A request that comes again is known by
- * its fingerprint; under which ones a server has ended is shared by all entries, and
- * one that has ended two or three is sent to none for a time.
+ * Quarantine of poison requests, those that crash the servers that run them. A repeated
+ * request is recognized by its fingerprint. Entries share which requests were in flight
+ * at each server crash, and a request that has crashed two or three servers is not sent
+ * to any for some time.
  *
- * Who only ran beside such a request must not be taken for it. So an end counts for a
- * request only if it was sent there after the end that counted before, what was
- * answered whole since starts anew, and servers that end together, as those of a rack
- * or a data centre do, count half for requests that were not at all of them. An end
- * counts double if only one of the requests there had been under an end before. And
- * an end has one cause: what the request that most speaks against was under says
- * nothing of who ran beside it, however often that was.
+ * Requests that were only in flight next to a poison request must not be quarantined:
+ * - A crash counts against a request only if the request was sent to that server after
+ *   the last crash that counted against it.
+ * - A request that was answered completely starts again without points.
+ * - Servers that crash together, as those of a rack or a data centre do, count half
+ *   against requests that were not in flight at all of them.
+ * - A crash counts double if only one of the requests in flight had been in flight at an
+ *   earlier crash.
+ * - A crash has one cause: crashes attributed to the primary suspect do not count against
+ *   the requests next to it, however many there were.
  *
- * Evidence is a set of ends that only grows, until it is old: entries that have heard
- * the same, in whatever order and however often, judge the same.
+ * Evidence is a grow-only set of crashes until they expire: entries that have received
+ * the same evidence, in any order and any number of times, reach the same result.
  */
 
-/** Points of a request from which on it is sent to no server: three lone ends. */
-const BARRED_POINTS = 6
+/** Points from which a request is quarantined: three isolated crashes. */
+const QUARANTINE_POINTS = 6
 /**
- * Points of a second end of the only request there that had been under one before. In
- * a group of 16 ranks who ran beside it once is beside it again in one of 16 times;
- * in the other 15 the second end tells, and a group of ranks ends once less.
+ * Points of a second crash if the request was the only one there that had been in flight
+ * at an earlier one. In a group of 16 ranks, a request that ran next to a poison request
+ * once does so again in 1 of 16 cases; in the other 15 the second crash identifies the
+ * poison request, which saves the group one crash.
  */
 const SINGLED_OUT_POINTS = 4
-/** Points of an end that no other end explains. */
-const LONE_POINTS = 2
-/** Points of an end beside others under other requests. */
-const SHARED_POINTS = 1
+/** Points of a crash that does not coincide with crashes under other requests. */
+const ISOLATED_CRASH_POINTS = 2
+/** Points of a crash that coincides with crashes under other requests. */
+const CORRELATED_CRASH_POINTS = 1
 /**
- * Servers that end within this time have one cause, unless one request was at all of
- * them, ms: a power switch ends a rack within ms, a supervisor within some hundreds.
+ * Crashes within this time are taken to have a common cause unless one request was in
+ * flight at all of them, ms: a power failure stops a rack within milliseconds, a
+ * supervisor within a few hundred.
  */
-const TOGETHER_MS = 500
-/** Entries reckon the same end up to so much apart, ms: the way of the news. */
-const SKEW_MS = 50
+const CORRELATION_MS = 500
+/** Entries date the same crash up to this far apart, ms: the latency of updates. */
+const MAX_SKEW_MS = 50
 /**
- * How long a request is sent to no server after its second end, ms; twice as long
- * after each one more. It is then tried once: a server may have been mended, or the
- * request was blamed for what it did not do.
+ * Quarantine after a request's second crash, ms; doubled at each further one. Then the
+ * request is tried once: the servers may have been fixed, or the request was suspected
+ * wrongly.
  */
-const BARRED_MS = 600_000
-/** How long an end is remembered, ms; a day. */
-const KEPT_MS = 86_400_000
+const QUARANTINE_MS = 600_000
+/** Retention of a crash, ms: one day. */
+const RETENTION_MS = 86_400_000
 /**
- * Ends that are remembered: those of a data centre of 230 servers. Beyond it the
- * oldest is forgotten that bars nothing.
+ * Maximum crashes retained: enough for a data centre of 230 servers to crash. Beyond it
+ * the oldest one that supports no quarantine is evicted.
  */
-const MAX_ENDS = 256
-/** Requests that are named for one end: engines run 4 to 12 at a time. */
+const MAX_CRASHES = 256
+/** Maximum requests recorded per crash: engines run 4 to 12 at a time. */
 export const MAX_NAMED = 16
 
-/** The end of a server. */
+/** Crash of a server; `end` on the wire. */
 export interface ServerEnd {
-	/** Id of the server's life. */
+	/** Id of the server's incarnation. */
 	readonly server: string
-	/** When it was first noticed, ms. */
+	/** When it was first detected, ms. */
 	readonly at: number
-	/** For how long each request had been there, ms, by fingerprint. */
+	/** How long each request had been in flight there, ms, by fingerprint. */
 	readonly ran: ReadonlyMap<string, number>
 }
 
-/** An answer that a server gave whole to a request under which others had ended. */
+/** Complete answer to a request that had been in flight at a crash. */
 export interface ServedSince {
 	readonly fingerprint: string
 	/** ms */
 	readonly at: number
 }
 
-/** Evidence that one entry tells another. */
+/** Evidence that entries exchange. */
 export interface EndNews {
 	readonly ends: readonly ServerEnd[]
 	readonly served: readonly ServedSince[]
 }
 
-/** What an entry knows of requests under which servers ended. */
+/** An entry's evidence and the suspicions that follow from it. */
 export interface Quarantine {
+	/** Crashes, by id of the server's incarnation. */
 	readonly ends: Map<string, ServerEnd>
-	/** When each was last answered whole, ms, by fingerprint. */
+	/** When each request was last answered completely, ms, by fingerprint. */
 	readonly served: Map<string, number>
-	/** Points of requests under which servers ended and that were not served since. */
+	/** Requests in flight at a crash and not answered since, by fingerprint. */
 	suspects: ReadonlyMap<string, Readonly<Suspicion>>
 }
 
-/** What speaks against a request. */
+/** Evidence against a request. */
 export interface Suspicion {
 	points: number
-	/** Servers that ended under it, in order. */
+	/** Servers whose crashes count against it, in order. */
 	readonly servers: string[]
-	/** For how long it had been at them in all, ms. */
+	/** Total time that it had been in flight there, ms. */
 	ranMs: number
-	/** When the first and the last of them ended, ms. */
+	/** Time of the first and of the last of these crashes, ms. */
 	readonly firstAt: number
 	lastAt: number
 }
 
-/** Makes a quarantine that knows of no end. */
+/** Creates a quarantine without evidence. */
 export function createQuarantine(): Quarantine {
 	return { ends: new Map(), served: new Map(), suspects: new Map() }
 }
 
-/** Fingerprints of requests that end servers: they are sent to none for a time. */
+/**
+ * Returns the fingerprints of requests with enough points for a quarantine, also after
+ * its end.
+ */
 export function listBarred({ suspects }: Quarantine): string[] {
 	return [...suspects]
-		.filter(([, suspicion]) => isConvicting(suspicion))
+		.filter(([, suspicion]) => isConclusive(suspicion))
 		.map(([fingerprint]) => fingerprint)
 }
 
 /**
- * How long a request is still sent to no server, ms; 0 if it is. It is tried again by one
- * entry after the other: each waits for `turnMs` more than the first.
+ * Returns the remaining quarantine of a request, ms; 0 if it may be sent. Entries try it
+ * again one after the other: each waits `turnMs` longer than the first.
  */
 export function barredForMs(
 	{ suspects }: Quarantine,
@@ -117,34 +127,34 @@
 	turnMs = 0,
 ): number {
 	const suspicion = suspects.get(fingerprint)
-	if (!suspicion || !isConvicting(suspicion)) return 0
+	if (!suspicion || !isConclusive(suspicion)) return 0
 	const { lastAt, servers } = suspicion
-	const barredMs = BARRED_MS * 2 ** Math.max(0, servers.length - 2)
-	return Math.max(0, lastAt + barredMs + turnMs - now)
+	const quarantineMs = QUARANTINE_MS * 2 ** Math.max(0, servers.length - 2)
+	return Math.max(0, lastAt + quarantineMs + turnMs - now)
 }
 
-function isConvicting({ points }: Suspicion): boolean {
-	return points >= BARRED_POINTS
+function isConclusive({ points }: Suspicion): boolean {
+	return points >= QUARANTINE_POINTS
 }
 
-/** Takes what was seen or told; gives what of it is new. */
+/** Merges evidence observed here or received from peers; returns what is new of it. */
 export function takeEndNews(
 	quarantine: Quarantine,
-	news: EndNews,
+	evidence: EndNews,
 	now: number,
 ): EndNews {
-	forgetOld(quarantine, now)
-	const ends = news.ends.filter(
-		end => now - end.at < KEPT_MS && takeEnd(quarantine, end),
+	pruneExpired(quarantine, now)
+	const ends = evidence.ends.filter(
+		end => now - end.at < RETENTION_MS && mergeCrash(quarantine, end),
 	)
-	// Who is not suspected needs no defence.
-	if (ends.length > 0) judge(quarantine)
-	const served = news.served.filter(one => takeServed(quarantine, one))
-	if (served.length > 0) judge(quarantine)
+	// Crashes first: an answer is recorded only for a request that is suspected.
+	if (ends.length > 0) updateSuspects(quarantine)
+	const served = evidence.served.filter(one => mergeServed(quarantine, one))
+	if (served.length > 0) updateSuspects(quarantine)
 	return { ends, served }
 }
 
-/** All that is remembered, for an entry that may know nothing. */
+/** Returns all evidence, for an entry that may have none. */
 export function listEndNews({ ends, served }: Quarantine): EndNews {
 	return {
 		ends: [...ends.values()],
@@ -152,118 +162,128 @@
 	}
 }
 
-/** True when it is news. */
-function takeEnd({ ends }: Quarantine, end: ServerEnd): boolean {
-	const known = ends.get(end.server)
+/** Merges a crash; returns true if it adds evidence. */
+function mergeCrash({ ends }: Quarantine, crash: ServerEnd): boolean {
+	const known = ends.get(crash.server)
 	const ran = new Map(known?.ran)
-	for (const [fingerprint, ms] of end.ran) {
+	for (const [fingerprint, ms] of crash.ran) {
 		if (ran.size >= MAX_NAMED && !ran.has(fingerprint)) continue
 		ran.set(fingerprint, Math.min(ms, ran.get(fingerprint) ?? ms))
 	}
-	const isNews = !known || ran.size > known.ran.size
-	if (isNews) {
-		const at = Math.min(end.at, known?.at ?? end.at)
-		ends.set(end.server, { server: end.server, at, ran })
+	const isNew = !known || ran.size > known.ran.size
+	if (isNew) {
+		const at = Math.min(crash.at, known?.at ?? crash.at)
+		ends.set(crash.server, { server: crash.server, at, ran })
 	}
-	return isNews
+	return isNew
 }
 
-/** True when it takes a suspicion back. */
-function takeServed(
+/** Merges an answer; returns true if it clears a suspicion. */
+function mergeServed(
 	{ served, suspects }: Quarantine,
 	{ fingerprint, at }: ServedSince,
 ): boolean {
 	const suspicion = suspects.get(fingerprint)
-	if (!suspicion || at <= servedAt(served, fingerprint)) return false
+	if (!suspicion || at <= lastServedAt(served, fingerprint)) return false
 	served.set(fingerprint, at)
 	return true
 }
 
-function forgetOld(quarantine: Quarantine, now: number): void {
+function pruneExpired(quarantine: Quarantine, now: number): void {
 	const { ends } = quarantine
 	for (const [server, { at }] of ends)
-		if (now - at >= KEPT_MS) ends.delete(server)
+		if (now - at >= RETENTION_MS) ends.delete(server)
 }
 
-function judge(quarantine: Quarantine): void {
+function updateSuspects(quarantine: Quarantine): void {
 	const { ends, served } = quarantine
 	const sorted = [...ends.values()].sort((a, b) => a.at - b.at)
 	quarantine.suspects = findSuspects(sorted, served)
-	if (ends.size > MAX_ENDS) forgetLeast(quarantine, sorted)
+	if (ends.size > MAX_CRASHES) evictOldest(quarantine, sorted)
 	if (served.size === 0) return
-	const named = new Set(sorted.flatMap(({ ran }) => [...ran.keys()]))
+	const reported = new Set(sorted.flatMap(({ ran }) => [...ran.keys()]))
 	for (const fingerprint of served.keys())
-		if (!named.has(fingerprint)) served.delete(fingerprint)
+		if (!reported.has(fingerprint)) served.delete(fingerprint)
 }
 
-/** Forgets the oldest ends that bar nothing; if all do, the oldest. */
-function forgetLeast(
+/** Evicts the oldest crashes that support no quarantine; if all do, the oldest. */
+function evictOldest(
 	{ ends, suspects }: Quarantine,
 	sorted: readonly ServerEnd[],
 ): void {
-	const bars = new Set<string>()
+	const evidence = new Set<string>()
 	for (const suspicion of suspects.values())
-		if (isConvicting(suspicion))
-			for (const server of suspicion.servers) bars.add(server)
-	const idle = sorted.filter(({ server }) => !bars.has(server))
-	const order = [...idle, ...sorted.filter(({ server }) => bars.has(server))]
-	for (const { server } of order.slice(0, ends.size - MAX_ENDS))
+		if (isConclusive(suspicion))
+			for (const server of suspicion.servers) evidence.add(server)
+	const inconclusive = sorted.filter(({ server }) => !evidence.has(server))
+	const order = [
+		...inconclusive,
+		...sorted.filter(({ server }) => evidence.has(server)),
+	]
+	for (const { server } of order.slice(0, ends.size - MAX_CRASHES))
 		ends.delete(server)
 }
 
-/** What speaks against requests once the ends under the worst ones are set aside. */
+/**
+ * Finds the suspects: repeatedly takes the primary suspect and removes the crashes that
+ * it explains, so that they do not count against other requests.
+ */
 function findSuspects(
 	sorted: readonly ServerEnd[],
 	served: ReadonlyMap<string, number>,
 ): Map<string, Suspicion> {
-	const convicted = new Map<string, Suspicion>()
+	const conclusive = new Map<string, Suspicion>()
 	let unexplained = sorted
 	for (;;) {
-		const suspects = weigh(unexplained, served)
-		const worst = findWorst(suspects)
-		if (worst === undefined) return new Map([...suspects, ...convicted])
-		convicted.set(worst, suspects.get(worst)!)
-		unexplained = unexplained.filter(({ ran }) => !ran.has(worst))
+		const suspects = scoreRequests(unexplained, served)
+		const primary = findPrimarySuspect(suspects)
+		if (primary === undefined) return new Map([...suspects, ...conclusive])
+		conclusive.set(primary, suspects.get(primary)!)
+		unexplained = unexplained.filter(({ ran }) => !ran.has(primary))
 	}
 }
 
-/** The request that most speaks against; of equals the one sent last before ends. */
-function findWorst(
+/**
+ * Returns the request with enough points for a quarantine that has the most; among equal
+ * ones the one that was in flight for the shortest time.
+ */
+function findPrimarySuspect(
 	suspects: ReadonlyMap<string, Suspicion>,
 ): string | undefined {
-	let worst: [string, Suspicion] | undefined
+	let primary: [string, Suspicion] | undefined
 	for (const [fingerprint, one] of suspects) {
-		if (!isConvicting(one)) continue
-		const more = one.points - (worst?.[1].points ?? 0)
-		const isWorse = more > 0 || (more === 0 && one.ranMs < worst![1].ranMs)
-		if (isWorse) worst = [fingerprint, one]
+		if (!isConclusive(one)) continue
+		const lead = one.points - (primary?.[1].points ?? 0)
+		const isStronger = lead > 0 || (lead === 0 && one.ranMs < primary![1].ranMs)
+		if (isStronger) primary = [fingerprint, one]
 	}
-	return worst?.[0]
+	return primary?.[0]
 }
 
-/** Weighs what speaks against each request, from ends in their order. */
-function weigh(
+/** Scores each request from crashes in order of time. */
+function scoreRequests(
 	sorted: readonly ServerEnd[],
 	served: ReadonlyMap<string, number>,
 ): Map<string, Suspicion> {
 	const suspects = new Map<string, Suspicion>()
-	for (const together of groupTogether(sorted))
-		for (const end of together) weighEnd(suspects, end, together, served)
+	for (const correlated of groupCorrelated(sorted))
+		for (const crash of correlated)
+			scoreCrash(suspects, crash, correlated, served)
 	return suspects
 }
 
-function weighEnd(
+function scoreCrash(
 	suspects: Map<string, Suspicion>,
 	{ server, at, ran }: ServerEnd,
-	together: readonly ServerEnd[],
+	correlated: readonly ServerEnd[],
 	served: ReadonlyMap<string, number>,
 ): void {
-	const since = together[0]!.at
-	const known = [...ran.keys()].filter(
+	const since = correlated[0]!.at
+	const repeated = [...ran.keys()].filter(
 		one => (suspects.get(one)?.firstAt ?? since) < since,
 	)
 	for (const [fingerprint, ranMs] of ran) {
-		if (at <= servedAt(served, fingerprint)) continue
+		if (at <= lastServedAt(served, fingerprint)) continue
 		const suspicion = suspects.get(fingerprint) ?? {
 			points: 0,
 			servers: [],
@@ -271,10 +291,10 @@
 			firstAt: at,
 			lastAt: Number.NEGATIVE_INFINITY,
 		}
-		if (at - ranMs < suspicion.lastAt - SKEW_MS) continue
-		const isAtAll = together.every(one => one.ran.has(fingerprint))
-		const isSingledOut = known.length === 1 && known[0] === fingerprint
-		suspicion.points += pointsOf(isAtAll, isSingledOut)
+		if (at - ranMs < suspicion.lastAt - MAX_SKEW_MS) continue
+		const isOnAll = correlated.every(one => one.ran.has(fingerprint))
+		const isSingledOut = repeated.length === 1 && repeated[0] === fingerprint
+		suspicion.points += pointsOf(isOnAll, isSingledOut)
 		suspicion.servers.push(server)
 		suspicion.ranMs += ranMs
 		suspicion.lastAt = at
@@ -282,25 +302,25 @@
 	}
 }
 
-function pointsOf(isAtAll: boolean, isSingledOut: boolean): number {
-	if (!isAtAll) return SHARED_POINTS
-	return isSingledOut ? SINGLED_OUT_POINTS : LONE_POINTS
+function pointsOf(isOnAll: boolean, isSingledOut: boolean): number {
+	if (!isOnAll) return CORRELATED_CRASH_POINTS
+	return isSingledOut ? SINGLED_OUT_POINTS : ISOLATED_CRASH_POINTS
 }
 
-function servedAt(
+function lastServedAt(
 	served: ReadonlyMap<string, number>,
 	fingerprint: string,
 ): number {
 	return served.get(fingerprint) ?? Number.NEGATIVE_INFINITY
 }
 
-/** Ends that come so close that one cause is likely. */
-function groupTogether(sorted: readonly ServerEnd[]): ServerEnd[][] {
+/** Groups crashes that are so close in time that a common cause is likely. */
+function groupCorrelated(sorted: readonly ServerEnd[]): ServerEnd[][] {
 	const groups: ServerEnd[][] = []
-	for (const end of sorted) {
+	for (const crash of sorted) {
 		const last = groups.at(-1)
-		if (last && end.at - last[0]!.at < TOGETHER_MS) last.push(end)
-		else groups.push([end])
+		if (last && crash.at - last[0]!.at < CORRELATION_MS) last.push(crash)
+		else groups.push([crash])
 	}
 	return groups
 }
--- a/packages/core/src/core/rateLimits.ts
+++ b/packages/core/src/core/rateLimits.ts
@@ -1,16 +1,16 @@
 /**
- * How many requests a second servers say they take from all entries together. A server
- * says so in its answers for as long as it holds; the newest notice about it wins, whoever
- * heard it.
+ * Rate limits that servers announce: requests per second from all entries together. A
+ * server repeats its limit in its answers while it applies; the newest notice wins,
+ * whichever entry received it.
  */
 
 /** A server's last notice. */
 export interface RateNotice {
-	/** Requests a second; undefined for as many as come. */
+	/** Requests per second; undefined for no limit. */
 	readonly perSecond: number | undefined
-	/** When the server last said so, ms. */
+	/** When the server last announced it, ms. */
 	readonly at: number
-	/** Since when it has said the same, as far as is known here, ms. */
+	/** Since when this limit has been known here without change, ms. */
 	readonly since: number
 }
 
@@ -18,19 +18,20 @@
 export type RateLimits = Map<string, RateNotice>
 
 /**
- * Of a server that is not listed, or that has no limit any more, the last notice is kept
- * for this long, ms: an older notice that comes late must not count as news.
+ * Retention of the last notice of a server that is not listed or no longer limited, ms:
+ * an older notice that arrives late must not be taken for a newer one.
  */
-const KEPT_MS = 60_000
+const RETENTION_MS = 60_000
 
-/** Makes a record of servers that said nothing. */
+/** Creates a table without notices. */
 export function createRateLimits(): RateLimits {
 	return new Map()
 }
 
 /**
- * Takes a server's notice unless a newer one is known; true if it changes the limit. That
- * a limit has ended is kept also where it was not known: it may still be told.
+ * Applies a server's notice unless a newer one is known; returns true if it changes the
+ * limit. The end of a limit is retained even if the limit was not known here, since an
+ * older notice of it may still arrive.
  */
 export function takeRateNotice(
 	limits: RateLimits,
@@ -45,7 +46,7 @@
 	return !isSame
 }
 
-/** Requests a second that a server takes; undefined for as many as come. */
+/** Returns a server's limit in requests per second; undefined for no limit. */
 export function perSecondOf(
 	limits: RateLimits,
 	server: string,
@@ -53,7 +54,7 @@
 	return limits.get(server)?.perSecond
 }
 
-/** Forgets old notices of servers that have no limit or, by `isListed`, are gone. */
+/** Evicts expired notices of servers that have no limit or are not listed any more. */
 export function forgetRateNotices(
 	limits: RateLimits,
 	isListed: (server: string) => boolean,
@@ -61,6 +62,6 @@
 ): void {
 	for (const [server, { perSecond, at }] of limits) {
 		const isInForce = perSecond !== undefined && isListed(server)
-		if (!isInForce && now - at > KEPT_MS) limits.delete(server)
+		if (!isInForce && now - at > RETENTION_MS) limits.delete(server)
 	}
 }
--- a/packages/core/src/core/retry.ts
+++ b/packages/core/src/core/retry.ts
@@ -1,33 +1,33 @@
 /**
- * The retry budget: retries are a share of first tries, so that a failure of
- * many servers never multiplies the load on the rest.
+ * Retry budget: retries are limited to a fraction of first attempts, so that the failure
+ * of many servers does not multiply the load on the others.
  */
 
-/** Retries allowed for each first try. */
+/** Retries allowed per first attempt. */
 export const RETRY_SHARE = 0.1
-const MAX_SAVED = 50
+const MAX_BALANCE = 50
 
-/** Saved-up permission to retry. */
+/** Balance of retries that are allowed. */
 export interface RetryBudget {
 	saved: number
 }
 
-/** Makes a budget that allows a few retries from the start. */
+/** Creates a budget that allows a few retries from the start. */
 export function createRetryBudget(): RetryBudget {
 	return { saved: 5 }
 }
 
-/** Notes a first try. */
+/** Records a first attempt. */
 export function noteFirstTry(budget: RetryBudget): void {
-	budget.saved = Math.min(MAX_SAVED, budget.saved + RETRY_SHARE)
+	budget.saved = Math.min(MAX_BALANCE, budget.saved + RETRY_SHARE)
 }
 
-/** Whether a retry may be made; {@link spendRetry} when it is. */
+/** Whether the budget allows a retry; the caller calls {@link spendRetry} for it. */
 export function mayRetry(budget: RetryBudget): boolean {
 	return budget.saved >= 1
 }
 
-/** Spends one retry. */
+/** Deducts one retry. */
 export function spendRetry(budget: RetryBudget): void {
 	budget.saved -= 1
 }
--- a/packages/core/src/core/retryWindow.ts
+++ b/packages/core/src/core/retryWindow.ts
@@ -1,44 +1,44 @@
 /**
- * A share of a retry budget that all entries draw on without talking: retries
- * in a sliding window stay below a ratio of this entry's requests plus its part
- * of the slack.
+ * An entry's share of a retry budget that all entries use without coordination: its
+ * retries in a sliding window stay below a ratio of its requests plus its share of the
+ * slack.
  */
 
-/** Slots into which a window is cut. */
-const WINDOW_SLOTS = 20
+/** Time slices per window. */
+const WINDOW_SLICES = 20
 /**
- * Part of the allowance that is used: another entry may restart within a window
- * and forget what it has spent.
+ * Share of the allowance that is used: an entry may restart within a window and lose the
+ * count of its retries.
  */
-const USED_SHARE = 0.5
+const SAFETY_FACTOR = 0.5
 
-/** What an operator allows. */
+/** Retries that the operator allows. */
 export interface RetryAllowance {
-	/** Retries for each request. */
+	/** Retries per request. */
 	readonly ratio: number
-	/** Retries besides, by all entries together in a window. */
+	/** Additional retries of all entries together in a window. */
 	readonly slack: number
 	readonly windowMs: number
 }
 
-/** Requests and retries of one entry to one service. */
+/** Requests and retries of one entry to one service, per time slice. */
 export interface RetryWindow {
 	readonly requests: Float64Array
 	readonly retries: Float64Array
-	/** Number of the newest slot since time 0. */
+	/** Number of the newest slice, counted from time 0. */
 	newest: number
 }
 
-/** Makes an empty window. */
+/** Creates an empty window. */
 export function createRetryWindow(): RetryWindow {
 	return {
-		requests: new Float64Array(WINDOW_SLOTS),
-		retries: new Float64Array(WINDOW_SLOTS),
+		requests: new Float64Array(WINDOW_SLICES),
+		retries: new Float64Array(WINDOW_SLICES),
 		newest: 0,
 	}
 }
 
-/** Notes a request's first send. */
+/** Records the first attempt of a request. */
 export function noteRequest(
 	window: RetryWindow,
 	allowance: RetryAllowance,
@@ -48,7 +48,7 @@
 	window.requests[at]!++
 }
 
-/** Takes permission for one retry, if there is any. */
+/** Takes one retry from the budget; returns false if it is exhausted. */
 export function takeRetry(
 	window: RetryWindow,
 	allowance: RetryAllowance,
@@ -57,9 +57,9 @@
 ): boolean {
 	const at = advance(window, allowance, now)
 	const requests = sum(window.requests)
-	const own = allowance.slack / Math.max(1, entries)
-	const most = USED_SHARE * (allowance.ratio * requests + own)
-	if (sum(window.retries) + 1 > most) return false
+	const ownSlack = allowance.slack / Math.max(1, entries)
+	const maxRetries = SAFETY_FACTOR * (allowance.ratio * requests + ownSlack)
+	if (sum(window.retries) + 1 > maxRetries) return false
 	window.retries[at]!++
 	return true
 }
@@ -69,16 +69,16 @@
 	allowance: RetryAllowance,
 	now: number,
 ): number {
-	const slot = Math.floor(now / (allowance.windowMs / WINDOW_SLOTS))
-	const gone = Math.min(slot - window.newest, WINDOW_SLOTS)
-	for (let step = 1; step <= gone; step++) {
-		const at = (window.newest + step) % WINDOW_SLOTS
+	const slice = Math.floor(now / (allowance.windowMs / WINDOW_SLICES))
+	const elapsed = Math.min(slice - window.newest, WINDOW_SLICES)
+	for (let step = 1; step <= elapsed; step++) {
+		const at = (window.newest + step) % WINDOW_SLICES
 		window.requests[at] = 0
 		window.retries[at] = 0
 	}
-	if (gone > 0) window.newest = slot
-	const at = slot % WINDOW_SLOTS
-	if (gone === WINDOW_SLOTS) {
+	if (elapsed > 0) window.newest = slice
+	const at = slice % WINDOW_SLICES
+	if (elapsed === WINDOW_SLICES) {
 		window.requests.fill(0)
 		window.retries.fill(0)
 	}
--- a/packages/core/src/core/routing.ts
+++ b/packages/core/src/core/routing.ts
@@ -1,62 +1,62 @@
 /**
- * Which backend server a request goes to. Servers are rows of a table with one
- * typed array a column; a choice reads a few rows and allocates nothing.
+ * Selects the backend server for a request. Servers are rows of a table with one typed
+ * array per column.
  */
 
 import type { Random } from '../internal.ts'
 import { drawIndex } from '../internal.ts'
 
-/** What an entry knows of its backend servers, one row each. */
+/** State of the backend servers as known to an entry, one row each. */
 export interface ServerTable {
 	readonly names: string[]
 	readonly rowOf: Map<string, number>
-	/** 1 while the server may be given new work. */
+	/** 1 while the server accepts new requests. */
 	readonly open: Uint8Array
 	/** Requests running and waiting there, as last reported. */
 	readonly reported: Float64Array
-	/** Sent by this entry since that report, less those ended. */
+	/** Requests sent by this entry since that report, less those that ended. */
 	readonly sentSince: Float64Array
-	/** When the report was made known here, ms. */
+	/** When the report arrived here, ms. */
 	readonly reportedAt: Float64Array
-	/** Requests it runs at once. */
+	/** Requests it runs concurrently. */
 	readonly slots: Float64Array
-	/** Smoothed time a request holds a slot there, ms. */
+	/** Smoothed time for which a request occupies a slot, ms. */
 	readonly serviceMs: Float64Array
 	/** Lock-step group number, or -1. */
 	readonly group: Int32Array
-	/** Share of the rank in its group's step time; 1 is the group's mean. */
+	/** The rank's step time relative to its group; 1 is the group's mean. */
 	readonly stepShare: Float64Array
-	/** Failures in a row; see {@link isEjected}. */
+	/** Consecutive failures; see {@link isEjected}. */
 	readonly failures: Uint16Array
-	/** Not before this time, ms, is an ejected server tried again. */
+	/** Time until which the server is ejected, ms. */
 	readonly ejectedUntil: Float64Array
-	/** Share of tries that failed of late. */
+	/** Smoothed share of recent attempts that failed. */
 	readonly failureRate: Float64Array
-	/** When the smoothed columns were last touched, ms. */
+	/** When the failure rate was last updated, ms. */
 	readonly ratedAt: Float64Array
-	/** How slow the server says it is; 1 is its usual speed. */
+	/** Slowdown that the server reports; 1 is its normal speed. */
 	readonly pace: Float64Array
-	/** How slow the slowest rank of its lock-step group is. */
+	/** Slowdown of the slowest rank of its lock-step group. */
 	readonly groupPace: Float64Array
-	/** Requests that it may hold whatever its slots. */
+	/** Maximum requests in flight at the server, independent of its slots. */
 	readonly most: Float64Array
-	/** 1 where another entry turns to the server first. */
+	/** 1 if the server is assigned to another entry, which prefers it. */
 	readonly dealtElsewhere: Uint8Array
 }
 
-/** Failures in a row after which a server is left alone for a while. */
+/** Consecutive failures after which a server is ejected for some time. */
 export const EJECT_AFTER = 3
-/** First time-out of an ejected server, ms; doubled at each further failure. */
+/** First ejection time, ms; doubled at each further failure. */
 export const EJECT_MS = 1_000
 const MAX_EJECT_MS = 30_000
-/** At most this share of the candidates may be ejected together. */
+/** Largest share of the candidates that may be ejected at the same time. */
 const MAX_EJECTED_SHARE = 0.5
-/** A report older than this counts for less, by half each period, ms. */
+/** Half-life of the weight of a load report, ms. */
 const REPORT_HALF_LIFE_MS = 4_000
-/** What a cached prefix is worth, as a share of a request's service time. */
+/** Share of a request's service time that a cached prefix saves. */
 const CACHE_CREDIT = 0.7
 
-/** Makes a table for `names`. */
+/** Creates a table for `names`. */
 export function createServerTable(names: readonly string[]): ServerTable {
 	const size = names.length
 	return {
@@ -81,7 +81,7 @@
 	}
 }
 
-/** Takes over what another table knows of a server. */
+/** Copies a server's state from another table. */
 export function copyServerRow(
 	from: ServerTable,
 	to: ServerTable,
@@ -105,16 +105,16 @@
 	to.dealtElsewhere[row] = from.dealtElsewhere[old]!
 }
 
-/** A load report from an agent. */
+/** Load report of an agent. */
 export interface LoadReport {
 	/** Requests running and waiting. */
 	readonly load: number
 	readonly serviceMs: number
-	/** The rank's own step time over its group's mean; 1 outside a group. */
+	/** The rank's step time divided by its group's mean; 1 outside a group. */
 	readonly stepShare: number
 }
 
-/** Takes in a report that arrived at `now`. */
+/** Applies a report that arrived at `now`. */
 export function applyReport(
 	table: ServerTable,
 	row: number,
@@ -128,7 +128,7 @@
 	table.reportedAt[row] = now
 }
 
-/** Notes a request sent (`1`) or ended (`-1`) by this entry. */
+/** Records that a request of this entry was sent (`1`) or ended (`-1`). */
 export function noteSent(
 	table: ServerTable,
 	row: number,
@@ -137,14 +137,14 @@
 	table.sentSince[row]! += change
 }
 
-/** Notes how a try on a server went. */
+/** Records the outcome of an attempt in the server's circuit breaker. */
 export function noteResult(
 	table: ServerTable,
 	row: number,
-	good: boolean,
+	isSuccess: boolean,
 	now: number,
 ): void {
-	if (good) {
+	if (isSuccess) {
 		table.failures[row] = 0
 		table.ejectedUntil[row] = 0
 		return
@@ -152,11 +152,11 @@
 	const failures = Math.min(table.failures[row]! + 1, 1000)
 	table.failures[row] = failures
 	if (failures < EJECT_AFTER) return
-	const pause = EJECT_MS * 2 ** (failures - EJECT_AFTER)
-	table.ejectedUntil[row] = now + Math.min(pause, MAX_EJECT_MS)
+	const ejectedMs = EJECT_MS * 2 ** (failures - EJECT_AFTER)
+	table.ejectedUntil[row] = now + Math.min(ejectedMs, MAX_EJECT_MS)
 }
 
-/** Whether the server is left alone for now because of its failures. */
+/** Whether the server is ejected because of its failures. */
 export function isEjected(
 	table: ServerTable,
 	row: number,
@@ -165,7 +165,7 @@
 	return now < table.ejectedUntil[row]!
 }
 
-/** Expected time until a request sent now would finish there, ms. */
+/** Estimates the time until a request sent now would finish there, ms. */
 export function expectFinish(
 	table: ServerTable,
 	row: number,
@@ -178,25 +178,25 @@
 	const service = table.serviceMs[row]! || 1
 	const rounds = Math.max(0, load) / table.slots[row]!
 	const own = service * (1 - CACHE_CREDIT * credit)
-	// In lock-step, work on the slowest rank is work for every rank.
+	// In a lock-step group, work on the slowest rank delays every rank.
 	const lockStep = table.group[row]! >= 0 ? table.stepShare[row]! ** 2 : 1
 	return (own + rounds * service) * lockStep
 }
 
-/** What a choice is made from. */
+/** Inputs for a selection. */
 export interface RouteQuery {
-	/** Rows that have the model or service. */
+	/** Rows that serve the model or service. */
 	readonly rows: readonly number[]
-	/** Row not to be tried again at once, or -1. */
+	/** Row to avoid if there is another one, or -1. */
 	readonly avoid: number
-	/** Row whose prefix cache helps, or -1, and how much, 0 to 1. */
+	/** Row that has the request's prefix cached, or -1, and the cached share, 0 to 1. */
 	readonly cachedRow: number
 	readonly credit: number
 }
 
 /**
- * Power-of-two choice on expected finish, the cached row as a third candidate.
- * Gives -1 when no server may be given work.
+ * Selects a server by the power of two choices on the estimated finish time, with the
+ * cached row as a third candidate. Returns -1 if no server accepts requests.
  */
 export function chooseServer(
 	table: ServerTable,
@@ -223,7 +223,7 @@
 	return best
 }
 
-/** Open rows; ejected ones too when so many are that the rest would drown. */
+/** Returns open rows, including ejected ones if the others would be overloaded. */
 function listUsable(
 	table: ServerTable,
 	query: RouteQuery,
--- a/packages/core/src/core/serverList.ts
+++ b/packages/core/src/core/serverList.ts
@@ -1,8 +1,9 @@
 /**
- * The published list of backend servers as one process believes it, mended by any
- * contact: for each name the latest record wins, so that it never goes back to an older
- * one, whoever it came from. Where the source itself goes back to an older copy, lives of
- * servers that are known to be over do not come back with it.
+ * A process's replica of the published list of backend servers, updated from the source
+ * and from peers. For each name the record with the latest revision wins, whichever
+ * process it came from, so that the replica never goes back. If the source itself is
+ * restored from an older copy, server incarnations that are known to have ended do not
+ * reappear with it.
  */
 
 import type { TermRevision } from '../internal.ts'
@@ -10,45 +11,45 @@
 import type { ListedServer } from '../types/traffic.ts'
 
 /**
- * A life that was believed gone, and that an older copy of the source lists, is used if it
- * is still listed after this time, ms: the entry of one that has ended has run out by then.
+ * Delay after which a removed incarnation that a restored source lists again is accepted,
+ * ms: the record of one that has ended expires within this time.
  */
-const RETURN_MS = 5_000
-/** Lives that are remembered as gone, the last ones. */
-const MAX_GONE = 1_024
+const RETURN_DELAY_MS = 5_000
+/** Maximum removed incarnations remembered; the oldest are evicted. */
+const MAX_REMOVED = 1_024
 
-/** What is known of the server published under a name. */
+/** Record published under a server's name. */
 export interface ServerRecord {
 	readonly name: string
-	/** Revision of the change that the record speaks of. */
+	/** Revision of the change that produced the record. */
 	readonly revision: TermRevision
-	/** Absent once the entry has been removed, and while it names no server. */
+	/** Undefined once the record is removed, and while it is invalid. */
 	readonly server: ListedServer | undefined
-	/** Why an entry that is there names no server. */
+	/** Why a record that exists is invalid. */
 	readonly fault?: string | undefined
 }
 
-/** What a process believes of the list. */
+/** A process's replica of the list. */
 export interface ServerList {
 	/** By name. */
 	readonly records: Map<string, ServerRecord>
-	/** Removals that are not believed yet, and when they will be, ms. */
+	/** Deferred removals by name, and when they take effect, ms. */
 	readonly doubted: Map<string, { record: ServerRecord; until: number }>
-	/** Ids whose address is known to belong to another server now. */
+	/** Ids of incarnations whose address is known to belong to another server now. */
 	readonly displaced: Set<string>
-	/** Ids of lives that are over for good: they said so, or another one followed. */
+	/** Ids of incarnations over for good: they announced it, or another one followed. */
 	readonly left: Set<string>
-	/** Ids whose entry was removed, without a word; the oldest first. */
+	/** Ids of incarnations whose record was removed without notice; the oldest first. */
 	readonly gone: Set<string>
-	/** What an older copy lists of those, and when it will be believed, ms. */
+	/** Records of those in a restored source, and when they take effect, ms. */
 	readonly returning: Map<string, { record: ServerRecord; until: number }>
-	/** The latest revision among the records that came. */
+	/** Latest revision among all records received. */
 	revision: TermRevision
-	/** Up to where this process has itself read what is published. */
+	/** Revision up to which this process has read the source itself. */
 	readAt: TermRevision
 }
 
-/** Makes an empty list. */
+/** Creates an empty list. */
 export function createServerList(): ServerList {
 	return {
 		records: new Map(),
@@ -63,9 +64,9 @@
 }
 
 /**
- * Identifies one life of a server: after a restart under the same name nothing
- * that was held, failed or promised before it counts. `bornAt` is the time of its
- * start, Unix ms; undefined where a name belongs to one life alone.
+ * Returns the id of one incarnation of a server: state from before a restart under the
+ * same name, such as load, failures and backoff, does not carry over. `bornAt` is its
+ * start time, Unix ms; undefined if a name has only one incarnation.
  */
 export function incarnationId(
 	name: string,
@@ -74,17 +75,17 @@
 	return bornAt === undefined ? name : `${name}@${bornAt}`
 }
 
-/** Takes a record; true when it is news. */
+/** Applies a record; returns true if it changes the list. */
 export function takeRecord(list: ServerList, record: ServerRecord): boolean {
 	const known = list.records.get(record.name)
 	if (known && !isLater(record.revision, known.revision)) return false
-	// Also for a record that is passed over: else it is asked for for ever.
+	// Also for a record that is ignored below; otherwise it would be requested for ever.
 	list.revision = laterOf(list.revision, record.revision)
 	const { server } = record
-	// An incarnation that leaves does not come back.
+	// An incarnation that has left does not come back.
 	if (server && !server.leaving && list.left.has(server.id)) return false
 	if (server?.leaving) list.left.add(server.id)
-	if (known?.server) noteFormer(list, known, record)
+	if (known?.server) retireFormer(list, known, record)
 	if (server) list.gone.delete(server.id)
 	list.records.set(record.name, record)
 	list.doubted.delete(record.name)
@@ -92,27 +93,27 @@
 	return true
 }
 
-/** Remembers the life that a record puts an end to. */
-function noteFormer(
+/** Remembers the incarnation that a record replaces or removes. */
+function retireFormer(
 	list: ServerList,
 	known: ServerRecord,
 	{ server, fault, revision }: ServerRecord,
 ): void {
 	const former = known.server!.id
 	if (server?.id === former || fault !== undefined) return
-	// An older copy may name a life from before the one that is known.
+	// A restored source may list an incarnation older than the known one.
 	const isCopy = known.revision.term !== revision.term
 	if (server && !isCopy) list.left.add(former)
 	if (server) return
 	list.gone.add(former)
 	const [oldest] = list.gone
-	if (list.gone.size > MAX_GONE) list.gone.delete(oldest!)
+	if (list.gone.size > MAX_REMOVED) list.gone.delete(oldest!)
 }
 
 /**
- * Takes a record of a source that came back from an older copy; true when it is news. A
- * life that was gone before may have ended: it is believed only if it is listed for long
- * enough, or written again.
+ * Applies a record of a source that may have been restored from an older copy; returns
+ * true if it changes the list. An incarnation that was removed before may have ended: it
+ * is accepted only if it stays listed for `RETURN_DELAY_MS` or is written again.
  */
 export function takeCopied(
 	list: ServerList,
@@ -124,13 +125,14 @@
 	const mayBeOver = server && list.gone.has(server.id)
 	if (!mayBeOver || before >= revision.term) return takeRecord(list, record)
 	list.revision = laterOf(list.revision, revision)
-	list.returning.set(name, { record, until: now + RETURN_MS })
+	list.returning.set(name, { record, until: now + RETURN_DELAY_MS })
 	return false
 }
 
 /**
- * Takes a record that another process tells; true when it is news. What this one has read
- * past is not: of a server that was removed since it may not know.
+ * Applies a record received from a peer; returns true if it changes the list. Records at
+ * or below the revision read from the source are ignored: the peer may not know that the
+ * server has been removed since.
  */
 export function takeTold(
 	list: ServerList,
@@ -141,12 +143,12 @@
 	return takeCopied(list, record, now)
 }
 
-/** Notes up to where this process has itself read what is published. */
+/** Records the revision up to which this process has read the source itself. */
 export function noteRead(list: ServerList, revision: TermRevision): void {
 	list.readAt = laterOf(list.readAt, revision)
 }
 
-/** Believes the returns whose time has come; gives the records taken. */
+/** Applies the pending returns that are due; returns the records applied. */
 export function settleReturns(list: ServerList, now: number): ServerRecord[] {
 	const settled: ServerRecord[] = []
 	for (const [name, { record, until }] of list.returning) {
@@ -157,14 +159,14 @@
 	return settled
 }
 
-/** Notes that a server itself has said that it is another one. */
+/** Marks an incarnation whose address was found to belong to another server. */
 export function noteDisplaced(list: ServerList, id: string): void {
 	list.displaced.add(id)
 }
 
 /**
- * Takes a removal that may only be an entry that ran out while the store was
- * away: it is believed at `until` unless the entry comes back first.
+ * Defers a removal that may only be a record that expired while the store was
+ * unavailable: it takes effect at `until` unless the record is written again before.
  */
 export function doubtRemoval(
 	list: ServerList,
@@ -179,12 +181,12 @@
 		return
 	}
 	const doubted = list.doubted.get(record.name)?.record.revision
-	// After another copy the server has its time to be written again anew.
+	// After another restore of the source the grace period starts again.
 	if (!doubted || record.revision.term > doubted.term)
 		list.doubted.set(record.name, { record, until })
 }
 
-/** Believes the removals whose time has come; gives them. */
+/** Applies the deferred removals that are due; returns the records applied. */
 export function settleRemovals(list: ServerList, now: number): ServerRecord[] {
 	const settled: ServerRecord[] = []
 	for (const [name, { record, until }] of list.doubted) {
@@ -196,8 +198,9 @@
 }
 
 /**
- * Servers of known services that are neither removed, displaced nor leaving. An
- * entry of an unknown service says nothing of whoever else has its address.
+ * Returns the servers of known services that are not removed, displaced, leaving or
+ * departed. A record of an unknown service does not displace another server at its
+ * address.
  */
 export function listServing(
 	list: ServerList,
@@ -206,21 +209,21 @@
 	const newest = new Map<string, ServerRecord & { server: ListedServer }>()
 	for (const { server, ...record } of list.records.values()) {
 		if (!server || !isKnown(server.service)) continue
-		// A new server at an address shows that the one listed there has ended.
+		// A newer server at the same address shows that the older one has ended.
 		const other = newest.get(server.address)
 		if (other && isLater(other.revision, record.revision)) continue
 		newest.set(server.address, { ...record, server })
 	}
-	const there = [...newest.values()].map(({ server }) => server)
-	return there.filter(
+	const current = [...newest.values()].map(({ server }) => server)
+	return current.filter(
 		({ id, leaving }) =>
 			!leaving && !list.displaced.has(id) && !list.left.has(id),
 	)
 }
 
 /**
- * Removals that a full reading as of `revision` implies: known servers that are
- * not among `present`.
+ * Returns the removals that a full read at `revision` implies: known names that are not
+ * among `present`.
  */
 export function findMissing(
 	list: ServerList,
--- a/packages/core/src/core/serverNews.ts
+++ b/packages/core/src/core/serverNews.ts
@@ -1,7 +1,7 @@
 /**
- * What entries know of servers and tell each other. Each kind of news has a merge that
- * gives the same whatever the order in which news come, and however often: of a limit the
- * newest holds, a leaving and an end are final, of a rest the longest holds.
+ * State about servers that entries gossip. Each kind of update has a merge whose result
+ * does not depend on the order or repetition of updates: the newest rate limit wins, a
+ * departure and a crash are final, the longest backoff wins.
  */
 
 import type { Quarantine, RateLimits, ServerEnd } from '../internal.ts'
@@ -13,29 +13,30 @@
 	takeRateNotice,
 } from '../internal.ts'
 
-/** Rests of entries that are remembered for them, the last ones. */
-const MAX_RESTS = 1_024
+/** Maximum backoffs retained; the oldest are evicted. */
+const MAX_BACKOFFS = 1_024
 
-/** News of a server, or of a request under which servers ended. */
+/** Update about a server, or about a request that was in flight at a crash. */
 export type ServerNews =
-	/** How many requests a second it takes; undefined for as many as come. */
+	/** Rate limit of a server in requests per second; undefined for no limit. */
 	| {
 			readonly kind: 'limit'
 			readonly server: string
 			readonly perSecond: number | undefined
-			/** When it said so, ms. */
+			/** When the server announced it, ms. */
 			readonly at: number
 	  }
-	/** Its life is about to end, or over. */
+	/** The server's incarnation is leaving or has ended. */
 	| { readonly kind: 'left'; readonly server: string }
+	/** Crash of a server. */
 	| ({ readonly kind: 'end' } & ServerEnd)
-	/** A request that was answered whole, ms. */
+	/** Complete answer to a suspected request; `at` in ms. */
 	| {
 			readonly kind: 'served'
 			readonly fingerprint: string
 			readonly at: number
 	  }
-	/** It wants nothing from an entry until then, ms. */
+	/** The server asked an entry for backoff until `endsAt`, ms. */
 	| {
 			readonly kind: 'rest'
 			readonly server: string
@@ -44,23 +45,23 @@
 			readonly endsAt: number
 	  }
 
-/** One kind of it. */
+/** Update of one kind. */
 export type NewsOf<K extends ServerNews['kind']> = Extract<
 	ServerNews,
 	{ kind: K }
 >
 
-/** What an entry knows. */
+/** An entry's replica of the gossiped state. */
 export interface NewsBook {
 	readonly rateLimits: RateLimits
-	/** Ids of lives that leave or are over. */
+	/** Ids of incarnations that are leaving or have ended. */
 	readonly left: Set<string>
 	readonly quarantine: Quarantine
-	/** By entry and server; the oldest first. */
+	/** Backoffs by entry and server; the oldest first. */
 	readonly rests: Map<string, NewsOf<'rest'>>
 }
 
-/** Makes an empty book; `left` may be a part of something larger. */
+/** Creates an empty state; the set of departed incarnations may be shared. */
 export function createNewsBook(left: Set<string> = new Set()): NewsBook {
 	return {
 		rateLimits: createRateLimits(),
@@ -71,96 +72,106 @@
 }
 
 /**
- * Merges news; gives those that change what is known, to be told on. Several entries tell
- * of one end what it ran for each: what is told on has all of it.
+ * Merges updates; returns those that change the state, to be forwarded. Several entries
+ * report the same crash, each with its own requests in flight: the forwarded update
+ * contains all that are known.
  */
 export function takeServerNews<T extends ServerNews>(
-	book: NewsBook,
-	news: readonly T[],
+	state: NewsBook,
+	updates: readonly T[],
 	now: number,
 ): T[] {
-	const fresh = takeEvidence(book, news, now)
-	return news
-		.filter(one => fresh.has(one) || takeOne(book, one, now))
-		.map(one => withAllOf(book, one))
+	const fresh = mergeEvidence(state, updates, now)
+	return updates
+		.filter(one => fresh.has(one) || mergeOne(state, one, now))
+		.map(one => withFullEvidence(state, one))
 }
 
-/** Ends and what was served, together: each batch is weighed once. */
-function takeEvidence(
+/** Merges crashes and served requests together, so that each batch is scored once. */
+function mergeEvidence(
 	{ quarantine }: NewsBook,
-	news: readonly ServerNews[],
+	updates: readonly ServerNews[],
 	now: number,
 ): ReadonlySet<unknown> {
-	const ends = news.filter(one => one.kind === 'end')
-	const served = news.filter(one => one.kind === 'served')
+	const ends = updates.filter(one => one.kind === 'end')
+	const served = updates.filter(one => one.kind === 'served')
 	if (ends.length + served.length === 0) return new Set()
 	const fresh = takeEndNews(quarantine, { ends, served }, now)
 	return new Set([...fresh.ends, ...fresh.served])
 }
 
-function withAllOf<T extends ServerNews>({ quarantine }: NewsBook, one: T): T {
-	if (one.kind !== 'end') return one
-	return { ...one, ...quarantine.ends.get(one.server) }
+function withFullEvidence<T extends ServerNews>(
+	{ quarantine }: NewsBook,
+	update: T,
+): T {
+	if (update.kind !== 'end') return update
+	return { ...update, ...quarantine.ends.get(update.server) }
 }
 
-function takeOne(book: NewsBook, news: ServerNews, now: number): boolean {
-	switch (news.kind) {
+function mergeOne(state: NewsBook, update: ServerNews, now: number): boolean {
+	switch (update.kind) {
 		case 'limit':
-			return takeRateNotice(book.rateLimits, news.server, news)
+			return takeRateNotice(state.rateLimits, update.server, update)
 		case 'left':
-			return takeLeft(book, news.server)
+			return mergeLeft(state, update.server)
 		case 'end':
 		case 'served':
-			// See takeEvidence.
+			// See mergeEvidence.
 			return false
 		case 'rest':
-			return takeRest(book, news, now)
+			return mergeBackoff(state, update, now)
 		default:
-			return news satisfies never
+			return update satisfies never
 	}
 }
 
-function takeLeft({ left }: NewsBook, server: string): boolean {
+function mergeLeft({ left }: NewsBook, server: string): boolean {
 	const before = left.size
 	return left.add(server).size > before
 }
 
-function takeRest(
+function mergeBackoff(
 	{ rests }: NewsBook,
-	news: NewsOf<'rest'>,
+	update: NewsOf<'rest'>,
 	now: number,
 ): boolean {
-	const key = `${news.entry} ${news.server}`
+	const key = `${update.entry} ${update.server}`
 	const known = rests.get(key)?.endsAt ?? now
-	if (news.endsAt <= known) return false
-	// The last ones are kept, so it goes to the end.
+	if (update.endsAt <= known) return false
+	// Reinserted at the end, since the oldest are evicted first.
 	rests.delete(key)
-	rests.set(key, news)
+	rests.set(key, update)
 	const [oldest] = rests.keys()
-	if (rests.size > MAX_RESTS) rests.delete(oldest!)
+	if (rests.size > MAX_BACKOFFS) rests.delete(oldest!)
 	return true
 }
 
-/** Forgets rests that are over. */
+/** Removes backoffs that are over. */
 export function forgetNews({ rests }: NewsBook, now: number): void {
 	for (const [key, { endsAt }] of rests) if (endsAt <= now) rests.delete(key)
 }
 
-/** All that is known, for an entry that may know nothing; `left` only the last ones. */
-export function listServerNews(book: NewsBook, maxLeft: number): ServerNews[] {
-	const { ends, served } = listEndNews(book.quarantine)
+/**
+ * Returns the whole state as updates, for an entry that may have none; of departed
+ * incarnations only the last `maxDeparted`.
+ */
+export function listServerNews(
+	state: NewsBook,
+	maxDeparted: number,
+): ServerNews[] {
+	const { ends, served } = listEndNews(state.quarantine)
 	return [
-		...listLimitNews(book),
-		...[...book.left]
-			.slice(-maxLeft)
+		...listLimitNews(state),
+		...[...state.left]
+			.slice(-maxDeparted)
 			.map(server => ({ kind: 'left', server }) as const),
 		...ends.map(end => ({ kind: 'end', ...end }) as const),
 		...served.map(one => ({ kind: 'served', ...one }) as const),
-		...book.rests.values(),
+		...state.rests.values(),
 	]
 }
 
-/** Limits, and that servers have none any more, as far as that is remembered. */
+/** Returns the known limits and ends of limits as updates. */
 export function listLimitNews({ rateLimits }: NewsBook): NewsOf<'limit'>[] {
 	return [...rateLimits].map(([server, { perSecond, at }]) => ({
 		kind: 'limit',
@@ -170,18 +181,18 @@
 	}))
 }
 
-/** What a piece of news is of: a newer one takes its place. */
-export function subjectOf(news: ServerNews): string {
-	switch (news.kind) {
+/** Returns an update's key: a newer update with the same key replaces it. */
+export function subjectOf(update: ServerNews): string {
+	switch (update.kind) {
 		case 'limit':
 		case 'left':
 		case 'end':
-			return `${news.kind} ${news.server}`
+			return `${update.kind} ${update.server}`
 		case 'served':
-			return `served ${news.fingerprint}`
+			return `served ${update.fingerprint}`
 		case 'rest':
-			return `rest ${news.entry} ${news.server}`
+			return `rest ${update.entry} ${update.server}`
 		default:
-			return news satisfies never
+			return update satisfies never
 	}
 }
--- a/packages/core/src/core/serverRests.ts
+++ b/packages/core/src/core/serverRests.ts
@@ -1,80 +1,88 @@
 /**
- * Rests that servers have asked this process for: nothing is sent to one until its rest
- * is over, and then one request after the other until it takes one.
+ * Backoffs that servers request from this process by `Retry-After` (`rest` on the wire):
+ * nothing is sent to a server until its backoff is over, and then single requests as
+ * probes until it accepts one.
  */
 
 import { parseDecimal } from '../internal.ts'
 
 const SECOND_MS = 1_000
-/** A server that asks for more is tried again after this time all the same, ms. */
+/** Maximum backoff, ms, even if the server asks for more. */
 export const MAX_REST_MS = 600_000
-/** Between requests to a server after its rest, until it takes one, ms. */
+/** Interval between probes to a server after its backoff, ms. */
 export const REST_TRY_MS = 50
-/** A rest that is over is remembered for this long while nothing is sent, ms. */
-const KEPT_MS = 10_000
+/** Retention of a backoff that is over while no request is sent, ms. */
+const RETENTION_MS = 10_000
 
-/** A server's rest. */
+/** Backoff of a server. */
 export interface Rest {
 	/** When it is over, ms. */
 	readonly endsAt: number
-	/** Nothing is sent before, ms. */
+	/** Time of the next probe, ms; nothing is sent before. */
 	nextAt: number
 }
 
-/** Rests, by server id: a server that starts again has none. */
+/** Backoffs by server id; a restarted server has a new id and thus none. */
 export type Rests = Map<string, Rest>
 
 /**
- * Reads a `Retry-After` in seconds, fractions too, ms; undefined for anything else: a date
- * would hang on two clocks.
+ * Parses a `Retry-After` in seconds, including fractions, to ms. Returns undefined for
+ * anything else: a date would depend on the clocks of two machines.
  */
 export function parseRestMs(text: string): number | undefined {
 	const seconds = parseDecimal(text)
 	return seconds === undefined ? undefined : seconds * SECOND_MS
 }
 
-/** Notes that a server asks for rest; true unless it has asked for as much before. */
+/** Starts or extends a server's backoff; returns true if it ends later than before. */
 export function noteRest(
-	rests: Rests,
+	backoffs: Rests,
 	server: string,
 	forMs: number,
 	now: number,
 ): boolean {
 	const endsAt = now + Math.min(forMs, MAX_REST_MS)
-	const known = rests.get(server)?.endsAt ?? now
+	const known = backoffs.get(server)?.endsAt ?? now
 	if (endsAt <= known) return false
-	rests.set(server, { endsAt, nextAt: endsAt })
+	backoffs.set(server, { endsAt, nextAt: endsAt })
 	return true
 }
 
-/** Until a server may be sent a request, ms; 0 if it may now. */
-export function restLeftMs(rests: Rests, server: string, now: number): number {
-	return Math.max(0, (rests.get(server)?.nextAt ?? now) - now)
+/** Returns the time until a server may be sent a request, ms; 0 if it may now. */
+export function restLeftMs(
+	backoffs: Rests,
+	server: string,
+	now: number,
+): number {
+	return Math.max(0, (backoffs.get(server)?.nextAt ?? now) - now)
 }
 
-/** Notes that a request is sent to a server. */
+/** Records that a request is sent to a server, which delays the next probe. */
 export function noteSentAfterRest(
-	rests: Rests,
+	backoffs: Rests,
 	server: string,
 	now: number,
 ): void {
-	const rest = rests.get(server)
-	if (rest) rest.nextAt = Math.max(rest.nextAt, now + REST_TRY_MS)
+	const backoff = backoffs.get(server)
+	if (backoff) backoff.nextAt = Math.max(backoff.nextAt, now + REST_TRY_MS)
 }
 
-/** Notes that a server took a request that was sent at `sentAt`; true if that is news. */
+/**
+ * Ends a server's backoff if the server accepted a request that was sent after it;
+ * returns true if there was a backoff to end.
+ */
 export function noteTakenAfterRest(
-	rests: Rests,
+	backoffs: Rests,
 	server: string,
 	sentAt: number,
 ): boolean {
-	const rest = rests.get(server)
-	if (!rest || sentAt < rest.endsAt) return false
-	return rests.delete(server)
+	const backoff = backoffs.get(server)
+	if (!backoff || sentAt < backoff.endsAt) return false
+	return backoffs.delete(server)
 }
 
-/** Forgets rests that are long over. */
-export function forgetRests(rests: Rests, now: number): void {
-	for (const [server, { endsAt }] of rests)
-		if (now - endsAt > KEPT_MS) rests.delete(server)
+/** Evicts backoffs that have been over for the retention time. */
+export function forgetRests(backoffs: Rests, now: number): void {
+	for (const [server, { endsAt }] of backoffs)
+		if (now - endsAt > RETENTION_MS) backoffs.delete(server)
 }
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -98,14 +98,14 @@
 	{
 		name: 'pace',
 		file: DISPATCH,
-		on: 'const PACE_LOAD = 0.5',
-		off: 'const PACE_LOAD = 0',
+		on: 'const SLOWDOWN_LOAD = 0.5',
+		off: 'const SLOWDOWN_LOAD = 0',
 	},
 	{
 		name: 'groupPace',
 		file: DISPATCH,
-		on: 'const GROUP_PACE_LOAD = 0.6',
-		off: 'const GROUP_PACE_LOAD = 0',
+		on: 'const GROUP_SLOWDOWN_LOAD = 0.6',
+		off: 'const GROUP_SLOWDOWN_LOAD = 0',
 	},
 	{
 		name: 'ejection',
@@ -158,8 +158,8 @@
 	{
 		name: 'quarantine',
 		file: QUARANTINE,
-		on: 'const BARRED_POINTS = 6',
-		off: 'const BARRED_POINTS = Number.POSITIVE_INFINITY',
+		on: 'const QUARANTINE_POINTS = 6',
+		off: 'const QUARANTINE_POINTS = Number.POSITIVE_INFINITY',
 	},
 	{
 		name: 'singledOut',
@@ -176,8 +176,8 @@
 	{
 		name: 'drawnServers',
 		file: DISPATCH,
-		on: 'const LEAST_DRAWN = 2',
-		off: 'const LEAST_DRAWN = 1_000',
+		on: 'const MIN_SAMPLED = 2',
+		off: 'const MIN_SAMPLED = 1_000',
 	},
 	{
 		name: 'untoldSends',
