--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -296,22 +296,22 @@
 export function listFullGroups(
 	table: ServerTable,
 	isOpen: (group: number, room: number) => boolean = hasWholeSlot,
-	othersTimes = 1,
+	peerScale = 1,
 ): Set<number> {
-	const rooms = new Map<number, number>()
+	const capacities = new Map<number, number>()
 	for (const [row, group] of table.group.entries()) {
-		const most = table.most[row]!
-		if (group < 0 || most === Number.POSITIVE_INFINITY) continue
-		const others = othersTimes * Math.max(0, table.reported[row]!)
-		const left = most - others - table.sentSince[row]!
-		rooms.set(group, (rooms.get(group) ?? 0) + left)
+		const limit = table.most[row]!
+		if (group < 0 || limit === Number.POSITIVE_INFINITY) continue
+		const ofPeers = peerScale * Math.max(0, table.reported[row]!)
+		const free = limit - ofPeers - table.sentSince[row]!
+		capacities.set(group, (capacities.get(group) ?? 0) + free)
 	}
-	const full = [...rooms].filter(([group, room]) => !isOpen(group, room))
+	const full = [...capacities].filter(([group, room]) => !isOpen(group, room))
 	return new Set(full.map(([group]) => group))
 }
 
-function hasWholeSlot(_group: number, room: number): boolean {
-	return room >= 1
+function hasWholeSlot(_group: number, capacity: number): boolean {
+	return capacity >= 1
 }
 
 /** Returns the requests known to be in flight at a server. */
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -1,4 +1,4 @@
-/** Which server takes a request, and when a closed group is tried. */
+/** Selection of a server for a request, and probes of closed groups. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -15,14 +15,14 @@
 	TRY_AGAIN_MS,
 } from '../src/index.ts'
 
-const RESULTS: {
+const OUTCOMES: {
 	name: string
 	results: readonly (readonly [number, TryResult])[]
-	/** Row that is not chosen any more. */
+	/** Row that must not be selected. */
 	avoided: number
 }[] = [
 	{
-		name: 'one that fails while the others serve',
+		name: 'one that fails while the others succeed',
 		results: [
 			[0, { kind: 'failed' }],
 			[0, { kind: 'failed' }],
@@ -41,7 +41,7 @@
 		avoided: 1,
 	},
 	{
-		name: 'one that no connection reaches',
+		name: 'one that cannot be connected to',
 		results: [[2, { kind: 'unreached' }]],
 		avoided: 2,
 	},
@@ -58,8 +58,8 @@
 	untold: 0,
 }
 
-for (const { name, results, avoided } of RESULTS)
-	test(`choice of a server avoids ${name}`, () => {
+for (const { name, results, avoided } of OUTCOMES)
+	test(`server selection avoids ${name}`, () => {
 		const table = createServerTable(['a', 'b', 'c'])
 		table.open.fill(1)
 		table.slots.fill(4)
@@ -72,7 +72,7 @@
 		}
 	})
 
-test('choice of a server: a slow rank gets less', () => {
+test('server selection: a slow rank gets fewer requests', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
@@ -88,7 +88,7 @@
 	assert.equal(sent, [8, 0, 8])
 })
 
-test('choice of a server: full, none, and all failing alike', () => {
+test('server selection: all full, none open, and all failing equally', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	const random = createRandom(1)
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'none')
@@ -105,8 +105,8 @@
 
 const FULL_GROUPS = [
 	{ name: 'without a limit', most: Number.POSITIVE_INFINITY, full: false },
-	{ name: 'with room for one', most: 2.5, full: false },
-	{ name: 'with less room than one', most: 2.25, full: true },
+	{ name: 'with capacity for one request', most: 2.5, full: false },
+	{ name: 'with capacity for less than one', most: 2.25, full: true },
 ]
 
 for (const { name, most, full } of FULL_GROUPS)
@@ -118,7 +118,7 @@
 		assert.is(listFullGroups(table).has(0), full)
 	})
 
-test('a choice keeps to what a server may hold', () => {
+test('server selection respects the maximum in flight at a server', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
@@ -130,8 +130,9 @@
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'row')
 })
 
-// While an entry's own server rested, it held back from all others and refused callers.
-test("a choice goes to other entries' servers while its own are withheld", () => {
+// An entry whose assigned server was in backoff reserved all capacity at the others for
+// their entries and refused callers.
+test("server selection uses other entries' servers while its own are withheld", () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(4)
@@ -142,7 +143,7 @@
 	assert.is(choice.kind, 'row')
 })
 
-test('a choice leaves out ranks of a group that is shut', () => {
+test('server selection excludes ranks of a closed group', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
@@ -157,29 +158,30 @@
 	assert.is(chooseRow(table, shut(0, 1), 0, random).kind, 'full')
 })
 
-const SLOW_GROUPS: {
+const SLOW_GROUP_CASES: {
 	name: string
-	/** Of each of two groups of four ranks with four places. */
+	/** Slowdown of each of two groups of four ranks with four slots. */
 	paces: readonly [number, number]
-	/** Requests before which no place comes free, and those at the first group. */
+	/** Requests sent before any slot becomes free. */
 	requests: number
+	/** Minimum and maximum of those at the first group. */
 	first: readonly [number, number]
 }[] = [
-	{ name: 'both sound', paces: [1, 1], requests: 12, first: [4, 8] },
+	{ name: 'both at normal speed', paces: [1, 1], requests: 12, first: [4, 8] },
 	{
-		name: 'a rank of the first 14 times slower, room at the other',
+		name: 'a rank of the first 14 times slower, capacity at the other',
 		paces: [14, 1],
 		requests: 12,
 		first: [0, 0],
 	},
 	{
-		name: 'the same, more than the other has room for',
+		name: 'a rank of the first 14 times slower, the other full',
 		paces: [14, 1],
 		requests: 20,
 		first: [4, 4],
 	},
 	{
-		name: 'a rank of each as slow',
+		name: 'a rank of each equally slow',
 		paces: [14, 14],
 		requests: 12,
 		first: [4, 8],
@@ -192,8 +194,8 @@
 	},
 ]
 
-for (const { name, paces, requests, first } of SLOW_GROUPS)
-	test(`choice between groups that wait for their slowest rank: ${name}`, () => {
+for (const { name, paces, requests, first } of SLOW_GROUP_CASES)
+	test(`selection between groups that wait for their slowest rank: ${name}`, () => {
 		const rows = [0, 1, 2, 3, 4, 5, 6, 7]
 		const table = createServerTable(rows.map(String))
 		table.open.fill(1)
@@ -213,10 +215,13 @@
 			if (choice.row < 4) atFirst++
 		}
 		const [least, most] = first
-		assert.ok(atFirst >= least && atFirst <= most, `${atFirst} at the first`)
+		assert.ok(
+			atFirst >= least && atFirst <= most,
+			`${atFirst} at the first group`,
+		)
 	})
 
-test('a closed group takes one try at a time', () => {
+test('a closed group gets one probe at a time', () => {
 	const closures = new Map()
 	noteClosed(closures, 's', 0)
 	assert.not(mayEnter(closures, 's', TRY_AGAIN_MS - 1))
--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -1,7 +1,7 @@
 /**
- * Entries that share the permits of one server with a limit, in virtual time: demand that
- * leans to some of them, entries that start again, stand still, or are cut off from the
- * others while they still reach the server.
+ * Simulates entries that share the permits of one rate-limited server, in virtual time:
+ * uneven demand, and entries that restart, stall, or are partitioned from the others
+ * while they still reach the server.
  */
 
 import type {
@@ -34,95 +34,97 @@
 } from '../../src/index.ts'
 
 const SERVER = 'server'
-const LOOK_MS = 50
+const MEMBERSHIP_CHECK_MS = 50
 const HEARTBEAT_MS = 500
-/** For a message to get there, ms. */
-const LEAST_WAY_MS = 1
-const MOST_WAY_MS = 8
-/** A home that has not answered by then is asked again later, ms. */
-const ASK_MS = 300
-const ASK_AGAIN_MS = 100
-/** For a process to be there again, and for its links to come up, ms. */
+/** Latency of a message between entries, ms. */
+const MIN_LATENCY_MS = 1
+const MAX_LATENCY_MS = 8
+/** Time-out of a permit request, and delay before the next one, ms. */
+const REQUEST_TIMEOUT_MS = 300
+const REQUEST_RETRY_MS = 100
+/** Time until a restarted process runs again, and until its links are up, ms. */
 const RESTART_MS = 1_000
-const LINK_MS = 150
-const LEAST_WORK_MS = 20
-const MOST_WORK_MS = 400
+const LINK_UP_MS = 150
+const MIN_SERVICE_MS = 20
+const MAX_SERVICE_MS = 400
 
-/** A time in which something is so for some entries, ms. */
-export interface Trouble {
-	readonly kind: 'cut' | 'still' | 'restart'
+/** Fault that affects some entries from `from` to `to`, ms. */
+export interface Fault {
+	readonly kind: 'partition' | 'stall' | 'restart'
 	readonly entries: readonly number[]
 	readonly from: number
 	readonly to: number
 }
 
-/** What happens in a run of the model. */
-export interface PermitStory {
+/** Inputs of a simulation. */
+export interface PermitScenario {
 	readonly entries: number
 	readonly perSecond: number
-	/** From when to when the server names its limit, ms. */
-	readonly namedFrom: number
-	readonly namedTo: number
-	/** Requests a second that would go to the server. */
+	/** Period in which the server announces its limit, ms. */
+	readonly announcedFrom: number
+	readonly announcedTo: number
+	/** Requests per second for the server. */
 	readonly demand: number
-	/** Part of the requests that come to the first entry; the others share the rest. */
-	readonly leaning: number
-	readonly troubles: readonly Trouble[]
+	/** Share of requests sent to the first entry; the rest goes to a random entry. */
+	readonly firstEntryShare: number
+	readonly faults: readonly Fault[]
 	readonly endsAt: number
 	readonly seed: number
 }
 
-/** A request at the server. */
+/** Request sent to the server. */
 export interface PermitSend {
 	readonly at: number
 	readonly entry: number
-	/** Since when its entry had known of the limit, ms; undefined if it did not. */
+	/** Since when its entry had known the limit, ms; undefined if it did not. */
 	readonly knownSince: number | undefined
 }
 
 interface Entry {
 	readonly number: number
 	readonly address: string
-	life: number
+	incarnation: number
 	roster: EntryRoster
 	pool: PermitPool | undefined
 	limits: RateLimits
 	held: HeldPermits
 }
 
-interface Net {
-	readonly story: PermitStory
+interface Simulation {
+	readonly scenario: PermitScenario
 	readonly random: Random
 	readonly entries: Entry[]
 	readonly sends: PermitSend[]
-	/** What is to happen, soonest last. */
-	readonly agenda: { at: number; act(): void }[]
+	/** Scheduled events, soonest last. */
+	readonly events: { at: number; act(): void }[]
 	now: number
 }
 
-/** Plays a story to its end; gives what came to the server. */
-export function playPermits(story: PermitStory): readonly PermitSend[] {
-	const net: Net = {
-		story,
-		random: createRandom(story.seed),
+/** Simulates a scenario to its end; returns the requests sent to the server. */
+export function simulatePermits(
+	scenario: PermitScenario,
+): readonly PermitSend[] {
+	const sim: Simulation = {
+		scenario,
+		random: createRandom(scenario.seed),
 		entries: [],
 		sends: [],
-		agenda: [],
+		events: [],
 		now: 0,
 	}
-	for (let number = 0; number < story.entries; number++)
-		net.entries.push(createEntry(number))
-	for (const entry of net.entries) startEntry(net, entry)
-	for (const trouble of story.troubles)
-		if (trouble.kind === 'restart')
-			plan(net, trouble.from, () => restart(net, trouble))
-	planArrival(net)
-	for (let next = net.agenda.pop(); next; next = net.agenda.pop()) {
-		if (next.at > story.endsAt) break
-		net.now = next.at
+	for (let number = 0; number < scenario.entries; number++)
+		sim.entries.push(createEntry(number))
+	for (const entry of sim.entries) startEntry(sim, entry)
+	for (const fault of scenario.faults)
+		if (fault.kind === 'restart')
+			schedule(sim, fault.from, () => restart(sim, fault))
+	scheduleArrival(sim)
+	for (let next = sim.events.pop(); next; next = sim.events.pop()) {
+		if (next.at > scenario.endsAt) break
+		sim.now = next.at
 		next.act()
 	}
-	return net.sends
+	return sim.sends
 }
 
 function createEntry(number: number): Entry {
@@ -130,7 +132,7 @@
 	return {
 		number,
 		address,
-		life: 0,
+		incarnation: 0,
 		roster: createEntryRoster(address),
 		pool: undefined,
 		limits: createRateLimits(),
@@ -138,50 +140,57 @@
 	}
 }
 
-/** Begins an entry's looks and heartbeats; they end with its life. */
-function startEntry(net: Net, entry: Entry): void {
-	const { life } = entry
-	const others = net.entries.filter(other => other !== entry)
+/** Starts an entry's membership checks and heartbeats, until its incarnation ends. */
+function startEntry(sim: Simulation, entry: Entry): void {
+	const { incarnation } = entry
+	const others = sim.entries.filter(other => other !== entry)
 	for (const other of others.slice(0, 3))
-		noteEntryNamed(entry.roster, other.address, net.now)
+		noteEntryNamed(entry.roster, other.address, sim.now)
 	const every = (periodMs: number, act: () => void) => {
 		const again = () => {
-			if (entry.life !== life) return
-			if (!isIn(net, 'still', entry)) act()
-			plan(net, net.now + periodMs, again)
+			if (entry.incarnation !== incarnation) return
+			if (!isAffected(sim, 'stall', entry)) act()
+			schedule(sim, sim.now + periodMs, again)
 		}
-		plan(net, net.now + net.random() * periodMs, again)
+		schedule(sim, sim.now + sim.random() * periodMs, again)
 	}
-	every(LOOK_MS, () => look(net, entry))
-	every(HEARTBEAT_MS, () => tellOthers(net, entry))
-	plan(net, net.now + LINK_MS, () => {
+	every(MEMBERSHIP_CHECK_MS, () => checkMembership(sim, entry))
+	every(HEARTBEAT_MS, () => broadcastState(sim, entry))
+	schedule(sim, sim.now + LINK_UP_MS, () => {
 		for (const other of others) {
-			tell(net, other, entry)
-			tell(net, entry, other)
+			sendState(sim, other, entry)
+			sendState(sim, entry, other)
 		}
 	})
 }
 
-function restart(net: Net, { entries, to }: Trouble): void {
+function restart(sim: Simulation, { entries, to }: Fault): void {
 	for (const number of entries) {
-		const entry = net.entries[number]!
-		entry.life++
-		const { life } = entry
-		plan(net, Math.max(to, net.now + RESTART_MS), () => {
-			if (entry.life !== life) return
-			Object.assign(entry, { ...createEntry(number), life: life + 1 })
-			startEntry(net, entry)
+		const entry = sim.entries[number]!
+		entry.incarnation++
+		const { incarnation } = entry
+		schedule(sim, Math.max(to, sim.now + RESTART_MS), () => {
+			if (entry.incarnation !== incarnation) return
+			Object.assign(entry, {
+				...createEntry(number),
+				incarnation: incarnation + 1,
+			})
+			startEntry(sim, entry)
 		})
 	}
 }
 
-function plan({ agenda }: Net, at: number, act: () => void): void {
-	const before = agenda.findLastIndex(one => one.at > at)
-	agenda.splice(before + 1, 0, { at, act })
+function schedule({ events }: Simulation, at: number, act: () => void): void {
+	const before = events.findLastIndex(one => one.at > at)
+	events.splice(before + 1, 0, { at, act })
 }
 
-function isIn({ story, now }: Net, kind: Trouble['kind'], entry: Entry) {
-	return story.troubles.some(
+function isAffected(
+	{ scenario, now }: Simulation,
+	kind: Fault['kind'],
+	entry: Entry,
+) {
+	return scenario.faults.some(
 		one =>
 			one.kind === kind &&
 			one.from <= now &&
@@ -190,22 +199,26 @@
 	)
 }
 
-/** Entries that are cut off hear each other when they are cut together. */
-function areApart({ story, now }: Net, a: Entry, b: Entry): boolean {
-	return story.troubles.some(
+/** Whether a partition separates two entries; those on its same side stay connected. */
+function arePartitioned(
+	{ scenario, now }: Simulation,
+	a: Entry,
+	b: Entry,
+): boolean {
+	return scenario.faults.some(
 		({ kind, from, to, entries }) =>
-			kind === 'cut' &&
+			kind === 'partition' &&
 			from <= now &&
 			now < to &&
 			entries.includes(a.number) !== entries.includes(b.number),
 	)
 }
 
-function endOfStill({ story, now }: Net, entry: Entry): number {
-	const ends = story.troubles
+function endOfStall({ scenario, now }: Simulation, entry: Entry): number {
+	const ends = scenario.faults
 		.filter(
 			one =>
-				one.kind === 'still' &&
+				one.kind === 'stall' &&
 				one.from <= now &&
 				now < one.to &&
 				one.entries.includes(entry.number),
@@ -214,53 +227,64 @@
 	return Math.max(now, ...ends)
 }
 
-/** Delivers something unless an end of it is cut off or gone; a still one reads it late. */
-function deliver(net: Net, from: Entry, to: Entry, act: () => void): void {
-	if (areApart(net, from, to)) return
-	const { life } = to
-	const wayMs = LEAST_WAY_MS + net.random() * (MOST_WAY_MS - LEAST_WAY_MS)
-	plan(net, net.now + wayMs, () => {
-		const wokenAt = endOfStill(net, to)
-		if (wokenAt > net.now) plan(net, wokenAt, () => deliverNow(to, life, act))
-		else deliverNow(to, life, act)
+/**
+ * Delivers a message unless a partition separates the entries or the receiver restarts;
+ * a stalled receiver handles it when it resumes.
+ */
+function deliver(
+	sim: Simulation,
+	from: Entry,
+	to: Entry,
+	act: () => void,
+): void {
+	if (arePartitioned(sim, from, to)) return
+	const { incarnation } = to
+	const latencyMs =
+		MIN_LATENCY_MS + sim.random() * (MAX_LATENCY_MS - MIN_LATENCY_MS)
+	schedule(sim, sim.now + latencyMs, () => {
+		const resumedAt = endOfStall(sim, to)
+		if (resumedAt > sim.now)
+			schedule(sim, resumedAt, () => deliverNow(to, incarnation, act))
+		else deliverNow(to, incarnation, act)
 	})
 }
 
-function deliverNow(to: Entry, life: number, act: () => void): void {
-	if (to.life === life) act()
+function deliverNow(to: Entry, incarnation: number, act: () => void): void {
+	if (to.incarnation === incarnation) act()
 }
 
-function isUp(net: Net, { number, life }: Entry): boolean {
-	const before = net.story.troubles.filter(
+function isUp(sim: Simulation, { number, incarnation }: Entry): boolean {
+	const before = sim.scenario.faults.filter(
 		one => one.kind === 'restart' && one.entries.includes(number),
 	)
-	const begun = before.filter(one => one.from <= net.now).length
-	return life === 2 * begun
+	const begun = before.filter(one => one.from <= sim.now).length
+	return incarnation === 2 * begun
 }
 
-function tellOthers(net: Net, entry: Entry): void {
-	for (const other of net.entries) if (other !== entry) tell(net, entry, other)
+function broadcastState(sim: Simulation, entry: Entry): void {
+	for (const other of sim.entries)
+		if (other !== entry) sendState(sim, entry, other)
 }
 
-function tell(net: Net, from: Entry, to: Entry): void {
-	if (!isUp(net, from) || !isUp(net, to)) return
+function sendState(sim: Simulation, from: Entry, to: Entry): void {
+	if (!isUp(sim, from) || !isUp(sim, to)) return
 	const notices = [...from.limits].map(([server, { perSecond, at }]) => ({
 		server,
 		perSecond,
-		agoMs: net.now - at,
+		agoMs: sim.now - at,
 	}))
-	const named = [...from.roster.others.keys()]
-	deliver(net, from, to, () => {
-		for (const address of named)
-			if (address !== to.address) noteEntryNamed(to.roster, address, net.now)
-		noteEntryHeard(to.roster, from.address, net.now)
+	const known = [...from.roster.others.keys()]
+	deliver(sim, from, to, () => {
+		for (const address of known)
+			if (address !== to.address) noteEntryNamed(to.roster, address, sim.now)
+		noteEntryHeard(to.roster, from.address, sim.now)
 		for (const { server, perSecond, agoMs } of notices)
-			takeNotice(net, to, server, perSecond, net.now - agoMs)
+			applyNotice(sim, to, server, perSecond, sim.now - agoMs)
 	})
 }
 
-function takeNotice(
-	net: Net,
+function applyNotice(
+	sim: Simulation,
 	entry: Entry,
 	server: string,
 	perSecond: number | undefined,
@@ -269,12 +293,12 @@
 	if (!takeRateNotice(entry.limits, server, { perSecond, at })) return
 	entry.held = createHeldPermits()
 	if (perSecond === undefined) entry.pool = undefined
-	tellOthers(net, entry)
+	broadcastState(sim, entry)
 }
 
-function look(net: Net, entry: Entry): void {
+function checkMembership(sim: Simulation, entry: Entry): void {
 	const { roster, address } = entry
-	if (!lookAtRoster(roster, address, () => true, net.now)) return
+	if (!lookAtRoster(roster, address, () => true, sim.now)) return
 	if (homeOf(entry) !== address) entry.pool = undefined
 }
 
@@ -282,93 +306,98 @@
 	return findPermitHome(SERVER, roster.heard)!
 }
 
-function give(
-	net: Net,
+function grant(
+	sim: Simulation,
 	entry: Entry,
 	perSecond: number,
-	wish: PermitWish,
+	request: PermitWish,
 ): Permits {
 	const { roster } = entry
 	entry.pool ??= createPermitPool()
 	const pace = paceOfHome(perSecond, roster.count)
-	return takePermits(entry.pool, pace, wish, net.now)
+	return takePermits(entry.pool, pace, request, sim.now)
 }
 
-function planArrival(net: Net): void {
-	const { demand, leaning, entries } = net.story
-	const gapMs = (-Math.log(1 - net.random()) * 1_000) / demand
-	plan(net, net.now + gapMs, () => {
-		const isFirst = net.random() < leaning
-		const at = isFirst ? 0 : Math.floor(net.random() * entries)
-		arrive(net, net.entries[at]!)
-		planArrival(net)
+function scheduleArrival(sim: Simulation): void {
+	const { demand, firstEntryShare, entries } = sim.scenario
+	const gapMs = (-Math.log(1 - sim.random()) * 1_000) / demand
+	schedule(sim, sim.now + gapMs, () => {
+		const isFirst = sim.random() < firstEntryShare
+		const at = isFirst ? 0 : Math.floor(sim.random() * entries)
+		arrive(sim, sim.entries[at]!)
+		scheduleArrival(sim)
 	})
 }
 
-/** A request that would go to the server; without a permit it goes elsewhere. */
-function arrive(net: Net, entry: Entry): void {
-	if (!isUp(net, entry) || isIn(net, 'still', entry)) return
+/** Handles a request for the server; without a permit it is sent elsewhere. */
+function arrive(sim: Simulation, entry: Entry): void {
+	if (!isUp(sim, entry) || isAffected(sim, 'stall', entry)) return
 	const perSecond = perSecondOf(entry.limits, SERVER)
 	if (perSecond !== undefined) {
-		ask(net, entry, perSecond)
-		if (!hasPermit(entry.held, net.now)) return
-		usePermit(entry.held, net.now)
+		requestPermit(sim, entry, perSecond)
+		if (!hasPermit(entry.held, sim.now)) return
+		usePermit(entry.held, sim.now)
 	}
-	send(net, entry)
+	sendRequest(sim, entry)
 }
 
-function ask(net: Net, entry: Entry, perSecond: number): void {
+function requestPermit(sim: Simulation, entry: Entry, perSecond: number): void {
 	const { held } = entry
-	if (!isAskDue(held, 0, net.now)) return
+	if (!isAskDue(held, 0, sim.now)) return
 	const home = homeOf(entry)
-	const wish = { count: 1, withinMs: 0 }
+	const request = { count: 1, withinMs: 0 }
 	if (home === entry.address) {
-		takeGiven(held, perSecond, give(net, entry, perSecond, wish), net.now)
+		takeGiven(held, perSecond, grant(sim, entry, perSecond, request), sim.now)
 		return
 	}
 	held.isAsking = true
-	const end = () => {
+	const finish = () => {
 		held.isAsking = false
-		held.notBefore = net.now + ASK_AGAIN_MS
+		held.notBefore = sim.now + REQUEST_RETRY_MS
 	}
-	const { life } = entry
-	plan(net, net.now + ASK_MS, () => {
-		if (held.isAsking) end()
+	const { incarnation } = entry
+	schedule(sim, sim.now + REQUEST_TIMEOUT_MS, () => {
+		if (held.isAsking) finish()
 	})
-	const other = net.entries.find(one => one.address === home)!
-	if (!isUp(net, other)) return
-	deliver(net, entry, other, () => {
+	const other = sim.entries.find(one => one.address === home)!
+	if (!isUp(sim, other)) return
+	deliver(sim, entry, other, () => {
 		const isHome = homeOf(other) === other.address
-		const named = perSecondOf(other.limits, SERVER)
+		const limit = perSecondOf(other.limits, SERVER)
 		const permits =
-			isHome && named !== undefined ? give(net, other, named, wish) : undefined
-		deliver(net, other, entry, () => {
-			if (!held.isAsking || entry.life !== life) return
-			end()
-			if (permits) takeGiven(held, perSecond, permits, net.now)
+			isHome && limit !== undefined
+				? grant(sim, other, limit, request)
+				: undefined
+		deliver(sim, other, entry, () => {
+			if (!held.isAsking || entry.incarnation !== incarnation) return
+			finish()
+			if (permits) takeGiven(held, perSecond, permits, sim.now)
 		})
 	})
 }
 
-function send(net: Net, entry: Entry): void {
-	const { story, now } = net
+function sendRequest(sim: Simulation, entry: Entry): void {
+	const { scenario, now } = sim
 	const knownSince = entry.limits.get(SERVER)?.since
-	net.sends.push({ at: now, entry: entry.number, knownSince })
-	const workMs = LEAST_WORK_MS + net.random() * (MOST_WORK_MS - LEAST_WORK_MS)
-	const { life } = entry
-	plan(net, now + workMs, () => {
-		const at = net.now
-		const isNamed = at >= story.namedFrom && at < story.namedTo
-		const perSecond = isNamed ? story.perSecond : undefined
-		plan(net, endOfStill(net, entry), () => {
-			if (entry.life === life) read(net, entry, perSecond, now)
+	sim.sends.push({ at: now, entry: entry.number, knownSince })
+	const serviceMs =
+		MIN_SERVICE_MS + sim.random() * (MAX_SERVICE_MS - MIN_SERVICE_MS)
+	const { incarnation } = entry
+	schedule(sim, now + serviceMs, () => {
+		const at = sim.now
+		const isAnnounced =
+			at >= scenario.announcedFrom && at < scenario.announcedTo
+		const perSecond = isAnnounced ? scenario.perSecond : undefined
+		schedule(sim, endOfStall(sim, entry), () => {
+			if (entry.incarnation === incarnation)
+				handleAnswer(sim, entry, perSecond, now)
 		})
 	})
 }
 
-/** Reads an answer's head. */
-function read(
-	net: Net,
+/** Handles the headers of an answer. */
+function handleAnswer(
+	sim: Simulation,
 	entry: Entry,
 	perSecond: number | undefined,
 	sentAt: number,
@@ -376,5 +405,5 @@
 	const known = entry.limits.get(SERVER)
 	const isOld = known?.perSecond !== undefined && sentAt <= known.since
 	if (perSecond === undefined && (!known || isOld)) return
-	takeNotice(net, entry, SERVER, perSecond, net.now)
+	applyNotice(sim, entry, SERVER, perSecond, sim.now)
 }
--- a/packages/core/test/models/quarantineNet.ts
+++ b/packages/core/test/models/quarantineNet.ts
@@ -1,6 +1,6 @@
 /**
- * Entries that tell each other of servers that ended, in virtual time: news that come
- * late or are lost until their link is made anew, and entries that start again.
+ * Simulates entries that gossip server crashes, in virtual time: updates that are late or
+ * lost until their link reconnects, and entries that restart.
  */
 
 import type { EndNews, Quarantine, Random } from '../../src/index.ts'
@@ -12,115 +12,124 @@
 	takeEndNews,
 } from '../../src/index.ts'
 
-const DEADLY = 'deadly'
-/** From the beginning of a run to the end of its server, ms. */
-const LEAST_RUN_MS = 20
-const MOST_RUN_MS = 2_000
-/** Until entries tell what is new, and for the way, ms. */
-const TELL_MS = 50
-const WAY_MS = 5
-/** Until a link that lost something is made anew and all is told on it, ms. */
-const RELINK_MS = 2_000
+const POISON = 'deadly'
+/** Time from the start of a poison request until its server crashes, ms. */
+const MIN_RUN_MS = 20
+const MAX_RUN_MS = 2_000
+/** Delay of gossip, and maximum latency of a message, ms. */
+const GOSSIP_MS = 50
+const LATENCY_MS = 5
+/** Time until a link that lost a message reconnects and exchanges all state, ms. */
+const RECONNECT_MS = 2_000
 
-/** What happens in a run of the model. */
-export interface QuarantineStory {
+/** Inputs of a simulation. */
+export interface QuarantineScenario {
 	readonly entries: number
-	/** When the request comes to some entry, ms. */
+	/** When the poison request arrives at a random entry, ms. */
 	readonly arrivals: readonly number[]
-	/** Part of the news that is lost with its link. */
-	readonly lost: number
-	/** When an entry starts again without memory, ms. */
+	/** Share of the updates that are lost with their link. */
+	readonly lossRate: number
+	/** When a random entry restarts without its state, ms. */
 	readonly restarts: readonly number[]
 	readonly seed: number
 }
 
-/** What became of it. */
+/** Result of a simulation. */
 export interface QuarantineOutcome {
-	/** When servers ended, ms. */
-	readonly ends: readonly number[]
+	/** When servers crashed, ms. */
+	readonly crashes: readonly number[]
 	/** When the request was sent to a server, ms. */
 	readonly sends: readonly number[]
 }
 
-interface Net {
+interface Simulation {
 	readonly random: Random
 	readonly quarantines: Quarantine[]
 	readonly sends: number[]
-	readonly ends: number[]
-	/** What is to happen, soonest last. */
-	readonly agenda: { at: number; act(): void }[]
+	readonly crashes: number[]
+	/** Scheduled events, soonest last. */
+	readonly events: { at: number; act(): void }[]
 }
 
-/** Plays a story to its end. */
-export function playQuarantine(story: QuarantineStory): QuarantineOutcome {
-	const net: Net = {
-		random: createRandom(story.seed),
-		quarantines: Array.from({ length: story.entries }, createQuarantine),
+/** Simulates a scenario to its end. */
+export function simulateQuarantine(
+	scenario: QuarantineScenario,
+): QuarantineOutcome {
+	const sim: Simulation = {
+		random: createRandom(scenario.seed),
+		quarantines: Array.from({ length: scenario.entries }, createQuarantine),
 		sends: [],
-		ends: [],
-		agenda: [],
+		crashes: [],
+		events: [],
 	}
-	const draw = () => Math.floor(net.random() * story.entries)
-	for (const at of story.arrivals)
-		plan(net, at, () => arrive(net, story, draw(), at))
-	for (const at of story.restarts) plan(net, at, () => restart(net, draw(), at))
-	for (let next = net.agenda.pop(); next; next = net.agenda.pop()) next.act()
-	return { ends: net.ends, sends: net.sends }
+	const draw = () => Math.floor(sim.random() * scenario.entries)
+	for (const at of scenario.arrivals)
+		schedule(sim, at, () => arrive(sim, scenario, draw(), at))
+	for (const at of scenario.restarts)
+		schedule(sim, at, () => restart(sim, draw(), at))
+	for (let next = sim.events.pop(); next; next = sim.events.pop()) next.act()
+	return { crashes: sim.crashes, sends: sim.sends }
 }
 
-function plan({ agenda }: Net, at: number, act: () => void): void {
-	const before = agenda.findLastIndex(one => one.at > at)
-	agenda.splice(before + 1, 0, { at, act })
+function schedule({ events }: Simulation, at: number, act: () => void): void {
+	const before = events.findLastIndex(one => one.at > at)
+	events.splice(before + 1, 0, { at, act })
 }
 
 function arrive(
-	net: Net,
-	story: QuarantineStory,
+	sim: Simulation,
+	scenario: QuarantineScenario,
 	entry: number,
 	now: number,
 ): void {
-	const { random, quarantines } = net
-	if (barredForMs(quarantines[entry]!, DEADLY, now) > 0) return
-	net.sends.push(now)
-	const ranMs = LEAST_RUN_MS + random() * (MOST_RUN_MS - LEAST_RUN_MS)
+	const { random, quarantines } = sim
+	if (barredForMs(quarantines[entry]!, POISON, now) > 0) return
+	sim.sends.push(now)
+	const ranMs = MIN_RUN_MS + random() * (MAX_RUN_MS - MIN_RUN_MS)
 	const at = now + ranMs
-	const server = `server-${net.sends.length}`
-	plan(net, at, () => {
-		// An entry that has learnt of it by then has taken it back.
-		if (barredForMs(quarantines[entry]!, DEADLY, at) > 0) return
-		net.ends.push(at)
-		const ran = new Map([[DEADLY, ranMs]])
-		take(net, story, entry, { ends: [{ server, at, ran }], served: [] }, at)
+	const server = `server-${sim.sends.length}`
+	schedule(sim, at, () => {
+		// An entry that has received the quarantine by now has cancelled the request.
+		if (barredForMs(quarantines[entry]!, POISON, at) > 0) return
+		sim.crashes.push(at)
+		const ran = new Map([[POISON, ranMs]])
+		receive(
+			sim,
+			scenario,
+			entry,
+			{ ends: [{ server, at, ran }], served: [] },
+			at,
+		)
 	})
 }
 
-/** What is new to an entry it tells all others. */
-function take(
-	net: Net,
-	story: QuarantineStory,
+/** Merges evidence at an entry and forwards what is new to all others. */
+function receive(
+	sim: Simulation,
+	scenario: QuarantineScenario,
 	entry: number,
-	told: EndNews,
+	received: EndNews,
 	now: number,
 ): void {
-	const news = takeEndNews(net.quarantines[entry]!, told, now)
-	if (news.ends.length === 0) return
-	for (let other = 0; other < story.entries; other++) {
+	const fresh = takeEndNews(sim.quarantines[entry]!, received, now)
+	if (fresh.ends.length === 0) return
+	for (let other = 0; other < scenario.entries; other++) {
 		if (other === entry) continue
-		const wayMs = TELL_MS + net.random() * WAY_MS
-		const isLost = net.random() < story.lost
-		const at = now + (isLost ? RELINK_MS : wayMs)
-		plan(net, at, () => take(net, story, other, news, at))
+		const latencyMs = GOSSIP_MS + sim.random() * LATENCY_MS
+		const isLost = sim.random() < scenario.lossRate
+		const at = now + (isLost ? RECONNECT_MS : latencyMs)
+		schedule(sim, at, () => receive(sim, scenario, other, fresh, at))
 	}
 }
 
-/** An entry without memory is told all by each other one. */
-function restart(net: Net, entry: number, now: number): void {
-	const { quarantines } = net
+/** Restarts an entry without its state; each other one then sends it all evidence. */
+function restart(sim: Simulation, entry: number, now: number): void {
+	const { quarantines } = sim
 	const fresh = createQuarantine()
 	quarantines[entry] = fresh
 	for (const other of quarantines) {
 		if (other === fresh) continue
-		const at = now + RELINK_MS * net.random()
-		plan(net, at, () => takeEndNews(fresh, listEndNews(other), at))
+		const at = now + RECONNECT_MS * sim.random()
+		schedule(sim, at, () => takeEndNews(fresh, listEndNews(other), at))
 	}
 }
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -1,6 +1,6 @@
 /**
- * Entries that keep a team's limit together, in virtual time: the real decisions, and
- * messages between them that take time, are lost, or don't come because the home is gone.
+ * Simulates entries that enforce a team's limit together, in virtual time: the real
+ * decisions, and messages that are delayed, lost, or unanswered because the home is gone.
  */
 
 import type { LimitTable, TeamConfig } from '../../src/index.ts'
@@ -21,33 +21,33 @@
 } from '../../src/index.ts'
 
 const TEAM = 'rangers'
-/** One way between two entries, ms. */
-const WAY_MS = [1, 40] as const
-/** An entry gives a question up after this, ms. */
-const ASK_MS = 300
-/** Entries tell their homes again what is under way, ms. */
-const TELL_MS = 10_000
-
-/** What is played. */
-export interface TeamStory {
+/** Minimum and maximum one-way latency between two entries, ms. */
+const LATENCY_MS = [1, 40] as const
+/** Time-out of an admission request, ms. */
+const REQUEST_TIMEOUT_MS = 300
+/** Interval at which entries report their requests in flight to the home, ms. */
+const REPORT_MS = 10_000
+
+/** Inputs of a simulation. */
+export interface TeamScenario {
 	readonly entries: number
 	readonly limit: TeamConfig
-	/** Requests a second, and tokens of each. */
+	/** Requests per second, and tokens per request. */
 	readonly demand: number
 	readonly tokens: number
-	/** How long a request runs, ms. */
-	readonly runsMs: number
-	/** Part of the requests that come to the first entry. */
-	readonly leaning: number
-	/** Part of the messages that are lost. */
-	readonly loss: number
-	/** When the home ends and the others learn of it, ms. */
+	/** Duration of a request, ms. */
+	readonly runMs: number
+	/** Share of requests sent to the first entry; the rest goes to a random entry. */
+	readonly firstEntryShare: number
+	/** Share of messages that are lost. */
+	readonly lossRate: number
+	/** When the home stops and the others learn of it, ms. */
 	readonly homeEndsAt?: number
 	readonly endsAt: number
 	readonly seed: number
 }
 
-/** A request that was admitted: from when to when it ran. */
+/** Admitted request and the period in which it ran, ms. */
 export interface TeamRun {
 	readonly from: number
 	readonly to: number
@@ -59,10 +59,17 @@
 	names: readonly string[]
 }
 
-/** Plays a story; gives what ran, and when requests were refused. */
-export function playTeam(story: TeamStory): TeamRun[] {
-	const { entries: count, limit, demand, tokens, runsMs, leaning } = story
-	const random = createRandom(story.seed)
+/** Simulates a scenario; returns the requests that were admitted. */
+export function simulateTeam(scenario: TeamScenario): TeamRun[] {
+	const {
+		entries: count,
+		limit,
+		demand,
+		tokens,
+		runMs,
+		firstEntryShare,
+	} = scenario
+	const random = createRandom(scenario.seed)
 	const names = Array.from({ length: count }, (_, at) => `entry-${at}`)
 	const entries = names.map(
 		(name): Entry => ({ name, limits: createLimits(), names }),
@@ -74,41 +81,41 @@
 	const after = (ms: number, run: () => void) => {
 		queue.push({ at: now + ms, run })
 	}
-	// What one sends another comes in its order.
+	// Messages on a link arrive in the order in which they were sent.
 	const arrivals = new Map<string, number>()
 	const send = (from: string, to: string, run: () => void) => {
-		const [least, most] = WAY_MS
+		const [least, most] = LATENCY_MS
 		const link = `${from} ${to}`
-		const soonest = now + least + random() * (most - least)
-		const at = Math.max(soonest, arrivals.get(link) ?? 0)
+		const earliest = now + least + random() * (most - least)
+		const at = Math.max(earliest, arrivals.get(link) ?? 0)
 		arrivals.set(link, at)
-		if (random() >= story.loss) after(at - now, run)
+		if (random() >= scenario.lossRate) after(at - now, run)
 	}
 
-	function tell(entry: Entry): void {
+	function report(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
 		const held = tellTeamHeld(entry.limits, TEAM)
 		if (home === entry.name) return
 		send(entry.name, home, () => {
-			const keeper = byName.get(home)
-			if (keeper) noteTeamHeld(keeper.limits, TEAM, entry.name, held)
+			const homeEntry = byName.get(home)
+			if (homeEntry) noteTeamHeld(homeEntry.limits, TEAM, entry.name, held)
 		})
 	}
 
 	function begin(entry: Entry): void {
-		runs.push({ from: now, to: now + runsMs })
-		after(runsMs, () => {
+		runs.push({ from: now, to: now + runMs })
+		after(runMs, () => {
 			releaseTeam(entry.limits, TEAM)
-			tell(entry)
+			report(entry)
 		})
 	}
 
-	function keepPart(entry: Entry): void {
-		const part = { count: entry.names.length, place: placeOf(entry) }
+	function admitLocally(entry: Entry): void {
+		const part = { count: entry.names.length, place: indexOfEntry(entry) }
 		if (!admitTeam(entry.limits, TEAM, limit, tokens, part, now)) begin(entry)
 	}
 
-	function ask(entry: Entry, home: string): void {
+	function askHome(entry: Entry, home: string): void {
 		const held = beginTeamAsk(entry.limits, TEAM, limit, now)
 		let isOver = false
 		const settle = (then: () => void) => {
@@ -116,35 +123,35 @@
 			isOver = true
 			then()
 		}
-		after(ASK_MS, () =>
+		after(REQUEST_TIMEOUT_MS, () =>
 			settle(() => {
 				endTeamAsk(entry.limits, TEAM, false)
-				tell(entry)
-				keepPart(entry)
+				report(entry)
+				admitLocally(entry)
 			}),
 		)
 		send(entry.name, home, () => {
-			const keeper = byName.get(home)
-			if (!keeper) return
-			const asked = { entry: entry.name, held, tokens }
-			const refusal = admitForEntry(keeper.limits, TEAM, limit, asked, now)
+			const homeEntry = byName.get(home)
+			if (!homeEntry) return
+			const request = { entry: entry.name, held, tokens }
+			const refusal = admitForEntry(homeEntry.limits, TEAM, limit, request, now)
 			send(home, entry.name, () =>
 				settle(() => {
-					if (endTeamAsk(entry.limits, TEAM, !refusal)) tell(entry)
+					if (endTeamAsk(entry.limits, TEAM, !refusal)) report(entry)
 					if (!refusal) begin(entry)
 				}),
 			)
 		})
 	}
 
-	function take(entry: Entry): void {
+	function receive(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		if (!isKeptAtHome(limit, entry.names.length)) keepPart(entry)
-		else if (home !== entry.name) ask(entry, home)
+		if (!isKeptAtHome(limit, entry.names.length)) admitLocally(entry)
+		else if (home !== entry.name) askHome(entry, home)
 		else if (!admitAtHome(entry.limits, TEAM, limit, tokens, now)) begin(entry)
 	}
 
-	function loseHome(): void {
+	function stopHome(): void {
 		const home = findTeamHome(TEAM, names)!
 		byName.delete(home)
 		const left = names.filter(name => name !== home)
@@ -155,37 +162,37 @@
 		}
 	}
 
-	for (let at = 0; at < story.endsAt; at += 1_000 / demand) {
-		const entry = random() < leaning ? 0 : Math.floor(random() * count)
+	for (let at = 0; at < scenario.endsAt; at += 1_000 / demand) {
+		const entry = random() < firstEntryShare ? 0 : Math.floor(random() * count)
 		queue.push({
 			at,
 			run: () => {
 				const { name } = entries[entry]!
 				const live = byName.get(name) ?? [...byName.values()][0]!
-				take(live)
+				receive(live)
 			},
 		})
 	}
-	for (let at = TELL_MS; at < story.endsAt; at += TELL_MS)
+	for (let at = REPORT_MS; at < scenario.endsAt; at += REPORT_MS)
 		queue.push({
 			at,
 			run: () => {
-				for (const entry of byName.values()) tell(entry)
+				for (const entry of byName.values()) report(entry)
 			},
 		})
-	if (story.homeEndsAt !== undefined)
-		queue.push({ at: story.homeEndsAt, run: loseHome })
+	if (scenario.homeEndsAt !== undefined)
+		queue.push({ at: scenario.homeEndsAt, run: stopHome })
 	runAll(queue, at => {
 		now = at
 	})
 	return runs
 }
 
-function placeOf({ name, names }: Entry): number {
+function indexOfEntry({ name, names }: Entry): number {
 	return names.indexOf(name)
 }
 
-/** Runs events in the order of their times; more may come meanwhile. */
+/** Runs events in order of time; an event may add further ones. */
 function runAll(
 	queue: { at: number; run: () => void }[],
 	setNow: (at: number) => void,
--- a/packages/core/test/openingRush.test.ts
+++ b/packages/core/test/openingRush.test.ts
@@ -1,11 +1,11 @@
 /**
- * Groups open to requests that wait at all entries: pattern of the second after a
- * stop of everything. Entries know of each other, and of nothing that the others
- * send until they tell of it; each grants at once what waits at it. Without a
- * network. 64 ranks of 7 slots in two groups, 16 entries and some 420 requests are
- * those of a service that stood still for 2.3 s before 157 requests a second, with
- * callers who return. One that waits behind a rank's slots waits for a stream to end,
- * 1.4 s and more, and callers leave after 2 s.
+ * Groups reopen while requests wait at all entries, as in the second after a complete
+ * standstill. Each entry dispatches its waiting requests at once, without knowing what the
+ * others send until the next load exchange. Guards against requests piling up on the same
+ * ranks: a request queued behind a rank's slots waits for a stream to end, at least
+ * 1.4 s, and callers leave after 2 s. 64 ranks of 7 slots in two groups, 16 entries and
+ * about 420 requests are those of a service that stood still for 2.3 s at 157 requests
+ * per second, with callers who retry. No network is involved.
  */
 
 import { test } from 'uvu'
@@ -24,57 +24,58 @@
 const DATA_CENTRES = 3
 const SEEDS = [1, 2, 3, 4, 5]
 
-interface Rush {
+interface Scenario {
 	readonly name: string
 	readonly entries: number
-	/** Requests that wait at an entry. */
-	waiting(entry: number): number
-	/** Groups that an entry knows to be open when it grants. */
-	readonly open: readonly number[]
-	/** Most of the requests, in all seeds together, that get behind slots. */
-	readonly behind: number
+	/** Returns the requests that wait at an entry. */
+	waitingAt(entry: number): number
+	/** Groups known to be open when an entry dispatches. */
+	readonly openGroups: readonly number[]
+	/** Maximum requests queued behind slots, over all seeds together. */
+	readonly maxQueued: number
 }
 
-const ALL = [0, 1]
-const FIRST = [0]
+const ALL_GROUPS = [0, 1]
+const FIRST_GROUP = [0]
 
-const RUSHES: Rush[] = [
+const SCENARIOS: Scenario[] = [
 	{
 		name: 'both groups are known to be open',
 		entries: 16,
-		waiting: () => 26,
-		open: ALL,
-		behind: 0,
+		waitingAt: () => 26,
+		openGroups: ALL_GROUPS,
+		maxQueued: 0,
 	},
 	{
 		name: 'one group is known to be open before the other',
 		entries: 16,
-		waiting: () => 26,
-		open: FIRST,
-		behind: 30,
+		waitingAt: () => 26,
+		openGroups: FIRST_GROUP,
+		maxQueued: 30,
 	},
 	{
-		name: 'one group, callers hashed to entries unevenly',
+		name: 'one group, uneven numbers of callers per entry',
 		entries: 16,
-		waiting: entry => 14 + ((entry * 7) % 25),
-		open: FIRST,
-		behind: 0,
+		waitingAt: entry => 14 + ((entry * 7) % 25),
+		openGroups: FIRST_GROUP,
+		maxQueued: 0,
 	},
 	{
 		name: 'four entries',
 		entries: 4,
-		waiting: () => 104,
-		open: FIRST,
-		behind: 0,
+		waitingAt: () => 104,
+		openGroups: FIRST_GROUP,
+		maxQueued: 0,
 	},
 ]
 
 /**
- * Requests that wait behind the slots of ranks, and those kept at entries. An entry
- * that is not aware of the others takes their servers for as empty as they told.
+ * Returns the requests queued behind the slots of ranks, and those kept at entries. An
+ * entry that does not estimate the unreported load of the others assumes that their
+ * servers are as empty as last reported.
  */
-function play(rush: Rush, isAware: boolean, seed: number) {
-	const { entries, waiting, open } = rush
+function simulate(scenario: Scenario, isEstimating: boolean, seed: number) {
+	const { entries, waitingAt, openGroups } = scenario
 	const random = createRandom(seed)
 	const servers = Array.from({ length: RANKS }, (_, at) => ({
 		id: `s${String((at * 37) % RANKS).padStart(2, '0')}`,
@@ -83,20 +84,20 @@
 	const demand: EntryDemand[] = Array.from({ length: entries }, (_, at) => ({
 		name: `e${at}`,
 		dataCentre: `z${at % DATA_CENTRES}`,
-		perSecond: waiting(at) / 2,
+		perSecond: waitingAt(at) / 2,
 	}))
-	const given = new Array<number>(RANKS).fill(0)
+	const sentTo = new Array<number>(RANKS).fill(0)
 	let kept = 0
 	for (const [at, own] of demand.entries()) {
 		const others = demand.filter(one => one !== own)
-		const dealt = new Set(dealServers(own, others, servers))
+		const assigned = new Set(dealServers(own, others, servers))
 		const table = createServerTable(servers.map(server => server.id))
 		const rows = [...servers.keys()]
 		for (const row of rows) {
 			table.slots[row] = SLOTS
 			table.open[row] = 1
 			table.group[row] = row % GROUPS
-			table.dealtElsewhere[row] = dealt.has(row) ? 0 : 1
+			table.dealtElsewhere[row] = assigned.has(row) ? 0 : 1
 		}
 		const isNear = (row: number) => servers[row]!.dataCentre === own.dataCentre
 		const query = {
@@ -105,31 +106,36 @@
 			queueRoom: 0,
 			permitted: new Set<number>(),
 			withheld: new Set<number>(),
-			shutGroups: new Set(ALL.filter(group => !open.includes(group))),
+			shutGroups: new Set(
+				ALL_GROUPS.filter(group => !openGroups.includes(group)),
+			),
 			near: new Set(rows.filter(isNear)),
 		}
-		for (let sent = 0; sent < waiting(at); sent++) {
-			const untold = isAware ? sent : 0
+		for (let sent = 0; sent < waitingAt(at); sent++) {
+			const untold = isEstimating ? sent : 0
 			const choice = chooseRow(table, { ...query, untold }, 0, random)
 			if (choice.kind !== 'row') {
-				kept += waiting(at) - sent
+				kept += waitingAt(at) - sent
 				break
 			}
 			table.sentSince[choice.row]!++
-			given[choice.row]!++
+			sentTo[choice.row]!++
 		}
 	}
-	const behind = given.reduce((sum, one) => sum + Math.max(0, one - SLOTS), 0)
-	return { behind, kept }
+	const queued = sentTo.reduce((sum, one) => sum + Math.max(0, one - SLOTS), 0)
+	return { queued, kept }
 }
 
-for (const rush of RUSHES)
-	test(`a rush on groups that open: ${rush.name}`, () => {
-		const sum = (isAware: boolean) =>
-			SEEDS.reduce((so, seed) => so + play(rush, isAware, seed).behind, 0)
-		const aware = sum(true)
-		assert.ok(aware <= rush.behind, `${aware} behind slots`)
-		assert.ok(sum(false) > 50, 'without it many are')
+for (const scenario of SCENARIOS)
+	test(`requests waiting when groups reopen: ${scenario.name}`, () => {
+		const sum = (isEstimating: boolean) =>
+			SEEDS.reduce(
+				(so, seed) => so + simulate(scenario, isEstimating, seed).queued,
+				0,
+			)
+		const queued = sum(true)
+		assert.ok(queued <= scenario.maxQueued, `${queued} queued behind slots`)
+		assert.ok(sum(false) > 50, 'without the estimate many are queued')
 	})
 
 test.run()
--- a/packages/core/test/permitNet.test.ts
+++ b/packages/core/test/permitNet.test.ts
@@ -1,43 +1,45 @@
-/** One server's limit, kept by 1, 3 and 36 entries together, in virtual time. */
+/** Rate limit of one server, enforced by 1 to 36 entries together, in virtual time. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createRandom } from '../src/index.ts'
-import type { PermitSend, PermitStory, Trouble } from './models/permitNet.ts'
-import { playPermits } from './models/permitNet.ts'
+import type { Fault, PermitScenario, PermitSend } from './models/permitNet.ts'
+import { simulatePermits } from './models/permitNet.ts'
 
-/** More by hand. */
+/** Can be raised by hand for longer runs. */
 const SEEDS = Number(process.env.SEEDS ?? 4)
-const SPAN_MS = 4_000
-/** From the first naming on, until the limit is owed, ms. */
-const CONTACT_MS = 3_000
-const NAMED_FROM = 5_000
-const NAMED_TO = 45_000
+const WINDOW_MS = 4_000
+/** Time from the first announcement until the limit must be met, ms. */
+const CONVERGENCE_MS = 3_000
+const ANNOUNCED_FROM = 5_000
+const ANNOUNCED_TO = 45_000
 const ENDS_AT = 55_000
-/** Part of what the limit allows that is used when enough is asked for. */
-const LEAST_USED = 0.7
-/** After the server's word, its limit is over by then, ms. */
-const OVER_MS = 2_000
+/** Minimum share of the limit that is used under sufficient demand. */
+const MIN_USED_SHARE = 0.7
+/** Time after the last announcement by which the limit is lifted, ms. */
+const LIMIT_END_MS = 2_000
 
-const STORY: Omit<PermitStory, 'entries' | 'seed'> = {
+const SCENARIO: Omit<PermitScenario, 'entries' | 'seed'> = {
 	perSecond: 1,
-	namedFrom: NAMED_FROM,
-	namedTo: NAMED_TO,
+	announcedFrom: ANNOUNCED_FROM,
+	announcedTo: ANNOUNCED_TO,
 	demand: 40,
-	leaning: 0,
-	troubles: [],
+	firstEntryShare: 0,
+	faults: [],
 	endsAt: ENDS_AT,
 }
 
-/** Most sends in any span while the limit is owed. */
-function mostInSpan(sends: readonly PermitSend[]): number {
+/** Returns the largest number of sends in any window while the limit must be met. */
+function maxPerWindow(sends: readonly PermitSend[]): number {
 	const judged = sends
-		.filter(({ at }) => at >= NAMED_FROM + CONTACT_MS && at < NAMED_TO)
+		.filter(
+			({ at }) => at >= ANNOUNCED_FROM + CONVERGENCE_MS && at < ANNOUNCED_TO,
+		)
 		.map(({ at }) => at)
 	let most = 0
 	let first = 0
 	for (const [last, at] of judged.entries()) {
-		while (judged[first]! <= at - SPAN_MS) first++
+		while (judged[first]! <= at - WINDOW_MS) first++
 		most = Math.max(most, last - first + 1)
 	}
 	return most
@@ -53,45 +55,47 @@
 
 const ENTRIES = [1, 3, 36] as const
 const LIMITS = [0.1, 0.5, 1, 8] as const
-const LEANING = [0, 0.9] as const
+const FIRST_ENTRY_SHARES = [0, 0.9] as const
 
 for (const entries of ENTRIES)
 	for (const perSecond of LIMITS)
-		for (const leaning of LEANING)
-			test(`${entries} entries keep ${perSecond} a second, ${leaning} of the demand at one`, () => {
+		for (const firstEntryShare of FIRST_ENTRY_SHARES)
+			test(`${entries} entries enforce ${perSecond} per second with ${firstEntryShare} of the demand at one entry`, () => {
 				for (let seed = 1; seed <= SEEDS; seed++) {
-					const sends = playPermits({
-						...STORY,
+					const sends = simulatePermits({
+						...SCENARIO,
 						entries,
 						perSecond,
-						leaning,
+						firstEntryShare,
 						seed,
 					})
 					const allowed = 1.5 * perSecond * 4 + 5
-					const most = mostInSpan(sends)
+					const most = maxPerWindow(sends)
 					assert.ok(most <= allowed, `seed ${seed}: ${most} of ${allowed}`)
-					const from = NAMED_FROM + CONTACT_MS
-					const used = countBetween(sends, from, NAMED_TO)
-					const given = (perSecond * (NAMED_TO - from)) / 1_000
-					// Of few requests, one more or less is a large part.
-					const least = Math.floor(LEAST_USED * given)
+					const from = ANNOUNCED_FROM + CONVERGENCE_MS
+					const used = countBetween(sends, from, ANNOUNCED_TO)
+					const given = (perSecond * (ANNOUNCED_TO - from)) / 1_000
+					// Rounded down, since one request is a large share of a few.
+					const least = Math.floor(MIN_USED_SHARE * given)
 					assert.ok(used >= least, `seed ${seed}: ${used} of ${given} used`)
 				}
 			})
 
-const TROUBLES: readonly {
+const FAULTS: readonly {
 	readonly name: string
-	readonly troubles: (entries: number) => readonly Trouble[]
+	readonly faults: (entries: number) => readonly Fault[]
 }[] = [
 	{
-		name: 'one is cut off',
-		troubles: () => [{ kind: 'cut', entries: [0], from: 12_000, to: 30_000 }],
+		name: 'one is partitioned from the others',
+		faults: () => [
+			{ kind: 'partition', entries: [0], from: 12_000, to: 30_000 },
+		],
 	},
 	{
-		name: 'two parts that are equal',
-		troubles: entries => [
+		name: 'a partition separates two halves',
+		faults: entries => [
 			{
-				kind: 'cut',
+				kind: 'partition',
 				entries: Array.from({ length: Math.ceil(entries / 2) }, (_, at) => at),
 				from: 12_000,
 				to: 30_000,
@@ -99,28 +103,28 @@
 		],
 	},
 	{
-		name: 'each is cut off from each other',
-		troubles: entries =>
+		name: 'a partition separates each from all others',
+		faults: entries =>
 			Array.from({ length: entries }, (_, at) => ({
-				kind: 'cut',
+				kind: 'partition',
 				entries: [at],
 				from: 12_000,
 				to: 30_000,
 			})),
 	},
 	{
-		name: 'all stand still for a while, one after the other',
-		troubles: entries =>
+		name: 'all stall for some time, one after the other',
+		faults: entries =>
 			Array.from({ length: entries }, (_, at) => ({
-				kind: 'still',
+				kind: 'stall',
 				entries: [at],
 				from: 10_000 + at * 900,
 				to: 13_000 + at * 900,
 			})),
 	},
 	{
-		name: 'all start again, one after the other',
-		troubles: entries =>
+		name: 'all restart, one after the other',
+		faults: entries =>
 			Array.from({ length: entries }, (_, at) => ({
 				kind: 'restart',
 				entries: [at],
@@ -130,34 +134,34 @@
 	},
 ]
 
-for (const { name, troubles } of TROUBLES)
+for (const { name, faults } of FAULTS)
 	for (const entries of [3, 36])
-		test(`${entries} entries keep a limit while ${name}`, () => {
+		test(`${entries} entries enforce a limit while ${name}`, () => {
 			for (let seed = 1; seed <= SEEDS; seed++) {
-				const sends = playPermits({
-					...STORY,
+				const sends = simulatePermits({
+					...SCENARIO,
 					entries,
 					perSecond: 1,
-					troubles: troubles(entries),
+					faults: faults(entries),
 					seed,
 				})
-				// An entry without links cannot know before it has asked once.
+				// An entry without links learns of the limit only from its first answer.
 				const known = sends.filter(({ knownSince }) => knownSince !== undefined)
-				const most = mostInSpan(known)
+				const most = maxPerWindow(known)
 				assert.ok(most <= 11, `seed ${seed}: ${most} of 11`)
 			}
 		})
 
-const KINDS = ['cut', 'still', 'restart'] as const
-const MOST_TROUBLES = 24
+const KINDS = ['partition', 'stall', 'restart'] as const
+const MAX_FAULTS = 24
 
-/** Troubles of all kinds, of up to half of the entries, that overlap. */
-function drawTroubles(entries: number, seed: number): Trouble[] {
+/** Returns random, overlapping faults of all kinds, each of up to half of the entries. */
+function randomFaults(entries: number, seed: number): Fault[] {
 	const random = createRandom(seed)
 	const draw = (below: number) => Math.floor(random() * below)
-	return Array.from({ length: 1 + draw(MOST_TROUBLES) }, () => {
+	return Array.from({ length: 1 + draw(MAX_FAULTS) }, () => {
 		const count = 1 + draw(entries / 2)
-		const from = NAMED_FROM + CONTACT_MS + draw(30_000)
+		const from = ANNOUNCED_FROM + CONVERGENCE_MS + draw(30_000)
 		return {
 			kind: KINDS[draw(KINDS.length)]!,
 			entries: Array.from({ length: count }, () => draw(entries)),
@@ -169,30 +173,30 @@
 
 for (const entries of [2, 5, 36])
 	for (const perSecond of [0.5, 3, 12])
-		test(`${entries} entries keep ${perSecond} a second whatever happens`, () => {
+		test(`${entries} entries enforce ${perSecond} per second under random faults`, () => {
 			for (let seed = 1; seed <= SEEDS; seed++) {
-				const troubles = drawTroubles(entries, seed)
-				const sends = playPermits({
-					...STORY,
+				const faults = randomFaults(entries, seed)
+				const sends = simulatePermits({
+					...SCENARIO,
 					entries,
 					perSecond,
-					troubles,
+					faults: faults,
 					seed,
 				})
 				const known = sends.filter(({ knownSince }) => knownSince !== undefined)
-				const most = mostInSpan(known)
+				const most = maxPerWindow(known)
 				const allowed = 1.5 * perSecond * 4 + 5
 				assert.ok(most <= allowed, `seed ${seed}: ${most} of ${allowed}`)
 			}
 		})
 
-test('a limit is over soon after the server says so', () => {
+test('a limit is lifted soon after the server stops announcing it', () => {
 	for (const entries of ENTRIES)
 		for (let seed = 1; seed <= SEEDS; seed++) {
-			const sends = playPermits({ ...STORY, entries, seed })
-			const from = NAMED_TO + OVER_MS
+			const sends = simulatePermits({ ...SCENARIO, entries, seed })
+			const from = ANNOUNCED_TO + LIMIT_END_MS
 			const after = countBetween(sends, from, ENDS_AT)
-			const asked = (STORY.demand * (ENDS_AT - from)) / 1_000
+			const asked = (SCENARIO.demand * (ENDS_AT - from)) / 1_000
 			assert.ok(
 				after > 0.8 * asked,
 				`${entries}, ${seed}: ${after} of ${asked}`,
--- a/packages/core/test/quarantine.test.ts
+++ b/packages/core/test/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are taken for those that end servers, and which are not. */
+/** Which requests are quarantined for crashing servers, and which are not. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -11,76 +11,76 @@
 	takeEndNews,
 } from '../src/index.ts'
 
-/** An end, and for how long each request had been there. */
-type EndCase = readonly [server: string, at: number, ran: object]
+/** Crash, and how long each request had been in flight there, ms. */
+type CrashCase = readonly [server: string, at: number, ran: object]
 
-function endOf([server, at, ran]: EndCase): ServerEnd {
+function crashOf([server, at, ran]: CrashCase): ServerEnd {
 	return { server, at, ran: new Map(Object.entries(ran)) }
 }
 
-function take(quarantine: Quarantine, ...ends: EndCase[]): void {
-	const news = { ends: ends.map(endOf), served: [] }
-	takeEndNews(quarantine, news, Math.max(...ends.map(([, at]) => at)))
+function record(quarantine: Quarantine, ...ends: CrashCase[]): void {
+	const evidence = { ends: ends.map(crashOf), served: [] }
+	takeEndNews(quarantine, evidence, Math.max(...ends.map(([, at]) => at)))
 }
 
 const DAY_MS = 86_400_000
 
 const CASES: {
 	name: string
-	ends: readonly EndCase[]
+	ends: readonly CrashCase[]
 	served?: readonly { fingerprint: string; at: number }[]
-	barred: readonly string[]
+	quarantined: readonly string[]
 }[] = [
 	{
-		name: 'one end is not enough',
+		name: 'one crash is not enough',
 		ends: [['a', 0, { bad: 40 }]],
-		barred: [],
+		quarantined: [],
 	},
 	{
-		name: 'the only one of those there that was under an end before',
+		name: 'the only request in flight that was in flight at an earlier crash',
 		ends: [
 			['a', 0, { bad: 40, x: 900 }],
 			['b', 4_000, { bad: 40, y: 30 }],
 		],
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'two that were under the same two ends',
+		name: 'two requests in flight at the same two crashes',
 		ends: [
 			['a', 0, { bad: 40, x: 900 }],
 			['b', 4_000, { bad: 40, x: 900 }],
 		],
-		barred: [],
+		quarantined: [],
 	},
 	{
-		name: 'the third end tells which of two it is',
+		name: 'the third crash identifies one of two suspects',
 		ends: [
 			['a', 0, { bad: 40, x: 900 }],
 			['b', 4_000, { bad: 40, x: 900 }],
 			['c', 8_000, { bad: 40, y: 900 }],
 		],
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'who ran beside it once or twice is not barred',
+		name: 'requests next to a poison request once or twice are not quarantined',
 		ends: [
 			['a', 0, { bad: 40, x: 900, y: 10 }],
 			['b', 4_000, { bad: 40, x: 5, y: 5, z: 100 }],
 			['c', 8_000, { bad: 40, w: 300 }],
 		],
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'who was beside it at all three ends, and had been there before it',
+		name: 'a request next to it at all three crashes, in flight for longer',
 		ends: [
 			['a', 0, { x: 900, bad: 40 }],
 			['b', 4_000, { x: 50, bad: 40 }],
 			['c', 8_000, { x: 45, bad: 40 }],
 		],
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'who was taken for it is released when it ends more',
+		name: 'a wrong suspect is released after further crashes without it',
 		ends: [
 			['a', 0, { x: 10, bad: 40 }],
 			['b', 4_000, { x: 10, bad: 40 }],
@@ -88,10 +88,10 @@
 			['d', 12_000, { bad: 40 }],
 			['e', 16_000, { bad: 40 }],
 		],
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'servers of a data centre end at once, three times',
+		name: 'servers of a data centre crash together, three times',
 		ends: [
 			['a1', 0, { x: 500 }],
 			['b1', 2, { y: 500 }],
@@ -101,29 +101,29 @@
 			['a3', 12_000, { x: 500, y: 10 }],
 			['b3', 12_004, { z: 10 }],
 		],
-		barred: [],
+		quarantined: [],
 	},
 	{
-		name: 'the same popular request at all servers that end at once',
+		name: 'the same popular request at all servers that crash together',
 		ends: [
 			['a', 0, { popular: 500 }],
 			['b', 2, { popular: 100 }],
 			['c', 5, { popular: 300 }],
 			['d', 9, { popular: 900 }],
 		],
-		barred: [],
+		quarantined: [],
 	},
 	{
-		name: 'servers that end one by one under what was sent before the first end',
+		name: 'servers that crash one by one under a request sent before the first crash',
 		ends: [
 			['a', 0, { popular: 500 }],
 			['b', 600, { popular: 1_000 }],
 			['c', 1_200, { popular: 1_600 }],
 		],
-		barred: [],
+		quarantined: [],
 	},
 	{
-		name: 'copies at once, and their repeats',
+		name: 'concurrent copies of a request, and their retries',
 		ends: [
 			['a', 0, { bad: 40 }],
 			['b', 3, { bad: 41 }],
@@ -131,51 +131,51 @@
 			['d', 110, { bad: 20 }],
 			['e', 180, { bad: 20 }],
 		],
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'each end beside another, six times',
-		ends: [0, 1, 2, 3, 4, 5].flatMap((at): EndCase[] => [
+		name: 'six crashes, each next to an unrelated one',
+		ends: [0, 1, 2, 3, 4, 5].flatMap((at): CrashCase[] => [
 			[`a${at}`, at * 4_000, { bad: 40 }],
 			[`b${at}`, at * 4_000 + 100, { [`other${at}`]: 70 }],
 		]),
-		barred: ['bad'],
+		quarantined: ['bad'],
 	},
 	{
-		name: 'answered whole after two ends',
+		name: 'a request answered completely after two crashes',
 		ends: [
 			['a', 0, { x: 40 }],
 			['b', 4_000, { x: 40 }],
 			['c', 8_000, { x: 40 }],
 		],
 		served: [{ fingerprint: 'x', at: 6_000 }],
-		barred: [],
+		quarantined: [],
 	},
 ]
 
-for (const { name, ends, served = [], barred } of CASES) {
+for (const { name, ends, served = [], quarantined } of CASES) {
 	test(name, () => {
 		const quarantine = createQuarantine()
-		take(quarantine, ...ends)
+		record(quarantine, ...ends)
 		takeEndNews(quarantine, { ends: [], served }, 9_000)
-		assert.equal(listBarred(quarantine), [...barred])
+		assert.equal(listBarred(quarantine), [...quarantined])
 	})
 
-	test(`${name}: the same whatever comes first, and twice`, () => {
+	test(`${name}: independent of order and repetition`, () => {
 		const quarantine = createQuarantine()
-		for (const end of [...ends].reverse()) take(quarantine, end)
+		for (const end of [...ends].reverse()) record(quarantine, end)
 		takeEndNews(quarantine, { ends: [], served }, 9_000)
-		take(quarantine, ...ends)
-		assert.equal(listBarred(quarantine), [...barred])
+		record(quarantine, ...ends)
+		assert.equal(listBarred(quarantine), [...quarantined])
 	})
 }
 
-test('an end that several entries saw is one, with all that ran there', () => {
+test('reports of several entries about a crash merge, with all requests in flight', () => {
 	const quarantine = createQuarantine()
-	take(quarantine, ['a', 3, { bad: 40 }])
-	const news = { ends: [endOf(['a', 0, { bad: 40, x: 2 }])], served: [] }
-	const first = takeEndNews(quarantine, news, 5)
-	const second = takeEndNews(quarantine, news, 5)
+	record(quarantine, ['a', 3, { bad: 40 }])
+	const evidence = { ends: [crashOf(['a', 0, { bad: 40, x: 2 }])], served: [] }
+	const first = takeEndNews(quarantine, evidence, 5)
+	const second = takeEndNews(quarantine, evidence, 5)
 	assert.is(first.ends.length, 1)
 	assert.is(second.ends.length, 0)
 	const [end] = listEndNews(quarantine).ends
@@ -191,48 +191,52 @@
 	)
 })
 
-test('an answer is news once, and only for who is suspected', () => {
+test('an answer is new once, and only for a suspected request', () => {
 	const quarantine = createQuarantine()
-	take(quarantine, ['a', 0, { x: 40 }])
-	const tell = (fingerprint: string, at: number) =>
+	record(quarantine, ['a', 0, { x: 40 }])
+	const merge = (fingerprint: string, at: number) =>
 		takeEndNews(quarantine, { ends: [], served: [{ fingerprint, at }] }, at)
 			.served.length
-	assert.equal([tell('x', 10), tell('x', 11), tell('y', 12)], [1, 0, 0])
+	assert.equal([merge('x', 10), merge('x', 11), merge('y', 12)], [1, 0, 0])
 	assert.is(quarantine.suspects.size, 0)
 })
 
-const BARRED_FOR: { ends: number; barredMs: number }[] = [
-	{ ends: 1, barredMs: 0 },
-	{ ends: 2, barredMs: 600_000 },
-	{ ends: 3, barredMs: 1_200_000 },
-	{ ends: 4, barredMs: 2_400_000 },
+const DURATIONS: { ends: number; quarantineMs: number }[] = [
+	{ ends: 1, quarantineMs: 0 },
+	{ ends: 2, quarantineMs: 600_000 },
+	{ ends: 3, quarantineMs: 1_200_000 },
+	{ ends: 4, quarantineMs: 2_400_000 },
 ]
 
-for (const { ends, barredMs } of BARRED_FOR)
-	test(`after ${ends} ends a request is barred for ${barredMs} ms`, () => {
+for (const { ends, quarantineMs } of DURATIONS)
+	test(`after ${ends} crashes a request is quarantined for ${quarantineMs} ms`, () => {
 		const quarantine = createQuarantine()
 		const at = (one: number) => one * 700_000
 		for (let one = 0; one < ends; one++)
-			take(quarantine, [`s${one}`, at(one), { bad: 40 }])
+			record(quarantine, [`s${one}`, at(one), { bad: 40 }])
 		const lastAt = at(ends - 1)
-		assert.is(barredForMs(quarantine, 'bad', lastAt), barredMs)
-		assert.is(barredForMs(quarantine, 'bad', lastAt + barredMs), 0)
+		assert.is(barredForMs(quarantine, 'bad', lastAt), quarantineMs)
+		assert.is(barredForMs(quarantine, 'bad', lastAt + quarantineMs), 0)
 		assert.is(barredForMs(quarantine, 'other', lastAt), 0)
 	})
 
-test('ends are forgotten after a day', () => {
+test('crashes expire after a day', () => {
 	const quarantine = createQuarantine()
-	take(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
-	take(quarantine, ['z', DAY_MS + 4_000, { other: 1 }])
+	record(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
+	record(quarantine, ['z', DAY_MS + 4_000, { other: 1 }])
 	assert.equal([...quarantine.ends.keys()], ['z'])
 })
 
-test('a flood of ends is forgotten before what bars a request', () => {
+test('a flood of crashes is evicted before the evidence of a quarantine', () => {
 	const quarantine = createQuarantine()
-	take(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
+	record(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
 	for (let at = 0; at < 1_000; at++) {
 		const crowd = Array.from({ length: 50 }, (_, one) => [`x${at}-${one}`, 5])
-		take(quarantine, [`s${at}`, 10_000 + at * 1_000, Object.fromEntries(crowd)])
+		record(quarantine, [
+			`s${at}`,
+			10_000 + at * 1_000,
+			Object.fromEntries(crowd),
+		])
 	}
 	assert.ok(quarantine.ends.size <= 256)
 	assert.ok(
--- a/packages/core/test/quarantineNet.test.ts
+++ b/packages/core/test/quarantineNet.test.ts
@@ -1,67 +1,67 @@
-/** A deadly request at 1, 3 and 36 entries whose news come late or are lost. */
+/** Quarantine of a poison request by 1, 3 and 36 entries with late and lost updates. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { playQuarantine } from './models/quarantineNet.ts'
+import { simulateQuarantine } from './models/quarantineNet.ts'
 
 const SEEDS = 30
-const LENGTH_MS = 60_000
-/** By then after the third end each entry must know, ms. */
-const CONTACT_MS = 3_000
-/** Sends that are allowed from then on. */
-const MOST_SENDS = 3
+const DURATION_MS = 60_000
+/** Time after the third crash by which every entry must have the quarantine, ms. */
+const CONVERGENCE_MS = 3_000
+/** Sends allowed from then on. */
+const MAX_LATE_SENDS = 3
 
 const CASES: {
 	name: string
 	entries: number
-	/** Between two arrivals, ms. */
+	/** Interval between two arrivals, ms. */
 	everyMs: number
-	lost: number
+	lossRate: number
 	restarts: readonly number[]
 }[] = [1, 3, 36].flatMap(entries => [
 	{
-		name: 'comes again every 4 s',
+		name: 'a request every 4 s',
 		entries,
 		everyMs: 4_000,
-		lost: 0,
+		lossRate: 0,
 		restarts: [],
 	},
 	{
-		name: 'comes again every 0.3 s, half of the news are lost',
+		name: 'a request every 0.3 s, half of the updates are lost',
 		entries,
 		everyMs: 300,
-		lost: 0.5,
+		lossRate: 0.5,
 		restarts: [],
 	},
 	{
-		name: 'comes 40 times a second, a tenth of the news are lost',
+		name: '40 requests per second, a tenth of the updates are lost',
 		entries,
 		everyMs: 25,
-		lost: 0.1,
+		lossRate: 0.1,
 		restarts: [],
 	},
 	{
-		name: 'an entry starts again every 9 s',
+		name: 'an entry restarts every 9 s',
 		entries,
 		everyMs: 2_500,
-		lost: 0.1,
-		// An entry that is alone forgets with its process.
+		lossRate: 0.1,
+		// A single entry loses its state with its process.
 		restarts: entries === 1 ? [] : [9_000, 18_000, 27_000, 36_000],
 	},
 ])
 
-for (const { name, entries, everyMs, lost, restarts } of CASES)
+for (const { name, entries, everyMs, lossRate, restarts } of CASES)
 	test(`${entries} entries: ${name}`, () => {
-		const count = Math.floor(LENGTH_MS / everyMs)
+		const count = Math.floor(DURATION_MS / everyMs)
 		const arrivals = Array.from({ length: count }, (_, at) => at * everyMs)
 		for (let seed = 1; seed <= SEEDS; seed++) {
-			const story = { entries, arrivals, lost, restarts, seed }
-			const { ends, sends } = playQuarantine(story)
-			const judgedFrom = (ends[2] ?? LENGTH_MS) + CONTACT_MS
+			const scenario = { entries, arrivals, lossRate, restarts, seed }
+			const { crashes, sends } = simulateQuarantine(scenario)
+			const judgedFrom = (crashes[2] ?? DURATION_MS) + CONVERGENCE_MS
 			const late = sends.filter(at => at > judgedFrom).length
 			assert.ok(
-				late <= MOST_SENDS,
-				`seed ${seed}: ${late} late, ${ends.length} ends`,
+				late <= MAX_LATE_SENDS,
+				`seed ${seed}: ${late} late sends, ${crashes.length} crashes`,
 			)
 		}
 	})
--- a/packages/core/test/retryWindow.test.ts
+++ b/packages/core/test/retryWindow.test.ts
@@ -1,4 +1,4 @@
-/** Retries that entries may make without talking to each other. */
+/** Retries that entries may make without coordination. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -12,7 +12,7 @@
 	requests: number
 	most: number
 }[] = [
-	{ name: 'alone, no requests', entries: 1, requests: 0, most: 20 },
+	{ name: 'a single entry, no requests', entries: 1, requests: 0, most: 20 },
 	{ name: 'one of four, no requests', entries: 4, requests: 0, most: 5 },
 	{ name: 'one of four, 100 requests', entries: 4, requests: 100, most: 15 },
 ]
--- a/packages/core/test/serverList.test.ts
+++ b/packages/core/test/serverList.test.ts
@@ -1,4 +1,4 @@
-/** Servers that come, leave and return; the list never goes back. */
+/** Servers that join, leave and return; the list never goes back to an older state. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -38,7 +38,7 @@
 	)
 }
 
-test('server list: an older record never wins', () => {
+test('server list: an older record is ignored', () => {
 	const list = createServerList()
 	assert.ok(takeRecord(list, { name: '1', revision: at(9), server: undefined }))
 	assert.not(
@@ -47,7 +47,7 @@
 	assert.equal(idsOf(list), [])
 })
 
-test('server list: one that leaves does not come back', () => {
+test('server list: an incarnation that leaves does not come back', () => {
 	const list = createServerList()
 	const leaving = { ...serverOf('1'), leaving: true }
 	takeRecord(list, { name: '1', revision: at(2), server: leaving })
@@ -58,11 +58,11 @@
 	assert.equal(
 		list.revision,
 		at(3),
-		'a record that is passed over is known all the same',
+		'the revision of an ignored record is still tracked',
 	)
 })
 
-test('server list: a removal while the source was away is doubted', () => {
+test('server list: a removal while the source was unavailable is deferred', () => {
 	const list = createServerList()
 	takeRecord(list, { name: '1', revision: at(2), server: serverOf('1') })
 	takeRecord(list, { name: '2', revision: at(2), server: serverOf('2') })
@@ -79,7 +79,7 @@
 	assert.equal(idsOf(list), ['2'])
 })
 
-test('server list: a second copy without a server gives it its time anew', () => {
+test('server list: a second restore without a server restarts its grace period', () => {
 	const list = createServerList()
 	const missingAt = (term: number) =>
 		findMissing(list, new Set(), { term, revision: 5 })
@@ -92,7 +92,7 @@
 	assert.equal(idsOf(list), [])
 })
 
-test('server list: the newest id of an address is the one there', () => {
+test('server list: the newest server at an address displaces older ones', () => {
 	const list = createServerList()
 	const there = '10.0.0.9:80'
 	takeRecord(list, {
@@ -110,7 +110,7 @@
 	assert.equal(idsOf(list), [])
 })
 
-/** A server published under `name`, in the life that began at `bornAt`. */
+/** Server published under `name`, in the incarnation started at `bornAt`. */
 function lifeOf(name: string, bornAt: number, leaving = false): ListedServer {
 	const id = incarnationId(name, bornAt)
 	return { ...serverOf(id, '10.0.0.9:80'), name, leaving }
@@ -122,7 +122,7 @@
 	serving: string[]
 }[] = [
 	{
-		name: 'one that left and started again is there again',
+		name: 'a server that left and restarted is serving again',
 		records: [
 			{ revision: at(2), server: lifeOf('1', 10) },
 			{ revision: at(3), server: lifeOf('1', 10, true) },
@@ -131,7 +131,7 @@
 		serving: ['1@20'],
 	},
 	{
-		name: 'news of the new life come before that of the end',
+		name: 'records of the new incarnation arrive before those of the end of the old one',
 		records: [
 			{ revision: at(2), server: lifeOf('1', 10) },
 			{ revision: at(5), server: lifeOf('1', 20) },
@@ -141,7 +141,7 @@
 		serving: ['1@20'],
 	},
 	{
-		name: 'two starts within one heartbeat',
+		name: 'two restarts within one heartbeat',
 		records: [
 			{ revision: at(2), server: lifeOf('1', 10) },
 			{ revision: at(3), server: lifeOf('1', 20) },
@@ -150,7 +150,7 @@
 		serving: ['1@30'],
 	},
 	{
-		name: 'a life that leaves stays gone behind an entry that cannot be read',
+		name: 'an incarnation that leaves stays departed after an invalid record',
 		records: [
 			{ revision: at(2), server: lifeOf('1', 10, true) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
@@ -159,7 +159,7 @@
 		serving: [],
 	},
 	{
-		name: 'an entry that cannot be read names nobody until it can',
+		name: 'an invalid record lists no server',
 		records: [
 			{ revision: at(2), server: lifeOf('1', 10) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
@@ -167,7 +167,7 @@
 		serving: [],
 	},
 	{
-		name: 'and the same life once it can',
+		name: 'a valid record after an invalid one lists the same incarnation again',
 		records: [
 			{ revision: at(2), server: lifeOf('1', 10) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
@@ -184,7 +184,7 @@
 		assert.equal(idsOf(list), serving)
 	})
 
-test('server list: an unknown service at an address takes nobody from there', () => {
+test('server list: a server of an unknown service displaces none at its address', () => {
 	const list = createServerList()
 	const there = '10.0.0.9:80'
 	const foreign = { ...serverOf('new', there), service: 'unheard of' }
--- a/packages/core/test/serverNews.test.ts
+++ b/packages/core/test/serverNews.test.ts
@@ -1,7 +1,7 @@
 /**
- * News of servers between entries: whatever the order in which they come, doubled, lost
- * until a link comes up again, late, with entries that start anew, all end up knowing what
- * one entry knows that heard everything.
+ * Convergence of gossiped server updates: with updates reordered, duplicated, delayed, or
+ * lost until a link reconnects, and with entries that restart, all entries end up in the
+ * state of a reference that received every update in order.
  */
 
 import { test } from 'uvu'
@@ -18,40 +18,40 @@
 	takeServerNews,
 } from '../src/index.ts'
 
-const HISTORIES = 300
+const SEEDS = 300
 const ENTRIES = 4
 const STEPS = 120
 const SERVERS = ['a', 'b', 'c']
 const REQUESTS = ['x', 'y']
-const MAX_LEFT = 512
-/** Messages after which news that still go round never settle. */
+const MAX_DEPARTED = 512
+/** Messages after which updates that are still forwarded count as not converging. */
 const MAX_MESSAGES = 2_000
 
-/** How entries merge; a mutant merges otherwise. */
+/** Merge function of the entries; mutants replace it. */
 type Merge = (
-	book: NewsBook,
-	news: readonly ServerNews[],
+	state: NewsBook,
+	updates: readonly ServerNews[],
 	now: number,
 ) => ServerNews[]
 
 interface Message {
 	readonly to: number
-	readonly news: readonly ServerNews[]
+	readonly updates: readonly ServerNews[]
 }
 
-interface Net {
-	readonly books: NewsBook[]
-	/** Heard everything, in the order in which it happened. */
-	readonly witness: NewsBook
-	/** What each entry has still to tell, the last news of each subject. */
+interface Simulation {
+	readonly replicas: NewsBook[]
+	/** Received every update, in the order in which they occurred. */
+	readonly reference: NewsBook
+	/** Updates that each entry has still to send, the last one of each key. */
 	readonly outboxes: Map<string, ServerNews>[]
-	/** What is under way; any of it may come next. */
-	underWay: Message[]
+	/** Messages in transit; any of them may arrive next. */
+	inTransit: Message[]
 	readonly merge: Merge
 	readonly random: Random
 }
 
-function drawNews(random: Random, at: number): ServerNews {
+function randomUpdate(random: Random, at: number): ServerNews {
 	const server = SERVERS[drawIndex(random, SERVERS.length)]!
 	const fingerprint = REQUESTS[drawIndex(random, REQUESTS.length)]!
 	switch (drawIndex(random, 5)) {
@@ -63,7 +63,7 @@
 			return { kind: 'left', server: `${server}@${at}` }
 		case 2: {
 			const ran = new Map([[fingerprint, 40]])
-			// Several entries tell of one end, each what it ran for it.
+			// Several entries report the same crash, each with its own request in flight.
 			const endedAt = at - (at % 10_000)
 			return { kind: 'end', server: `${server}@${endedAt}`, at: endedAt, ran }
 		}
@@ -77,198 +77,204 @@
 	}
 }
 
-/** One entry takes news and tells the others what of it was new to it. */
-function take(
-	net: Net,
+/** Merges updates at an entry and queues the new ones for the others. */
+function receive(
+	sim: Simulation,
 	entry: number,
-	news: readonly ServerNews[],
+	updates: readonly ServerNews[],
 	at: number,
 ) {
-	const fresh = net.merge(net.books[entry]!, news, at)
-	for (const one of fresh) net.outboxes[entry]!.set(subjectOf(one), one)
+	const fresh = sim.merge(sim.replicas[entry]!, updates, at)
+	for (const one of fresh) sim.outboxes[entry]!.set(subjectOf(one), one)
 }
 
-function tellOthers(net: Net, entry: number): void {
-	const outbox = net.outboxes[entry]!
+function flushOutbox(sim: Simulation, entry: number): void {
+	const outbox = sim.outboxes[entry]!
 	if (outbox.size === 0) return
-	const news = [...outbox.values()]
+	const updates = [...outbox.values()]
 	outbox.clear()
 	for (let to = 0; to < ENTRIES; to++)
-		if (to !== entry) net.underWay.push({ to, news })
+		if (to !== entry) sim.inTransit.push({ to, updates })
 }
 
-function deliver(net: Net, at: number): void {
-	const which = drawIndex(net.random, net.underWay.length)
-	const message = net.underWay[which]
+function deliver(sim: Simulation, at: number): void {
+	const which = drawIndex(sim.random, sim.inTransit.length)
+	const message = sim.inTransit[which]
 	if (!message) return
-	const isDoubled = net.random() < 0.1
-	if (!isDoubled) net.underWay.splice(which, 1)
-	take(net, message.to, message.news, at)
+	const isDoubled = sim.random() < 0.1
+	if (!isDoubled) sim.inTransit.splice(which, 1)
+	receive(sim, message.to, message.updates, at)
 }
 
-/** A link comes up: both ends tell all that they know. */
-function link(net: Net, at: number): void {
-	const [one, other] = [0, 0].map(() => drawIndex(net.random, ENTRIES))
-	take(net, one!, listServerNews(net.books[other!]!, MAX_LEFT), at)
-	take(net, other!, listServerNews(net.books[one!]!, MAX_LEFT), at)
+/** Reconnects two entries: both send their whole state. */
+function reconnect(sim: Simulation, at: number): void {
+	const [one, other] = [0, 0].map(() => drawIndex(sim.random, ENTRIES))
+	receive(sim, one!, listServerNews(sim.replicas[other!]!, MAX_DEPARTED), at)
+	receive(sim, other!, listServerNews(sim.replicas[one!]!, MAX_DEPARTED), at)
 }
 
-/** Whether an entry would make news of it: who knows no limit sees no end of one. */
-function isHeard(book: NewsBook, news: ServerNews): boolean {
-	switch (news.kind) {
+/** Whether an entry would report it: one that knows no limit sees no end of it. */
+function isObservable(state: NewsBook, update: ServerNews): boolean {
+	switch (update.kind) {
 		case 'limit':
 			return (
-				news.perSecond !== undefined ||
-				perSecondOf(book.rateLimits, news.server) !== undefined
+				update.perSecond !== undefined ||
+				perSecondOf(state.rateLimits, update.server) !== undefined
 			)
 		case 'served':
-			return book.quarantine.suspects.has(news.fingerprint)
+			return state.quarantine.suspects.has(update.fingerprint)
 		default:
 			return true
 	}
 }
 
-function step(net: Net, at: number): void {
-	const dice = net.random()
-	const entry = drawIndex(net.random, ENTRIES)
+function step(sim: Simulation, at: number): void {
+	const dice = sim.random()
+	const entry = drawIndex(sim.random, ENTRIES)
 	if (dice < 0.3) {
-		const news = drawNews(net.random, at)
-		if (!isHeard(net.books[entry]!, news)) return
-		takeServerNews(net.witness, [news], at)
-		take(net, entry, [news], at)
-	} else if (dice < 0.5) tellOthers(net, entry)
-	else if (dice < 0.85) deliver(net, at)
+		const update = randomUpdate(sim.random, at)
+		if (!isObservable(sim.replicas[entry]!, update)) return
+		takeServerNews(sim.reference, [update], at)
+		receive(sim, entry, [update], at)
+	} else if (dice < 0.5) flushOutbox(sim, entry)
+	else if (dice < 0.85) deliver(sim, at)
 	else if (dice < 0.9) {
-		// A cut: what was under way to an entry is lost until a link comes up.
-		net.underWay = net.underWay.filter(({ to }) => to !== entry)
-	} else if (dice < 0.95) link(net, at)
-	else restart(net, entry, at)
+		// A lost link: messages to the entry are lost until a link reconnects.
+		sim.inTransit = sim.inTransit.filter(({ to }) => to !== entry)
+	} else if (dice < 0.95) reconnect(sim, at)
+	else restart(sim, entry, at)
 }
 
-/** An entry starts anew once another one knows all that it knew. */
-function restart(net: Net, entry: number, at: number): void {
+/** Restarts an entry once another one has its whole state. */
+function restart(sim: Simulation, entry: number, at: number): void {
 	const other = (entry + 1) % ENTRIES
-	take(net, other, listServerNews(net.books[entry]!, MAX_LEFT), at)
-	net.books[entry] = createNewsBook()
-	net.outboxes[entry]!.clear()
-	take(net, entry, listServerNews(net.books[other]!, MAX_LEFT), at)
+	receive(sim, other, listServerNews(sim.replicas[entry]!, MAX_DEPARTED), at)
+	sim.replicas[entry] = createNewsBook()
+	sim.outboxes[entry]!.clear()
+	receive(sim, entry, listServerNews(sim.replicas[other]!, MAX_DEPARTED), at)
 }
 
-/** What is believed, to be compared; a rest that is over is nobody's concern. */
-function beliefsOf(book: NewsBook, now: number): unknown {
+/** Returns the state in a comparable form, without backoffs that are over. */
+function summarize(state: NewsBook, now: number): unknown {
 	return {
-		limits: SERVERS.map(one => perSecondOf(book.rateLimits, one) ?? 'none'),
-		left: [...book.left].sort(),
-		ends: [...book.quarantine.ends.values()]
+		limits: SERVERS.map(one => perSecondOf(state.rateLimits, one) ?? 'none'),
+		left: [...state.left].sort(),
+		ends: [...state.quarantine.ends.values()]
 			.map(({ server, ran }) => `${server} ${[...ran.keys()].sort()}`)
 			.sort(),
-		rests: [...book.rests.values()]
+		rests: [...state.rests.values()]
 			.filter(({ endsAt }) => endsAt > now)
 			.map(one => `${one.entry} ${one.server} ${one.endsAt}`)
 			.sort(),
 	}
 }
 
-/** Tells all that is to be told; gives how many messages are under way. */
-function tellAll(net: Net): number {
-	for (let entry = 0; entry < ENTRIES; entry++) tellOthers(net, entry)
-	return net.underWay.length
+/** Sends all queued updates; returns the number of messages in transit. */
+function flushAll(sim: Simulation): number {
+	for (let entry = 0; entry < ENTRIES; entry++) flushOutbox(sim, entry)
+	return sim.inTransit.length
 }
 
-/** Whether all entries believe in the end what the witness does. */
-function endsAlike(seed: number, merge: Merge): boolean {
-	const net: Net = {
-		books: Array.from({ length: ENTRIES }, () => createNewsBook()),
-		witness: createNewsBook(),
+/** Whether all entries end up in the state of the reference. */
+function converges(seed: number, merge: Merge): boolean {
+	const sim: Simulation = {
+		replicas: Array.from({ length: ENTRIES }, () => createNewsBook()),
+		reference: createNewsBook(),
 		outboxes: Array.from({ length: ENTRIES }, () => new Map()),
-		underWay: [],
+		inTransit: [],
 		merge,
 		random: createRandom(seed),
 	}
-	for (let at = 1; at <= STEPS; at++) step(net, at * 1_000)
+	for (let at = 1; at <= STEPS; at++) step(sim, at * 1_000)
 	const end = (STEPS + 1) * 1_000
 	for (let round = 0; round < ENTRIES * 2; round++) {
-		for (let told = 0; tellAll(net) > 0; told++) {
-			if (told > MAX_MESSAGES) return false
-			const { to, news } = net.underWay.shift()!
-			take(net, to, news, end)
+		for (let delivered = 0; flushAll(sim) > 0; delivered++) {
+			if (delivered > MAX_MESSAGES) return false
+			const { to, updates } = sim.inTransit.shift()!
+			receive(sim, to, updates, end)
 		}
 		for (let one = 0; one < ENTRIES; one++) {
 			const next = (one + 1) % ENTRIES
-			take(net, next, listServerNews(net.books[one]!, MAX_LEFT), end)
+			receive(sim, next, listServerNews(sim.replicas[one]!, MAX_DEPARTED), end)
 		}
 	}
-	const expected = JSON.stringify(beliefsOf(net.witness, end))
-	const isAlike = net.books.every(
-		book => JSON.stringify(beliefsOf(book, end)) === expected,
+	const expected = JSON.stringify(summarize(sim.reference, end))
+	const isEqual = sim.replicas.every(
+		state => JSON.stringify(summarize(state, end)) === expected,
 	)
-	// Which answers speak for a request depends on when it was suspected, and so on who
-	// heard what first: entries agree among themselves.
-	const verdicts = net.books.map(book => listBarred(book.quarantine).sort())
-	return isAlike && new Set(verdicts.map(String)).size === 1
+	// Which answers clear a request depends on when it was suspected, and so on the order
+	// of updates: quarantines are compared between entries only, not with the reference.
+	const verdicts = sim.replicas.map(state =>
+		listBarred(state.quarantine).sort(),
+	)
+	return isEqual && new Set(verdicts.map(String)).size === 1
 }
 
-test('news: drawn histories end in the same beliefs everywhere', () => {
-	const odd: number[] = []
-	for (let seed = 0; seed < HISTORIES; seed++)
-		if (!endsAlike(seed, takeServerNews)) odd.push(seed)
-	assert.equal(odd, [])
+test('server updates: random histories converge at all entries', () => {
+	const diverged: number[] = []
+	for (let seed = 0; seed < SEEDS; seed++)
+		if (!converges(seed, takeServerNews)) diverged.push(seed)
+	assert.equal(diverged, [])
 })
 
-/** Merges one kind of news otherwise. */
-function mutate(change: (book: NewsBook, news: ServerNews) => boolean): Merge {
-	return (book, news, now) =>
-		news.flatMap(one =>
-			change(book, one) ? [one] : takeServerNews(book, [one], now),
+/** Returns a mutant that merges one kind of update differently. */
+function mutate(
+	change: (state: NewsBook, update: ServerNews) => boolean,
+): Merge {
+	return (state, updates, now) =>
+		updates.flatMap(one =>
+			change(state, one) ? [one] : takeServerNews(state, [one], now),
 		)
 }
 
 const MUTANTS: readonly { readonly name: string; readonly merge: Merge }[] = [
 	{
-		name: 'the last limit that comes holds, not the newest',
-		merge: mutate((book, news) => {
-			if (news.kind !== 'limit') return false
-			const known = book.rateLimits.get(news.server)
-			if (known?.perSecond === news.perSecond && known?.at === news.at)
+		name: 'the limit received last wins, not the newest',
+		merge: mutate((state, update) => {
+			if (update.kind !== 'limit') return false
+			const known = state.rateLimits.get(update.server)
+			if (known?.perSecond === update.perSecond && known?.at === update.at)
 				return false
-			const { perSecond, at } = news
-			book.rateLimits.set(news.server, { perSecond, at, since: at })
+			const { perSecond, at } = update
+			state.rateLimits.set(update.server, { perSecond, at, since: at })
 			return known?.perSecond !== perSecond
 		}),
 	},
 	{
-		name: 'the end of a limit is forgotten at once',
-		merge: (book, news, now) => {
-			const fresh = takeServerNews(book, news, now)
-			for (const [server, { perSecond }] of book.rateLimits)
-				if (perSecond === undefined) book.rateLimits.delete(server)
+		name: 'the end of a limit is not retained',
+		merge: (state, updates, now) => {
+			const fresh = takeServerNews(state, updates, now)
+			for (const [server, { perSecond }] of state.rateLimits)
+				if (perSecond === undefined) state.rateLimits.delete(server)
 			return fresh
 		},
 	},
 	{
-		name: 'a leaving is taken back',
-		merge: mutate((book, news) => {
-			if (news.kind === 'limit' && news.perSecond === undefined)
-				book.left.clear()
+		name: 'a departure is reverted',
+		merge: mutate((state, update) => {
+			if (update.kind === 'limit' && update.perSecond === undefined)
+				state.left.clear()
 			return false
 		}),
 	},
 	{
-		name: 'the last rest that comes holds, not the longest',
-		merge: mutate((book, news) => {
-			if (news.kind !== 'rest') return false
-			const key = `${news.entry} ${news.server}`
-			const isSame = book.rests.get(key)?.endsAt === news.endsAt
-			book.rests.set(key, news)
-			return !isSame && news.endsAt % 2 === 0
+		name: 'the backoff received last wins, not the longest',
+		merge: mutate((state, update) => {
+			if (update.kind !== 'rest') return false
+			const key = `${update.entry} ${update.server}`
+			const isSame = state.rests.get(key)?.endsAt === update.endsAt
+			state.rests.set(key, update)
+			return !isSame && update.endsAt % 2 === 0
 		}),
 	},
 	{
-		name: 'what is news is not passed on, and ends are not told on links',
-		merge: (book, news, now) => {
+		name: 'new updates are not forwarded, and crashes are not sent on reconnect',
+		merge: (state, updates, now) => {
 			takeServerNews(
-				book,
-				news.length > 1 ? news.filter(one => one.kind !== 'end') : news,
+				state,
+				updates.length > 1
+					? updates.filter(one => one.kind !== 'end')
+					: updates,
 				now,
 			)
 			return []
@@ -276,25 +282,26 @@
 	},
 ]
 for (const { name, merge } of MUTANTS)
-	test(`news: histories show it when ${name}`, () => {
-		let odd = 0
-		for (let seed = 0; seed < HISTORIES; seed++)
-			if (!endsAlike(seed, merge)) odd++
-		assert.ok(odd > 0, 'no history shows it')
+	test(`server updates: histories diverge when ${name}`, () => {
+		let diverged = 0
+		for (let seed = 0; seed < SEEDS; seed++)
+			if (!converges(seed, merge)) diverged++
+		assert.ok(diverged > 0, 'all histories converge')
 	})
 
-// Who ran beside a deadly request was refused: half of what was known of an end was told.
-test('news: of an end all that entries ran is told on', () => {
-	const book = createNewsBook()
-	const endOf = (fingerprint: string) =>
+// Entries forwarded only part of the requests in flight at a crash, so that requests next
+// to a poison request were quarantined.
+test('server updates: a forwarded crash has the requests in flight of all entries', () => {
+	const state = createNewsBook()
+	const crashOf = (fingerprint: string) =>
 		({
 			kind: 'end',
 			server: 'a',
 			at: 5,
 			ran: new Map([[fingerprint, 40]]),
 		}) as const
-	takeServerNews(book, [endOf('x')], 10)
-	const [fresh] = takeServerNews(book, [endOf('y')], 10)
+	takeServerNews(state, [crashOf('x')], 10)
+	const [fresh] = takeServerNews(state, [crashOf('y')], 10)
 	assert.equal([...(fresh?.ran.keys() ?? [])].sort(), ['x', 'y'])
 })
 
--- a/packages/core/test/staleLoads.test.ts
+++ b/packages/core/test/staleLoads.test.ts
@@ -1,10 +1,10 @@
 /**
- * Entries choose among ranks by loads that they were told a while ago: pattern of
- * an ordinary day before several entries. Virtual time, no network. Rates, ranks and
- * the time of streams (1.3 to 1.6 s in the mean, a tail of half a magnitude) are those
- * of services of three sizes; between two tellings pass 150 ms, 216 with 36 entries.
- * A request behind a rank's slots waits for a stream to end, for longer than the
- * 0.4 s within which it is to begin.
+ * Entries select ranks by stale loads, as under normal traffic with several entries, in
+ * virtual time and without a network. Guards against requests queued behind a rank's
+ * slots: such a request waits for a stream to end, longer than the 0.4 s within which it
+ * has to begin. Rates, ranks and stream durations (mean 1.3 to 1.6 s, a tail of half an
+ * order of magnitude) are those of services of three sizes; entries exchange loads every
+ * 150 ms, with 36 entries every 216 ms.
  */
 
 import { test } from 'uvu'
@@ -18,29 +18,29 @@
 	heldBy,
 } from '../src/index.ts'
 
-const LENGTH_MS = 14_000
-/** The service fills first. */
-const FILLED_MS = 3_000
+const DURATION_MS = 14_000
+/** Measurement starts after the service has filled, ms. */
+const WARM_UP_MS = 3_000
 const DATA_CENTRES = 3
-/** Of the logarithm of a stream's time. */
-const SPREAD = 0.75
-const LONGEST_TIMES = 2.5
+/** Standard deviation of the logarithm of a stream's duration. */
+const SIGMA = 0.75
+const MAX_FACTOR = 2.5
 
-interface Load {
+interface Scenario {
 	readonly name: string
 	readonly entries: number
 	readonly ranks: number
 	readonly slots: number
 	readonly perSecond: number
 	readonly streamMs: number
-	readonly tellMs: number
-	/** Most of the requests that may get behind slots, in percent. */
-	readonly behind: number
-	/** Least that do when all entries compare all ranks, in percent. */
-	readonly behindByAll: number
+	readonly exchangeMs: number
+	/** Maximum requests queued behind slots, in percent. */
+	readonly maxQueued: number
+	/** Minimum that are queued if all entries compare all ranks, in percent. */
+	readonly minQueuedLeastLoaded: number
 }
 
-const LOADS: Load[] = [
+const SCENARIOS: Scenario[] = [
 	{
 		name: 'half of 64 ranks, 16 entries',
 		entries: 16,
@@ -48,9 +48,9 @@
 		slots: 7,
 		perSecond: 157,
 		streamMs: 1_350,
-		tellMs: 150,
-		behind: 0.1,
-		behindByAll: 1.5,
+		exchangeMs: 150,
+		maxQueued: 0.1,
+		minQueuedLeastLoaded: 1.5,
 	},
 	{
 		name: 'two thirds of 64 ranks, 16 entries',
@@ -59,9 +59,9 @@
 		slots: 7,
 		perSecond: 220,
 		streamMs: 1_350,
-		tellMs: 150,
-		behind: 0.3,
-		behindByAll: 4,
+		exchangeMs: 150,
+		maxQueued: 0.3,
+		minQueuedLeastLoaded: 4,
 	},
 	{
 		name: 'two thirds of 16 ranks, 4 entries',
@@ -70,9 +70,9 @@
 		slots: 8,
 		perSecond: 52,
 		streamMs: 1_600,
-		tellMs: 150,
-		behind: 0.2,
-		behindByAll: 0,
+		exchangeMs: 150,
+		maxQueued: 0.2,
+		minQueuedLeastLoaded: 0,
 	},
 	{
 		name: 'three fifths of 192 ranks, 36 entries',
@@ -81,33 +81,41 @@
 		slots: 4,
 		perSecond: 326,
 		streamMs: 1_400,
-		tellMs: 216,
-		behind: 0.5,
-		behindByAll: 15,
+		exchangeMs: 216,
+		maxQueued: 0.5,
+		minQueuedLeastLoaded: 15,
 	},
 ]
 
-/** How an entry chooses a rank of its table. */
-type Choose = (table: ServerTable, untold: number, random: Random) => number
+/** Selects a rank for a request of an entry. */
+type Select = (
+	table: ServerTable,
+	unreportedSends: number,
+	random: Random,
+) => number
 
-function drawn(table: ServerTable, untold: number, random: Random): number {
+function sampled(
+	table: ServerTable,
+	unreportedSends: number,
+	random: Random,
+): number {
 	const query = {
 		rows: [...table.slots.keys()],
 		tried: new Set<number>(),
-		// No rank is full for the choice: what gets behind slots is counted.
+		// No rank counts as full: requests beyond the slots are measured.
 		queueRoom: 20,
 		permitted: new Set<number>(),
 		withheld: new Set<number>(),
 		shutGroups: new Set<number>(),
 		near: new Set(table.slots.keys()),
-		untold,
+		untold: unreportedSends,
 	}
 	const choice = chooseRow(table, query, 0, random)
 	return choice.kind === 'row' ? choice.row : 0
 }
 
-/** The least held as far as is known, and three quarters more elsewhere. */
-function leastOfAll(table: ServerTable, _: number, random: Random): number {
+/** Selects the least loaded rank; those assigned to other entries count 0.75 more. */
+function leastLoaded(table: ServerTable, _: number, random: Random): number {
 	const size = table.slots.length
 	const from = Math.floor(random() * size)
 	let best = 0
@@ -122,15 +130,21 @@
 	return best
 }
 
-/** Requests of an entry at each rank, now and as last told. */
+/** An entry's requests at each rank, now and as last reported. */
 interface Entry {
 	readonly table: ServerTable
-	readonly told: number[]
-	nextTellAt: number
-	untold: number
+	readonly lastReported: number[]
+	nextExchangeAt: number
+	unreportedSends: number
 }
 
-function openEntries({ entries, ranks, slots, perSecond, tellMs }: Load) {
+function createEntries({
+	entries,
+	ranks,
+	slots,
+	perSecond,
+	exchangeMs,
+}: Scenario) {
 	const servers = Array.from({ length: ranks }, (_, at) => ({
 		id: `s${String((at * 37) % ranks).padStart(3, '0')}`,
 		dataCentre: `z${at % DATA_CENTRES}`,
@@ -142,77 +156,85 @@
 	}))
 	return demand.map((own, at): Entry => {
 		const others = demand.filter(one => one !== own)
-		const dealt = new Set(dealServers(own, others, servers))
+		const assigned = new Set(dealServers(own, others, servers))
 		const table = createServerTable(servers.map(server => server.id))
 		table.slots.fill(slots)
 		table.open.fill(1)
 		for (let row = 0; row < ranks; row++)
-			table.dealtElsewhere[row] = dealt.has(row) ? 0 : 1
+			table.dealtElsewhere[row] = assigned.has(row) ? 0 : 1
 		return {
 			table,
-			told: new Array<number>(ranks).fill(0),
-			nextTellAt: (at / entries) * tellMs,
-			untold: 0,
+			lastReported: new Array<number>(ranks).fill(0),
+			nextExchangeAt: (at / entries) * exchangeMs,
+			unreportedSends: 0,
 		}
 	})
 }
 
-/** Part of the requests that got behind slots, in percent. */
-function play(load: Load, choose: Choose, seed: number): number {
-	const { ranks, slots, perSecond, streamMs, tellMs } = load
+/** Returns the share of requests queued behind slots, in percent. */
+function simulate(scenario: Scenario, select: Select, seed: number): number {
+	const { ranks, slots, perSecond, streamMs, exchangeMs } = scenario
 	const random = createRandom(seed)
-	const entries = openEntries(load)
-	const held = new Array<number>(ranks).fill(0)
-	let open: { readonly end: number; readonly entry: Entry; row: number }[] = []
-	let asked = 0
-	let behind = 0
-	for (let now = 0; now < LENGTH_MS; ) {
+	const entries = createEntries(scenario)
+	const inFlight = new Array<number>(ranks).fill(0)
+	let running: { readonly end: number; readonly entry: Entry; row: number }[] =
+		[]
+	let total = 0
+	let queued = 0
+	for (let now = 0; now < DURATION_MS; ) {
 		now -= (Math.log(1 - random()) * 1_000) / perSecond
-		for (const { end, entry, row } of open) {
+		for (const { end, entry, row } of running) {
 			if (end > now) continue
 			entry.table.sentSince[row]!--
-			held[row]!--
+			inFlight[row]!--
 		}
-		open = open.filter(one => one.end > now)
-		for (const entry of entries) if (entry.nextTellAt <= now) tell(entry)
+		running = running.filter(one => one.end > now)
+		for (const entry of entries)
+			if (entry.nextExchangeAt <= now) exchange(entry)
 		const entry = entries[Math.floor(random() * entries.length)]!
-		const row = choose(entry.table, entry.untold, random)
-		if (now > FILLED_MS) asked++
-		if (now > FILLED_MS && held[row]! >= slots) behind++
+		const row = select(entry.table, entry.unreportedSends, random)
+		if (now > WARM_UP_MS) total++
+		if (now > WARM_UP_MS && inFlight[row]! >= slots) queued++
 		entry.table.sentSince[row]!++
-		entry.untold++
-		held[row]!++
-		open.push({ end: now + drawStreamMs(streamMs, random), entry, row })
+		entry.unreportedSends++
+		inFlight[row]!++
+		running.push({ end: now + randomStreamMs(streamMs, random), entry, row })
 	}
-	return (100 * behind) / asked
+	return (100 * queued) / total
 
-	function tell(entry: Entry): void {
+	function exchange(entry: Entry): void {
 		for (let row = 0; row < ranks; row++) {
-			const change = entry.table.sentSince[row]! - entry.told[row]!
-			entry.told[row]! += change
+			const change = entry.table.sentSince[row]! - entry.lastReported[row]!
+			entry.lastReported[row]! += change
 			if (change === 0) continue
 			for (const other of entries)
 				if (other !== entry) other.table.reported[row]! += change
 		}
-		entry.nextTellAt += tellMs
-		entry.untold = 0
+		entry.nextExchangeAt += exchangeMs
+		entry.unreportedSends = 0
 	}
 }
 
-function drawStreamMs(meanMs: number, random: Random): number {
+function randomStreamMs(meanMs: number, random: Random): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random()))
 	const normal = radius * Math.cos(2 * Math.PI * random())
-	const times = Math.exp(SPREAD * normal - SPREAD ** 2 / 2)
-	return meanMs * Math.min(LONGEST_TIMES, times)
+	const factor = Math.exp(SIGMA * normal - SIGMA ** 2 / 2)
+	return meanMs * Math.min(MAX_FACTOR, factor)
 }
 
-for (const load of LOADS)
-	test(`loads told a while ago: ${load.name}, few get behind slots`, () => {
+for (const scenario of SCENARIOS)
+	test(`stale loads: ${scenario.name}, few requests are queued behind slots`, () => {
 		for (const seed of [1, 2]) {
-			const percent = play(load, drawn, seed)
-			assert.ok(percent <= load.behind, `${percent}% behind slots`)
-			const byAll = play(load, leastOfAll, seed)
-			assert.ok(byAll >= load.behindByAll, `${byAll}% where all compare all`)
+			const percent = simulate(scenario, sampled, seed)
+			assert.ok(
+				percent <= scenario.maxQueued,
+				`${percent}% queued behind slots`,
+			)
+			const byAll = simulate(scenario, leastLoaded, seed)
+			assert.ok(
+				byAll >= scenario.minQueuedLeastLoaded,
+				`${byAll}% if all entries compare all ranks`,
+			)
 		}
 	})
 
--- a/packages/core/test/teamLimits.test.ts
+++ b/packages/core/test/teamLimits.test.ts
@@ -1,21 +1,21 @@
-/** Limits of teams, kept by the sum of 1, 3, 36 and 330 entries, in virtual time. */
+/** Team limits enforced across 1, 3, 36 and 330 entries, in virtual time. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { TeamConfig } from '../src/index.ts'
 import { isKeptAtHome } from '../src/index.ts'
-import type { TeamRun, TeamStory } from './models/teamNet.ts'
-import { playTeam } from './models/teamNet.ts'
+import type { TeamRun, TeamScenario } from './models/teamNet.ts'
+import { simulateTeam } from './models/teamNet.ts'
 
-/** More by hand. */
+/** Can be raised by hand for longer runs. */
 const SEEDS = Number(process.env.SEEDS ?? 2)
-const SPAN_MS = 4_000
-const SPAN_SECONDS = SPAN_MS / 1_000
-/** Part of what a limit allows that is used when enough is asked for. */
-const LEAST_USED = 0.8
+const WINDOW_MS = 4_000
+const WINDOW_SECONDS = WINDOW_MS / 1_000
+/** Minimum share of a limit that is used under sufficient demand. */
+const MIN_USED_SHARE = 0.8
 const ENDS_AT = 20_000
-/** Buckets are full at first; use is judged from here on, ms. */
-const STEADY_AT = 5_000
+/** Usage is measured from here on, since token buckets are full at the start, ms. */
+const STEADY_FROM = 5_000
 
 const LIMIT: TeamConfig = {
 	keyDigests: [],
@@ -25,24 +25,24 @@
 	weight: 1,
 	bestPriority: 0,
 }
-const STORY: Omit<TeamStory, 'entries' | 'seed' | 'limit'> = {
+const SCENARIO: Omit<TeamScenario, 'entries' | 'seed' | 'limit'> = {
 	demand: 60,
 	tokens: 0,
-	runsMs: 10,
-	leaning: 0,
-	loss: 0,
+	runMs: 10,
+	firstEntryShare: 0,
+	lossRate: 0,
 	endsAt: ENDS_AT,
 }
 const ENTRIES = [1, 3, 36, 330] as const
-const LEANING = [0, 0.9] as const
+const FIRST_ENTRY_SHARES = [0, 0.9] as const
 
-/** Most requests that ran at once. */
-function mostAtOnce(runs: readonly TeamRun[]): number {
+/** Returns the largest number of concurrent requests. */
+function maxConcurrent(runs: readonly TeamRun[]): number {
 	const steps = runs.flatMap(({ from, to }) => [
 		{ at: from, by: 1 },
 		{ at: to, by: -1 },
 	])
-	// One that ends makes room for one that begins at that moment.
+	// A request that ends frees its slot for one that begins at the same time.
 	steps.sort((a, b) => a.at - b.at || a.by - b.by)
 	let running = 0
 	let most = 0
@@ -53,85 +53,106 @@
 	return most
 }
 
-function mostInSpan(runs: readonly TeamRun[]): number {
+function maxPerWindow(runs: readonly TeamRun[]): number {
 	const times = runs.map(({ from }) => from)
 	const counts = times.map(
-		first => times.filter(at => at >= first && at < first + SPAN_MS).length,
+		first => times.filter(at => at >= first && at < first + WINDOW_MS).length,
 	)
 	return Math.max(0, ...counts)
 }
 
-/** Requests that ran at once on average, from the steady time on. */
-function meanAtOnce(runs: readonly TeamRun[]): number {
+/** Returns the mean number of concurrent requests from `STEADY_FROM` on. */
+function meanConcurrent(runs: readonly TeamRun[]): number {
 	const ranMs = runs.reduce(
 		(sum, { from, to }) =>
-			sum + Math.max(0, Math.min(to, ENDS_AT) - Math.max(from, STEADY_AT)),
+			sum + Math.max(0, Math.min(to, ENDS_AT) - Math.max(from, STEADY_FROM)),
 		0,
 	)
-	return ranMs / (ENDS_AT - STEADY_AT)
+	return ranMs / (ENDS_AT - STEADY_FROM)
 }
 
-function countSteady(runs: readonly TeamRun[]): number {
-	return runs.filter(({ from }) => from >= STEADY_AT).length
+function countStarted(runs: readonly TeamRun[]): number {
+	return runs.filter(({ from }) => from >= STEADY_FROM).length
 }
 
 for (const entries of ENTRIES)
-	for (const leaning of LEANING) {
-		const where = `${entries} entries, ${leaning} of the demand at one`
+	for (const firstEntryShare of FIRST_ENTRY_SHARES) {
+		const where = `${entries} entries, ${firstEntryShare} of the demand at one entry`
 
-		test(`ten at a time are ten in sum: ${where}`, () => {
+		test(`a limit of ten concurrent requests holds in total: ${where}`, () => {
 			for (let seed = 1; seed <= SEEDS; seed++) {
 				const limit = { ...LIMIT, concurrency: 10 }
-				const more = { entries, leaning, limit, seed, runsMs: 700 }
-				const runs = playTeam({ ...STORY, ...more })
-				assert.ok(mostAtOnce(runs) <= 10, `seed ${seed}: ${mostAtOnce(runs)}`)
-				const used = meanAtOnce(runs)
-				assert.ok(used >= LEAST_USED * 10, `seed ${seed}: ${used} used`)
+				const overrides = { entries, firstEntryShare, limit, seed, runMs: 700 }
+				const runs = simulateTeam({ ...SCENARIO, ...overrides })
+				assert.ok(
+					maxConcurrent(runs) <= 10,
+					`seed ${seed}: ${maxConcurrent(runs)}`,
+				)
+				const used = meanConcurrent(runs)
+				assert.ok(used >= MIN_USED_SHARE * 10, `seed ${seed}: ${used} used`)
 			}
 		})
 
-		test(`one a second is one in sum: ${where}`, () => {
+		test(`a limit of one request per second holds in total: ${where}`, () => {
 			for (let seed = 1; seed <= SEEDS; seed++) {
 				const limit = { ...LIMIT, ratePerSecond: 1 }
-				const runs = playTeam({ ...STORY, entries, leaning, limit, seed })
-				const allowed = 1.5 * SPAN_SECONDS + 5
-				assert.ok(mostInSpan(runs) <= allowed, `${mostInSpan(runs)}`)
-				const owed = (ENDS_AT - STEADY_AT) / 1_000
-				const used = countSteady(runs)
-				assert.ok(used >= Math.floor(LEAST_USED * owed), `${used} used`)
+				const runs = simulateTeam({
+					...SCENARIO,
+					entries,
+					firstEntryShare: firstEntryShare,
+					limit,
+					seed,
+				})
+				const allowed = 1.5 * WINDOW_SECONDS + 5
+				assert.ok(maxPerWindow(runs) <= allowed, `${maxPerWindow(runs)}`)
+				const owed = (ENDS_AT - STEADY_FROM) / 1_000
+				const used = countStarted(runs)
+				assert.ok(used >= Math.floor(MIN_USED_SHARE * owed), `${used} used`)
 			}
 		})
 
-		test(`tokens are counted in sum: ${where}`, () => {
+		test(`a token rate limit holds in total: ${where}`, () => {
 			const limit = { ...LIMIT, tokensPerSecond: 8_000 }
-			const more = { entries, leaning, limit, seed: 1, tokens: 2_000 }
-			const runs = playTeam({ ...STORY, ...more })
-			const allowed = 1.5 * SPAN_SECONDS * 4 + 5
-			assert.ok(mostInSpan(runs) <= allowed, `${mostInSpan(runs)}`)
-			const owed = (4 * (ENDS_AT - STEADY_AT)) / 1_000
-			const used = countSteady(runs)
-			assert.ok(used >= LEAST_USED * owed, `${used} used`)
+			const overrides = {
+				entries,
+				firstEntryShare,
+				limit,
+				seed: 1,
+				tokens: 2_000,
+			}
+			const runs = simulateTeam({ ...SCENARIO, ...overrides })
+			const allowed = 1.5 * WINDOW_SECONDS * 4 + 5
+			assert.ok(maxPerWindow(runs) <= allowed, `${maxPerWindow(runs)}`)
+			const owed = (4 * (ENDS_AT - STEADY_FROM)) / 1_000
+			const used = countStarted(runs)
+			assert.ok(used >= MIN_USED_SHARE * owed, `${used} used`)
 		})
 	}
 
-test('lost messages and an end of the home bring no more than each entry’s part for a moment', () => {
+test('requests are still admitted after messages are lost and the home has stopped', () => {
 	const limit = { ...LIMIT, ratePerSecond: 2, concurrency: 10 }
-	const more = { entries: 36, loss: 0.05, homeEndsAt: 8_000, limit, seed: 3 }
-	const runs = playTeam({ ...STORY, ...more })
-	const late = runs.filter(({ from }) => from >= 8_000 + STEADY_AT)
-	assert.ok(late.length >= LEAST_USED * 2 * 7, `${late.length}`)
+	const overrides = {
+		entries: 36,
+		lossRate: 0.05,
+		homeEndsAt: 8_000,
+		limit,
+		seed: 3,
+	}
+	const runs = simulateTeam({ ...SCENARIO, ...overrides })
+	const late = runs.filter(({ from }) => from >= 8_000 + STEADY_FROM)
+	assert.ok(late.length >= MIN_USED_SHARE * 2 * 7, `${late.length}`)
 })
 
-test('what an end or a lost word leaves behind is over with the next telling', () => {
+test('counts that are stale after lost messages are corrected by the next report', () => {
 	const limit = { ...LIMIT, concurrency: 10 }
-	const more = { entries: 3, loss: 0.3, limit, seed: 5, runsMs: 300 }
-	const runs = playTeam({ ...STORY, ...more, endsAt: 60_000 })
+	const overrides = { entries: 3, lossRate: 0.3, limit, seed: 5, runMs: 300 }
+	const runs = simulateTeam({ ...SCENARIO, ...overrides, endsAt: 60_000 })
 	const lasts = runs.filter(({ from }) => from >= 50_000).length
-	// Ten at a time for 300 ms each are 33 a second.
+	// Ten concurrent requests of 300 ms each are 33 per second.
 	assert.ok(lasts >= 0.5 * 10 * 33, `${lasts}`)
 })
 
-test('an entry that is alone, or has enough, asks nobody', () => {
+test('a single entry, or one with a large enough share, needs no home', () => {
 	const small = { ...LIMIT, concurrency: 10 }
 	assert.not(isKeptAtHome(small, 1))
 	assert.ok(isKeptAtHome(small, 3))
