--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -199,7 +199,7 @@
 	)
 }
 
-/** Whether a partition separates two entries; those on its same side stay connected. */
+/** Whether a partition separates two entries; those on the same side stay connected. */
 function arePartitioned(
 	{ scenario, now }: Simulation,
 	a: Entry,
