--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -6,10 +6,10 @@
 
 import type { Random, ServerTable } from '../internal.ts'
 import {
-	drawIndex,
-	expectElsewhere,
+	estimateUnreportedLoad,
 	isEjected,
-	noteResult,
+	randomIndex,
+	recordResult,
 } from '../internal.ts'
 
 /** Inputs for a selection. */
@@ -19,13 +19,13 @@
 	/** Rows to which this request has already been sent. */
 	readonly tried: ReadonlySet<number>
 	/** Requests that a server may queue beyond its slots. */
-	readonly queueRoom: number
+	readonly queueCapacity: number
 	/** Numbers of the lock-step groups that accept no requests now. */
-	readonly shutGroups: ReadonlySet<number>
+	readonly closedGroups: ReadonlySet<number>
 	/** Rows of servers in this entry's data centre. */
-	readonly near: ReadonlySet<number>
+	readonly localRows: ReadonlySet<number>
 	/** Requests sent to the service since the entries last exchanged their loads. */
-	readonly untold: number
+	readonly unreportedSends: number
 	/** Rate-limited servers for which this entry has a usable permit. */
 	readonly permitted: ReadonlySet<number>
 	/** Servers that must not be sent anything now: no permit, or in backoff. */
@@ -77,7 +77,7 @@
 const FAILURES_PER_UNREACHED = 3
 
 /** Outcome of an attempt on a server. */
-export type TryResult =
+export type AttemptOutcome =
 	/** With the time of a complete answer; undefined for a stream, whose length varies. */
 	| { readonly kind: 'good'; readonly tookMs: number | undefined }
 	| { readonly kind: 'failed' }
@@ -85,10 +85,10 @@
 	| { readonly kind: 'unreached' }
 
 /** Records the outcome of an attempt. */
-export function noteTry(
+export function recordAttempt(
 	table: ServerTable,
 	row: number,
-	result: TryResult,
+	result: AttemptOutcome,
 	now: number,
 ): void {
 	decayFailureRate(table, row, now)
@@ -99,14 +99,14 @@
 		case 'good':
 			if (result.tookMs !== undefined)
 				recordServiceTime(table, row, result.tookMs)
-			noteResult(table, row, true, now)
+			recordResult(table, row, true, now)
 			return
 		case 'failed':
-			noteResult(table, row, false, now)
+			recordResult(table, row, false, now)
 			return
 		case 'unreached':
 			for (let count = 0; count < FAILURES_PER_UNREACHED; count++)
-				noteResult(table, row, false, now)
+				recordResult(table, row, false, now)
 			return
 		default:
 			result satisfies never
@@ -124,8 +124,8 @@
 
 /** Decays the failure rate, so that a server that failed is tried again. */
 function decayFailureRate(table: ServerTable, row: number, now: number): void {
-	const age = now - table.ratedAt[row]!
-	table.ratedAt[row] = now
+	const age = now - table.smoothedAt[row]!
+	table.smoothedAt[row] = now
 	table.failureRate[row]! *= 0.5 ** (age / PENALTY_HALF_LIFE_MS)
 }
 
@@ -136,7 +136,7 @@
 	now: number,
 ): Map<number, number> {
 	const rates = rows.map(row => {
-		const age = now - table.ratedAt[row]!
+		const age = now - table.smoothedAt[row]!
 		return table.failureRate[row]! * 0.5 ** (age / PENALTY_HALF_LIFE_MS)
 	})
 	const times = rows.map(row => table.serviceMs[row]!).filter(time => time > 0)
@@ -159,7 +159,7 @@
 	const time = table.serviceMs[row]!
 	if (time === 0) return 0
 	const ratio = Math.min(MAX_SLOWNESS, time / fastest)
-	const age = now - table.ratedAt[row]!
+	const age = now - table.smoothedAt[row]!
 	return SLOW_LOAD * (ratio - 1) * 0.5 ** (age / PENALTY_HALF_LIFE_MS)
 }
 
@@ -180,8 +180,8 @@
 	// sends do not indicate what other entries send to their servers.
 	const isAssignedFree =
 		assigned.length === 0 || assigned.some(row => free.includes(row))
-	const unreported = expectElsewhere(
-		isAssignedFree ? query.untold : 0,
+	const unreported = estimateUnreportedLoad(
+		isAssignedFree ? query.unreportedSends : 0,
 		assigned.length,
 	)
 	const withCapacity = candidates.filter(row =>
@@ -192,9 +192,10 @@
 	let best = -1
 	let bestLoad = Number.POSITIVE_INFINITY
 	for (const row of sampleCandidates(table, query, withCapacity, random)) {
-		const remote = query.near.has(row) ? 0 : REMOTE_LOAD
+		const remote = query.localRows.has(row) ? 0 : REMOTE_LOAD
 		const slow = rankSlowdownLoad(table, row)
-		const held = heldBy(table, row) + unreported * table.dealtElsewhere[row]!
+		const held =
+			countInFlight(table, row) + unreported * table.assignedElsewhere[row]!
 		const load = held / table.slots[row]! + remote + slow + penalties.get(row)!
 		if (load >= bestLoad) continue
 		best = row
@@ -204,9 +205,10 @@
 }
 
 function rankSlowdownLoad(table: ServerTable, row: number): number {
-	const ofGroup = GROUP_SLOWDOWN_LOAD * (table.groupPace[row]! - 1)
+	const ofGroup = GROUP_SLOWDOWN_LOAD * (table.groupSlowdown[row]! - 1)
 	return (
-		SLOWDOWN_LOAD * (table.pace[row]! - 1) + Math.min(MAX_GROUP_LOAD, ofGroup)
+		SLOWDOWN_LOAD * (table.slowdown[row]! - 1) +
+		Math.min(MAX_GROUP_LOAD, ofGroup)
 	)
 }
 
@@ -226,16 +228,23 @@
 
 function hasCapacity(
 	table: ServerTable,
-	{ queueRoom, shutGroups, permitted }: DispatchQuery,
+	{
+		queueCapacity: queueRoom,
+		closedGroups: shutGroups,
+		permitted,
+	}: DispatchQuery,
 	row: number,
 	unreported: number,
 ): boolean {
 	if (shutGroups.has(table.group[row]!)) return false
 	const reserved = Math.max(MIN_RESERVED, Math.floor(unreported))
 	// A permit is for this entry, even at a server assigned to another one.
-	const isElsewhere = table.dealtElsewhere[row] === 1 && !permitted.has(row)
+	const isElsewhere = table.assignedElsewhere[row] === 1 && !permitted.has(row)
 	const capacity = table.slots[row]! + queueRoom - (isElsewhere ? reserved : 0)
-	return heldBy(table, row) < Math.min(capacity, Math.ceil(table.most[row]!))
+	return (
+		countInFlight(table, row) <
+		Math.min(capacity, Math.ceil(table.maxInFlight[row]!))
+	)
 }
 
 /**
@@ -251,7 +260,7 @@
 	random: Random,
 ): number[] {
 	const isPreferred = (row: number) =>
-		table.dealtElsewhere[row] === 0 || permitted.has(row)
+		table.assignedElsewhere[row] === 0 || permitted.has(row)
 	const preferred = rows.filter(isPreferred)
 	const others = rows.filter(row => !isPreferred(row))
 	const sampleSize = Math.max(MIN_SAMPLED, MIN_COMPARED - preferred.length)
@@ -268,7 +277,7 @@
 	const remaining = [...rows]
 	const sampled: number[] = []
 	while (remaining.length > 0 && sampled.length < count) {
-		const at = drawIndex(random, remaining.length)
+		const at = randomIndex(random, remaining.length)
 		sampled.push(remaining[at]!)
 		remaining[at] = remaining.at(-1)!
 		remaining.pop()
@@ -278,10 +287,10 @@
 
 /** Open servers assigned to this entry whose groups are not closed. */
 function listAssigned(table: ServerTable, query: DispatchQuery): number[] {
-	const { rows, shutGroups } = query
+	const { rows, closedGroups: shutGroups } = query
 	const isAssigned = (row: number) =>
 		table.open[row] === 1 &&
-		table.dealtElsewhere[row] === 0 &&
+		table.assignedElsewhere[row] === 0 &&
 		!shutGroups.has(table.group[row]!)
 	return rows.filter(isAssigned)
 }
@@ -300,10 +309,10 @@
 ): Set<number> {
 	const capacities = new Map<number, number>()
 	for (const [row, group] of table.group.entries()) {
-		const limit = table.most[row]!
+		const limit = table.maxInFlight[row]!
 		if (group < 0 || limit === Number.POSITIVE_INFINITY) continue
-		const ofPeers = peerScale * Math.max(0, table.reported[row]!)
-		const free = limit - ofPeers - table.sentSince[row]!
+		const ofPeers = peerScale * Math.max(0, table.reportedLoad[row]!)
+		const free = limit - ofPeers - table.sentSinceReport[row]!
 		capacities.set(group, (capacities.get(group) ?? 0) + free)
 	}
 	const full = [...capacities].filter(([group, room]) => !isOpen(group, room))
@@ -315,6 +324,6 @@
 }
 
 /** Returns the requests known to be in flight at a server. */
-export function heldBy(table: ServerTable, row: number): number {
-	return Math.max(0, table.reported[row]!) + table.sentSince[row]!
+export function countInFlight(table: ServerTable, row: number): number {
+	return Math.max(0, table.reportedLoad[row]!) + table.sentSinceReport[row]!
 }
--- a/packages/core/src/core/heldPermits.ts
+++ b/packages/core/src/core/heldPermits.ts
@@ -1,6 +1,6 @@
 /** Permits of one server that an entry holds, and when it requests more. */
 
-import type { Permits } from '../internal.ts'
+import type { PermitGrant } from '../internal.ts'
 import { permitLifetimeMs } from '../internal.ts'
 
 /** Right to send one request to a server. */
@@ -13,14 +13,18 @@
 /** An entry's permits of one server. */
 export interface HeldPermits {
 	permits: readonly Permit[]
-	isAsking: boolean
+	isRequestPending: boolean
 	/** Time before which the server's home grants no further permit, ms. */
 	notBefore: number
 }
 
 /** Creates a holder without permits. */
 export function createHeldPermits(): HeldPermits {
-	return { permits: [], isAsking: false, notBefore: Number.NEGATIVE_INFINITY }
+	return {
+		permits: [],
+		isRequestPending: false,
+		notBefore: Number.NEGATIVE_INFINITY,
+	}
 }
 
 /** Whether a permit is usable now. */
@@ -33,7 +37,7 @@
 }
 
 /** Consumes a usable permit; returns false if there is none. */
-export function usePermit(held: HeldPermits, now: number): boolean {
+export function consumePermit(held: HeldPermits, now: number): boolean {
 	const used = held.permits.find(one => isUsable(one, now))
 	if (!used) return false
 	held.permits = held.permits.filter(one => one !== used)
@@ -41,21 +45,21 @@
 }
 
 /** Whether to request permits on behalf of callers who can wait for `withinMs`. */
-export function isAskDue(
+export function shouldRequestPermits(
 	held: HeldPermits,
 	withinMs: number,
 	now: number,
 ): boolean {
 	held.permits = held.permits.filter(({ expiresAt }) => now < expiresAt)
-	if (held.isAsking || held.permits.length > 0) return false
+	if (held.isRequestPending || held.permits.length > 0) return false
 	return held.notBefore <= now + withinMs
 }
 
 /** Adds permits that the server's home has granted at a limit of `perSecond`. */
-export function takeGiven(
+export function addGrantedPermits(
 	held: HeldPermits,
 	perSecond: number,
-	{ dueMs, waitMs }: Permits,
+	{ dueMs, waitMs }: PermitGrant,
 	now: number,
 ): void {
 	const lifetimeMs = permitLifetimeMs(perSecond)
--- a/packages/core/src/core/home.ts
+++ b/packages/core/src/core/keyHome.ts
@@ -16,7 +16,7 @@
 }
 
 /** Server sets that an agent has seen in force, newest last. */
-export type HomeHistory = ServerSet[]
+export type KeyHomeHistory = ServerSet[]
 
 /** Returns the names of the servers configured for `service`, whether live or not. */
 export function listServiceServers(config: Config, service: string): string[] {
@@ -34,7 +34,7 @@
  * Returns the key's home, by rendezvous hashing over the *configured* servers: all
  * entries agree without coordination, and a home that is down remains the home.
  */
-export function findHome(
+export function findKeyHome(
 	config: Config,
 	service: string,
 	scopedKey: string,
@@ -43,8 +43,8 @@
 }
 
 /** Records the set in force at `wall` (Unix ms) if it differs from the last one. */
-export function noteServerSet(
-	history: HomeHistory,
+export function recordServerSet(
+	history: KeyHomeHistory,
 	servers: readonly string[],
 	wall: number,
 ): void {
@@ -59,8 +59,8 @@
  * Returns the time (Unix ms) since which `server` has been the key's home without
  * interruption; `undefined` if it is not the home now.
  */
-export function findHomeSince(
-	history: HomeHistory,
+export function findKeyHomeSince(
+	history: KeyHomeHistory,
 	scopedKey: string,
 	server: string,
 ): number | undefined {
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -15,7 +15,7 @@
 }
 
 /** Rate at which a home issues permits. */
-export interface PermitPace {
+export interface PermitSchedule {
 	/** Interval between two permits, ms. */
 	readonly gapMs: number
 	/**
@@ -26,14 +26,14 @@
 }
 
 /** Request of an entry to a server's home. */
-export interface PermitWish {
+export interface PermitRequest {
 	readonly count: number
 	/** Longest wait of the entry's callers, ms. */
 	readonly withinMs: number
 }
 
 /** Permits granted to an entry. */
-export interface Permits {
+export interface PermitGrant {
 	/** Time until each of them becomes usable, ms. */
 	readonly dueMs: readonly number[]
 	/** Time until the next permit beyond those granted becomes usable, ms. */
@@ -42,10 +42,10 @@
 
 /** Numbers of reachable and of known entries, both including this one. */
 export interface EntryCount {
-	readonly heard: number
+	readonly reachable: number
 	readonly known: number
 	/** Index of this entry among the known ones, in the order that all entries use. */
-	readonly place: number
+	readonly index: number
 }
 
 const SECOND_MS = 1_000
@@ -72,12 +72,12 @@
 }
 
 /** Grants permits from a pool. */
-export function takePermits(
+export function grantPermits(
 	pool: PermitPool,
-	pace: PermitPace,
-	{ count, withinMs }: PermitWish,
+	pace: PermitSchedule,
+	{ count, withinMs }: PermitRequest,
 	now: number,
-): Permits {
+): PermitGrant {
 	const dueMs: number[] = []
 	let nextAt = alignToPhase(Math.max(pool.nextAt, now - BURST_MS), pace)
 	while (dueMs.length < count && nextAt <= now + withinMs) {
@@ -88,7 +88,7 @@
 	return { dueMs, waitMs: Math.max(0, nextAt - now) }
 }
 
-function alignToPhase(at: number, { gapMs, phase }: PermitPace): number {
+function alignToPhase(at: number, { gapMs, phase }: PermitSchedule): number {
 	if (phase === undefined) return at
 	const first = phase * gapMs
 	return first + Math.ceil((at - first) / gapMs) * gapMs
@@ -105,10 +105,10 @@
  * partition each side has a home: that of a majority continues at the full rate, the
  * others at the fraction of entries that they reach.
  */
-export function paceOfHome(
+export function permitScheduleFor(
 	perSecond: number,
-	{ heard, known, place }: EntryCount,
-): PermitPace {
+	{ reachable: heard, known, index: place }: EntryCount,
+): PermitSchedule {
 	const gapMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
 	if (2 * heard > known) return { gapMs, phase: undefined }
 	return { gapMs: (gapMs * known) / heard, phase: place / known }
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -54,10 +54,10 @@
  */
 const MAX_CRASHES = 256
 /** Maximum requests recorded per crash: engines run 4 to 12 at a time. */
-export const MAX_NAMED = 16
+export const MAX_REQUESTS_PER_CRASH = 16
 
 /** Crash of a server; `end` on the wire. */
-export interface ServerEnd {
+export interface ServerCrash {
 	/** Id of the server's incarnation. */
 	readonly server: string
 	/** When it was first detected, ms. */
@@ -67,22 +67,22 @@
 }
 
 /** Complete answer to a request that had been in flight at a crash. */
-export interface ServedSince {
+export interface ServedRecord {
 	readonly fingerprint: string
 	/** ms */
 	readonly at: number
 }
 
 /** Evidence that entries exchange. */
-export interface EndNews {
-	readonly ends: readonly ServerEnd[]
-	readonly served: readonly ServedSince[]
+export interface CrashEvidence {
+	readonly ends: readonly ServerCrash[]
+	readonly served: readonly ServedRecord[]
 }
 
 /** An entry's evidence and the suspicions that follow from it. */
 export interface Quarantine {
 	/** Crashes, by id of the server's incarnation. */
-	readonly ends: Map<string, ServerEnd>
+	readonly ends: Map<string, ServerCrash>
 	/** When each request was last answered completely, ms, by fingerprint. */
 	readonly served: Map<string, number>
 	/** Requests in flight at a crash and not answered since, by fingerprint. */
@@ -110,7 +110,7 @@
  * Returns the fingerprints of requests with enough points for a quarantine, also after
  * its end.
  */
-export function listBarred({ suspects }: Quarantine): string[] {
+export function listQuarantined({ suspects }: Quarantine): string[] {
 	return [...suspects]
 		.filter(([, suspicion]) => isConclusive(suspicion))
 		.map(([fingerprint]) => fingerprint)
@@ -120,7 +120,7 @@
  * Returns the remaining quarantine of a request, ms; 0 if it may be sent. Entries try it
  * again one after the other: each waits `turnMs` longer than the first.
  */
-export function barredForMs(
+export function quarantineLeftMs(
 	{ suspects }: Quarantine,
 	fingerprint: string,
 	now: number,
@@ -138,11 +138,11 @@
 }
 
 /** Merges evidence observed here or received from peers; returns what is new of it. */
-export function takeEndNews(
+export function mergeCrashEvidence(
 	quarantine: Quarantine,
-	evidence: EndNews,
+	evidence: CrashEvidence,
 	now: number,
-): EndNews {
+): CrashEvidence {
 	pruneExpired(quarantine, now)
 	const ends = evidence.ends.filter(
 		end => now - end.at < RETENTION_MS && mergeCrash(quarantine, end),
@@ -155,7 +155,7 @@
 }
 
 /** Returns all evidence, for an entry that may have none. */
-export function listEndNews({ ends, served }: Quarantine): EndNews {
+export function listCrashEvidence({ ends, served }: Quarantine): CrashEvidence {
 	return {
 		ends: [...ends.values()],
 		served: [...served].map(([fingerprint, at]) => ({ fingerprint, at })),
@@ -163,11 +163,11 @@
 }
 
 /** Merges a crash; returns true if it adds evidence. */
-function mergeCrash({ ends }: Quarantine, crash: ServerEnd): boolean {
+function mergeCrash({ ends }: Quarantine, crash: ServerCrash): boolean {
 	const known = ends.get(crash.server)
 	const ran = new Map(known?.ran)
 	for (const [fingerprint, ms] of crash.ran) {
-		if (ran.size >= MAX_NAMED && !ran.has(fingerprint)) continue
+		if (ran.size >= MAX_REQUESTS_PER_CRASH && !ran.has(fingerprint)) continue
 		ran.set(fingerprint, Math.min(ms, ran.get(fingerprint) ?? ms))
 	}
 	const isNew = !known || ran.size > known.ran.size
@@ -181,7 +181,7 @@
 /** Merges an answer; returns true if it clears a suspicion. */
 function mergeServed(
 	{ served, suspects }: Quarantine,
-	{ fingerprint, at }: ServedSince,
+	{ fingerprint, at }: ServedRecord,
 ): boolean {
 	const suspicion = suspects.get(fingerprint)
 	if (!suspicion || at <= lastServedAt(served, fingerprint)) return false
@@ -209,7 +209,7 @@
 /** Evicts the oldest crashes that support no quarantine; if all do, the oldest. */
 function evictOldest(
 	{ ends, suspects }: Quarantine,
-	sorted: readonly ServerEnd[],
+	sorted: readonly ServerCrash[],
 ): void {
 	const evidence = new Set<string>()
 	for (const suspicion of suspects.values())
@@ -229,7 +229,7 @@
  * it explains, so that they do not count against other requests.
  */
 function findSuspects(
-	sorted: readonly ServerEnd[],
+	sorted: readonly ServerCrash[],
 	served: ReadonlyMap<string, number>,
 ): Map<string, Suspicion> {
 	const conclusive = new Map<string, Suspicion>()
@@ -262,7 +262,7 @@
 
 /** Scores each request from crashes in order of time. */
 function scoreRequests(
-	sorted: readonly ServerEnd[],
+	sorted: readonly ServerCrash[],
 	served: ReadonlyMap<string, number>,
 ): Map<string, Suspicion> {
 	const suspects = new Map<string, Suspicion>()
@@ -274,8 +274,8 @@
 
 function scoreCrash(
 	suspects: Map<string, Suspicion>,
-	{ server, at, ran }: ServerEnd,
-	correlated: readonly ServerEnd[],
+	{ server, at, ran }: ServerCrash,
+	correlated: readonly ServerCrash[],
 	served: ReadonlyMap<string, number>,
 ): void {
 	const since = correlated[0]!.at
@@ -315,8 +315,8 @@
 }
 
 /** Groups crashes that are so close in time that a common cause is likely. */
-function groupCorrelated(sorted: readonly ServerEnd[]): ServerEnd[][] {
-	const groups: ServerEnd[][] = []
+function groupCorrelated(sorted: readonly ServerCrash[]): ServerCrash[][] {
+	const groups: ServerCrash[][] = []
 	for (const crash of sorted) {
 		const last = groups.at(-1)
 		if (last && crash.at - last[0]!.at < CORRELATION_MS) last.push(crash)
--- a/packages/core/src/core/rateLimits.ts
+++ b/packages/core/src/core/rateLimits.ts
@@ -33,7 +33,7 @@
  * limit. The end of a limit is retained even if the limit was not known here, since an
  * older notice of it may still arrive.
  */
-export function takeRateNotice(
+export function applyRateNotice(
 	limits: RateLimits,
 	server: string,
 	{ perSecond, at }: Pick<RateNotice, 'perSecond' | 'at'>,
@@ -47,7 +47,7 @@
 }
 
 /** Returns a server's limit in requests per second; undefined for no limit. */
-export function perSecondOf(
+export function rateLimitOf(
 	limits: RateLimits,
 	server: string,
 ): number | undefined {
@@ -55,7 +55,7 @@
 }
 
 /** Evicts expired notices of servers that have no limit or are not listed any more. */
-export function forgetRateNotices(
+export function pruneRateNotices(
 	limits: RateLimits,
 	isListed: (server: string) => boolean,
 	now: number,
--- a/packages/core/src/core/comeBack.ts
+++ b/packages/core/src/core/retryAfter.ts
@@ -11,32 +11,37 @@
 const JITTER_SHARE = 0.5
 
 /** Retry times handed out to the refused callers of a service. */
-export interface Returns {
+export interface RetryAfterSchedule {
 	/** Latest retry time handed out, ms. */
 	lastDueAt: number
 }
 
 /** Creates an empty schedule. */
-export function createReturns(): Returns {
+export function createRetryAfterSchedule(): RetryAfterSchedule {
 	return { lastDueAt: 0 }
 }
 
 /** Inputs for the Retry-After of a caller. */
-export interface ReturnForecast {
+export interface RetryAfterForecast {
 	/** Expected time until the service accepts requests again, ms. */
-	readonly openInMs: number
+	readonly availableInMs: number
 	/** Time before which the service certainly accepts none, ms. */
 	readonly notBeforeMs: number
 	/** Interval between two slots that become free, ms. */
 	readonly gapMs: number
 	/** Longest Retry-After that the caller honors, ms. */
-	readonly heededMs: number
+	readonly maxHonoredMs: number
 }
 
 /** Reserves the next free slot for a caller and returns its Retry-After, ms. */
-export function bookReturn(
-	schedule: Returns,
-	{ openInMs, notBeforeMs, gapMs, heededMs }: ReturnForecast,
+export function scheduleRetryAfter(
+	schedule: RetryAfterSchedule,
+	{
+		availableInMs: openInMs,
+		notBeforeMs,
+		gapMs,
+		maxHonoredMs: heededMs,
+	}: RetryAfterForecast,
 	now: number,
 	random: Random,
 ): number {
--- a/packages/core/src/core/retry.ts
+++ b/packages/core/src/core/retryBudget.ts
@@ -4,30 +4,30 @@
  */
 
 /** Retries allowed per first attempt. */
-export const RETRY_SHARE = 0.1
+export const RETRY_RATIO = 0.1
 const MAX_BALANCE = 50
 
 /** Balance of retries that are allowed. */
 export interface RetryBudget {
-	saved: number
+	balance: number
 }
 
 /** Creates a budget that allows a few retries from the start. */
 export function createRetryBudget(): RetryBudget {
-	return { saved: 5 }
+	return { balance: 5 }
 }
 
 /** Records a first attempt. */
-export function noteFirstTry(budget: RetryBudget): void {
-	budget.saved = Math.min(MAX_BALANCE, budget.saved + RETRY_SHARE)
+export function recordFirstAttempt(budget: RetryBudget): void {
+	budget.balance = Math.min(MAX_BALANCE, budget.balance + RETRY_RATIO)
 }
 
 /** Whether the budget allows a retry; the caller calls {@link spendRetry} for it. */
 export function mayRetry(budget: RetryBudget): boolean {
-	return budget.saved >= 1
+	return budget.balance >= 1
 }
 
 /** Deducts one retry. */
 export function spendRetry(budget: RetryBudget): void {
-	budget.saved -= 1
+	budget.balance -= 1
 }
--- a/packages/core/src/core/retryWindow.ts
+++ b/packages/core/src/core/retryWindow.ts
@@ -39,7 +39,7 @@
 }
 
 /** Records the first attempt of a request. */
-export function noteRequest(
+export function recordRequest(
 	window: RetryWindow,
 	allowance: RetryAllowance,
 	now: number,
--- a/packages/core/src/core/serverRests.ts
+++ b/packages/core/src/core/serverBackoff.ts
@@ -8,14 +8,14 @@
 
 const SECOND_MS = 1_000
 /** Maximum backoff, ms, even if the server asks for more. */
-export const MAX_REST_MS = 600_000
+export const MAX_BACKOFF_MS = 600_000
 /** Interval between probes to a server after its backoff, ms. */
-export const REST_TRY_MS = 50
+export const BACKOFF_PROBE_MS = 50
 /** Retention of a backoff that is over while no request is sent, ms. */
 const RETENTION_MS = 10_000
 
 /** Backoff of a server. */
-export interface Rest {
+export interface ServerBackoff {
 	/** When it is over, ms. */
 	readonly endsAt: number
 	/** Time of the next probe, ms; nothing is sent before. */
@@ -23,25 +23,25 @@
 }
 
 /** Backoffs by server id; a restarted server has a new id and thus none. */
-export type Rests = Map<string, Rest>
+export type ServerBackoffs = Map<string, ServerBackoff>
 
 /**
  * Parses a `Retry-After` in seconds, including fractions, to ms. Returns undefined for
  * anything else: a date would depend on the clocks of two machines.
  */
-export function parseRestMs(text: string): number | undefined {
+export function parseRetryAfterMs(text: string): number | undefined {
 	const seconds = parseDecimal(text)
 	return seconds === undefined ? undefined : seconds * SECOND_MS
 }
 
 /** Starts or extends a server's backoff; returns true if it ends later than before. */
-export function noteRest(
-	backoffs: Rests,
+export function startBackoff(
+	backoffs: ServerBackoffs,
 	server: string,
 	forMs: number,
 	now: number,
 ): boolean {
-	const endsAt = now + Math.min(forMs, MAX_REST_MS)
+	const endsAt = now + Math.min(forMs, MAX_BACKOFF_MS)
 	const known = backoffs.get(server)?.endsAt ?? now
 	if (endsAt <= known) return false
 	backoffs.set(server, { endsAt, nextAt: endsAt })
@@ -49,8 +49,8 @@
 }
 
 /** Returns the time until a server may be sent a request, ms; 0 if it may now. */
-export function restLeftMs(
-	backoffs: Rests,
+export function backoffLeftMs(
+	backoffs: ServerBackoffs,
 	server: string,
 	now: number,
 ): number {
@@ -58,21 +58,21 @@
 }
 
 /** Records that a request is sent to a server, which delays the next probe. */
-export function noteSentAfterRest(
-	backoffs: Rests,
+export function recordBackoffProbe(
+	backoffs: ServerBackoffs,
 	server: string,
 	now: number,
 ): void {
 	const backoff = backoffs.get(server)
-	if (backoff) backoff.nextAt = Math.max(backoff.nextAt, now + REST_TRY_MS)
+	if (backoff) backoff.nextAt = Math.max(backoff.nextAt, now + BACKOFF_PROBE_MS)
 }
 
 /**
  * Ends a server's backoff if the server accepted a request that was sent after it;
  * returns true if there was a backoff to end.
  */
-export function noteTakenAfterRest(
-	backoffs: Rests,
+export function endBackoff(
+	backoffs: ServerBackoffs,
 	server: string,
 	sentAt: number,
 ): boolean {
@@ -82,7 +82,7 @@
 }
 
 /** Evicts backoffs that have been over for the retention time. */
-export function forgetRests(backoffs: Rests, now: number): void {
+export function pruneBackoffs(backoffs: ServerBackoffs, now: number): void {
 	for (const [server, { endsAt }] of backoffs)
 		if (now - endsAt > RETENTION_MS) backoffs.delete(server)
 }
--- a/packages/core/src/core/serverList.ts
+++ b/packages/core/src/core/serverList.ts
@@ -34,32 +34,32 @@
 	/** By name. */
 	readonly records: Map<string, ServerRecord>
 	/** Deferred removals by name, and when they take effect, ms. */
-	readonly doubted: Map<string, { record: ServerRecord; until: number }>
+	readonly pendingRemovals: Map<string, { record: ServerRecord; until: number }>
 	/** Ids of incarnations whose address is known to belong to another server now. */
 	readonly displaced: Set<string>
 	/** Ids of incarnations over for good: they announced it, or another one followed. */
-	readonly left: Set<string>
+	readonly departed: Set<string>
 	/** Ids of incarnations whose record was removed without notice; the oldest first. */
-	readonly gone: Set<string>
+	readonly removed: Set<string>
 	/** Records of those in a restored source, and when they take effect, ms. */
-	readonly returning: Map<string, { record: ServerRecord; until: number }>
+	readonly pendingReturns: Map<string, { record: ServerRecord; until: number }>
 	/** Latest revision among all records received. */
 	revision: TermRevision
 	/** Revision up to which this process has read the source itself. */
-	readAt: TermRevision
+	readUpTo: TermRevision
 }
 
 /** Creates an empty list. */
 export function createServerList(): ServerList {
 	return {
 		records: new Map(),
-		doubted: new Map(),
+		pendingRemovals: new Map(),
 		displaced: new Set(),
-		left: new Set(),
-		gone: new Set(),
-		returning: new Map(),
+		departed: new Set(),
+		removed: new Set(),
+		pendingReturns: new Map(),
 		revision: NO_REVISION,
-		readAt: NO_REVISION,
+		readUpTo: NO_REVISION,
 	}
 }
 
@@ -76,20 +76,20 @@
 }
 
 /** Applies a record; returns true if it changes the list. */
-export function takeRecord(list: ServerList, record: ServerRecord): boolean {
+export function applyRecord(list: ServerList, record: ServerRecord): boolean {
 	const known = list.records.get(record.name)
 	if (known && !isLater(record.revision, known.revision)) return false
 	// Also for a record that is ignored below; otherwise it would be requested for ever.
 	list.revision = laterOf(list.revision, record.revision)
 	const { server } = record
 	// An incarnation that has left does not come back.
-	if (server && !server.leaving && list.left.has(server.id)) return false
-	if (server?.leaving) list.left.add(server.id)
+	if (server && !server.leaving && list.departed.has(server.id)) return false
+	if (server?.leaving) list.departed.add(server.id)
 	if (known?.server) retireFormer(list, known, record)
-	if (server) list.gone.delete(server.id)
+	if (server) list.removed.delete(server.id)
 	list.records.set(record.name, record)
-	list.doubted.delete(record.name)
-	list.returning.delete(record.name)
+	list.pendingRemovals.delete(record.name)
+	list.pendingReturns.delete(record.name)
 	return true
 }
 
@@ -103,11 +103,11 @@
 	if (server?.id === former || fault !== undefined) return
 	// A restored source may list an incarnation older than the known one.
 	const isCopy = known.revision.term !== revision.term
-	if (server && !isCopy) list.left.add(former)
+	if (server && !isCopy) list.departed.add(former)
 	if (server) return
-	list.gone.add(former)
-	const [oldest] = list.gone
-	if (list.gone.size > MAX_REMOVED) list.gone.delete(oldest!)
+	list.removed.add(former)
+	const [oldest] = list.removed
+	if (list.removed.size > MAX_REMOVED) list.removed.delete(oldest!)
 }
 
 /**
@@ -115,17 +115,17 @@
  * true if it changes the list. An incarnation that was removed before may have ended: it
  * is accepted only if it stays listed for `RETURN_DELAY_MS` or is written again.
  */
-export function takeCopied(
+export function applyRestoredRecord(
 	list: ServerList,
 	record: ServerRecord,
 	now: number,
 ): boolean {
 	const { name, server, revision } = record
 	const before = list.records.get(name)?.revision.term ?? 0
-	const mayBeOver = server && list.gone.has(server.id)
-	if (!mayBeOver || before >= revision.term) return takeRecord(list, record)
+	const mayBeOver = server && list.removed.has(server.id)
+	if (!mayBeOver || before >= revision.term) return applyRecord(list, record)
 	list.revision = laterOf(list.revision, revision)
-	list.returning.set(name, { record, until: now + RETURN_DELAY_MS })
+	list.pendingReturns.set(name, { record, until: now + RETURN_DELAY_MS })
 	return false
 }
 
@@ -134,33 +134,33 @@
  * or below the revision read from the source are ignored: the peer may not know that the
  * server has been removed since.
  */
-export function takeTold(
+export function applyPeerRecord(
 	list: ServerList,
 	record: ServerRecord,
 	now: number,
 ): boolean {
-	if (!isLater(record.revision, list.readAt)) return false
-	return takeCopied(list, record, now)
+	if (!isLater(record.revision, list.readUpTo)) return false
+	return applyRestoredRecord(list, record, now)
 }
 
 /** Records the revision up to which this process has read the source itself. */
-export function noteRead(list: ServerList, revision: TermRevision): void {
-	list.readAt = laterOf(list.readAt, revision)
+export function recordRead(list: ServerList, revision: TermRevision): void {
+	list.readUpTo = laterOf(list.readUpTo, revision)
 }
 
 /** Applies the pending returns that are due; returns the records applied. */
-export function settleReturns(list: ServerList, now: number): ServerRecord[] {
+export function confirmReturns(list: ServerList, now: number): ServerRecord[] {
 	const settled: ServerRecord[] = []
-	for (const [name, { record, until }] of list.returning) {
+	for (const [name, { record, until }] of list.pendingReturns) {
 		if (now < until) continue
-		list.returning.delete(name)
-		if (takeRecord(list, record)) settled.push(record)
+		list.pendingReturns.delete(name)
+		if (applyRecord(list, record)) settled.push(record)
 	}
 	return settled
 }
 
 /** Marks an incarnation whose address was found to belong to another server. */
-export function noteDisplaced(list: ServerList, id: string): void {
+export function markDisplaced(list: ServerList, id: string): void {
 	list.displaced.add(id)
 }
 
@@ -168,31 +168,31 @@
  * Defers a removal that may only be a record that expired while the store was
  * unavailable: it takes effect at `until` unless the record is written again before.
  */
-export function doubtRemoval(
+export function deferRemoval(
 	list: ServerList,
 	record: ServerRecord,
 	until: number,
 ): void {
 	const known = list.records.get(record.name)
-	if (list.returning.has(record.name)) takeRecord(list, record)
+	if (list.pendingReturns.has(record.name)) applyRecord(list, record)
 	if (!known?.server || !isLater(record.revision, known.revision)) return
 	if (known.server.leaving) {
-		takeRecord(list, record)
+		applyRecord(list, record)
 		return
 	}
-	const doubted = list.doubted.get(record.name)?.record.revision
+	const doubted = list.pendingRemovals.get(record.name)?.record.revision
 	// After another restore of the source the grace period starts again.
 	if (!doubted || record.revision.term > doubted.term)
-		list.doubted.set(record.name, { record, until })
+		list.pendingRemovals.set(record.name, { record, until })
 }
 
 /** Applies the deferred removals that are due; returns the records applied. */
-export function settleRemovals(list: ServerList, now: number): ServerRecord[] {
+export function confirmRemovals(list: ServerList, now: number): ServerRecord[] {
 	const settled: ServerRecord[] = []
-	for (const [name, { record, until }] of list.doubted) {
+	for (const [name, { record, until }] of list.pendingRemovals) {
 		if (now < until) continue
-		list.doubted.delete(name)
-		if (takeRecord(list, record)) settled.push(record)
+		list.pendingRemovals.delete(name)
+		if (applyRecord(list, record)) settled.push(record)
 	}
 	return settled
 }
@@ -217,7 +217,7 @@
 	const current = [...newest.values()].map(({ server }) => server)
 	return current.filter(
 		({ id, leaving }) =>
-			!leaving && !list.displaced.has(id) && !list.left.has(id),
+			!leaving && !list.displaced.has(id) && !list.departed.has(id),
 	)
 }
 
@@ -232,7 +232,7 @@
 ): ServerRecord[] {
 	const missing: ServerRecord[] = []
 	for (const { name, server } of list.records.values())
-		if ((server || list.returning.has(name)) && !present.has(name))
+		if ((server || list.pendingReturns.has(name)) && !present.has(name))
 			missing.push({ name, revision, server: undefined })
 	return missing
 }
--- a/packages/core/src/core/serverNews.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -4,20 +4,20 @@
  * departure and a crash are final, the longest backoff wins.
  */
 
-import type { Quarantine, RateLimits, ServerEnd } from '../internal.ts'
+import type { Quarantine, RateLimits, ServerCrash } from '../internal.ts'
 import {
+	applyRateNotice,
 	createQuarantine,
 	createRateLimits,
-	listEndNews,
-	takeEndNews,
-	takeRateNotice,
+	listCrashEvidence,
+	mergeCrashEvidence,
 } from '../internal.ts'
 
 /** Maximum backoffs retained; the oldest are evicted. */
 const MAX_BACKOFFS = 1_024
 
 /** Update about a server, or about a request that was in flight at a crash. */
-export type ServerNews =
+export type ServerUpdate =
 	/** Rate limit of a server in requests per second; undefined for no limit. */
 	| {
 			readonly kind: 'limit'
@@ -29,7 +29,7 @@
 	/** The server's incarnation is leaving or has ended. */
 	| { readonly kind: 'left'; readonly server: string }
 	/** Crash of a server. */
-	| ({ readonly kind: 'end' } & ServerEnd)
+	| ({ readonly kind: 'end' } & ServerCrash)
 	/** Complete answer to a suspected request; `at` in ms. */
 	| {
 			readonly kind: 'served'
@@ -46,28 +46,28 @@
 	  }
 
 /** Update of one kind. */
-export type NewsOf<K extends ServerNews['kind']> = Extract<
-	ServerNews,
+export type UpdateOf<K extends ServerUpdate['kind']> = Extract<
+	ServerUpdate,
 	{ kind: K }
 >
 
 /** An entry's replica of the gossiped state. */
-export interface NewsBook {
+export interface SharedState {
 	readonly rateLimits: RateLimits
 	/** Ids of incarnations that are leaving or have ended. */
-	readonly left: Set<string>
+	readonly departed: Set<string>
 	readonly quarantine: Quarantine
 	/** Backoffs by entry and server; the oldest first. */
-	readonly rests: Map<string, NewsOf<'rest'>>
+	readonly backoffs: Map<string, UpdateOf<'rest'>>
 }
 
 /** Creates an empty state; the set of departed incarnations may be shared. */
-export function createNewsBook(left: Set<string> = new Set()): NewsBook {
+export function createSharedState(left: Set<string> = new Set()): SharedState {
 	return {
 		rateLimits: createRateLimits(),
-		left,
+		departed: left,
 		quarantine: createQuarantine(),
-		rests: new Map(),
+		backoffs: new Map(),
 	}
 }
 
@@ -76,8 +76,8 @@
  * report the same crash, each with its own requests in flight: the forwarded update
  * contains all that are known.
  */
-export function takeServerNews<T extends ServerNews>(
-	state: NewsBook,
+export function mergeServerUpdates<T extends ServerUpdate>(
+	state: SharedState,
 	updates: readonly T[],
 	now: number,
 ): T[] {
@@ -89,29 +89,33 @@
 
 /** Merges crashes and served requests together, so that each batch is scored once. */
 function mergeEvidence(
-	{ quarantine }: NewsBook,
-	updates: readonly ServerNews[],
+	{ quarantine }: SharedState,
+	updates: readonly ServerUpdate[],
 	now: number,
 ): ReadonlySet<unknown> {
 	const ends = updates.filter(one => one.kind === 'end')
 	const served = updates.filter(one => one.kind === 'served')
 	if (ends.length + served.length === 0) return new Set()
-	const fresh = takeEndNews(quarantine, { ends, served }, now)
+	const fresh = mergeCrashEvidence(quarantine, { ends, served }, now)
 	return new Set([...fresh.ends, ...fresh.served])
 }
 
-function withFullEvidence<T extends ServerNews>(
-	{ quarantine }: NewsBook,
+function withFullEvidence<T extends ServerUpdate>(
+	{ quarantine }: SharedState,
 	update: T,
 ): T {
 	if (update.kind !== 'end') return update
 	return { ...update, ...quarantine.ends.get(update.server) }
 }
 
-function mergeOne(state: NewsBook, update: ServerNews, now: number): boolean {
+function mergeOne(
+	state: SharedState,
+	update: ServerUpdate,
+	now: number,
+): boolean {
 	switch (update.kind) {
 		case 'limit':
-			return takeRateNotice(state.rateLimits, update.server, update)
+			return applyRateNotice(state.rateLimits, update.server, update)
 		case 'left':
 			return mergeLeft(state, update.server)
 		case 'end':
@@ -125,14 +129,14 @@
 	}
 }
 
-function mergeLeft({ left }: NewsBook, server: string): boolean {
+function mergeLeft({ departed: left }: SharedState, server: string): boolean {
 	const before = left.size
 	return left.add(server).size > before
 }
 
 function mergeBackoff(
-	{ rests }: NewsBook,
-	update: NewsOf<'rest'>,
+	{ backoffs: rests }: SharedState,
+	update: UpdateOf<'rest'>,
 	now: number,
 ): boolean {
 	const key = `${update.entry} ${update.server}`
@@ -147,7 +151,10 @@
 }
 
 /** Removes backoffs that are over. */
-export function forgetNews({ rests }: NewsBook, now: number): void {
+export function pruneExpiredBackoffs(
+	{ backoffs: rests }: SharedState,
+	now: number,
+): void {
 	for (const [key, { endsAt }] of rests) if (endsAt <= now) rests.delete(key)
 }
 
@@ -155,24 +162,26 @@
  * Returns the whole state as updates, for an entry that may have none; of departed
  * incarnations only the last `maxDeparted`.
  */
-export function listServerNews(
-	state: NewsBook,
+export function listServerUpdates(
+	state: SharedState,
 	maxDeparted: number,
-): ServerNews[] {
-	const { ends, served } = listEndNews(state.quarantine)
+): ServerUpdate[] {
+	const { ends, served } = listCrashEvidence(state.quarantine)
 	return [
-		...listLimitNews(state),
-		...[...state.left]
+		...listLimitUpdates(state),
+		...[...state.departed]
 			.slice(-maxDeparted)
 			.map(server => ({ kind: 'left', server }) as const),
 		...ends.map(end => ({ kind: 'end', ...end }) as const),
 		...served.map(one => ({ kind: 'served', ...one }) as const),
-		...state.rests.values(),
+		...state.backoffs.values(),
 	]
 }
 
 /** Returns the known limits and ends of limits as updates. */
-export function listLimitNews({ rateLimits }: NewsBook): NewsOf<'limit'>[] {
+export function listLimitUpdates({
+	rateLimits,
+}: SharedState): UpdateOf<'limit'>[] {
 	return [...rateLimits].map(([server, { perSecond, at }]) => ({
 		kind: 'limit',
 		server,
@@ -182,7 +191,7 @@
 }
 
 /** Returns an update's key: a newer update with the same key replaces it. */
-export function subjectOf(update: ServerNews): string {
+export function updateKeyOf(update: ServerUpdate): string {
 	switch (update.kind) {
 		case 'limit':
 		case 'left':
--- a/packages/core/src/core/limits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -6,14 +6,14 @@
  * rounded up the shares exceed the limit, rounded down some entries get nothing.
  */
 
-import type { Bucket, ErrorKind, NotRun, TeamConfig } from '../internal.ts'
+import type { ErrorKind, NotRun, TeamConfig, TokenBucket } from '../internal.ts'
 import {
 	BURST_SECONDS,
-	fullBucket,
+	createTokenBucket,
 	notRun,
 	pickByRendezvous,
-	takeFrom,
-	waitFor,
+	refillBucket,
+	takeTokens,
 } from '../internal.ts'
 
 const CONCURRENCY_RETRY_MS = 1000
@@ -24,39 +24,39 @@
 
 /** One entry's record of a team's usage. */
 export interface TeamRow {
-	readonly requests: Bucket
-	readonly tokens: Bucket
+	readonly requests: TokenBucket
+	readonly tokens: TokenBucket
 	/** Requests in flight at this entry. */
 	inFlight: number
 	/** Admission requests of this entry that the team's home has not answered yet. */
-	asking: number
+	pendingAtHome: number
 	/** Number of requests that this entry last reported to the team's home. */
-	told: number
+	reportedToHome: number
 	/**
 	 * Whether the last report was part of an admission request: the home then adds the
 	 * requests that it admits.
 	 */
-	isToldByAsk: boolean
+	isReportedByRequest: boolean
 	/** At the team's home: requests in flight at the other entries, by entry. */
-	readonly elsewhere: Map<string, number>
+	readonly inFlightElsewhere: Map<string, number>
 }
 
 /** Usage of all teams seen at this entry. */
 export type LimitTable = Map<string, TeamRow>
 
 /** An entry's share of the limits. */
-export interface EntryPart {
+export interface LimitShare {
 	/** Live entries, including this one. */
 	readonly count: number
 	/** Index of this entry in the order that all entries use, from 0. */
-	readonly place: number
+	readonly index: number
 }
 
 /** Share of a single entry. */
-export const WHOLE_PART: EntryPart = { count: 1, place: 0 }
+export const FULL_SHARE: LimitShare = { count: 1, index: 0 }
 
 /** Request of an entry to a team's home for the admission of one request. */
-export interface TeamAsk {
+export interface TeamAdmissionRequest {
 	readonly entry: string
 	/** Requests in flight at the entry, plus earlier admission requests not yet answered. */
 	readonly held: number
@@ -70,7 +70,7 @@
 }
 
 /** Whether the team's home enforces the limit for all of `entries` live entries. */
-export function isKeptAtHome(limit: TeamConfig, entries: number): boolean {
+export function isEnforcedAtHome(limit: TeamConfig, entries: number): boolean {
 	if (entries <= 1) return false
 	const { concurrency, ratePerSecond, tokensPerSecond } = limit
 	return (
@@ -92,12 +92,12 @@
  * Admits a request of `tokens` expected tokens within this entry's share of the limit,
  * or refuses it with the time until the share allows it.
  */
-export function admitTeam(
+export function admitWithinShare(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
 	tokens: number,
-	part: EntryPart,
+	part: LimitShare,
 	now: number,
 ): NotRun | undefined {
 	const share = 1 / part.count
@@ -122,13 +122,13 @@
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
-	{ entry, held, tokens }: TeamAsk,
+	{ entry, held, tokens }: TeamAdmissionRequest,
 	now: number,
 ): NotRun | undefined {
 	const row = teamRow(table, team, limit, 1, now)
-	row.elsewhere.set(entry, held)
+	row.inFlightElsewhere.set(entry, held)
 	const refusal = admitForAll(row, limit, tokens, now)
-	if (!refusal) row.elsewhere.set(entry, held + 1)
+	if (!refusal) row.inFlightElsewhere.set(entry, held + 1)
 	return refusal
 }
 
@@ -147,17 +147,17 @@
 }
 
 /** Begins an admission request to the team's home; returns its `held` count. */
-export function beginTeamAsk(
+export function beginHomeAdmission(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
 	now: number,
 ): number {
 	const row = teamRow(table, team, limit, 1, now)
-	row.told = countOwn(row)
-	row.isToldByAsk = true
-	row.asking++
-	return row.told
+	row.reportedToHome = countOwn(row)
+	row.isReportedByRequest = true
+	row.pendingAtHome++
+	return row.reportedToHome
 }
 
 /**
@@ -165,22 +165,22 @@
  * requests. Returns true if the home's count differs from the requests in flight, so
  * that a new report is needed.
  */
-export function endTeamAsk(
+export function endHomeAdmission(
 	table: LimitTable,
 	team: string,
 	isAdmitted: boolean,
 ): boolean {
 	const row = table.get(team)
 	if (!row) return false
-	row.asking--
+	row.pendingAtHome--
 	if (isAdmitted) row.inFlight++
-	if (row.asking > 0) return false
-	const added = row.isToldByAsk && isAdmitted ? 1 : 0
-	return row.told + added !== row.inFlight
+	if (row.pendingAtHome > 0) return false
+	const added = row.isReportedByRequest && isAdmitted ? 1 : 0
+	return row.reportedToHome + added !== row.inFlight
 }
 
 /** Records at the team's home the requests in flight at another entry. */
-export function noteTeamHeld(
+export function recordTeamInFlight(
 	table: LimitTable,
 	team: string,
 	entry: string,
@@ -188,26 +188,26 @@
 ): void {
 	const row = table.get(team)
 	if (!row) return
-	if (held > 0) row.elsewhere.set(entry, held)
-	else row.elsewhere.delete(entry)
+	if (held > 0) row.inFlightElsewhere.set(entry, held)
+	else row.inFlightElsewhere.delete(entry)
 }
 
 /** Records a report to the team's home and returns the count to report. */
-export function tellTeamHeld(table: LimitTable, team: string): number {
+export function reportTeamInFlight(table: LimitTable, team: string): number {
 	const row = table.get(team)
 	if (!row) return 0
-	row.told = countOwn(row)
-	row.isToldByAsk = false
-	return row.told
+	row.reportedToHome = countOwn(row)
+	row.isReportedByRequest = false
+	return row.reportedToHome
 }
 
 /** Drops the counts of entries that are gone, and of teams whose home is another entry. */
-export function forgetElsewhere(
+export function pruneInFlightElsewhere(
 	table: LimitTable,
 	entries: ReadonlySet<string>,
 	isHome: (team: string) => boolean,
 ): void {
-	for (const [team, { elsewhere }] of table)
+	for (const [team, { inFlightElsewhere: elsewhere }] of table)
 		for (const entry of elsewhere.keys())
 			if (!entries.has(entry) || !isHome(team)) elsewhere.delete(entry)
 }
@@ -218,16 +218,22 @@
 	if (row) row.inFlight--
 }
 
-function countOwn({ inFlight, asking }: TeamRow): number {
+function countOwn({ inFlight, pendingAtHome: asking }: TeamRow): number {
 	return inFlight + asking
 }
 
-function countRunning({ inFlight, elsewhere }: TeamRow): number {
+function countRunning({
+	inFlight,
+	inFlightElsewhere: elsewhere,
+}: TeamRow): number {
 	return [...elsewhere.values()].reduce((sum, held) => sum + held, inFlight)
 }
 
 /** Returns an entry's share of an integer; the shares of all entries add up to it. */
-function integerShare(whole: number, { count, place }: EntryPart): number {
+function integerShare(
+	whole: number,
+	{ count, index: place }: LimitShare,
+): number {
 	return Math.floor(whole / count) + (place < whole % count ? 1 : 0)
 }
 
@@ -241,13 +247,13 @@
 	const known = table.get(team)
 	if (known) return known
 	const row: TeamRow = {
-		requests: fullBucket(limit.ratePerSecond * share, now),
-		tokens: fullBucket(limit.tokensPerSecond * share, now),
+		requests: createTokenBucket(limit.ratePerSecond * share, now),
+		tokens: createTokenBucket(limit.tokensPerSecond * share, now),
 		inFlight: 0,
-		asking: 0,
-		told: 0,
-		isToldByAsk: false,
-		elsewhere: new Map(),
+		pendingAtHome: 0,
+		reportedToHome: 0,
+		isReportedByRequest: false,
+		inFlightElsewhere: new Map(),
 	}
 	table.set(team, row)
 	return row
@@ -276,13 +282,13 @@
 ): NotRun | undefined {
 	if (running >= maxRunning)
 		return notRun('teamConcurrency', CONCURRENCY_RETRY_MS)
-	const wait = waitFor(row.requests, limit.ratePerSecond * share, 1, now)
+	const wait = refillBucket(row.requests, limit.ratePerSecond * share, 1, now)
 	if (wait > 0) return refuse('teamRate', wait)
 	const tokenRate = limit.tokensPerSecond * share
-	const tokenWait = waitFor(row.tokens, tokenRate, tokens, now)
+	const tokenWait = refillBucket(row.tokens, tokenRate, tokens, now)
 	if (tokenWait > 0) return refuse('teamTokens', tokenWait)
-	takeFrom(row.requests, 1)
-	takeFrom(row.tokens, tokens)
+	takeTokens(row.requests, 1)
+	takeTokens(row.tokens, tokens)
 	return undefined
 }
 
--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -5,32 +5,32 @@
  */
 
 import type {
-	EntryRoster,
+	EntryMembership,
 	HeldPermits,
+	PermitGrant,
 	PermitPool,
-	Permits,
-	PermitWish,
+	PermitRequest,
 	Random,
 	RateLimits,
 } from '../../src/index.ts'
 import {
-	createEntryRoster,
+	addGrantedPermits,
+	applyRateNotice,
+	consumePermit,
+	createEntryMembership,
 	createHeldPermits,
 	createPermitPool,
 	createRandom,
 	createRateLimits,
 	findPermitHome,
+	grantPermits,
 	hasPermit,
-	isAskDue,
-	lookAtRoster,
-	noteEntryHeard,
-	noteEntryNamed,
-	paceOfHome,
-	perSecondOf,
-	takeGiven,
-	takePermits,
-	takeRateNotice,
-	usePermit,
+	permitScheduleFor,
+	rateLimitOf,
+	recordEntryContact,
+	recordEntryDiscovered,
+	shouldRequestPermits,
+	updateEntryMembership,
 } from '../../src/index.ts'
 
 const SERVER = 'server'
@@ -84,7 +84,7 @@
 	readonly number: number
 	readonly address: string
 	incarnation: number
-	roster: EntryRoster
+	roster: EntryMembership
 	pool: PermitPool | undefined
 	limits: RateLimits
 	held: HeldPermits
@@ -133,7 +133,7 @@
 		number,
 		address,
 		incarnation: 0,
-		roster: createEntryRoster(address),
+		roster: createEntryMembership(address),
 		pool: undefined,
 		limits: createRateLimits(),
 		held: createHeldPermits(),
@@ -145,7 +145,7 @@
 	const { incarnation } = entry
 	const others = sim.entries.filter(other => other !== entry)
 	for (const other of others.slice(0, 3))
-		noteEntryNamed(entry.roster, other.address, sim.now)
+		recordEntryDiscovered(entry.roster, other.address, sim.now)
 	const every = (periodMs: number, act: () => void) => {
 		const again = () => {
 			if (entry.incarnation !== incarnation) return
@@ -276,8 +276,9 @@
 	const known = [...from.roster.others.keys()]
 	deliver(sim, from, to, () => {
 		for (const address of known)
-			if (address !== to.address) noteEntryNamed(to.roster, address, sim.now)
-		noteEntryHeard(to.roster, from.address, sim.now)
+			if (address !== to.address)
+				recordEntryDiscovered(to.roster, address, sim.now)
+		recordEntryContact(to.roster, from.address, sim.now)
 		for (const { server, perSecond, agoMs } of notices)
 			applyNotice(sim, to, server, perSecond, sim.now - agoMs)
 	})
@@ -290,7 +291,7 @@
 	perSecond: number | undefined,
 	at: number,
 ): void {
-	if (!takeRateNotice(entry.limits, server, { perSecond, at })) return
+	if (!applyRateNotice(entry.limits, server, { perSecond, at })) return
 	entry.held = createHeldPermits()
 	if (perSecond === undefined) entry.pool = undefined
 	broadcastState(sim, entry)
@@ -298,24 +299,24 @@
 
 function checkMembership(sim: Simulation, entry: Entry): void {
 	const { roster, address } = entry
-	if (!lookAtRoster(roster, address, () => true, sim.now)) return
+	if (!updateEntryMembership(roster, address, () => true, sim.now)) return
 	if (homeOf(entry) !== address) entry.pool = undefined
 }
 
 function homeOf({ roster }: Entry): string {
-	return findPermitHome(SERVER, roster.heard)!
+	return findPermitHome(SERVER, roster.reachable)!
 }
 
 function grant(
 	sim: Simulation,
 	entry: Entry,
 	perSecond: number,
-	request: PermitWish,
-): Permits {
+	request: PermitRequest,
+): PermitGrant {
 	const { roster } = entry
 	entry.pool ??= createPermitPool()
-	const pace = paceOfHome(perSecond, roster.count)
-	return takePermits(entry.pool, pace, request, sim.now)
+	const pace = permitScheduleFor(perSecond, roster.count)
+	return grantPermits(entry.pool, pace, request, sim.now)
 }
 
 function scheduleArrival(sim: Simulation): void {
@@ -332,46 +333,51 @@
 /** Handles a request for the server; without a permit it is sent elsewhere. */
 function arrive(sim: Simulation, entry: Entry): void {
 	if (!isUp(sim, entry) || isAffected(sim, 'stall', entry)) return
-	const perSecond = perSecondOf(entry.limits, SERVER)
+	const perSecond = rateLimitOf(entry.limits, SERVER)
 	if (perSecond !== undefined) {
 		requestPermit(sim, entry, perSecond)
 		if (!hasPermit(entry.held, sim.now)) return
-		usePermit(entry.held, sim.now)
+		consumePermit(entry.held, sim.now)
 	}
 	sendRequest(sim, entry)
 }
 
 function requestPermit(sim: Simulation, entry: Entry, perSecond: number): void {
 	const { held } = entry
-	if (!isAskDue(held, 0, sim.now)) return
+	if (!shouldRequestPermits(held, 0, sim.now)) return
 	const home = homeOf(entry)
 	const request = { count: 1, withinMs: 0 }
 	if (home === entry.address) {
-		takeGiven(held, perSecond, grant(sim, entry, perSecond, request), sim.now)
+		addGrantedPermits(
+			held,
+			perSecond,
+			grant(sim, entry, perSecond, request),
+			sim.now,
+		)
 		return
 	}
-	held.isAsking = true
+	held.isRequestPending = true
 	const finish = () => {
-		held.isAsking = false
+		held.isRequestPending = false
 		held.notBefore = sim.now + REQUEST_RETRY_MS
 	}
 	const { incarnation } = entry
 	schedule(sim, sim.now + REQUEST_TIMEOUT_MS, () => {
-		if (held.isAsking) finish()
+		if (held.isRequestPending) finish()
 	})
 	const other = sim.entries.find(one => one.address === home)!
 	if (!isUp(sim, other)) return
 	deliver(sim, entry, other, () => {
 		const isHome = homeOf(other) === other.address
-		const limit = perSecondOf(other.limits, SERVER)
+		const limit = rateLimitOf(other.limits, SERVER)
 		const permits =
 			isHome && limit !== undefined
 				? grant(sim, other, limit, request)
 				: undefined
 		deliver(sim, other, entry, () => {
-			if (!held.isAsking || entry.incarnation !== incarnation) return
+			if (!held.isRequestPending || entry.incarnation !== incarnation) return
 			finish()
-			if (permits) takeGiven(held, perSecond, permits, sim.now)
+			if (permits) addGrantedPermits(held, perSecond, permits, sim.now)
 		})
 	})
 }
--- a/packages/core/test/models/quarantineNet.ts
+++ b/packages/core/test/models/quarantineNet.ts
@@ -3,13 +3,13 @@
  * lost until their link reconnects, and entries that restart.
  */
 
-import type { EndNews, Quarantine, Random } from '../../src/index.ts'
+import type { CrashEvidence, Quarantine, Random } from '../../src/index.ts'
 import {
-	barredForMs,
 	createQuarantine,
 	createRandom,
-	listEndNews,
-	takeEndNews,
+	listCrashEvidence,
+	mergeCrashEvidence,
+	quarantineLeftMs,
 } from '../../src/index.ts'
 
 const POISON = 'deadly'
@@ -83,14 +83,14 @@
 	now: number,
 ): void {
 	const { random, quarantines } = sim
-	if (barredForMs(quarantines[entry]!, POISON, now) > 0) return
+	if (quarantineLeftMs(quarantines[entry]!, POISON, now) > 0) return
 	sim.sends.push(now)
 	const ranMs = MIN_RUN_MS + random() * (MAX_RUN_MS - MIN_RUN_MS)
 	const at = now + ranMs
 	const server = `server-${sim.sends.length}`
 	schedule(sim, at, () => {
 		// An entry that has received the quarantine by now has cancelled the request.
-		if (barredForMs(quarantines[entry]!, POISON, at) > 0) return
+		if (quarantineLeftMs(quarantines[entry]!, POISON, at) > 0) return
 		sim.crashes.push(at)
 		const ran = new Map([[POISON, ranMs]])
 		receive(
@@ -108,10 +108,10 @@
 	sim: Simulation,
 	scenario: QuarantineScenario,
 	entry: number,
-	received: EndNews,
+	received: CrashEvidence,
 	now: number,
 ): void {
-	const fresh = takeEndNews(sim.quarantines[entry]!, received, now)
+	const fresh = mergeCrashEvidence(sim.quarantines[entry]!, received, now)
 	if (fresh.ends.length === 0) return
 	for (let other = 0; other < scenario.entries; other++) {
 		if (other === entry) continue
@@ -130,6 +130,8 @@
 	for (const other of quarantines) {
 		if (other === fresh) continue
 		const at = now + RECONNECT_MS * sim.random()
-		schedule(sim, at, () => takeEndNews(fresh, listEndNews(other), at))
+		schedule(sim, at, () =>
+			mergeCrashEvidence(fresh, listCrashEvidence(other), at),
+		)
 	}
 }
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -7,17 +7,17 @@
 import {
 	admitAtHome,
 	admitForEntry,
-	admitTeam,
-	beginTeamAsk,
+	admitWithinShare,
+	beginHomeAdmission,
 	createLimits,
 	createRandom,
-	endTeamAsk,
+	endHomeAdmission,
 	findTeamHome,
-	forgetElsewhere,
-	isKeptAtHome,
-	noteTeamHeld,
+	isEnforcedAtHome,
+	pruneInFlightElsewhere,
+	recordTeamInFlight,
 	releaseTeam,
-	tellTeamHeld,
+	reportTeamInFlight,
 } from '../../src/index.ts'
 
 const TEAM = 'rangers'
@@ -94,11 +94,12 @@
 
 	function report(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		const held = tellTeamHeld(entry.limits, TEAM)
+		const held = reportTeamInFlight(entry.limits, TEAM)
 		if (home === entry.name) return
 		send(entry.name, home, () => {
 			const homeEntry = byName.get(home)
-			if (homeEntry) noteTeamHeld(homeEntry.limits, TEAM, entry.name, held)
+			if (homeEntry)
+				recordTeamInFlight(homeEntry.limits, TEAM, entry.name, held)
 		})
 	}
 
@@ -112,11 +113,12 @@
 
 	function admitLocally(entry: Entry): void {
 		const part = { count: entry.names.length, place: indexOfEntry(entry) }
-		if (!admitTeam(entry.limits, TEAM, limit, tokens, part, now)) begin(entry)
+		if (!admitWithinShare(entry.limits, TEAM, limit, tokens, part, now))
+			begin(entry)
 	}
 
 	function askHome(entry: Entry, home: string): void {
-		const held = beginTeamAsk(entry.limits, TEAM, limit, now)
+		const held = beginHomeAdmission(entry.limits, TEAM, limit, now)
 		let isOver = false
 		const settle = (then: () => void) => {
 			if (isOver) return
@@ -125,7 +127,7 @@
 		}
 		after(REQUEST_TIMEOUT_MS, () =>
 			settle(() => {
-				endTeamAsk(entry.limits, TEAM, false)
+				endHomeAdmission(entry.limits, TEAM, false)
 				report(entry)
 				admitLocally(entry)
 			}),
@@ -137,7 +139,7 @@
 			const refusal = admitForEntry(homeEntry.limits, TEAM, limit, request, now)
 			send(home, entry.name, () =>
 				settle(() => {
-					if (endTeamAsk(entry.limits, TEAM, !refusal)) report(entry)
+					if (endHomeAdmission(entry.limits, TEAM, !refusal)) report(entry)
 					if (!refusal) begin(entry)
 				}),
 			)
@@ -146,7 +148,7 @@
 
 	function receive(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		if (!isKeptAtHome(limit, entry.names.length)) admitLocally(entry)
+		if (!isEnforcedAtHome(limit, entry.names.length)) admitLocally(entry)
 		else if (home !== entry.name) askHome(entry, home)
 		else if (!admitAtHome(entry.limits, TEAM, limit, tokens, now)) begin(entry)
 	}
@@ -158,7 +160,7 @@
 		for (const entry of byName.values()) {
 			entry.names = left
 			const isHome = () => findTeamHome(TEAM, left) === entry.name
-			forgetElsewhere(entry.limits, new Set(left), isHome)
+			pruneInFlightElsewhere(entry.limits, new Set(left), isHome)
 		}
 	}
 
--- a/packages/core/test/quarantine.test.ts
+++ b/packages/core/test/quarantine.test.ts
@@ -2,25 +2,29 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { Quarantine, ServerEnd } from '../src/index.ts'
+import type { Quarantine, ServerCrash } from '../src/index.ts'
 import {
-	barredForMs,
 	createQuarantine,
-	listBarred,
-	listEndNews,
-	takeEndNews,
+	listCrashEvidence,
+	listQuarantined,
+	mergeCrashEvidence,
+	quarantineLeftMs,
 } from '../src/index.ts'
 
 /** Crash, and how long each request had been in flight there, ms. */
 type CrashCase = readonly [server: string, at: number, ran: object]
 
-function crashOf([server, at, ran]: CrashCase): ServerEnd {
+function crashOf([server, at, ran]: CrashCase): ServerCrash {
 	return { server, at, ran: new Map(Object.entries(ran)) }
 }
 
 function record(quarantine: Quarantine, ...ends: CrashCase[]): void {
 	const evidence = { ends: ends.map(crashOf), served: [] }
-	takeEndNews(quarantine, evidence, Math.max(...ends.map(([, at]) => at)))
+	mergeCrashEvidence(
+		quarantine,
+		evidence,
+		Math.max(...ends.map(([, at]) => at)),
+	)
 }
 
 const DAY_MS = 86_400_000
@@ -157,16 +161,16 @@
 	test(name, () => {
 		const quarantine = createQuarantine()
 		record(quarantine, ...ends)
-		takeEndNews(quarantine, { ends: [], served }, 9_000)
-		assert.equal(listBarred(quarantine), [...quarantined])
+		mergeCrashEvidence(quarantine, { ends: [], served }, 9_000)
+		assert.equal(listQuarantined(quarantine), [...quarantined])
 	})
 
 	test(`${name}: independent of order and repetition`, () => {
 		const quarantine = createQuarantine()
 		for (const end of [...ends].reverse()) record(quarantine, end)
-		takeEndNews(quarantine, { ends: [], served }, 9_000)
+		mergeCrashEvidence(quarantine, { ends: [], served }, 9_000)
 		record(quarantine, ...ends)
-		assert.equal(listBarred(quarantine), [...quarantined])
+		assert.equal(listQuarantined(quarantine), [...quarantined])
 	})
 }
 
@@ -174,11 +178,11 @@
 	const quarantine = createQuarantine()
 	record(quarantine, ['a', 3, { bad: 40 }])
 	const evidence = { ends: [crashOf(['a', 0, { bad: 40, x: 2 }])], served: [] }
-	const first = takeEndNews(quarantine, evidence, 5)
-	const second = takeEndNews(quarantine, evidence, 5)
+	const first = mergeCrashEvidence(quarantine, evidence, 5)
+	const second = mergeCrashEvidence(quarantine, evidence, 5)
 	assert.is(first.ends.length, 1)
 	assert.is(second.ends.length, 0)
-	const [end] = listEndNews(quarantine).ends
+	const [end] = listCrashEvidence(quarantine).ends
 	assert.equal(
 		[end!.at, [...end!.ran]],
 		[
@@ -195,8 +199,11 @@
 	const quarantine = createQuarantine()
 	record(quarantine, ['a', 0, { x: 40 }])
 	const merge = (fingerprint: string, at: number) =>
-		takeEndNews(quarantine, { ends: [], served: [{ fingerprint, at }] }, at)
-			.served.length
+		mergeCrashEvidence(
+			quarantine,
+			{ ends: [], served: [{ fingerprint, at }] },
+			at,
+		).served.length
 	assert.equal([merge('x', 10), merge('x', 11), merge('y', 12)], [1, 0, 0])
 	assert.is(quarantine.suspects.size, 0)
 })
@@ -215,9 +222,9 @@
 		for (let one = 0; one < ends; one++)
 			record(quarantine, [`s${one}`, at(one), { bad: 40 }])
 		const lastAt = at(ends - 1)
-		assert.is(barredForMs(quarantine, 'bad', lastAt), quarantineMs)
-		assert.is(barredForMs(quarantine, 'bad', lastAt + quarantineMs), 0)
-		assert.is(barredForMs(quarantine, 'other', lastAt), 0)
+		assert.is(quarantineLeftMs(quarantine, 'bad', lastAt), quarantineMs)
+		assert.is(quarantineLeftMs(quarantine, 'bad', lastAt + quarantineMs), 0)
+		assert.is(quarantineLeftMs(quarantine, 'other', lastAt), 0)
 	})
 
 test('crashes expire after a day', () => {
@@ -242,7 +249,7 @@
 	assert.ok(
 		Math.max(...[...quarantine.ends.values()].map(e => e.ran.size)) <= 16,
 	)
-	assert.equal(listBarred(quarantine), ['bad'])
+	assert.equal(listQuarantined(quarantine), ['bad'])
 })
 
 test.run()
--- a/packages/core/test/comeBack.test.ts
+++ b/packages/core/test/retryAfter.test.ts
@@ -3,17 +3,17 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import {
-	beginSpell,
-	bookReturn,
-	createPlaceFlow,
+	createBlockageTracker,
+	createDispatchRate,
 	createRandom,
-	createReturns,
-	createSpell,
-	endSpell,
-	expectSpellEnd,
-	gapNow,
-	notePlace,
+	createRetryAfterSchedule,
+	currentIntervalMs,
+	estimateBlockageMs,
+	markBlocked,
+	markUnblocked,
 	predictWaitMs,
+	recordDispatch,
+	scheduleRetryAfter,
 } from '../src/index.ts'
 
 const OUTAGES = [
@@ -24,29 +24,33 @@
 
 for (const { name, elapsedMs, expected } of OUTAGES)
 	test(`outage ${name}: expected to end in ${expected} ms`, () => {
-		const outage = createSpell(1_000)
-		assert.is(expectSpellEnd(outage, 0), 0)
-		beginSpell(outage, 0)
-		beginSpell(outage, elapsedMs / 2)
-		assert.is(expectSpellEnd(outage, elapsedMs), expected)
+		const outage = createBlockageTracker(1_000)
+		assert.is(estimateBlockageMs(outage, 0), 0)
+		markBlocked(outage, 0)
+		markBlocked(outage, elapsedMs / 2)
+		assert.is(estimateBlockageMs(outage, elapsedMs), expected)
 	})
 
 test('outages: the usual length adapts to those observed', () => {
-	const outage = createSpell(1_000)
+	const outage = createBlockageTracker(1_000)
 	for (let at = 0; at < 20; at++) {
-		beginSpell(outage, at * 10_000)
-		endSpell(outage, at * 10_000 + 3_000)
+		markBlocked(outage, at * 10_000)
+		markUnblocked(outage, at * 10_000 + 3_000)
 	}
-	assert.ok(Math.abs(outage.usualMs - 3_000) < 10)
-	assert.is(expectSpellEnd(outage, 0), 0)
+	assert.ok(Math.abs(outage.typicalMs - 3_000) < 10)
+	assert.is(estimateBlockageMs(outage, 0), 0)
 })
 
 test('free slots: a wait is predicted from the interval between free slots', () => {
-	const flow = createPlaceFlow()
-	for (let at = 0; at <= 60; at++) notePlace(flow, at * 50)
-	assert.ok(Math.abs(gapNow(flow, 3_000) - 50) < 1)
+	const flow = createDispatchRate()
+	for (let at = 0; at <= 60; at++) recordDispatch(flow, at * 50)
+	assert.ok(Math.abs(currentIntervalMs(flow, 3_000) - 50) < 1)
 	assert.ok(Math.abs(predictWaitMs(flow, 3, 3_000) - 200) < 4)
-	assert.is(gapNow(flow, 3_400), 400, 'no slot has become free since')
+	assert.is(
+		currentIntervalMs(flow, 3_400),
+		400,
+		'no slot has become free since',
+	)
 })
 
 const CASES = [
@@ -79,7 +83,12 @@
 		const random = createRandom(3)
 		for (let draw = 0; draw < 50; draw++) {
 			const forecast = { openInMs, notBeforeMs: 0, gapMs: 100, heededMs }
-			const retryAfterMs = bookReturn(createReturns(), forecast, 0, random)
+			const retryAfterMs = scheduleRetryAfter(
+				createRetryAfterSchedule(),
+				forecast,
+				0,
+				random,
+			)
 			assert.ok(
 				retryAfterMs >= least && retryAfterMs <= most,
 				`${retryAfterMs}`,
@@ -97,10 +106,10 @@
 test('Retry-After is never before the earliest possible time, honored or not', () => {
 	const random = createRandom(3)
 	for (const notBeforeMs of [500, 2_500, 3_000, 60_000]) {
-		const schedule = createReturns()
+		const schedule = createRetryAfterSchedule()
 		const forecast = { ...FORECAST, notBeforeMs }
 		const delays = Array.from({ length: 60 }, () =>
-			bookReturn(schedule, forecast, 0, random),
+			scheduleRetryAfter(schedule, forecast, 0, random),
 		)
 		assert.ok(Math.min(...delays) >= notBeforeMs)
 		assert.ok(Math.max(...delays) <= notBeforeMs + FORECAST.heededMs)
@@ -109,21 +118,21 @@
 })
 
 test('Retry-After: callers are staggered in the order of their requests', () => {
-	const schedule = createReturns()
+	const schedule = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, openInMs: 300 }
 	const even = () => 0.5
 	const delays = [0, 10, 20].map(now =>
-		bookReturn(schedule, forecast, now, even),
+		scheduleRetryAfter(schedule, forecast, now, even),
 	)
 	assert.equal(delays, [400, 490, 580])
 })
 
 test('Retry-After: callers of an earlier outage do not delay those of a new one', () => {
-	const schedule = createReturns()
+	const schedule = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, openInMs: 300 }
-	bookReturn(schedule, forecast, 0, () => 0.5)
+	scheduleRetryAfter(schedule, forecast, 0, () => 0.5)
 	assert.is(
-		bookReturn(schedule, forecast, 60_000, () => 0.5),
+		scheduleRetryAfter(schedule, forecast, 60_000, () => 0.5),
 		400,
 	)
 })
--- a/packages/core/test/serverNews.test.ts
+++ b/packages/core/test/serverUpdates.test.ts
@@ -6,16 +6,16 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { NewsBook, Random, ServerNews } from '../src/index.ts'
+import type { Random, ServerUpdate, SharedState } from '../src/index.ts'
 import {
-	createNewsBook,
 	createRandom,
-	drawIndex,
-	listBarred,
-	listServerNews,
-	perSecondOf,
-	subjectOf,
-	takeServerNews,
+	createSharedState,
+	listQuarantined,
+	listServerUpdates,
+	mergeServerUpdates,
+	randomIndex,
+	rateLimitOf,
+	updateKeyOf,
 } from '../src/index.ts'
 
 const SEEDS = 300
@@ -29,34 +29,34 @@
 
 /** Merge function of the entries; mutants replace it. */
 type Merge = (
-	state: NewsBook,
-	updates: readonly ServerNews[],
+	state: SharedState,
+	updates: readonly ServerUpdate[],
 	now: number,
-) => ServerNews[]
+) => ServerUpdate[]
 
 interface Message {
 	readonly to: number
-	readonly updates: readonly ServerNews[]
+	readonly updates: readonly ServerUpdate[]
 }
 
 interface Simulation {
-	readonly replicas: NewsBook[]
+	readonly replicas: SharedState[]
 	/** Received every update, in the order in which they occurred. */
-	readonly reference: NewsBook
+	readonly reference: SharedState
 	/** Updates that each entry has still to send, the last one of each key. */
-	readonly outboxes: Map<string, ServerNews>[]
+	readonly outboxes: Map<string, ServerUpdate>[]
 	/** Messages in transit; any of them may arrive next. */
 	inTransit: Message[]
 	readonly merge: Merge
 	readonly random: Random
 }
 
-function randomUpdate(random: Random, at: number): ServerNews {
-	const server = SERVERS[drawIndex(random, SERVERS.length)]!
-	const fingerprint = REQUESTS[drawIndex(random, REQUESTS.length)]!
-	switch (drawIndex(random, 5)) {
+function randomUpdate(random: Random, at: number): ServerUpdate {
+	const server = SERVERS[randomIndex(random, SERVERS.length)]!
+	const fingerprint = REQUESTS[randomIndex(random, REQUESTS.length)]!
+	switch (randomIndex(random, 5)) {
 		case 0: {
-			const perSecond = [undefined, 1, 2][drawIndex(random, 3)]
+			const perSecond = [undefined, 1, 2][randomIndex(random, 3)]
 			return { kind: 'limit', server, perSecond, at }
 		}
 		case 1:
@@ -70,8 +70,8 @@
 		case 3:
 			return { kind: 'served', fingerprint, at }
 		default: {
-			const entry = String(drawIndex(random, ENTRIES))
-			const endsAt = at + 100_000 + drawIndex(random, 50_000)
+			const entry = String(randomIndex(random, ENTRIES))
+			const endsAt = at + 100_000 + randomIndex(random, 50_000)
 			return { kind: 'rest', server, entry, endsAt }
 		}
 	}
@@ -81,11 +81,11 @@
 function receive(
 	sim: Simulation,
 	entry: number,
-	updates: readonly ServerNews[],
+	updates: readonly ServerUpdate[],
 	at: number,
 ) {
 	const fresh = sim.merge(sim.replicas[entry]!, updates, at)
-	for (const one of fresh) sim.outboxes[entry]!.set(subjectOf(one), one)
+	for (const one of fresh) sim.outboxes[entry]!.set(updateKeyOf(one), one)
 }
 
 function flushOutbox(sim: Simulation, entry: number): void {
@@ -98,7 +98,7 @@
 }
 
 function deliver(sim: Simulation, at: number): void {
-	const which = drawIndex(sim.random, sim.inTransit.length)
+	const which = randomIndex(sim.random, sim.inTransit.length)
 	const message = sim.inTransit[which]
 	if (!message) return
 	const isDoubled = sim.random() < 0.1
@@ -108,18 +108,18 @@
 
 /** Reconnects two entries: both send their whole state. */
 function reconnect(sim: Simulation, at: number): void {
-	const [one, other] = [0, 0].map(() => drawIndex(sim.random, ENTRIES))
-	receive(sim, one!, listServerNews(sim.replicas[other!]!, MAX_DEPARTED), at)
-	receive(sim, other!, listServerNews(sim.replicas[one!]!, MAX_DEPARTED), at)
+	const [one, other] = [0, 0].map(() => randomIndex(sim.random, ENTRIES))
+	receive(sim, one!, listServerUpdates(sim.replicas[other!]!, MAX_DEPARTED), at)
+	receive(sim, other!, listServerUpdates(sim.replicas[one!]!, MAX_DEPARTED), at)
 }
 
 /** Whether an entry would report it: one that knows no limit sees no end of it. */
-function isObservable(state: NewsBook, update: ServerNews): boolean {
+function isObservable(state: SharedState, update: ServerUpdate): boolean {
 	switch (update.kind) {
 		case 'limit':
 			return (
 				update.perSecond !== undefined ||
-				perSecondOf(state.rateLimits, update.server) !== undefined
+				rateLimitOf(state.rateLimits, update.server) !== undefined
 			)
 		case 'served':
 			return state.quarantine.suspects.has(update.fingerprint)
@@ -130,11 +130,11 @@
 
 function step(sim: Simulation, at: number): void {
 	const dice = sim.random()
-	const entry = drawIndex(sim.random, ENTRIES)
+	const entry = randomIndex(sim.random, ENTRIES)
 	if (dice < 0.3) {
 		const update = randomUpdate(sim.random, at)
 		if (!isObservable(sim.replicas[entry]!, update)) return
-		takeServerNews(sim.reference, [update], at)
+		mergeServerUpdates(sim.reference, [update], at)
 		receive(sim, entry, [update], at)
 	} else if (dice < 0.5) flushOutbox(sim, entry)
 	else if (dice < 0.85) deliver(sim, at)
@@ -148,21 +148,21 @@
 /** Restarts an entry once another one has its whole state. */
 function restart(sim: Simulation, entry: number, at: number): void {
 	const other = (entry + 1) % ENTRIES
-	receive(sim, other, listServerNews(sim.replicas[entry]!, MAX_DEPARTED), at)
-	sim.replicas[entry] = createNewsBook()
+	receive(sim, other, listServerUpdates(sim.replicas[entry]!, MAX_DEPARTED), at)
+	sim.replicas[entry] = createSharedState()
 	sim.outboxes[entry]!.clear()
-	receive(sim, entry, listServerNews(sim.replicas[other]!, MAX_DEPARTED), at)
+	receive(sim, entry, listServerUpdates(sim.replicas[other]!, MAX_DEPARTED), at)
 }
 
 /** Returns the state in a comparable form, without backoffs that are over. */
-function summarize(state: NewsBook, now: number): unknown {
+function summarize(state: SharedState, now: number): unknown {
 	return {
-		limits: SERVERS.map(one => perSecondOf(state.rateLimits, one) ?? 'none'),
-		left: [...state.left].sort(),
+		limits: SERVERS.map(one => rateLimitOf(state.rateLimits, one) ?? 'none'),
+		left: [...state.departed].sort(),
 		ends: [...state.quarantine.ends.values()]
 			.map(({ server, ran }) => `${server} ${[...ran.keys()].sort()}`)
 			.sort(),
-		rests: [...state.rests.values()]
+		rests: [...state.backoffs.values()]
 			.filter(({ endsAt }) => endsAt > now)
 			.map(one => `${one.entry} ${one.server} ${one.endsAt}`)
 			.sort(),
@@ -178,8 +178,8 @@
 /** Whether all entries end up in the state of the reference. */
 function converges(seed: number, merge: Merge): boolean {
 	const sim: Simulation = {
-		replicas: Array.from({ length: ENTRIES }, () => createNewsBook()),
-		reference: createNewsBook(),
+		replicas: Array.from({ length: ENTRIES }, () => createSharedState()),
+		reference: createSharedState(),
 		outboxes: Array.from({ length: ENTRIES }, () => new Map()),
 		inTransit: [],
 		merge,
@@ -195,7 +195,12 @@
 		}
 		for (let one = 0; one < ENTRIES; one++) {
 			const next = (one + 1) % ENTRIES
-			receive(sim, next, listServerNews(sim.replicas[one]!, MAX_DEPARTED), end)
+			receive(
+				sim,
+				next,
+				listServerUpdates(sim.replicas[one]!, MAX_DEPARTED),
+				end,
+			)
 		}
 	}
 	const expected = JSON.stringify(summarize(sim.reference, end))
@@ -205,7 +210,7 @@
 	// Which answers clear a request depends on when it was suspected, and so on the order
 	// of updates: quarantines are compared between entries only, not with the reference.
 	const verdicts = sim.replicas.map(state =>
-		listBarred(state.quarantine).sort(),
+		listQuarantined(state.quarantine).sort(),
 	)
 	return isEqual && new Set(verdicts.map(String)).size === 1
 }
@@ -213,17 +218,17 @@
 test('server updates: random histories converge at all entries', () => {
 	const diverged: number[] = []
 	for (let seed = 0; seed < SEEDS; seed++)
-		if (!converges(seed, takeServerNews)) diverged.push(seed)
+		if (!converges(seed, mergeServerUpdates)) diverged.push(seed)
 	assert.equal(diverged, [])
 })
 
 /** Returns a mutant that merges one kind of update differently. */
 function mutate(
-	change: (state: NewsBook, update: ServerNews) => boolean,
+	change: (state: SharedState, update: ServerUpdate) => boolean,
 ): Merge {
 	return (state, updates, now) =>
 		updates.flatMap(one =>
-			change(state, one) ? [one] : takeServerNews(state, [one], now),
+			change(state, one) ? [one] : mergeServerUpdates(state, [one], now),
 		)
 }
 
@@ -243,7 +248,7 @@
 	{
 		name: 'the end of a limit is not retained',
 		merge: (state, updates, now) => {
-			const fresh = takeServerNews(state, updates, now)
+			const fresh = mergeServerUpdates(state, updates, now)
 			for (const [server, { perSecond }] of state.rateLimits)
 				if (perSecond === undefined) state.rateLimits.delete(server)
 			return fresh
@@ -253,7 +258,7 @@
 		name: 'a departure is reverted',
 		merge: mutate((state, update) => {
 			if (update.kind === 'limit' && update.perSecond === undefined)
-				state.left.clear()
+				state.departed.clear()
 			return false
 		}),
 	},
@@ -262,15 +267,15 @@
 		merge: mutate((state, update) => {
 			if (update.kind !== 'rest') return false
 			const key = `${update.entry} ${update.server}`
-			const isSame = state.rests.get(key)?.endsAt === update.endsAt
-			state.rests.set(key, update)
+			const isSame = state.backoffs.get(key)?.endsAt === update.endsAt
+			state.backoffs.set(key, update)
 			return !isSame && update.endsAt % 2 === 0
 		}),
 	},
 	{
 		name: 'new updates are not forwarded, and crashes are not sent on reconnect',
 		merge: (state, updates, now) => {
-			takeServerNews(
+			mergeServerUpdates(
 				state,
 				updates.length > 1
 					? updates.filter(one => one.kind !== 'end')
@@ -292,7 +297,7 @@
 // Entries forwarded only part of the requests in flight at a crash, so that requests next
 // to a poison request were quarantined.
 test('server updates: a forwarded crash has the requests in flight of all entries', () => {
-	const state = createNewsBook()
+	const state = createSharedState()
 	const crashOf = (fingerprint: string) =>
 		({
 			kind: 'end',
@@ -300,8 +305,8 @@
 			at: 5,
 			ran: new Map([[fingerprint, 40]]),
 		}) as const
-	takeServerNews(state, [crashOf('x')], 10)
-	const [fresh] = takeServerNews(state, [crashOf('y')], 10)
+	mergeServerUpdates(state, [crashOf('x')], 10)
+	const [fresh] = mergeServerUpdates(state, [crashOf('y')], 10)
 	assert.equal([...(fresh?.ran.keys() ?? [])].sort(), ['x', 'y'])
 })
 
--- a/packages/core/test/staleLoads.test.ts
+++ b/packages/core/test/staleLoads.test.ts
@@ -11,11 +11,11 @@
 import * as assert from 'uvu/assert'
 import type { EntryDemand, Random, ServerTable } from '../src/index.ts'
 import {
+	assignServers,
 	chooseRow,
+	countInFlight,
 	createRandom,
 	createServerTable,
-	dealServers,
-	heldBy,
 } from '../src/index.ts'
 
 const DURATION_MS = 14_000
@@ -122,7 +122,8 @@
 	let least = Number.POSITIVE_INFINITY
 	for (let at = 0; at < size; at++) {
 		const row = (from + at) % size
-		const held = heldBy(table, row) + 0.75 * table.dealtElsewhere[row]!
+		const held =
+			countInFlight(table, row) + 0.75 * table.assignedElsewhere[row]!
 		if (held >= least) continue
 		least = held
 		best = row
@@ -156,12 +157,12 @@
 	}))
 	return demand.map((own, at): Entry => {
 		const others = demand.filter(one => one !== own)
-		const assigned = new Set(dealServers(own, others, servers))
+		const assigned = new Set(assignServers(own, others, servers))
 		const table = createServerTable(servers.map(server => server.id))
 		table.slots.fill(slots)
 		table.open.fill(1)
 		for (let row = 0; row < ranks; row++)
-			table.dealtElsewhere[row] = assigned.has(row) ? 0 : 1
+			table.assignedElsewhere[row] = assigned.has(row) ? 0 : 1
 		return {
 			table,
 			lastReported: new Array<number>(ranks).fill(0),
@@ -185,7 +186,7 @@
 		now -= (Math.log(1 - random()) * 1_000) / perSecond
 		for (const { end, entry, row } of running) {
 			if (end > now) continue
-			entry.table.sentSince[row]!--
+			entry.table.sentSinceReport[row]!--
 			inFlight[row]!--
 		}
 		running = running.filter(one => one.end > now)
@@ -195,7 +196,7 @@
 		const row = select(entry.table, entry.unreportedSends, random)
 		if (now > WARM_UP_MS) total++
 		if (now > WARM_UP_MS && inFlight[row]! >= slots) queued++
-		entry.table.sentSince[row]!++
+		entry.table.sentSinceReport[row]!++
 		entry.unreportedSends++
 		inFlight[row]!++
 		running.push({ end: now + randomStreamMs(streamMs, random), entry, row })
@@ -204,11 +205,12 @@
 
 	function exchange(entry: Entry): void {
 		for (let row = 0; row < ranks; row++) {
-			const change = entry.table.sentSince[row]! - entry.lastReported[row]!
+			const change =
+				entry.table.sentSinceReport[row]! - entry.lastReported[row]!
 			entry.lastReported[row]! += change
 			if (change === 0) continue
 			for (const other of entries)
-				if (other !== entry) other.table.reported[row]! += change
+				if (other !== entry) other.table.reportedLoad[row]! += change
 		}
 		entry.nextExchangeAt += exchangeMs
 		entry.unreportedSends = 0
