--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -228,19 +228,16 @@
 
 function hasCapacity(
 	table: ServerTable,
-	{
-		queueCapacity: queueRoom,
-		closedGroups: shutGroups,
-		permitted,
-	}: DispatchQuery,
+	{ queueCapacity, closedGroups, permitted }: DispatchQuery,
 	row: number,
 	unreported: number,
 ): boolean {
-	if (shutGroups.has(table.group[row]!)) return false
+	if (closedGroups.has(table.group[row]!)) return false
 	const reserved = Math.max(MIN_RESERVED, Math.floor(unreported))
 	// A permit is for this entry, even at a server assigned to another one.
 	const isElsewhere = table.assignedElsewhere[row] === 1 && !permitted.has(row)
-	const capacity = table.slots[row]! + queueRoom - (isElsewhere ? reserved : 0)
+	const capacity =
+		table.slots[row]! + queueCapacity - (isElsewhere ? reserved : 0)
 	return (
 		countInFlight(table, row) <
 		Math.min(capacity, Math.ceil(table.maxInFlight[row]!))
@@ -287,11 +284,11 @@
 
 /** Open servers assigned to this entry whose groups are not closed. */
 function listAssigned(table: ServerTable, query: DispatchQuery): number[] {
-	const { rows, closedGroups: shutGroups } = query
+	const { rows, closedGroups } = query
 	const isAssigned = (row: number) =>
 		table.open[row] === 1 &&
 		table.assignedElsewhere[row] === 0 &&
-		!shutGroups.has(table.group[row]!)
+		!closedGroups.has(table.group[row]!)
 	return rows.filter(isAssigned)
 }
 
--- a/packages/core/src/core/heldPermits.ts
+++ b/packages/core/src/core/heldPermits.ts
@@ -14,7 +14,7 @@
 export interface HeldPermits {
 	permits: readonly Permit[]
 	isRequestPending: boolean
-	/** Time before which the server's home grants no further permit, ms. */
+	/** Time before which the permit home grants no further permit, ms. */
 	notBefore: number
 }
 
@@ -55,7 +55,7 @@
 	return held.notBefore <= now + withinMs
 }
 
-/** Adds permits that the server's home has granted at a limit of `perSecond`. */
+/** Adds permits that the permit home has granted at a limit of `perSecond`. */
 export function addGrantedPermits(
 	held: HeldPermits,
 	perSecond: number,
--- a/packages/core/src/core/keyHome.ts
+++ b/packages/core/src/core/keyHome.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns each idempotency key of a non-repeatable request to a home: the one backend
- * server that runs requests with this key.
+ * Assigns each idempotency key of a non-repeatable request to a key home: the one
+ * backend server that runs requests with this key.
  */
 
 import type { Config } from '../internal.ts'
@@ -31,8 +31,8 @@
 }
 
 /**
- * Returns the key's home, by rendezvous hashing over the *configured* servers: all
- * entries agree without coordination, and a home that is down remains the home.
+ * Returns the key home, by rendezvous hashing over the *configured* servers: all entries
+ * agree without coordination, and a key home that is down remains the key home.
  */
 export function findKeyHome(
 	config: Config,
@@ -56,8 +56,8 @@
 }
 
 /**
- * Returns the time (Unix ms) since which `server` has been the key's home without
- * interruption; `undefined` if it is not the home now.
+ * Returns the time (Unix ms) since which `server` has been the key home without
+ * interruption; `undefined` if it is not the key home now.
  */
 export function findKeyHomeSince(
 	history: KeyHomeHistory,
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -1,5 +1,5 @@
 /**
- * Enforces a server's rate limit across all entries: one entry, the server's home, issues
+ * Enforces a server's rate limit across all entries: one entry, its permit home, issues
  * permits at the permitted rate, and no entry sends a request without one. Dividing the
  * limit between the entries would not work: with shares below one request, either each
  * entry may send one, which exceeds the limit in total, or callers that all use the same
@@ -8,24 +8,24 @@
 
 import { pickByRendezvous } from '../internal.ts'
 
-/** Permits of one server, at its home. */
+/** Permits of one server, at its permit home. */
 export interface PermitPool {
 	/** When the next permit becomes usable, ms. */
 	nextAt: number
 }
 
-/** Rate at which a home issues permits. */
+/** Rate at which a permit home issues permits. */
 export interface PermitSchedule {
 	/** Interval between two permits, ms. */
 	readonly gapMs: number
 	/**
-	 * Set for the home of a minority partition: position of its permit within each
-	 * interval, from 0 to 1. The homes of the partitions thus issue permits in turn.
+	 * Set for the permit home of a minority partition: position of its permit within each
+	 * interval, from 0 to 1. The permit homes of the partitions thus issue permits in turn.
 	 */
 	readonly phase: number | undefined
 }
 
-/** Request of an entry to a server's home. */
+/** Request of an entry to a permit home. */
 export interface PermitRequest {
 	readonly count: number
 	/** Longest wait of the entry's callers, ms. */
@@ -101,20 +101,20 @@
 }
 
 /**
- * Returns the rate at which a home issues permits to the reachable entries. In a network
- * partition each side has a home: that of a majority continues at the full rate, the
- * others at the fraction of entries that they reach.
+ * Returns the rate at which a permit home issues permits to the reachable entries. In a
+ * network partition each side has a permit home: that of a majority continues at the
+ * full rate, the others at the fraction of entries that they reach.
  */
 export function permitScheduleFor(
 	perSecond: number,
-	{ reachable: heard, known, index: place }: EntryCount,
+	{ reachable, known, index }: EntryCount,
 ): PermitSchedule {
 	const gapMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
-	if (2 * heard > known) return { gapMs, phase: undefined }
-	return { gapMs: (gapMs * known) / heard, phase: place / known }
+	if (2 * reachable > known) return { gapMs, phase: undefined }
+	return { gapMs: (gapMs * known) / reachable, phase: index / known }
 }
 
-/** Returns the home of a server's permits among the reachable entries. */
+/** Returns a server's permit home among the reachable entries, by rendezvous hashing. */
 export function findPermitHome(
 	server: string,
 	entries: readonly string[],
--- a/packages/core/src/core/retryAfter.ts
+++ b/packages/core/src/core/retryAfter.ts
@@ -36,20 +36,15 @@
 /** Reserves the next free slot for a caller and returns its Retry-After, ms. */
 export function scheduleRetryAfter(
 	schedule: RetryAfterSchedule,
-	{
-		availableInMs: openInMs,
-		notBeforeMs,
-		gapMs,
-		maxHonoredMs: heededMs,
-	}: RetryAfterForecast,
+	{ availableInMs, notBeforeMs, gapMs, maxHonoredMs }: RetryAfterForecast,
 	now: number,
 	random: Random,
 ): number {
 	// Never returns a time at which the service certainly accepts nothing, even if the
 	// caller does not honor a longer one.
-	const isUnreachable = notBeforeMs + gapMs > heededMs
-	const latestMs = isUnreachable ? notBeforeMs + heededMs : heededMs
-	const availableAt = now + Math.max(openInMs, notBeforeMs)
+	const isUnreachable = notBeforeMs + gapMs > maxHonoredMs
+	const latestMs = isUnreachable ? notBeforeMs + maxHonoredMs : maxHonoredMs
+	const availableAt = now + Math.max(availableInMs, notBeforeMs)
 	const nextSlotAt = Math.max(availableAt, schedule.lastDueAt) + gapMs
 	const dueAt = Math.min(nextSlotAt, now + latestMs)
 	schedule.lastDueAt = Math.max(schedule.lastDueAt, dueAt)
--- a/packages/core/src/core/serverUpdates.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -1,5 +1,5 @@
 /**
- * State about servers that entries gossip. Each kind of update has a merge whose result
+ * State about servers that entries exchange. Each kind of update has a merge whose result
  * does not depend on the order or repetition of updates: the newest rate limit wins, a
  * departure and a crash are final, the longest backoff wins.
  */
@@ -51,7 +51,7 @@
 	{ kind: K }
 >
 
-/** An entry's replica of the gossiped state. */
+/** An entry's replica of the exchanged state. */
 export interface SharedState {
 	readonly rateLimits: RateLimits
 	/** Ids of incarnations that are leaving or have ended. */
@@ -62,10 +62,12 @@
 }
 
 /** Creates an empty state; the set of departed incarnations may be shared. */
-export function createSharedState(left: Set<string> = new Set()): SharedState {
+export function createSharedState(
+	departed: Set<string> = new Set(),
+): SharedState {
 	return {
 		rateLimits: createRateLimits(),
-		departed: left,
+		departed,
 		quarantine: createQuarantine(),
 		backoffs: new Map(),
 	}
@@ -129,33 +131,34 @@
 	}
 }
 
-function mergeLeft({ departed: left }: SharedState, server: string): boolean {
-	const before = left.size
-	return left.add(server).size > before
+function mergeLeft({ departed }: SharedState, server: string): boolean {
+	const before = departed.size
+	return departed.add(server).size > before
 }
 
 function mergeBackoff(
-	{ backoffs: rests }: SharedState,
+	{ backoffs }: SharedState,
 	update: UpdateOf<'rest'>,
 	now: number,
 ): boolean {
 	const key = `${update.entry} ${update.server}`
-	const known = rests.get(key)?.endsAt ?? now
+	const known = backoffs.get(key)?.endsAt ?? now
 	if (update.endsAt <= known) return false
 	// Reinserted at the end, since the oldest are evicted first.
-	rests.delete(key)
-	rests.set(key, update)
-	const [oldest] = rests.keys()
-	if (rests.size > MAX_BACKOFFS) rests.delete(oldest!)
+	backoffs.delete(key)
+	backoffs.set(key, update)
+	const [oldest] = backoffs.keys()
+	if (backoffs.size > MAX_BACKOFFS) backoffs.delete(oldest!)
 	return true
 }
 
 /** Removes backoffs that are over. */
 export function pruneExpiredBackoffs(
-	{ backoffs: rests }: SharedState,
+	{ backoffs }: SharedState,
 	now: number,
 ): void {
-	for (const [key, { endsAt }] of rests) if (endsAt <= now) rests.delete(key)
+	for (const [key, { endsAt }] of backoffs)
+		if (endsAt <= now) backoffs.delete(key)
 }
 
 /**
--- a/packages/core/src/core/teamLimits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -1,7 +1,7 @@
 /**
  * Team limits on concurrency, request rate and token rate, enforced across all entries.
  * Where a limit is large enough, it is divided and each entry enforces its own share.
- * Smaller limits are enforced by one entry for all, the team's home, which the others
+ * Smaller limits are enforced by one entry for all, the team home, which the others
  * ask for admission. Dividing a limit of only a few requests per entry would not work:
  * rounded up the shares exceed the limit, rounded down some entries get nothing.
  */
@@ -28,16 +28,16 @@
 	readonly tokens: TokenBucket
 	/** Requests in flight at this entry. */
 	inFlight: number
-	/** Admission requests of this entry that the team's home has not answered yet. */
+	/** Admission requests of this entry that the team home has not answered yet. */
 	pendingAtHome: number
-	/** Number of requests that this entry last reported to the team's home. */
+	/** Number of requests that this entry last reported to the team home. */
 	reportedToHome: number
 	/**
-	 * Whether the last report was part of an admission request: the home then adds the
+	 * Whether the last report was part of an admission request: the team home then adds the
 	 * requests that it admits.
 	 */
 	isReportedByRequest: boolean
-	/** At the team's home: requests in flight at the other entries, by entry. */
+	/** At the team home: requests in flight at the other entries, by entry. */
 	readonly inFlightElsewhere: Map<string, number>
 }
 
@@ -55,7 +55,7 @@
 /** Share of a single entry. */
 export const FULL_SHARE: LimitShare = { count: 1, index: 0 }
 
-/** Request of an entry to a team's home for the admission of one request. */
+/** Request of an entry to the team home for the admission of one request. */
 export interface TeamAdmissionRequest {
 	readonly entry: string
 	/** Requests in flight at the entry, plus earlier admission requests not yet answered. */
@@ -69,7 +69,7 @@
 	return new Map()
 }
 
-/** Whether the team's home enforces the limit for all of `entries` live entries. */
+/** Whether the team home enforces the limit for all of `entries` live entries. */
 export function isEnforcedAtHome(limit: TeamConfig, entries: number): boolean {
 	if (entries <= 1) return false
 	const { concurrency, ratePerSecond, tokensPerSecond } = limit
@@ -80,7 +80,7 @@
 	)
 }
 
-/** Returns the team's home among the live entries, by rendezvous hashing. */
+/** Returns the team home among the live entries, by rendezvous hashing. */
 export function findTeamHome(
 	team: string,
 	entries: readonly string[],
@@ -102,7 +102,7 @@
 ): NotRun | undefined {
 	const share = 1 / part.count
 	const row = teamRow(table, team, limit, share, now)
-	// At least one, so that an entry keeps serving while the team's home does not answer.
+	// At least one, so that an entry keeps serving while the team home does not answer.
 	const maxRunning = Math.max(1, integerShare(limit.concurrency, part))
 	const refusal = admit(
 		row,
@@ -117,7 +117,7 @@
 	return refusal
 }
 
-/** Admits or refuses a request of another entry, at the team's home. */
+/** Admits or refuses a request of another entry, at the team home. */
 export function admitForEntry(
 	table: LimitTable,
 	team: string,
@@ -132,7 +132,7 @@
 	return refusal
 }
 
-/** Admits or refuses a request that the team's home itself received. */
+/** Admits or refuses a request that the team home itself received. */
 export function admitAtHome(
 	table: LimitTable,
 	team: string,
@@ -146,7 +146,7 @@
 	return refusal
 }
 
-/** Begins an admission request to the team's home; returns its `held` count. */
+/** Begins an admission request to the team home; returns its `held` count. */
 export function beginHomeAdmission(
 	table: LimitTable,
 	team: string,
@@ -161,8 +161,8 @@
 }
 
 /**
- * Ends an admission request to the team's home; answers arrive in the order of the
- * requests. Returns true if the home's count differs from the requests in flight, so
+ * Ends an admission request to the team home; answers arrive in the order of the
+ * requests. Returns true if the team home's count differs from the requests in flight, so
  * that a new report is needed.
  */
 export function endHomeAdmission(
@@ -179,7 +179,7 @@
 	return row.reportedToHome + added !== row.inFlight
 }
 
-/** Records at the team's home the requests in flight at another entry. */
+/** Records at the team home the requests in flight at another entry. */
 export function recordTeamInFlight(
 	table: LimitTable,
 	team: string,
@@ -192,7 +192,7 @@
 	else row.inFlightElsewhere.delete(entry)
 }
 
-/** Records a report to the team's home and returns the count to report. */
+/** Records a report to the team home and returns the count to report. */
 export function reportTeamInFlight(table: LimitTable, team: string): number {
 	const row = table.get(team)
 	if (!row) return 0
@@ -201,15 +201,15 @@
 	return row.reportedToHome
 }
 
-/** Drops the counts of entries that are gone, and of teams whose home is another entry. */
+/** Drops the counts of entries that are gone, and of teams whose team home is another entry. */
 export function pruneInFlightElsewhere(
 	table: LimitTable,
 	entries: ReadonlySet<string>,
 	isHome: (team: string) => boolean,
 ): void {
-	for (const [team, { inFlightElsewhere: elsewhere }] of table)
-		for (const entry of elsewhere.keys())
-			if (!entries.has(entry) || !isHome(team)) elsewhere.delete(entry)
+	for (const [team, { inFlightElsewhere }] of table)
+		for (const entry of inFlightElsewhere.keys())
+			if (!entries.has(entry) || !isHome(team)) inFlightElsewhere.delete(entry)
 }
 
 /** Records that an admitted request has ended. */
@@ -218,23 +218,20 @@
 	if (row) row.inFlight--
 }
 
-function countOwn({ inFlight, pendingAtHome: asking }: TeamRow): number {
-	return inFlight + asking
+function countOwn({ inFlight, pendingAtHome }: TeamRow): number {
+	return inFlight + pendingAtHome
 }
 
-function countRunning({
-	inFlight,
-	inFlightElsewhere: elsewhere,
-}: TeamRow): number {
-	return [...elsewhere.values()].reduce((sum, held) => sum + held, inFlight)
+function countRunning({ inFlight, inFlightElsewhere }: TeamRow): number {
+	return [...inFlightElsewhere.values()].reduce(
+		(sum, held) => sum + held,
+		inFlight,
+	)
 }
 
 /** Returns an entry's share of an integer; the shares of all entries add up to it. */
-function integerShare(
-	whole: number,
-	{ count, index: place }: LimitShare,
-): number {
-	return Math.floor(whole / count) + (place < whole % count ? 1 : 0)
+function integerShare(whole: number, { count, index }: LimitShare): number {
+	return Math.floor(whole / count) + (index < whole % count ? 1 : 0)
 }
 
 function teamRow(
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -50,12 +50,12 @@
 const QUERY = {
 	rows: [0, 1, 2],
 	tried: new Set<number>(),
-	queueRoom: 0,
+	queueCapacity: 0,
 	permitted: new Set<number>(),
 	withheld: new Set<number>(),
-	shutGroups: new Set<number>(),
-	near: new Set([0, 1, 2]),
-	untold: 0,
+	closedGroups: new Set<number>(),
+	localRows: new Set([0, 1, 2]),
+	unreportedSends: 0,
 }
 
 for (const { name, results, avoided } of OUTCOMES)
@@ -105,16 +105,20 @@
 })
 
 const FULL_GROUPS = [
-	{ name: 'without a limit', most: Number.POSITIVE_INFINITY, full: false },
-	{ name: 'with capacity for one request', most: 2.5, full: false },
-	{ name: 'with capacity for less than one', most: 2.25, full: true },
+	{
+		name: 'without a limit',
+		maxInFlight: Number.POSITIVE_INFINITY,
+		full: false,
+	},
+	{ name: 'with capacity for one request', maxInFlight: 2.5, full: false },
+	{ name: 'with capacity for less than one', maxInFlight: 2.25, full: true },
 ]
 
-for (const { name, most, full } of FULL_GROUPS)
+for (const { name, maxInFlight, full } of FULL_GROUPS)
 	test(`a group ${name} is ${full ? 'full' : 'not full'}`, () => {
 		const table = createServerTable(['a', 'b', 'c', 'd'])
 		table.group.fill(0)
-		table.maxInFlight.fill(most)
+		table.maxInFlight.fill(maxInFlight)
 		table.sentSinceReport.set([3, 2, 2, 2])
 		assert.is(listFullGroups(table).has(0), full)
 	})
@@ -139,7 +143,7 @@
 	table.slots.fill(4)
 	table.assignedElsewhere[1] = 1
 	table.assignedElsewhere[2] = 1
-	const query = { ...QUERY, withheld: new Set([0]), untold: 20 }
+	const query = { ...QUERY, withheld: new Set([0]), unreportedSends: 20 }
 	const choice = chooseRow(table, query, 0, createRandom(1))
 	assert.is(choice.kind, 'row')
 })
@@ -151,12 +155,12 @@
 	table.group.set([0, 0, 1])
 	table.sentSinceReport[2] = 7
 	const random = createRandom(1)
-	const shut = (...groups: number[]) => ({
+	const closed = (...groups: number[]) => ({
 		...QUERY,
-		shutGroups: new Set(groups),
+		closedGroups: new Set(groups),
 	})
-	assert.equal(chooseRow(table, shut(0), 0, random), { kind: 'row', row: 2 })
-	assert.is(chooseRow(table, shut(0, 1), 0, random).kind, 'full')
+	assert.equal(chooseRow(table, closed(0), 0, random), { kind: 'row', row: 2 })
+	assert.is(chooseRow(table, closed(0, 1), 0, random).kind, 'full')
 })
 
 const SLOW_GROUP_CASES: {
@@ -205,7 +209,7 @@
 			table.group[row] = row < 4 ? 0 : 1
 			table.groupSlowdown[row] = paces[table.group[row]!]!
 		}
-		const query = { ...QUERY, rows, near: new Set(rows) }
+		const query = { ...QUERY, rows, localRows: new Set(rows) }
 		const random = createRandom(1)
 		let atFirst = 0
 		for (let sent = 0; sent < requests; sent++) {
--- a/packages/core/test/groupReopening.test.ts
+++ b/packages/core/test/groupReopening.test.ts
@@ -99,26 +99,21 @@
 			table.group[row] = row % GROUPS
 			table.assignedElsewhere[row] = assigned.has(row) ? 0 : 1
 		}
-		const isNear = (row: number) => servers[row]!.dataCentre === own.dataCentre
+		const isLocal = (row: number) => servers[row]!.dataCentre === own.dataCentre
 		const query = {
 			rows,
 			tried: new Set<number>(),
-			queueRoom: 0,
+			queueCapacity: 0,
 			permitted: new Set<number>(),
 			withheld: new Set<number>(),
-			shutGroups: new Set(
+			closedGroups: new Set(
 				ALL_GROUPS.filter(group => !openGroups.includes(group)),
 			),
-			near: new Set(rows.filter(isNear)),
+			localRows: new Set(rows.filter(isLocal)),
 		}
 		for (let sent = 0; sent < waitingAt(at); sent++) {
-			const untold = isEstimating ? sent : 0
-			const choice = chooseRow(
-				table,
-				{ ...query, unreportedSends: untold },
-				0,
-				random,
-			)
+			const unreportedSends = isEstimating ? sent : 0
+			const choice = chooseRow(table, { ...query, unreportedSends }, 0, random)
 			if (choice.kind !== 'row') {
 				kept += waitingAt(at) - sent
 				break
--- a/packages/core/test/models/quarantineNet.ts
+++ b/packages/core/test/models/quarantineNet.ts
@@ -1,5 +1,5 @@
 /**
- * Simulates entries that gossip server crashes, in virtual time: updates that are late or
+ * Simulates entries that exchange server crashes, in virtual time: updates that are late or
  * lost until their link reconnects, and entries that restart.
  */
 
@@ -16,8 +16,8 @@
 /** Time from the start of a poison request until its server crashes, ms. */
 const MIN_RUN_MS = 20
 const MAX_RUN_MS = 2_000
-/** Delay of gossip, and maximum latency of a message, ms. */
-const GOSSIP_MS = 50
+/** Delay before an update is sent, and maximum latency of a message, ms. */
+const UPDATE_DELAY_MS = 50
 const LATENCY_MS = 5
 /** Time until a link that lost a message reconnects and exchanges all state, ms. */
 const RECONNECT_MS = 2_000
@@ -115,7 +115,7 @@
 	if (fresh.ends.length === 0) return
 	for (let other = 0; other < scenario.entries; other++) {
 		if (other === entry) continue
-		const latencyMs = GOSSIP_MS + sim.random() * LATENCY_MS
+		const latencyMs = UPDATE_DELAY_MS + sim.random() * LATENCY_MS
 		const isLost = sim.random() < scenario.lossRate
 		const at = now + (isLost ? RECONNECT_MS : latencyMs)
 		schedule(sim, at, () => receive(sim, scenario, other, fresh, at))
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -1,6 +1,6 @@
 /**
  * Simulates entries that enforce a team's limit together, in virtual time: the real
- * decisions, and messages that are delayed, lost, or unanswered because the home is gone.
+ * decisions, and messages that are delayed, lost, or unanswered because the team home is gone.
  */
 
 import type { LimitTable, TeamConfig } from '../../src/index.ts'
@@ -25,7 +25,7 @@
 const LATENCY_MS = [1, 40] as const
 /** Time-out of an admission request, ms. */
 const REQUEST_TIMEOUT_MS = 300
-/** Interval at which entries report their requests in flight to the home, ms. */
+/** Interval at which entries report their requests in flight to the team home, ms. */
 const REPORT_MS = 10_000
 
 /** Inputs of a simulation. */
@@ -41,7 +41,7 @@
 	readonly firstEntryShare: number
 	/** Share of messages that are lost. */
 	readonly lossRate: number
-	/** When the home stops and the others learn of it, ms. */
+	/** When the team home stops and the others learn of it, ms. */
 	readonly homeEndsAt?: number
 	readonly endsAt: number
 	readonly seed: number
@@ -112,8 +112,8 @@
 	}
 
 	function admitLocally(entry: Entry): void {
-		const part = { count: entry.names.length, place: indexOfEntry(entry) }
-		if (!admitWithinShare(entry.limits, TEAM, limit, tokens, part, now))
+		const share = { count: entry.names.length, index: indexOfEntry(entry) }
+		if (!admitWithinShare(entry.limits, TEAM, limit, tokens, share, now))
 			begin(entry)
 	}
 
--- a/packages/core/test/permitNet.test.ts
+++ b/packages/core/test/permitNet.test.ts
@@ -180,7 +180,7 @@
 					...SCENARIO,
 					entries,
 					perSecond,
-					faults: faults,
+					faults,
 					seed,
 				})
 				const known = sends.filter(({ knownSince }) => knownSince !== undefined)
--- a/packages/core/test/retryAfter.test.ts
+++ b/packages/core/test/retryAfter.test.ts
@@ -56,33 +56,44 @@
 const CASES = [
 	{
 		name: 'an open service',
-		openInMs: 0,
-		heededMs: 2_560,
+		availableInMs: 0,
+		maxHonoredMs: 2_560,
 		least: 50,
 		most: 125,
 	},
 	{
 		name: 'a full service',
-		openInMs: 900,
-		heededMs: 2_560,
+		availableInMs: 900,
+		maxHonoredMs: 2_560,
 		least: 975,
 		most: 1_025,
 	},
 	{
 		name: 'little time left',
-		openInMs: 900,
-		heededMs: 480,
+		availableInMs: 900,
+		maxHonoredMs: 480,
 		least: 455,
 		most: 480,
 	},
-	{ name: 'no time left', openInMs: 900, heededMs: 3.2, least: 50, most: 50 },
+	{
+		name: 'no time left',
+		availableInMs: 900,
+		maxHonoredMs: 3.2,
+		least: 50,
+		most: 50,
+	},
 ]
 
-for (const { name, openInMs, heededMs, least, most } of CASES)
+for (const { name, availableInMs, maxHonoredMs, least, most } of CASES)
 	test(`Retry-After, ${name}: ${least} to ${most} ms`, () => {
 		const random = createRandom(3)
 		for (let draw = 0; draw < 50; draw++) {
-			const forecast = { openInMs, notBeforeMs: 0, gapMs: 100, heededMs }
+			const forecast = {
+				availableInMs,
+				notBeforeMs: 0,
+				gapMs: 100,
+				maxHonoredMs,
+			}
 			const retryAfterMs = scheduleRetryAfter(
 				createRetryAfterSchedule(),
 				forecast,
@@ -97,10 +108,10 @@
 	})
 
 const FORECAST = {
-	openInMs: 0,
+	availableInMs: 0,
 	notBeforeMs: 0,
 	gapMs: 100,
-	heededMs: 2_560,
+	maxHonoredMs: 2_560,
 }
 
 test('Retry-After is never before the earliest possible time, honored or not', () => {
@@ -112,14 +123,14 @@
 			scheduleRetryAfter(schedule, forecast, 0, random),
 		)
 		assert.ok(Math.min(...delays) >= notBeforeMs)
-		assert.ok(Math.max(...delays) <= notBeforeMs + FORECAST.heededMs)
+		assert.ok(Math.max(...delays) <= notBeforeMs + FORECAST.maxHonoredMs)
 		assert.ok(new Set(delays).size > 1)
 	}
 })
 
 test('Retry-After: callers are staggered in the order of their requests', () => {
 	const schedule = createRetryAfterSchedule()
-	const forecast = { ...FORECAST, openInMs: 300 }
+	const forecast = { ...FORECAST, availableInMs: 300 }
 	const even = () => 0.5
 	const delays = [0, 10, 20].map(now =>
 		scheduleRetryAfter(schedule, forecast, now, even),
@@ -129,7 +140,7 @@
 
 test('Retry-After: callers of an earlier outage do not delay those of a new one', () => {
 	const schedule = createRetryAfterSchedule()
-	const forecast = { ...FORECAST, openInMs: 300 }
+	const forecast = { ...FORECAST, availableInMs: 300 }
 	scheduleRetryAfter(schedule, forecast, 0, () => 0.5)
 	assert.is(
 		scheduleRetryAfter(schedule, forecast, 60_000, () => 0.5),
--- a/packages/core/test/serverUpdates.test.ts
+++ b/packages/core/test/serverUpdates.test.ts
@@ -1,5 +1,5 @@
 /**
- * Convergence of gossiped server updates: with updates reordered, duplicated, delayed, or
+ * Convergence of server updates: with updates reordered, duplicated, delayed, or
  * lost until a link reconnects, and with entries that restart, all entries end up in the
  * state of a reference that received every update in order.
  */
--- a/packages/core/test/staleLoads.test.ts
+++ b/packages/core/test/staleLoads.test.ts
@@ -103,12 +103,12 @@
 		rows: [...table.slots.keys()],
 		tried: new Set<number>(),
 		// No rank counts as full: requests beyond the slots are measured.
-		queueRoom: 20,
+		queueCapacity: 20,
 		permitted: new Set<number>(),
 		withheld: new Set<number>(),
-		shutGroups: new Set<number>(),
-		near: new Set(table.slots.keys()),
-		untold: unreportedSends,
+		closedGroups: new Set<number>(),
+		localRows: new Set(table.slots.keys()),
+		unreportedSends,
 	}
 	const choice = chooseRow(table, query, 0, random)
 	return choice.kind === 'row' ? choice.row : 0
--- a/packages/core/test/teamLimits.test.ts
+++ b/packages/core/test/teamLimits.test.ts
@@ -99,7 +99,7 @@
 				const runs = simulateTeam({
 					...SCENARIO,
 					entries,
-					firstEntryShare: firstEntryShare,
+					firstEntryShare,
 					limit,
 					seed,
 				})
@@ -129,7 +129,7 @@
 		})
 	}
 
-test('requests are still admitted after messages are lost and the home has stopped', () => {
+test('requests are still admitted after messages are lost and the team home has stopped', () => {
 	const limit = { ...LIMIT, ratePerSecond: 2, concurrency: 10 }
 	const overrides = {
 		entries: 36,
@@ -152,7 +152,7 @@
 	assert.ok(lasts >= 0.5 * 10 * 33, `${lasts}`)
 })
 
-test('a single entry, or one with a large enough share, needs no home', () => {
+test('a single entry, or one with a large enough share, needs no team home', () => {
 	const small = { ...LIMIT, concurrency: 10 }
 	assert.not(isEnforcedAtHome(small, 1))
 	assert.ok(isEnforcedAtHome(small, 3))
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -277,9 +277,9 @@
 	},
 	{
 		name: 'afterRest',
-		file: 'packages/core/src/core/serverRests.ts',
-		on: 'export const REST_TRY_MS = 50',
-		off: 'export const REST_TRY_MS = 0',
+		file: 'packages/core/src/core/serverBackoff.ts',
+		on: 'export const BACKOFF_PROBE_MS = 50',
+		off: 'export const BACKOFF_PROBE_MS = 0',
 	},
 	{
 		name: 'leavingByAnswers',
