--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -82,7 +82,7 @@
 /** An entry's evidence and the suspicions that follow from it. */
 export interface Quarantine {
 	/** Crashes, by id of the server's incarnation. */
-	readonly ends: Map<string, ServerCrash>
+	readonly crashes: Map<string, ServerCrash>
 	/** When each request was last answered completely, ms, by fingerprint. */
 	readonly served: Map<string, number>
 	/** Requests in flight at a crash and not answered since, by fingerprint. */
@@ -103,7 +103,7 @@
 
 /** Creates a quarantine without evidence. */
 export function createQuarantine(): Quarantine {
-	return { ends: new Map(), served: new Map(), suspects: new Map() }
+	return { crashes: new Map(), served: new Map(), suspects: new Map() }
 }
 
 /**
@@ -155,7 +155,10 @@
 }
 
 /** Returns all evidence, for an entry that may have none. */
-export function listCrashEvidence({ ends, served }: Quarantine): CrashEvidence {
+export function listCrashEvidence({
+	crashes: ends,
+	served,
+}: Quarantine): CrashEvidence {
 	return {
 		ends: [...ends.values()],
 		served: [...served].map(([fingerprint, at]) => ({ fingerprint, at })),
@@ -163,7 +166,10 @@
 }
 
 /** Merges a crash; returns true if it adds evidence. */
-function mergeCrash({ ends }: Quarantine, crash: ServerCrash): boolean {
+function mergeCrash(
+	{ crashes: ends }: Quarantine,
+	crash: ServerCrash,
+): boolean {
 	const known = ends.get(crash.server)
 	const ran = new Map(known?.ran)
 	for (const [fingerprint, ms] of crash.ran) {
@@ -190,13 +196,13 @@
 }
 
 function pruneExpired(quarantine: Quarantine, now: number): void {
-	const { ends } = quarantine
+	const { crashes: ends } = quarantine
 	for (const [server, { at }] of ends)
 		if (now - at >= RETENTION_MS) ends.delete(server)
 }
 
 function updateSuspects(quarantine: Quarantine): void {
-	const { ends, served } = quarantine
+	const { crashes: ends, served } = quarantine
 	const sorted = [...ends.values()].sort((a, b) => a.at - b.at)
 	quarantine.suspects = findSuspects(sorted, served)
 	if (ends.size > MAX_CRASHES) evictOldest(quarantine, sorted)
@@ -208,7 +214,7 @@
 
 /** Evicts the oldest crashes that support no quarantine; if all do, the oldest. */
 function evictOldest(
-	{ ends, suspects }: Quarantine,
+	{ crashes: ends, suspects }: Quarantine,
 	sorted: readonly ServerCrash[],
 ): void {
 	const evidence = new Set<string>()
--- a/packages/core/src/core/serverBackoff.ts
+++ b/packages/core/src/core/serverBackoff.ts
@@ -10,7 +10,7 @@
 /** Maximum backoff, ms, even if the server asks for more. */
 export const MAX_BACKOFF_MS = 600_000
 /** Interval between probes to a server after its backoff, ms. */
-export const BACKOFF_PROBE_MS = 50
+export const BACKOFF_PROBE_INTERVAL_MS = 50
 /** Retention of a backoff that is over while no request is sent, ms. */
 const RETENTION_MS = 10_000
 
@@ -64,7 +64,8 @@
 	now: number,
 ): void {
 	const backoff = backoffs.get(server)
-	if (backoff) backoff.nextAt = Math.max(backoff.nextAt, now + BACKOFF_PROBE_MS)
+	if (backoff)
+		backoff.nextAt = Math.max(backoff.nextAt, now + BACKOFF_PROBE_INTERVAL_MS)
 }
 
 /**
--- a/packages/core/src/core/serverUpdates.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -107,7 +107,7 @@
 	update: T,
 ): T {
 	if (update.kind !== 'end') return update
-	return { ...update, ...quarantine.ends.get(update.server) }
+	return { ...update, ...quarantine.crashes.get(update.server) }
 }
 
 function mergeOne(
--- a/packages/core/src/core/teamLimits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -70,7 +70,10 @@
 }
 
 /** Whether the team home enforces the limit for all of `entries` live entries. */
-export function isEnforcedAtHome(limit: TeamConfig, entries: number): boolean {
+export function isEnforcedAtTeamHome(
+	limit: TeamConfig,
+	entries: number,
+): boolean {
 	if (entries <= 1) return false
 	const { concurrency, ratePerSecond, tokensPerSecond } = limit
 	return (
@@ -133,7 +136,7 @@
 }
 
 /** Admits or refuses a request that the team home itself received. */
-export function admitAtHome(
+export function admitAtTeamHome(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
@@ -147,7 +150,7 @@
 }
 
 /** Begins an admission request to the team home; returns its `held` count. */
-export function beginHomeAdmission(
+export function beginTeamHomeAdmission(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
@@ -165,7 +168,7 @@
  * requests. Returns true if the team home's count differs from the requests in flight, so
  * that a new report is needed.
  */
-export function endHomeAdmission(
+export function endTeamHomeAdmission(
 	table: LimitTable,
 	team: string,
 	isAdmitted: boolean,
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -5,15 +5,15 @@
 
 import type { LimitTable, TeamConfig } from '../../src/index.ts'
 import {
-	admitAtHome,
+	admitAtTeamHome,
 	admitForEntry,
 	admitWithinShare,
-	beginHomeAdmission,
+	beginTeamHomeAdmission,
 	createLimits,
 	createRandom,
-	endHomeAdmission,
+	endTeamHomeAdmission,
 	findTeamHome,
-	isEnforcedAtHome,
+	isEnforcedAtTeamHome,
 	pruneInFlightElsewhere,
 	recordTeamInFlight,
 	releaseTeam,
@@ -118,7 +118,7 @@
 	}
 
 	function askHome(entry: Entry, home: string): void {
-		const held = beginHomeAdmission(entry.limits, TEAM, limit, now)
+		const held = beginTeamHomeAdmission(entry.limits, TEAM, limit, now)
 		let isOver = false
 		const settle = (then: () => void) => {
 			if (isOver) return
@@ -127,7 +127,7 @@
 		}
 		after(REQUEST_TIMEOUT_MS, () =>
 			settle(() => {
-				endHomeAdmission(entry.limits, TEAM, false)
+				endTeamHomeAdmission(entry.limits, TEAM, false)
 				report(entry)
 				admitLocally(entry)
 			}),
@@ -139,7 +139,7 @@
 			const refusal = admitForEntry(homeEntry.limits, TEAM, limit, request, now)
 			send(home, entry.name, () =>
 				settle(() => {
-					if (endHomeAdmission(entry.limits, TEAM, !refusal)) report(entry)
+					if (endTeamHomeAdmission(entry.limits, TEAM, !refusal)) report(entry)
 					if (!refusal) begin(entry)
 				}),
 			)
@@ -148,9 +148,10 @@
 
 	function receive(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		if (!isEnforcedAtHome(limit, entry.names.length)) admitLocally(entry)
+		if (!isEnforcedAtTeamHome(limit, entry.names.length)) admitLocally(entry)
 		else if (home !== entry.name) askHome(entry, home)
-		else if (!admitAtHome(entry.limits, TEAM, limit, tokens, now)) begin(entry)
+		else if (!admitAtTeamHome(entry.limits, TEAM, limit, tokens, now))
+			begin(entry)
 	}
 
 	function stopHome(): void {
--- a/packages/core/test/quarantine.test.ts
+++ b/packages/core/test/quarantine.test.ts
@@ -231,7 +231,7 @@
 	const quarantine = createQuarantine()
 	record(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
 	record(quarantine, ['z', DAY_MS + 4_000, { other: 1 }])
-	assert.equal([...quarantine.ends.keys()], ['z'])
+	assert.equal([...quarantine.crashes.keys()], ['z'])
 })
 
 test('a flood of crashes is evicted before the evidence of a quarantine', () => {
@@ -245,9 +245,9 @@
 			Object.fromEntries(crowd),
 		])
 	}
-	assert.ok(quarantine.ends.size <= 256)
+	assert.ok(quarantine.crashes.size <= 256)
 	assert.ok(
-		Math.max(...[...quarantine.ends.values()].map(e => e.ran.size)) <= 16,
+		Math.max(...[...quarantine.crashes.values()].map(e => e.ran.size)) <= 16,
 	)
 	assert.equal(listQuarantined(quarantine), ['bad'])
 })
--- a/packages/core/test/serverUpdates.test.ts
+++ b/packages/core/test/serverUpdates.test.ts
@@ -159,7 +159,7 @@
 	return {
 		limits: SERVERS.map(one => rateLimitOf(state.rateLimits, one) ?? 'none'),
 		left: [...state.departed].sort(),
-		ends: [...state.quarantine.ends.values()]
+		ends: [...state.quarantine.crashes.values()]
 			.map(({ server, ran }) => `${server} ${[...ran.keys()].sort()}`)
 			.sort(),
 		rests: [...state.backoffs.values()]
--- a/packages/core/test/teamLimits.test.ts
+++ b/packages/core/test/teamLimits.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { TeamConfig } from '../src/index.ts'
-import { isEnforcedAtHome } from '../src/index.ts'
+import { isEnforcedAtTeamHome } from '../src/index.ts'
 import type { TeamRun, TeamScenario } from './models/teamNet.ts'
 import { simulateTeam } from './models/teamNet.ts'
 
@@ -154,9 +154,9 @@
 
 test('a single entry, or one with a large enough share, needs no team home', () => {
 	const small = { ...LIMIT, concurrency: 10 }
-	assert.not(isEnforcedAtHome(small, 1))
-	assert.ok(isEnforcedAtHome(small, 3))
-	assert.not(isEnforcedAtHome(LIMIT, 330))
+	assert.not(isEnforcedAtTeamHome(small, 1))
+	assert.ok(isEnforcedAtTeamHome(small, 3))
+	assert.not(isEnforcedAtTeamHome(LIMIT, 330))
 })
 
 test.run()
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -219,7 +219,7 @@
 		const server = entry.ctx.fleet.servers[row]!
 		recordBrokenConnection(entry.ctx, server)
 		await until(() => entry.ctx.ends.inconclusive.size > 0)
-		assert.is(entry.ctx.quarantineGate.quarantine.ends.size, 0)
+		assert.is(entry.ctx.quarantineGate.quarantine.crashes.size, 0)
 		// What is sent on meanwhile meets the one in between, not the server.
 		const [run] = entry.ctx.sentRequests.inFlight.get(server.id)!
 		entry.ctx.sentRequests.inFlight.clear()
@@ -229,8 +229,8 @@
 		servers.catalogs[0]!.publish({
 			servers: [{ ...record, server: next(server) }],
 		})
-		await until(() => entry.ctx.quarantineGate.quarantine.ends.size > 0)
-		const [end] = entry.ctx.quarantineGate.quarantine.ends.values()
+		await until(() => entry.ctx.quarantineGate.quarantine.crashes.size > 0)
+		const [end] = entry.ctx.quarantineGate.quarantine.crashes.values()
 		assert.equal(
 			[end?.server, [...end!.ran.keys()]],
 			[server.id, [fingerprintOf(run!.request)]],
@@ -255,7 +255,7 @@
 	await until(() => ctx.list.departed.has(server.id))
 	tell(10, undefined)
 	await until(() => ctx.list.records.get(server.name)?.server === undefined)
-	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	servers.close()
 })
 
@@ -285,7 +285,7 @@
 		await ask({ ctx, callers } as OpenGateway, '/r/x', 'the same')
 		await until(() => ctx.ends.checks.size === 0)
 	}
-	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	for (const server of backends.servers) server.close()
 })
 
