--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -88,17 +88,17 @@
 export function recordAttempt(
 	table: ServerTable,
 	row: number,
-	result: AttemptOutcome,
+	outcome: AttemptOutcome,
 	now: number,
 ): void {
 	decayFailureRate(table, row, now)
 	const rate = table.failureRate[row]!
-	const failed = result.kind === 'good' ? 0 : 1
+	const failed = outcome.kind === 'good' ? 0 : 1
 	table.failureRate[row] = rate + RESULT_WEIGHT * (failed - rate)
-	switch (result.kind) {
+	switch (outcome.kind) {
 		case 'good':
-			if (result.tookMs !== undefined)
-				recordServiceTime(table, row, result.tookMs)
+			if (outcome.tookMs !== undefined)
+				recordServiceTime(table, row, outcome.tookMs)
 			recordResult(table, row, true, now)
 			return
 		case 'failed':
@@ -109,7 +109,7 @@
 				recordResult(table, row, false, now)
 			return
 		default:
-			result satisfies never
+			outcome satisfies never
 	}
 }
 
@@ -212,7 +212,10 @@
 	)
 }
 
-/** Servers not yet tried by the request, without ejected ones unless too many are. */
+/**
+ * Returns the servers not yet tried by the request, without ejected ones unless too many
+ * are ejected.
+ */
 function listHealthy(
 	table: ServerTable,
 	{ tried }: DispatchQuery,
@@ -282,7 +285,7 @@
 	return sampled
 }
 
-/** Open servers assigned to this entry whose groups are not closed. */
+/** Returns the open servers assigned to this entry whose groups are not closed. */
 function listAssigned(table: ServerTable, query: DispatchQuery): number[] {
 	const { rows, closedGroups } = query
 	const isAssigned = (row: number) =>
@@ -297,11 +300,11 @@
  * limit, given its free capacity: the sum of its ranks' limits less their requests in
  * flight. A limit may be fractional: a rank may then hold up to the next whole number,
  * but not all ranks at once. Loads reported by other entries are multiplied by
- * `othersTimes`, to account for entries that have not reported.
+ * `peerScale`, to account for entries that have not reported.
  */
 export function listFullGroups(
 	table: ServerTable,
-	isOpen: (group: number, room: number) => boolean = hasWholeSlot,
+	isOpen: (group: number, free: number) => boolean = hasWholeSlot,
 	peerScale = 1,
 ): Set<number> {
 	const capacities = new Map<number, number>()
@@ -312,7 +315,9 @@
 		const free = limit - ofPeers - table.sentSinceReport[row]!
 		capacities.set(group, (capacities.get(group) ?? 0) + free)
 	}
-	const full = [...capacities].filter(([group, room]) => !isOpen(group, room))
+	const full = [...capacities].filter(
+		([group, capacity]) => !isOpen(group, capacity),
+	)
 	return new Set(full.map(([group]) => group))
 }
 
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -20,7 +20,8 @@
 	readonly gapMs: number
 	/**
 	 * Set for the permit home of a minority partition: position of its permit within each
-	 * interval, from 0 to 1. The permit homes of the partitions thus issue permits in turn.
+	 * interval, from 0 to 1. The permit homes of the partitions thus issue permits in
+	 * turn.
 	 */
 	readonly phase: number | undefined
 }
@@ -74,15 +75,15 @@
 /** Grants permits from a pool. */
 export function grantPermits(
 	pool: PermitPool,
-	pace: PermitSchedule,
+	schedule: PermitSchedule,
 	{ count, withinMs }: PermitRequest,
 	now: number,
 ): PermitGrant {
 	const dueMs: number[] = []
-	let nextAt = alignToPhase(Math.max(pool.nextAt, now - BURST_MS), pace)
+	let nextAt = alignToPhase(Math.max(pool.nextAt, now - BURST_MS), schedule)
 	while (dueMs.length < count && nextAt <= now + withinMs) {
 		dueMs.push(Math.max(0, nextAt - now))
-		nextAt += pace.gapMs
+		nextAt += schedule.gapMs
 	}
 	if (dueMs.length > 0) pool.nextAt = nextAt
 	return { dueMs, waitMs: Math.max(0, nextAt - now) }
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -145,7 +145,7 @@
 ): CrashEvidence {
 	pruneExpired(quarantine, now)
 	const ends = evidence.ends.filter(
-		end => now - end.at < RETENTION_MS && mergeCrash(quarantine, end),
+		crash => now - crash.at < RETENTION_MS && mergeCrash(quarantine, crash),
 	)
 	// Crashes first: an answer is recorded only for a request that is suspected.
 	if (ends.length > 0) updateSuspects(quarantine)
@@ -156,21 +156,18 @@
 
 /** Returns all evidence, for an entry that may have none. */
 export function listCrashEvidence({
-	crashes: ends,
+	crashes,
 	served,
 }: Quarantine): CrashEvidence {
 	return {
-		ends: [...ends.values()],
+		ends: [...crashes.values()],
 		served: [...served].map(([fingerprint, at]) => ({ fingerprint, at })),
 	}
 }
 
 /** Merges a crash; returns true if it adds evidence. */
-function mergeCrash(
-	{ crashes: ends }: Quarantine,
-	crash: ServerCrash,
-): boolean {
-	const known = ends.get(crash.server)
+function mergeCrash({ crashes }: Quarantine, crash: ServerCrash): boolean {
+	const known = crashes.get(crash.server)
 	const ran = new Map(known?.ran)
 	for (const [fingerprint, ms] of crash.ran) {
 		if (ran.size >= MAX_REQUESTS_PER_CRASH && !ran.has(fingerprint)) continue
@@ -179,7 +176,7 @@
 	const isNew = !known || ran.size > known.ran.size
 	if (isNew) {
 		const at = Math.min(crash.at, known?.at ?? crash.at)
-		ends.set(crash.server, { server: crash.server, at, ran })
+		crashes.set(crash.server, { server: crash.server, at, ran })
 	}
 	return isNew
 }
@@ -196,16 +193,16 @@
 }
 
 function pruneExpired(quarantine: Quarantine, now: number): void {
-	const { crashes: ends } = quarantine
-	for (const [server, { at }] of ends)
-		if (now - at >= RETENTION_MS) ends.delete(server)
+	const { crashes } = quarantine
+	for (const [server, { at }] of crashes)
+		if (now - at >= RETENTION_MS) crashes.delete(server)
 }
 
 function updateSuspects(quarantine: Quarantine): void {
-	const { crashes: ends, served } = quarantine
-	const sorted = [...ends.values()].sort((a, b) => a.at - b.at)
+	const { crashes, served } = quarantine
+	const sorted = [...crashes.values()].sort((a, b) => a.at - b.at)
 	quarantine.suspects = findSuspects(sorted, served)
-	if (ends.size > MAX_CRASHES) evictOldest(quarantine, sorted)
+	if (crashes.size > MAX_CRASHES) evictOldest(quarantine, sorted)
 	if (served.size === 0) return
 	const reported = new Set(sorted.flatMap(({ ran }) => [...ran.keys()]))
 	for (const fingerprint of served.keys())
@@ -214,7 +211,7 @@
 
 /** Evicts the oldest crashes that support no quarantine; if all do, the oldest. */
 function evictOldest(
-	{ crashes: ends, suspects }: Quarantine,
+	{ crashes, suspects }: Quarantine,
 	sorted: readonly ServerCrash[],
 ): void {
 	const evidence = new Set<string>()
@@ -226,8 +223,8 @@
 		...inconclusive,
 		...sorted.filter(({ server }) => evidence.has(server)),
 	]
-	for (const { server } of order.slice(0, ends.size - MAX_CRASHES))
-		ends.delete(server)
+	for (const { server } of order.slice(0, crashes.size - MAX_CRASHES))
+		crashes.delete(server)
 }
 
 /**
--- a/packages/core/src/core/serverList.ts
+++ b/packages/core/src/core/serverList.ts
@@ -102,8 +102,8 @@
 	const former = known.server!.id
 	if (server?.id === former || fault !== undefined) return
 	// A restored source may list an incarnation older than the known one.
-	const isCopy = known.revision.term !== revision.term
-	if (server && !isCopy) list.departed.add(former)
+	const isRestored = known.revision.term !== revision.term
+	if (server && !isRestored) list.departed.add(former)
 	if (server) return
 	list.removed.add(former)
 	const [oldest] = list.removed
@@ -150,13 +150,13 @@
 
 /** Applies the pending returns that are due; returns the records applied. */
 export function confirmReturns(list: ServerList, now: number): ServerRecord[] {
-	const settled: ServerRecord[] = []
+	const applied: ServerRecord[] = []
 	for (const [name, { record, until }] of list.pendingReturns) {
 		if (now < until) continue
 		list.pendingReturns.delete(name)
-		if (applyRecord(list, record)) settled.push(record)
+		if (applyRecord(list, record)) applied.push(record)
 	}
-	return settled
+	return applied
 }
 
 /** Marks an incarnation whose address was found to belong to another server. */
@@ -180,21 +180,21 @@
 		applyRecord(list, record)
 		return
 	}
-	const doubted = list.pendingRemovals.get(record.name)?.record.revision
+	const pending = list.pendingRemovals.get(record.name)?.record.revision
 	// After another restore of the source the grace period starts again.
-	if (!doubted || record.revision.term > doubted.term)
+	if (!pending || record.revision.term > pending.term)
 		list.pendingRemovals.set(record.name, { record, until })
 }
 
 /** Applies the deferred removals that are due; returns the records applied. */
 export function confirmRemovals(list: ServerList, now: number): ServerRecord[] {
-	const settled: ServerRecord[] = []
+	const applied: ServerRecord[] = []
 	for (const [name, { record, until }] of list.pendingRemovals) {
 		if (now < until) continue
 		list.pendingRemovals.delete(name)
-		if (applyRecord(list, record)) settled.push(record)
+		if (applyRecord(list, record)) applied.push(record)
 	}
-	return settled
+	return applied
 }
 
 /**
--- a/packages/core/src/core/serverUpdates.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -119,7 +119,7 @@
 		case 'limit':
 			return applyRateNotice(state.rateLimits, update.server, update)
 		case 'left':
-			return mergeLeft(state, update.server)
+			return mergeDeparture(state, update.server)
 		case 'end':
 		case 'served':
 			// See mergeEvidence.
@@ -131,7 +131,7 @@
 	}
 }
 
-function mergeLeft({ departed }: SharedState, server: string): boolean {
+function mergeDeparture({ departed }: SharedState, server: string): boolean {
 	const before = departed.size
 	return departed.add(server).size > before
 }
--- a/packages/core/src/core/teamLimits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -33,8 +33,8 @@
 	/** Number of requests that this entry last reported to the team home. */
 	reportedToHome: number
 	/**
-	 * Whether the last report was part of an admission request: the team home then adds the
-	 * requests that it admits.
+	 * Whether the last report was part of an admission request: the team home then adds
+	 * the requests that it admits.
 	 */
 	isReportedByRequest: boolean
 	/** At the team home: requests in flight at the other entries, by entry. */
@@ -58,7 +58,7 @@
 /** Request of an entry to the team home for the admission of one request. */
 export interface TeamAdmissionRequest {
 	readonly entry: string
-	/** Requests in flight at the entry, plus earlier admission requests not yet answered. */
+	/** Requests in flight at the entry, plus its admission requests not yet answered. */
 	readonly held: number
 	/** Expected token cost of the request. */
 	readonly tokens: number
@@ -100,17 +100,17 @@
 	team: string,
 	limit: TeamConfig,
 	tokens: number,
-	part: LimitShare,
+	share: LimitShare,
 	now: number,
 ): NotRun | undefined {
-	const share = 1 / part.count
-	const row = teamRow(table, team, limit, share, now)
+	const fraction = 1 / share.count
+	const row = teamRow(table, team, limit, fraction, now)
 	// At least one, so that an entry keeps serving while the team home does not answer.
-	const maxRunning = Math.max(1, integerShare(limit.concurrency, part))
+	const maxRunning = Math.max(1, integerShare(limit.concurrency, share))
 	const refusal = admit(
 		row,
 		limit,
-		share,
+		fraction,
 		row.inFlight,
 		maxRunning,
 		tokens,
@@ -165,8 +165,8 @@
 
 /**
  * Ends an admission request to the team home; answers arrive in the order of the
- * requests. Returns true if the team home's count differs from the requests in flight, so
- * that a new report is needed.
+ * requests. Returns true if the team home's count differs from the requests in flight,
+ * so that a new report is needed.
  */
 export function endTeamHomeAdmission(
 	table: LimitTable,
@@ -204,7 +204,7 @@
 	return row.reportedToHome
 }
 
-/** Drops the counts of entries that are gone, and of teams whose team home is another entry. */
+/** Drops counts of entries that are gone, and of teams with another team home. */
 export function pruneInFlightElsewhere(
 	table: LimitTable,
 	entries: ReadonlySet<string>,
@@ -241,14 +241,14 @@
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
-	share: number,
+	fraction: number,
 	now: number,
 ): TeamRow {
 	const known = table.get(team)
 	if (known) return known
 	const row: TeamRow = {
-		requests: createTokenBucket(limit.ratePerSecond * share, now),
-		tokens: createTokenBucket(limit.tokensPerSecond * share, now),
+		requests: createTokenBucket(limit.ratePerSecond * fraction, now),
+		tokens: createTokenBucket(limit.tokensPerSecond * fraction, now),
 		inFlight: 0,
 		pendingAtHome: 0,
 		reportedToHome: 0,
@@ -274,7 +274,7 @@
 function admit(
 	row: TeamRow,
 	limit: TeamConfig,
-	share: number,
+	fraction: number,
 	running: number,
 	maxRunning: number,
 	tokens: number,
@@ -282,9 +282,14 @@
 ): NotRun | undefined {
 	if (running >= maxRunning)
 		return notRun('teamConcurrency', CONCURRENCY_RETRY_MS)
-	const wait = refillBucket(row.requests, limit.ratePerSecond * share, 1, now)
+	const wait = refillBucket(
+		row.requests,
+		limit.ratePerSecond * fraction,
+		1,
+		now,
+	)
 	if (wait > 0) return refuse('teamRate', wait)
-	const tokenRate = limit.tokensPerSecond * share
+	const tokenRate = limit.tokensPerSecond * fraction
 	const tokenWait = refillBucket(row.tokens, tokenRate, tokens, now)
 	if (tokenWait > 0) return refuse('teamTokens', tokenWait)
 	takeTokens(row.requests, 1)
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -166,40 +166,45 @@
 const SLOW_GROUP_CASES: {
 	name: string
 	/** Slowdown of each of two groups of four ranks with four slots. */
-	paces: readonly [number, number]
+	slowdowns: readonly [number, number]
 	/** Requests sent before any slot becomes free. */
 	requests: number
 	/** Minimum and maximum of those at the first group. */
 	first: readonly [number, number]
 }[] = [
-	{ name: 'both at normal speed', paces: [1, 1], requests: 12, first: [4, 8] },
+	{
+		name: 'both at normal speed',
+		slowdowns: [1, 1],
+		requests: 12,
+		first: [4, 8],
+	},
 	{
 		name: 'a rank of the first 14 times slower, capacity at the other',
-		paces: [14, 1],
+		slowdowns: [14, 1],
 		requests: 12,
 		first: [0, 0],
 	},
 	{
 		name: 'a rank of the first 14 times slower, the other full',
-		paces: [14, 1],
+		slowdowns: [14, 1],
 		requests: 20,
 		first: [4, 4],
 	},
 	{
 		name: 'a rank of each equally slow',
-		paces: [14, 14],
+		slowdowns: [14, 14],
 		requests: 12,
 		first: [4, 8],
 	},
 	{
 		name: 'a rank of the first a quarter slower',
-		paces: [1.25, 1],
+		slowdowns: [1.25, 1],
 		requests: 12,
 		first: [3, 6],
 	},
 ]
 
-for (const { name, paces, requests, first } of SLOW_GROUP_CASES)
+for (const { name, slowdowns, requests, first } of SLOW_GROUP_CASES)
 	test(`selection between groups that wait for their slowest rank: ${name}`, () => {
 		const rows = [0, 1, 2, 3, 4, 5, 6, 7]
 		const table = createServerTable(rows.map(String))
@@ -207,7 +212,7 @@
 		table.slots.fill(4)
 		for (const row of rows) {
 			table.group[row] = row < 4 ? 0 : 1
-			table.groupSlowdown[row] = paces[table.group[row]!]!
+			table.groupSlowdown[row] = slowdowns[table.group[row]!]!
 		}
 		const query = { ...QUERY, rows, localRows: new Set(rows) }
 		const random = createRandom(1)
--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -315,8 +315,8 @@
 ): PermitGrant {
 	const { roster } = entry
 	entry.pool ??= createPermitPool()
-	const pace = permitScheduleFor(perSecond, roster.count)
-	return grantPermits(entry.pool, pace, request, sim.now)
+	const permitSchedule = permitScheduleFor(perSecond, roster.count)
+	return grantPermits(entry.pool, permitSchedule, request, sim.now)
 }
 
 function scheduleArrival(sim: Simulation): void {
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -1,6 +1,7 @@
 /**
  * Simulates entries that enforce a team's limit together, in virtual time: the real
- * decisions, and messages that are delayed, lost, or unanswered because the team home is gone.
+ * decisions, and messages that are delayed, lost, or unanswered because the team home is
+ * gone.
  */
 
 import type { LimitTable, TeamConfig } from '../../src/index.ts'
--- a/packages/core/test/serverList.test.ts
+++ b/packages/core/test/serverList.test.ts
@@ -113,12 +113,16 @@
 })
 
 /** Server published under `name`, in the incarnation started at `bornAt`. */
-function lifeOf(name: string, bornAt: number, leaving = false): ListedServer {
+function incarnationOf(
+	name: string,
+	bornAt: number,
+	leaving = false,
+): ListedServer {
 	const id = incarnationId(name, bornAt)
 	return { ...serverOf(id, '10.0.0.9:80'), name, leaving }
 }
 
-const LIVES: {
+const INCARNATION_CASES: {
 	name: string
 	records: Omit<ServerRecord, 'name'>[]
 	serving: string[]
@@ -126,44 +130,44 @@
 	{
 		name: 'a server that left and restarted is serving again',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
-			{ revision: at(3), server: lifeOf('1', 10, true) },
-			{ revision: at(5), server: lifeOf('1', 20) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
+			{ revision: at(3), server: incarnationOf('1', 10, true) },
+			{ revision: at(5), server: incarnationOf('1', 20) },
 		],
 		serving: ['1@20'],
 	},
 	{
 		name: 'records of the new incarnation arrive before those of the end of the old one',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
-			{ revision: at(5), server: lifeOf('1', 20) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
+			{ revision: at(5), server: incarnationOf('1', 20) },
 			{ revision: at(4), server: undefined },
-			{ revision: at(3), server: lifeOf('1', 10, true) },
+			{ revision: at(3), server: incarnationOf('1', 10, true) },
 		],
 		serving: ['1@20'],
 	},
 	{
 		name: 'two restarts within one heartbeat',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
-			{ revision: at(3), server: lifeOf('1', 20) },
-			{ revision: at(4), server: lifeOf('1', 30) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
+			{ revision: at(3), server: incarnationOf('1', 20) },
+			{ revision: at(4), server: incarnationOf('1', 30) },
 		],
 		serving: ['1@30'],
 	},
 	{
 		name: 'an incarnation that leaves stays departed after an invalid record',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10, true) },
+			{ revision: at(2), server: incarnationOf('1', 10, true) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
-			{ revision: at(4), server: lifeOf('1', 10) },
+			{ revision: at(4), server: incarnationOf('1', 10) },
 		],
 		serving: [],
 	},
 	{
 		name: 'an invalid record lists no server',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
 		],
 		serving: [],
@@ -171,15 +175,15 @@
 	{
 		name: 'a valid record after an invalid one lists the same incarnation again',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
-			{ revision: at(4), server: lifeOf('1', 10) },
+			{ revision: at(4), server: incarnationOf('1', 10) },
 		],
 		serving: ['1@10'],
 	},
 ]
 
-for (const { name, records, serving } of LIVES)
+for (const { name, records, serving } of INCARNATION_CASES)
 	test(`server list: ${name}`, () => {
 		const list = createServerList()
 		for (const record of records) applyRecord(list, { name: '1', ...record })
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -278,8 +278,8 @@
 	{
 		name: 'afterRest',
 		file: 'packages/core/src/core/serverBackoff.ts',
-		on: 'export const BACKOFF_PROBE_MS = 50',
-		off: 'export const BACKOFF_PROBE_MS = 0',
+		on: 'export const BACKOFF_PROBE_INTERVAL_MS = 50',
+		off: 'export const BACKOFF_PROBE_INTERVAL_MS = 0',
 	},
 	{
 		name: 'leavingByAnswers',
