--- a/packages/core/src/core/retryBudget.ts
+++ b/packages/core/src/core/retryBudget.ts
@@ -1,33 +1,33 @@
 /**
- * The retry budget: retries are a share of first tries, so that a failure of
- * many servers never multiplies the load on the rest.
+ * Retry budget: retries are limited to a fraction of first attempts, so that the failure
+ * of many servers does not multiply the load on the others.
  */
 
-/** Retries allowed for each first try. */
+/** Retries allowed per first attempt. */
 export const RETRY_RATIO = 0.1
-const MAX_SAVED = 50
+const MAX_BALANCE = 50
 
-/** Saved-up permission to retry. */
+/** Balance of retries that are allowed. */
 export interface RetryBudget {
 	balance: number
 }
 
-/** Makes a budget that allows a few retries from the start. */
+/** Creates a budget that allows a few retries from the start. */
 export function createRetryBudget(): RetryBudget {
 	return { balance: 5 }
 }
 
-/** Notes a first try. */
+/** Records a first attempt. */
 export function recordFirstAttempt(budget: RetryBudget): void {
-	budget.balance = Math.min(MAX_SAVED, budget.balance + RETRY_RATIO)
+	budget.balance = Math.min(MAX_BALANCE, budget.balance + RETRY_RATIO)
 }
 
-/** Whether a retry may be made; {@link spendRetry} when it is. */
+/** Whether the budget allows a retry; the caller calls {@link spendRetry} for it. */
 export function mayRetry(budget: RetryBudget): boolean {
 	return budget.balance >= 1
 }
 
-/** Spends one retry. */
+/** Deducts one retry. */
 export function spendRetry(budget: RetryBudget): void {
 	budget.balance -= 1
 }
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -1,4 +1,4 @@
-/** Which server takes a request, and when a closed group is tried. */
+/** Selection of a server for a request, and probes of closed groups. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -15,14 +15,14 @@
 	tryEnterGroup,
 } from '../src/index.ts'
 
-const RESULTS: {
+const OUTCOMES: {
 	name: string
 	results: readonly (readonly [number, AttemptOutcome])[]
-	/** Row that is not chosen any more. */
+	/** Row that must not be selected. */
 	avoided: number
 }[] = [
 	{
-		name: 'one that fails while the others serve',
+		name: 'one that fails while the others succeed',
 		results: [
 			[0, { kind: 'failed' }],
 			[0, { kind: 'failed' }],
@@ -41,7 +41,7 @@
 		avoided: 1,
 	},
 	{
-		name: 'one that no connection reaches',
+		name: 'one that cannot be connected to',
 		results: [[2, { kind: 'unreached' }]],
 		avoided: 2,
 	},
@@ -58,8 +58,8 @@
 	unreportedSends: 0,
 }
 
-for (const { name, results, avoided } of RESULTS)
-	test(`choice of a server avoids ${name}`, () => {
+for (const { name, results, avoided } of OUTCOMES)
+	test(`server selection avoids ${name}`, () => {
 		const table = createServerTable(['a', 'b', 'c'])
 		table.open.fill(1)
 		table.slots.fill(4)
@@ -73,7 +73,7 @@
 		}
 	})
 
-test('choice of a server: a slow rank gets less', () => {
+test('server selection: a slow rank gets fewer requests', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
@@ -89,7 +89,7 @@
 	assert.equal(sent, [8, 0, 8])
 })
 
-test('choice of a server: full, none, and all failing alike', () => {
+test('server selection: all full, none open, and all failing equally', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	const random = createRandom(1)
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'none')
@@ -105,21 +105,25 @@
 })
 
 const FULL_GROUPS = [
-	{ name: 'without a limit', most: Number.POSITIVE_INFINITY, full: false },
-	{ name: 'with room for one', most: 2.5, full: false },
-	{ name: 'with less room than one', most: 2.25, full: true },
+	{
+		name: 'without a limit',
+		maxInFlight: Number.POSITIVE_INFINITY,
+		full: false,
+	},
+	{ name: 'with capacity for one request', maxInFlight: 2.5, full: false },
+	{ name: 'with capacity for less than one', maxInFlight: 2.25, full: true },
 ]
 
-for (const { name, most, full } of FULL_GROUPS)
+for (const { name, maxInFlight, full } of FULL_GROUPS)
 	test(`a group ${name} is ${full ? 'full' : 'not full'}`, () => {
 		const table = createServerTable(['a', 'b', 'c', 'd'])
 		table.group.fill(0)
-		table.maxInFlight.fill(most)
+		table.maxInFlight.fill(maxInFlight)
 		table.sentSinceReport.set([3, 2, 2, 2])
 		assert.is(listFullGroups(table).has(0), full)
 	})
 
-test('a choice keeps to what a server may hold', () => {
+test('server selection respects the maximum in flight at a server', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
@@ -131,8 +135,9 @@
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'row')
 })
 
-// While an entry's own server rested, it held back from all others and refused callers.
-test("a choice goes to other entries' servers while its own are withheld", () => {
+// An entry whose assigned server was in backoff reserved all capacity at the others for
+// their entries and refused callers.
+test("server selection uses other entries' servers while its own are withheld", () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(4)
@@ -143,65 +148,71 @@
 	assert.is(choice.kind, 'row')
 })
 
-test('a choice leaves out ranks of a group that is shut', () => {
+test('server selection excludes ranks of a closed group', () => {
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
 	table.group.set([0, 0, 1])
 	table.sentSinceReport[2] = 7
 	const random = createRandom(1)
-	const shut = (...groups: number[]) => ({
+	const closed = (...groups: number[]) => ({
 		...QUERY,
 		closedGroups: new Set(groups),
 	})
-	assert.equal(chooseRow(table, shut(0), 0, random), { kind: 'row', row: 2 })
-	assert.is(chooseRow(table, shut(0, 1), 0, random).kind, 'full')
+	assert.equal(chooseRow(table, closed(0), 0, random), { kind: 'row', row: 2 })
+	assert.is(chooseRow(table, closed(0, 1), 0, random).kind, 'full')
 })
 
-const SLOW_GROUPS: {
+const SLOW_GROUP_CASES: {
 	name: string
-	/** Of each of two groups of four ranks with four places. */
-	paces: readonly [number, number]
-	/** Requests before which no place comes free, and those at the first group. */
+	/** Slowdown of each of two groups of four ranks with four slots. */
+	slowdowns: readonly [number, number]
+	/** Requests sent before any slot becomes free. */
 	requests: number
+	/** Minimum and maximum of those at the first group. */
 	first: readonly [number, number]
 }[] = [
-	{ name: 'both sound', paces: [1, 1], requests: 12, first: [4, 8] },
 	{
-		name: 'a rank of the first 14 times slower, room at the other',
-		paces: [14, 1],
+		name: 'both at normal speed',
+		slowdowns: [1, 1],
+		requests: 12,
+		first: [4, 8],
+	},
+	{
+		name: 'a rank of the first 14 times slower, capacity at the other',
+		slowdowns: [14, 1],
 		requests: 12,
 		first: [0, 0],
 	},
 	{
-		name: 'the same, more than the other has room for',
-		paces: [14, 1],
+		name: 'a rank of the first 14 times slower, the other full',
+		slowdowns: [14, 1],
 		requests: 20,
 		first: [4, 4],
 	},
 	{
-		name: 'a rank of each as slow',
-		paces: [14, 14],
+		name: 'a rank of each equally slow',
+		slowdowns: [14, 14],
 		requests: 12,
 		first: [4, 8],
 	},
 	{
 		name: 'a rank of the first a quarter slower',
-		paces: [1.25, 1],
+		slowdowns: [1.25, 1],
 		requests: 12,
 		first: [3, 6],
 	},
 ]
 
-for (const { name, paces, requests, first } of SLOW_GROUPS)
-	test(`choice between groups that wait for their slowest rank: ${name}`, () => {
+for (const { name, slowdowns, requests, first } of SLOW_GROUP_CASES)
+	test(`selection between groups that wait for their slowest rank: ${name}`, () => {
 		const rows = [0, 1, 2, 3, 4, 5, 6, 7]
 		const table = createServerTable(rows.map(String))
 		table.open.fill(1)
 		table.slots.fill(4)
 		for (const row of rows) {
 			table.group[row] = row < 4 ? 0 : 1
-			table.groupSlowdown[row] = paces[table.group[row]!]!
+			table.groupSlowdown[row] = slowdowns[table.group[row]!]!
 		}
 		const query = { ...QUERY, rows, localRows: new Set(rows) }
 		const random = createRandom(1)
@@ -214,10 +225,13 @@
 			if (choice.row < 4) atFirst++
 		}
 		const [least, most] = first
-		assert.ok(atFirst >= least && atFirst <= most, `${atFirst} at the first`)
+		assert.ok(
+			atFirst >= least && atFirst <= most,
+			`${atFirst} at the first group`,
+		)
 	})
 
-test('a closed group takes one try at a time', () => {
+test('a closed group gets one probe at a time', () => {
 	const closures = new Map()
 	recordGroupRefused(closures, 's', 0)
 	assert.not(tryEnterGroup(closures, 's', GROUP_PROBE_INTERVAL_MS - 1))
--- a/packages/core/test/retryAfter.test.ts
+++ b/packages/core/test/retryAfter.test.ts
@@ -1,4 +1,4 @@
-/** When refused callers come back, and what that is predicted from. */
+/** Retry-After of refused callers, and the forecasts that it is derived from. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -16,40 +16,44 @@
 	scheduleRetryAfter,
 } from '../src/index.ts'
 
-const SPELLS = [
-	{ name: 'just begun', elapsedMs: 0, expected: 1_000 },
-	{ name: 'half over', elapsedMs: 500, expected: 500 },
-	{ name: 'longer than usual', elapsedMs: 3_000, expected: 1_500 },
+const OUTAGES = [
+	{ name: 'at its start', elapsedMs: 0, expected: 1_000 },
+	{ name: 'after half its usual length', elapsedMs: 500, expected: 500 },
+	{ name: 'beyond its usual length', elapsedMs: 3_000, expected: 1_500 },
 ]
 
-for (const { name, elapsedMs, expected } of SPELLS)
-	test(`spell, ${name}: ${expected} ms to go`, () => {
-		const spell = createBlockageTracker(1_000)
-		assert.is(estimateBlockageMs(spell, 0), 0)
-		markBlocked(spell, 0)
-		markBlocked(spell, elapsedMs / 2)
-		assert.is(estimateBlockageMs(spell, elapsedMs), expected)
+for (const { name, elapsedMs, expected } of OUTAGES)
+	test(`outage ${name}: expected to end in ${expected} ms`, () => {
+		const outage = createBlockageTracker(1_000)
+		assert.is(estimateBlockageMs(outage, 0), 0)
+		markBlocked(outage, 0)
+		markBlocked(outage, elapsedMs / 2)
+		assert.is(estimateBlockageMs(outage, elapsedMs), expected)
 	})
 
-test('spells: the usual length follows those that were seen', () => {
-	const spell = createBlockageTracker(1_000)
+test('outages: the usual length adapts to those observed', () => {
+	const outage = createBlockageTracker(1_000)
 	for (let at = 0; at < 20; at++) {
-		markBlocked(spell, at * 10_000)
-		markUnblocked(spell, at * 10_000 + 3_000)
+		markBlocked(outage, at * 10_000)
+		markUnblocked(outage, at * 10_000 + 3_000)
 	}
-	assert.ok(Math.abs(spell.typicalMs - 3_000) < 10)
-	assert.is(estimateBlockageMs(spell, 0), 0)
+	assert.ok(Math.abs(outage.typicalMs - 3_000) < 10)
+	assert.is(estimateBlockageMs(outage, 0), 0)
 })
 
-test('places: a wait is as long as the places before it take', () => {
+test('free slots: a wait is predicted from the interval between free slots', () => {
 	const flow = createDispatchRate()
 	for (let at = 0; at <= 60; at++) recordDispatch(flow, at * 50)
 	assert.ok(Math.abs(currentIntervalMs(flow, 3_000) - 50) < 1)
 	assert.ok(Math.abs(predictWaitMs(flow, 3, 3_000) - 200) < 4)
-	assert.is(currentIntervalMs(flow, 3_400), 400, 'none has come since')
+	assert.is(
+		currentIntervalMs(flow, 3_400),
+		400,
+		'no slot has become free since',
+	)
 })
 
-const RETURNS = [
+const CASES = [
 	{
 		name: 'an open service',
 		availableInMs: 0,
@@ -58,7 +62,7 @@
 		most: 125,
 	},
 	{
-		name: 'a full one',
+		name: 'a full service',
 		availableInMs: 900,
 		maxHonoredMs: 2_560,
 		least: 975,
@@ -80,8 +84,8 @@
 	},
 ]
 
-for (const { name, availableInMs, maxHonoredMs, least, most } of RETURNS)
-	test(`come back to ${name}: ${least} to ${most} ms`, () => {
+for (const { name, availableInMs, maxHonoredMs, least, most } of CASES)
+	test(`Retry-After, ${name}: ${least} to ${most} ms`, () => {
 		const random = createRandom(3)
 		for (let draw = 0; draw < 50; draw++) {
 			const forecast = {
@@ -90,13 +94,16 @@
 				gapMs: 100,
 				maxHonoredMs,
 			}
-			const told = scheduleRetryAfter(
+			const retryAfterMs = scheduleRetryAfter(
 				createRetryAfterSchedule(),
 				forecast,
 				0,
 				random,
 			)
-			assert.ok(told >= least && told <= most, `${told}`)
+			assert.ok(
+				retryAfterMs >= least && retryAfterMs <= most,
+				`${retryAfterMs}`,
+			)
 		}
 	})
 
@@ -107,36 +114,36 @@
 	maxHonoredMs: 2_560,
 }
 
-test('come back: what surely cannot be earlier is told, heeded or not', () => {
+test('Retry-After is never before the earliest possible time, honored or not', () => {
 	const random = createRandom(3)
 	for (const notBeforeMs of [500, 2_500, 3_000, 60_000]) {
-		const returns = createRetryAfterSchedule()
+		const schedule = createRetryAfterSchedule()
 		const forecast = { ...FORECAST, notBeforeMs }
-		const told = Array.from({ length: 60 }, () =>
-			scheduleRetryAfter(returns, forecast, 0, random),
+		const delays = Array.from({ length: 60 }, () =>
+			scheduleRetryAfter(schedule, forecast, 0, random),
 		)
-		assert.ok(Math.min(...told) >= notBeforeMs)
-		assert.ok(Math.max(...told) <= notBeforeMs + FORECAST.maxHonoredMs)
-		assert.ok(new Set(told).size > 1)
+		assert.ok(Math.min(...delays) >= notBeforeMs)
+		assert.ok(Math.max(...delays) <= notBeforeMs + FORECAST.maxHonoredMs)
+		assert.ok(new Set(delays).size > 1)
 	}
 })
 
-test('come back: one after the other, in the order they came', () => {
-	const returns = createRetryAfterSchedule()
+test('Retry-After: callers are staggered in the order of their requests', () => {
+	const schedule = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, availableInMs: 300 }
 	const even = () => 0.5
-	const told = [0, 10, 20].map(now =>
-		scheduleRetryAfter(returns, forecast, now, even),
+	const delays = [0, 10, 20].map(now =>
+		scheduleRetryAfter(schedule, forecast, now, even),
 	)
-	assert.equal(told, [400, 490, 580])
+	assert.equal(delays, [400, 490, 580])
 })
 
-test('come back: a new spell does not wait for callers long gone', () => {
-	const returns = createRetryAfterSchedule()
+test('Retry-After: callers of an earlier outage do not delay those of a new one', () => {
+	const schedule = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, availableInMs: 300 }
-	scheduleRetryAfter(returns, forecast, 0, () => 0.5)
+	scheduleRetryAfter(schedule, forecast, 0, () => 0.5)
 	assert.is(
-		scheduleRetryAfter(returns, forecast, 60_000, () => 0.5),
+		scheduleRetryAfter(schedule, forecast, 60_000, () => 0.5),
 		400,
 	)
 })
--- a/packages/core/test/serverList.test.ts
+++ b/packages/core/test/serverList.test.ts
@@ -1,4 +1,4 @@
-/** Servers that come, leave and return; the list never goes back. */
+/** Servers that join, leave and return; the list never goes back to an older state. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -38,7 +38,7 @@
 	)
 }
 
-test('server list: an older record never wins', () => {
+test('server list: an older record is ignored', () => {
 	const list = createServerList()
 	assert.ok(
 		applyRecord(list, { name: '1', revision: at(9), server: undefined }),
@@ -49,7 +49,7 @@
 	assert.equal(idsOf(list), [])
 })
 
-test('server list: one that leaves does not come back', () => {
+test('server list: an incarnation that leaves does not come back', () => {
 	const list = createServerList()
 	const leaving = { ...serverOf('1'), leaving: true }
 	applyRecord(list, { name: '1', revision: at(2), server: leaving })
@@ -60,11 +60,11 @@
 	assert.equal(
 		list.revision,
 		at(3),
-		'a record that is passed over is known all the same',
+		'the revision of an ignored record is still tracked',
 	)
 })
 
-test('server list: a removal while the source was away is doubted', () => {
+test('server list: a removal while the source was unavailable is deferred', () => {
 	const list = createServerList()
 	applyRecord(list, { name: '1', revision: at(2), server: serverOf('1') })
 	applyRecord(list, { name: '2', revision: at(2), server: serverOf('2') })
@@ -81,7 +81,7 @@
 	assert.equal(idsOf(list), ['2'])
 })
 
-test('server list: a second copy without a server gives it its time anew', () => {
+test('server list: a second restore without a server restarts its grace period', () => {
 	const list = createServerList()
 	const missingAt = (term: number) =>
 		findMissing(list, new Set(), { term, revision: 5 })
@@ -94,7 +94,7 @@
 	assert.equal(idsOf(list), [])
 })
 
-test('server list: the newest id of an address is the one there', () => {
+test('server list: the newest server at an address displaces older ones', () => {
 	const list = createServerList()
 	const there = '10.0.0.9:80'
 	applyRecord(list, {
@@ -112,81 +112,85 @@
 	assert.equal(idsOf(list), [])
 })
 
-/** A server published under `name`, in the life that began at `bornAt`. */
-function lifeOf(name: string, bornAt: number, leaving = false): ListedServer {
+/** Server published under `name`, in the incarnation started at `bornAt`. */
+function incarnationOf(
+	name: string,
+	bornAt: number,
+	leaving = false,
+): ListedServer {
 	const id = incarnationId(name, bornAt)
 	return { ...serverOf(id, '10.0.0.9:80'), name, leaving }
 }
 
-const LIVES: {
+const INCARNATION_CASES: {
 	name: string
 	records: Omit<ServerRecord, 'name'>[]
 	serving: string[]
 }[] = [
 	{
-		name: 'one that left and started again is there again',
+		name: 'a server that left and restarted is serving again',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
-			{ revision: at(3), server: lifeOf('1', 10, true) },
-			{ revision: at(5), server: lifeOf('1', 20) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
+			{ revision: at(3), server: incarnationOf('1', 10, true) },
+			{ revision: at(5), server: incarnationOf('1', 20) },
 		],
 		serving: ['1@20'],
 	},
 	{
-		name: 'news of the new life come before that of the end',
+		name: 'records of the new incarnation arrive before those of the end of the old one',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
-			{ revision: at(5), server: lifeOf('1', 20) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
+			{ revision: at(5), server: incarnationOf('1', 20) },
 			{ revision: at(4), server: undefined },
-			{ revision: at(3), server: lifeOf('1', 10, true) },
+			{ revision: at(3), server: incarnationOf('1', 10, true) },
 		],
 		serving: ['1@20'],
 	},
 	{
-		name: 'two starts within one heartbeat',
+		name: 'two restarts within one heartbeat',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
-			{ revision: at(3), server: lifeOf('1', 20) },
-			{ revision: at(4), server: lifeOf('1', 30) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
+			{ revision: at(3), server: incarnationOf('1', 20) },
+			{ revision: at(4), server: incarnationOf('1', 30) },
 		],
 		serving: ['1@30'],
 	},
 	{
-		name: 'a life that leaves stays gone behind an entry that cannot be read',
+		name: 'an incarnation that leaves stays departed after an invalid record',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10, true) },
+			{ revision: at(2), server: incarnationOf('1', 10, true) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
-			{ revision: at(4), server: lifeOf('1', 10) },
+			{ revision: at(4), server: incarnationOf('1', 10) },
 		],
 		serving: [],
 	},
 	{
-		name: 'an entry that cannot be read names nobody until it can',
+		name: 'an invalid record lists no server',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
 		],
 		serving: [],
 	},
 	{
-		name: 'and the same life once it can',
+		name: 'a valid record after an invalid one lists the same incarnation again',
 		records: [
-			{ revision: at(2), server: lifeOf('1', 10) },
+			{ revision: at(2), server: incarnationOf('1', 10) },
 			{ revision: at(3), server: undefined, fault: 'not JSON' },
-			{ revision: at(4), server: lifeOf('1', 10) },
+			{ revision: at(4), server: incarnationOf('1', 10) },
 		],
 		serving: ['1@10'],
 	},
 ]
 
-for (const { name, records, serving } of LIVES)
+for (const { name, records, serving } of INCARNATION_CASES)
 	test(`server list: ${name}`, () => {
 		const list = createServerList()
 		for (const record of records) applyRecord(list, { name: '1', ...record })
 		assert.equal(idsOf(list), serving)
 	})
 
-test('server list: an unknown service at an address takes nobody from there', () => {
+test('server list: a server of an unknown service displaces none at its address', () => {
 	const list = createServerList()
 	const there = '10.0.0.9:80'
 	const foreign = { ...serverOf('new', there), service: 'unheard of' }
