--- a/packages/core/src/core/closure.ts
+++ b/packages/core/src/core/closure.ts
@@ -1,80 +1,84 @@
 /**
- * Lock-step groups that refuse at every rank at once, as they do while they form
- * anew: instead of a storm of tries, one request at a time finds out whether the
- * group is open again.
+ * Backoff for lock-step groups that refuse requests. While a group re-forms, all
+ * of its ranks refuse at once. To avoid a storm of retries, single probe requests
+ * find out whether the group accepts requests again.
  */
 
-/** Between tries while a group refuses, ms; a forming takes some 600. */
+/** Interval between probes of a refusing group, ms; re-forming takes some 600 ms. */
 export const TRY_AGAIN_MS = 100
 
 /**
- * The same while a coordinator says that the group is broken and will say when it
- * runs again: the tries of all entries count toward what may be sent again.
+ * Interval between probes after a coordinator has reported the group broken, ms. The
+ * coordinator also reports when the group runs again, and the probes of all entries
+ * use up the retry budget.
  */
 export const TRY_TOLD_MS = 500
 
-/** What is known of a group that refuses. */
+/** Backoff state of a group that refuses requests. */
 export interface Closure {
-	/** When it began to refuse, ms. */
+	/** Time of the first refusal, ms. */
 	readonly since: number
-	/** Nothing is sent before this time, ms. */
+	/** Time before which no request is sent to the group, ms. */
 	until: number
-	/** Between two tries, ms. */
+	/** Interval between two probes, ms. */
 	tryMs: number
 }
 
-/** Groups that refuse, by name. */
+/** Backoff of each refusing group, by group name. */
 export type Closures = Map<string, Closure>
 
-/** Notes that a rank refused for its whole group. */
+/** Records that a rank refused a request on behalf of its whole group. */
 export function noteClosed(
-	closures: Closures,
+	backoffs: Closures,
 	group: string,
 	now: number,
 ): void {
-	const known = closures.get(group)
-	const since = known?.since ?? now
-	const tryMs = known?.tryMs ?? TRY_AGAIN_MS
-	closures.set(group, { since, until: now + tryMs, tryMs })
+	const current = backoffs.get(group)
+	const since = current?.since ?? now
+	const tryMs = current?.tryMs ?? TRY_AGAIN_MS
+	backoffs.set(group, { since, until: now + tryMs, tryMs })
 }
 
-/** Notes that a group's coordinator calls it broken. */
+/** Records that a group's coordinator reported it broken. */
 export function noteToldClosed(
-	closures: Closures,
+	backoffs: Closures,
 	group: string,
 	now: number,
 ): void {
-	const since = closures.get(group)?.since ?? now
-	closures.set(group, { since, until: now + TRY_TOLD_MS, tryMs: TRY_TOLD_MS })
+	const since = backoffs.get(group)?.since ?? now
+	backoffs.set(group, { since, until: now + TRY_TOLD_MS, tryMs: TRY_TOLD_MS })
 }
 
-/** Notes that a rank of the group took a request; true if it was closed. */
-export function noteOpen(closures: Closures, group: string): boolean {
-	return closures.delete(group)
+/**
+ * Ends the backoff after a rank of the group has accepted a request. Returns whether
+ * the group was backing off.
+ */
+export function noteOpen(backoffs: Closures, group: string): boolean {
+	return backoffs.delete(group)
 }
 
-/** Whether a group is closed and no try of it is due. */
+/** Whether a group is backing off and no probe of it is due. */
 export function isShut(
-	closures: Closures,
+	backoffs: Closures,
 	group: string,
 	now: number,
 ): boolean {
-	const closure = closures.get(group)
-	return closure !== undefined && now < closure.until
+	const backoff = backoffs.get(group)
+	return backoff !== undefined && now < backoff.until
 }
 
 /**
- * Whether a request may be sent now. While the group is closed, a yes is a try:
- * the next one waits until its answer, or a while.
+ * Whether a request may be sent now. During backoff, `true` makes the request a probe:
+ * the next one is allowed after the probe's answer or the probe interval.
  */
 export function mayEnter(
-	closures: Closures,
+	backoffs: Closures,
 	group: string,
 	now: number,
 ): boolean {
-	const closure = closures.get(group)
-	if (!closure) return true
-	if (now < closure.until) return false
-	closure.until = now + closure.tryMs
+	const backoff = backoffs.get(group)
+	if (!backoff) return true
+	if (now < backoff.until) return false
+	backoff.until = now + backoff.tryMs
 	return true
 }
--- a/packages/core/src/core/expertEstimate.ts
+++ b/packages/core/src/core/expertEstimate.ts
@@ -1,37 +1,38 @@
 /**
- * How popular each expert of a group will be. Several averages with different
- * memories predict each window before it is seen; the one that has predicted
- * best lately is planned by. Its memory also tells how long a popularity lasts,
- * which bounds what a move can still earn.
+ * Estimates the future popularity of each expert of a group. Exponential moving
+ * averages with different half-lives each predict the next window; plans use the
+ * one with the lowest recent prediction error. Its half-life also estimates how long
+ * a popularity lasts, which bounds the benefit of moving an expert.
  *
- * Drift favours a short memory. Still popularity, sampling noise, and a swing to
- * and fro at the planning period favour a long one, which moves nothing.
+ * Drift favours a short half-life. Constant popularity, sampling noise, and an
+ * oscillation at the planning period favour a long one, which avoids useless moves.
  */
 
-/** Half-lives of the averages, in windows. */
+/** Half-lives of the moving averages, in windows. */
 const HALF_LIVES = [0.3, 1, 3, 8, 24] as const
 /** Weight of the newest window in the prediction errors. */
 const ERROR_WEIGHT = 0.15
-/** A popularity is expected to last for so many half-lives of its memory. */
-const LIVES = 6
-/** How much better another memory must predict to be chosen. */
-const SWITCH_MARGIN = 0.95
+/** Expected duration of a popularity, in half-lives of the selected average. */
+const HORIZON_HALF_LIVES = 6
+/** Another average is selected only if its error is below this share of the present one. */
+const SWITCH_ERROR_RATIO = 0.95
 
-/** Estimates for all layers of a group; shares of a layer add up to 1. */
+/** Estimates for all layers of a group; the shares of a layer add up to 1. */
 export interface ExpertEstimate {
 	readonly layers: number
 	readonly experts: number
 	readonly windowMs: number
-	/** One average a half-life, `layer * experts + expert`. */
+	/** Averages by half-life, each indexed by `layer * experts + expert`. */
 	readonly averages: readonly Float64Array[]
-	/** Smoothed error of each average's predictions. */
+	/** Smoothed prediction error of each average. */
 	readonly errors: Float64Array
+	/** Number of windows observed. */
 	windows: number
-	/** Index of the average to plan by. */
+	/** Index of the average that plans use. */
 	chosen: number
 }
 
-/** Makes an estimate that knows nothing. */
+/** Creates an estimate without observations. */
 export function createEstimate(
 	layers: number,
 	experts: number,
@@ -49,7 +50,7 @@
 	}
 }
 
-/** Takes the tokens of one window, `layer * experts + expert`. */
+/** Adds the token counts of one window, indexed by `layer * experts + expert`. */
 export function observeTokens(
 	estimate: ExpertEstimate,
 	tokens: Float64Array,
@@ -57,35 +58,35 @@
 	const shares = toShares(estimate, tokens)
 	const { averages, errors } = estimate
 	estimate.windows++
-	for (const [at, average] of averages.entries()) {
+	for (const [index, average] of averages.entries()) {
 		if (estimate.windows > 1) {
-			const missed = distanceOf(average, shares) - errors[at]!
-			// The first errors are taken as they are, not mixed with zero.
+			const errorChange = l1Distance(average, shares) - errors[index]!
+			// The first errors are averaged equally, so that the initial zero has no weight.
 			const weight = Math.max(ERROR_WEIGHT, 1 / (estimate.windows - 1))
-			errors[at]! += weight * missed
+			errors[index]! += weight * errorChange
 		}
-		blend(average, shares, HALF_LIVES[at]!, estimate.windows)
+		updateAverage(average, shares, HALF_LIVES[index]!, estimate.windows)
 	}
-	choose(estimate)
+	selectAverage(estimate)
 }
 
-/** Shares to plan by. */
+/** Returns the expected share of each expert, `layer * experts + expert`. */
 export function expectedShares(estimate: ExpertEstimate): Float64Array {
 	return estimate.averages[estimate.chosen]!
 }
 
-/** How long the present popularity is expected to last, ms. */
+/** Returns how long the present popularity is expected to last, ms. */
 export function expectedHorizon(estimate: ExpertEstimate): number {
-	return HALF_LIVES[estimate.chosen]! * LIVES * estimate.windowMs
+	return HALF_LIVES[estimate.chosen]! * HORIZON_HALF_LIVES * estimate.windowMs
 }
 
-function choose(estimate: ExpertEstimate): void {
+function selectAverage(estimate: ExpertEstimate): void {
 	const { errors } = estimate
-	let best = estimate.chosen
-	for (const [at, error] of errors.entries())
-		if (error < errors[best]!) best = at
-	if (errors[best]! < errors[estimate.chosen]! * SWITCH_MARGIN)
-		estimate.chosen = best
+	let bestIndex = estimate.chosen
+	for (const [index, error] of errors.entries())
+		if (error < errors[bestIndex]!) bestIndex = index
+	if (errors[bestIndex]! < errors[estimate.chosen]! * SWITCH_ERROR_RATIO)
+		estimate.chosen = bestIndex
 }
 
 function toShares(
@@ -97,28 +98,30 @@
 	for (let layer = 0; layer < layers; layer++) {
 		const start = layer * experts
 		let total = 0
-		for (let at = start; at < start + experts; at++) total += tokens[at]!
-		const even = 1 / experts
-		for (let at = start; at < start + experts; at++)
-			shares[at] = total > 0 ? tokens[at]! / total : even
+		for (let index = start; index < start + experts; index++)
+			total += tokens[index]!
+		const equalShare = 1 / experts
+		for (let index = start; index < start + experts; index++)
+			shares[index] = total > 0 ? tokens[index]! / total : equalShare
 	}
 	return shares
 }
 
-function distanceOf(a: Float64Array, b: Float64Array): number {
+function l1Distance(a: Float64Array, b: Float64Array): number {
 	let distance = 0
-	for (let at = 0; at < a.length; at++) distance += Math.abs(a[at]! - b[at]!)
+	for (let index = 0; index < a.length; index++)
+		distance += Math.abs(a[index]! - b[index]!)
 	return distance
 }
 
-function blend(
-	into: Float64Array,
-	from: Float64Array,
+function updateAverage(
+	average: Float64Array,
+	shares: Float64Array,
 	halfLife: number,
 	windows: number,
 ): void {
-	// While few windows are known, their plain mean is the better estimate.
+	// With few windows observed, their arithmetic mean is the better estimate.
 	const weight = Math.max(1 - 0.5 ** (1 / halfLife), 1 / windows)
-	for (let at = 0; at < into.length; at++)
-		into[at]! += weight * (from[at]! - into[at]!)
+	for (let index = 0; index < average.length; index++)
+		average[index]! += weight * (shares[index]! - average[index]!)
 }
--- a/packages/core/src/core/groupPlan.ts
+++ b/packages/core/src/core/groupPlan.ts
@@ -1,7 +1,7 @@
 /**
- * Where the experts of a lock-step group should lie, for demand that turns
- * within seconds: a few changes of the present map that take load off the most
- * loaded ranks, within what one change may copy.
+ * Plans the placement of a lock-step group's experts, for demand that changes within
+ * seconds: a few changes of the present map that take load off the most loaded
+ * ranks, within the limit on copies per change.
  */
 
 import type { ExpertLayout } from '../types/traffic.ts'
@@ -11,25 +11,25 @@
 
 export type { SetPlacement } from './placementTable.ts'
 
-/** Steps of a search for each rank of a set. */
+/** Maximum number of search steps per rank of a set. */
 export const STEPS_PER_RANK = 4
 
-/** What planning a set gives. */
+/** A planned placement of one set. */
 export interface SetPlan {
 	readonly placement: SetPlacement
-	/** Load of the most loaded rank over the mean, before and after. */
+	/** Skew (load of the most loaded rank over the mean) before and after. */
 	readonly before: number
 	readonly after: number
-	/** Most new experts on one rank. */
+	/** Largest number of new copies on one rank. */
 	readonly mostNew: number
-	/** New experts on all ranks. */
+	/** Number of new copies on all ranks. */
 	readonly copies: number
 }
 
 /**
- * Plans one set, with as few copies as bring the most loaded rank down to
- * `target` times the mean. `share` holds each expert's part of the demand,
- * `paces` how slow each rank is.
+ * Plans one set with as few copies as possible, until the load of the most loaded
+ * rank is at most `target` times the mean. `share` holds each expert's share of the
+ * demand, `paces` the slowdown of each rank (1 is the usual speed).
  */
 export function planSet(
 	placement: SetPlacement,
@@ -40,8 +40,8 @@
 ): SetPlan {
 	const search = createSearch(placement, share, layout, paces)
 	const before = maxOf(search.loads)
-	const most = search.ranks * STEPS_PER_RANK
-	for (let step = 0; step < most; step++) {
+	const maxSteps = search.ranks * STEPS_PER_RANK
+	for (let step = 0; step < maxSteps; step++) {
 		if (maxOf(search.loads) <= target) break
 		const change = findBest(search)
 		if (!change) break
@@ -52,11 +52,14 @@
 		before,
 		after: maxOf(search.loads),
 		mostNew: Math.max(...search.fresh),
-		copies: search.fresh.reduce((sum, fresh) => sum + fresh, 0),
+		copies: search.fresh.reduce((sum, count) => sum + count, 0),
 	}
 }
 
-/** Load of the most loaded rank over the mean; many times a second. */
+/**
+ * Returns the load of the most loaded rank over the mean. Called many times a second,
+ * so it does not set up a search.
+ */
 export function skewOfSet(
 	placement: SetPlacement,
 	share: Float64Array,
@@ -65,16 +68,16 @@
 ): number {
 	const copies = new Int16Array(layout.experts)
 	for (const own of placement) for (const expert of own) copies[expert]!++
-	let most = 0
+	let maxLoad = 0
 	for (const [rank, own] of placement.entries()) {
 		let load = 0
 		for (const expert of own) load += share[expert]! / copies[expert]!
-		most = Math.max(most, load * (paces[rank] ?? 1))
+		maxLoad = Math.max(maxLoad, load * (paces[rank] ?? 1))
 	}
-	return most * placement.length
+	return maxLoad * placement.length
 }
 
-/** Time of a pass over that of one with balanced ranks. */
+/** Returns the time of a pass relative to one with balanced ranks. */
 export function passFactor(
 	skews: readonly number[],
 	expertShare: number,
@@ -83,7 +86,7 @@
 	return 1 - expertShare + expertShare * mean
 }
 
-/** The map that a group forms with: experts dealt in turn. */
+/** Returns the map that a group forms with: experts assigned round robin. */
 export function dealExperts(
 	ranks: number,
 	layout: Pick<ExpertLayout, 'experts'>,
--- a/packages/core/src/core/groupRound.ts
+++ b/packages/core/src/core/groupRound.ts
@@ -1,33 +1,35 @@
 /**
- * One change of a lock-step group's expert map, as a pure state machine.
+ * State machine for one change of a lock-step group's expert map, without side effects.
  *
- * Engines keep the state that must outlive a coordinator: the map, what is
- * prepared and armed, a hold, and the highest fence seen. An order may be lost,
- * doubled, or carried out seconds later. What makes a change safe then:
+ * Engines keep the state that must survive a coordinator crash: the map in use, the
+ * prepared and armed versions, a hold, and the highest fence seen. An order may be
+ * lost, duplicated, or executed seconds later. The following rules make a change safe
+ * under these conditions:
  *
- * - Each round has a fence of its own, higher than any before. The anchor
- *   (rank 0) sees it before anything else is ordered: from then on no order of
- *   an older round can hold or release the group there.
- * - The group is held at the anchor before the first rank is armed, and is let
- *   go only after every rank has confirmed that it is armed alike, or before
- *   any was asked to be. A coordinator that dies in between leaves the group
- *   held, not split.
- * - A newer round that finds the group held finishes the change. If a rank
- *   refuses, the next one disarms every rank under its own fence before it lets
- *   go. A round that finds the anchor armed and not held waits: the change was
- *   decided and only has not begun yet.
- * - Every order carries the group's epoch, so none outlives a new forming.
+ * - Each round has a unique fence, higher than all earlier ones. The anchor (rank 0)
+ *   receives it before any other order is sent. From then on no order of an older
+ *   round can hold or release the group.
+ * - The group is held at the anchor before the first rank is armed. It is released
+ *   only after every rank has confirmed that it is armed with the same change, or
+ *   before any arm order was sent. A coordinator that crashes in between leaves the
+ *   group held, not split between two maps.
+ * - A newer round that finds the group held completes the change. If a rank refuses,
+ *   the next round disarms every rank under its own fence before it releases the
+ *   group. A round that finds the anchor armed but not held waits, because the change
+ *   is decided and has only not taken effect yet.
+ * - Every order carries the group's epoch, so no order takes effect after the group
+ *   has re-formed.
  *
- * PROOF.md has the argument; the tests explore these functions.
+ * PROOF.md contains the proof; the tests explore these functions exhaustively.
  */
 
-/** Rank that decides for its group: fences and holds are kept there. */
+/** Rank that keeps the fence and the hold for its whole group. */
 export const ANCHOR_RANK = 0
 
-/** Experts by set and by rank. */
+/** Experts of each set by rank. */
 export type GroupMap = readonly (readonly (readonly number[])[])[]
 
-/** What a coordinator may ask of an engine. */
+/** An order from a coordinator to an engine. */
 export type EngineOrder =
 	| {
 			readonly type: 'prepare'
@@ -55,110 +57,117 @@
 			readonly fence: number
 			readonly epoch: number
 	  }
-	/** Only asks whether the rank can be reached. */
+	/** Checks that the rank is reachable, without any effect. */
 	| { readonly type: 'probe'; readonly epoch: number }
 
-/** How an engine took an order. */
+/** An engine's answer to an order. */
 export type OrderAnswer =
-	/** Begun, or it holds already. */
+	/** Executed, or in effect already. */
 	| 'done'
-	/** It does not fit the engine's state. */
+	/** Refused, as it is incompatible with the engine's state. */
 	| 'conflict'
-	/** A higher fence has been seen. */
+	/** Refused, as the engine has seen a higher fence. */
 	| 'fenced'
-	/** No answer: it may be carried out at any later time. */
+	/** No answer; the order may be executed at any later time. */
 	| 'silent'
 
-/** A rank as its engine reports it. */
+/** State of a rank as reported by its engine. */
 export interface RankReport {
 	readonly group: string
 	readonly rank: number
 	readonly size: number
 	readonly epoch: number
-	/** Whether the group runs. */
+	/** Whether the group is formed and accepts requests. */
 	readonly open: boolean
-	/** Last pass begun. */
+	/** Number of the last pass that has begun. */
 	readonly step: number
 	/** Version of the map in use. */
 	readonly map: number
-	/** Version whose experts have been copied. */
+	/** Version of the map whose experts have been copied. */
 	readonly prepared: number | undefined
 	readonly armed:
 		| { readonly version: number; readonly step: number }
 		| undefined
-	/** Pass that is not begun before a `go`. */
+	/** Pass that does not begin before a `go` order. */
 	readonly held: number | undefined
 	readonly running: number
 	readonly waiting: number
-	/** Over 1: the engine is slow. */
+	/** Slowdown factor of the engine; 1 is its usual speed. */
 	readonly pace: number
-	/** When the engine started, Unix ms, if it tells. */
+	/** Start time of the engine, Unix ms, if reported. */
 	readonly bornAt?: number | undefined
 }
 
-/** Where a round stands. */
+/** Phase of a round. */
 export type RoundPhase =
-	/** The anchor is to see the round's fence. */
+	/** Sends the round's fence to the anchor. */
 	| 'fencing'
-	/** The anchor's state under the fence is to be read. */
+	/** Awaits a report of the anchor that was made under the fence. */
 	| 'inspecting'
-	/** A decided change of an older round has not begun yet. */
+	/** Waits until a decided change of an older round takes effect. */
 	| 'waiting'
+	/** Every rank copies the experts of the new map. */
 	| 'preparing'
+	/** Holds the group before the pass of the change. */
 	| 'holding'
-	/** Every rank is to answer once more before the first is armed. */
+	/** Checks that every rank is reachable before the first is armed. */
 	| 'probing'
+	/** Arms every rank with the change. */
 	| 'arming'
-	/** A change that a rank refused is taken back. */
+	/** Rolls back a change that a rank refused. */
 	| 'disarming'
+	/** Releases the held group. */
 	| 'releasing'
-	/** The map is to be seen in use. */
+	/** Waits until the anchor reports the new map in use. */
 	| 'settling'
 	| 'done'
-	/** Given up; nothing of it can take effect any more. */
+	/** Abandoned; nothing of it can take effect any more. */
 	| 'failed'
 
-/** One change in the making. */
+/** State of one round, which makes one change of the map. */
 export interface GroupRound {
 	readonly fence: number
 	readonly epoch: number
 	readonly ranks: number
-	/** Version of the new map; of an older round's while that is finished. */
+	/**
+	 * Version of the new map, or of the older round's map while its change is completed;
+	 * 0 for a release without a change.
+	 */
 	version: number
-	/** Absent for a round that only settles what an older one left. */
+	/** The new map; absent in a round that only completes an older round's change. */
 	map: GroupMap | undefined
 	phase: RoundPhase
-	/** First pass with the new map. */
+	/** First pass with the new map; 0 until it is chosen. */
 	step: number
-	/** Ranks that have confirmed the present phase. */
+	/** Ranks that have confirmed the order of the present phase. */
 	readonly confirmed: Set<number>
-	/** Whether it is finishing an older round's change. */
+	/** Whether the round completes or rolls back an older round's change. */
 	inherited: boolean
-	/** Takes back an older round's change instead of finishing it. */
+	/** Whether to roll back an older round's change instead of completing it. */
 	readonly undo: boolean
-	/** Why it failed; empty unless it has. */
+	/** Reason for a failure; empty unless the phase is `failed`. */
 	reason: string
 }
 
-/** Version of the map that the round with this fence makes. */
+/** Returns the version of the map that the round with this fence creates. */
 export function versionOfFence(fence: number): number {
 	return fence * 2
 }
 
-/** The fence whose round made a version. */
+/** Returns the fence of the round that created a map version. */
 export function fenceOfVersion(version: number): number {
 	return Math.floor(version / 2)
 }
 
-/** A version that no map ever has. */
+/** Returns a version that no map ever has. */
 export function unusedVersion(fence: number): number {
 	return fence * 2 + 1
 }
 
-/** Why a round failed that the next one has to take back. */
+/** Failure reason of a round whose change the next round must roll back. */
 export const REFUSED_TO_ARM = 'a rank refuses to be armed'
 
-/** Begins a round; the fence must be unique and above all that were seen. */
+/** Creates a round; the fence must be unique and higher than all fences seen. */
 export function createRound(
 	fence: number,
 	epoch: number,
@@ -181,25 +190,25 @@
 	}
 }
 
-/** Whether nothing more is to be done. */
+/** Whether the round has completed or failed. */
 export function isOver(round: GroupRound): boolean {
 	return round.phase === 'done' || round.phase === 'failed'
 }
 
-/** An order for a rank. */
+/** An order to be sent to a rank. */
 export interface WantedOrder {
 	readonly rank: number
 	readonly order: EngineOrder
 }
 
-/** Orders that the present phase still needs, unanswered ones again. */
+/** Lists the orders of the present phase that are not confirmed yet, sent ones included. */
 export function listWanted(round: GroupRound): WantedOrder[] {
 	const { fence, epoch, version, step, map } = round
 	switch (round.phase) {
 		case 'fencing':
-			// A version that no map ever has: nothing happens but the fence,
-			// however late the order is carried out.
-			return atAnchor({
+			// The version belongs to no map, so the order only raises the fence, however
+			// late it is executed.
+			return forAnchor({
 				type: 'disarm',
 				version: unusedVersion(fence),
 				fence,
@@ -207,19 +216,25 @@
 			})
 		case 'preparing':
 			if (!map) return []
-			return atRest(round, { type: 'prepare', version, fence, epoch, map })
+			return forUnconfirmed(round, {
+				type: 'prepare',
+				version,
+				fence,
+				epoch,
+				map,
+			})
 		case 'holding':
-			// Until a report of the anchor has told which pass is next.
+			// The pass is chosen with the next report of the anchor.
 			if (step === 0) return []
-			return atAnchor({ type: 'hold', step, fence, epoch })
+			return forAnchor({ type: 'hold', step, fence, epoch })
 		case 'probing':
-			return atRest(round, { type: 'probe', epoch })
+			return forUnconfirmed(round, { type: 'probe', epoch })
 		case 'arming':
-			return atRest(round, { type: 'arm', version, step, fence, epoch })
+			return forUnconfirmed(round, { type: 'arm', version, step, fence, epoch })
 		case 'disarming':
-			return atRest(round, { type: 'disarm', version, fence, epoch })
+			return forUnconfirmed(round, { type: 'disarm', version, fence, epoch })
 		case 'releasing':
-			return atAnchor({ type: 'go', step, fence, epoch })
+			return forAnchor({ type: 'go', step, fence, epoch })
 		case 'inspecting':
 		case 'waiting':
 		case 'settling':
@@ -231,13 +246,13 @@
 	}
 }
 
-function atAnchor(order: EngineOrder): WantedOrder[] {
+function forAnchor(order: EngineOrder): WantedOrder[] {
 	return [{ rank: ANCHOR_RANK, order }]
 }
 
-function atRest(round: GroupRound, order: EngineOrder): WantedOrder[] {
-	const wanted: WantedOrder[] = []
+function forUnconfirmed(round: GroupRound, order: EngineOrder): WantedOrder[] {
+	const pending: WantedOrder[] = []
 	for (let rank = 0; rank < round.ranks; rank++)
-		if (!round.confirmed.has(rank)) wanted.push({ rank, order })
-	return wanted
+		if (!round.confirmed.has(rank)) pending.push({ rank, order })
+	return pending
 }
--- a/packages/core/src/core/groupRoundSteps.ts
+++ b/packages/core/src/core/groupRoundSteps.ts
@@ -1,6 +1,6 @@
 /**
- * How a round goes on: what follows from the answer to an order, and from a
- * report of the anchor. See groupRound.ts for why each rule stands.
+ * Transitions of a round, on the answer to an order and on a report of the anchor. See
+ * groupRound.ts for the reasons behind the rules.
  */
 
 import type {
@@ -13,8 +13,8 @@
 } from '../internal.ts'
 import { isOver, REFUSED_TO_ARM, unusedVersion } from '../internal.ts'
 
-/** The order that a phase gives, if any. */
-const ORDER_OF: Record<RoundPhase, EngineOrder['type'] | undefined> = {
+/** Type of the orders that each phase sends, if any. */
+const ORDER_OF_PHASE: Record<RoundPhase, EngineOrder['type'] | undefined> = {
 	fencing: 'disarm',
 	inspecting: undefined,
 	waiting: undefined,
@@ -29,17 +29,17 @@
 	failed: undefined,
 }
 
-/** Takes the answer to an order of this round. */
+/** Applies the answer to an order; answers to orders of earlier phases are ignored. */
 export function takeOrderAnswer(
 	round: GroupRound,
 	{ rank, order }: WantedOrder,
 	answer: OrderAnswer,
 ): void {
-	if (isOver(round) || order.type !== ORDER_OF[round.phase]) return
+	if (isOver(round) || order.type !== ORDER_OF_PHASE[round.phase]) return
 	if ('step' in order && order.step !== round.step) return
-	const expected =
+	const expectedVersion =
 		round.phase === 'fencing' ? unusedVersion(round.fence) : round.version
-	if ('version' in order && order.version !== expected) return
+	if ('version' in order && order.version !== expectedVersion) return
 	switch (answer) {
 		case 'silent':
 			return
@@ -47,41 +47,42 @@
 			fail(round, 'a newer round has begun')
 			return
 		case 'conflict':
-			takeConflict(round, rank)
+			handleConflict(round, rank)
 			return
 		case 'done':
-			confirm(round, rank)
+			advance(round, rank)
 			return
 		default:
 			answer satisfies never
 	}
 }
 
-function confirm(round: GroupRound, rank: number): void {
+function advance(round: GroupRound, rank: number): void {
 	switch (round.phase) {
 		case 'fencing':
-			enter(round, 'inspecting')
+			enterPhase(round, 'inspecting')
 			return
 		case 'holding':
-			enter(round, 'probing')
+			enterPhase(round, 'probing')
 			return
 		case 'probing':
-			if (confirmRank(round, rank)) enter(round, 'arming')
+			if (confirmRank(round, rank)) enterPhase(round, 'arming')
 			return
 		case 'releasing':
-			enter(round, round.version === 0 ? 'done' : 'settling')
+			enterPhase(round, round.version === 0 ? 'done' : 'settling')
 			return
 		case 'preparing':
-			if (confirmRank(round, rank)) enter(round, 'holding')
+			if (confirmRank(round, rank)) enterPhase(round, 'holding')
 			return
 		case 'arming':
-			if (confirmRank(round, rank)) enter(round, 'releasing')
+			if (confirmRank(round, rank)) enterPhase(round, 'releasing')
 			return
 		case 'disarming':
-			// Nobody is armed and no older order can arm: the hold may go.
+			// No rank is armed, and the fence stops all older arm orders: the group can be
+			// released.
 			if (!confirmRank(round, rank)) return
 			round.version = 0
-			enter(round, 'releasing')
+			enterPhase(round, 'releasing')
 			return
 		case 'inspecting':
 		case 'waiting':
@@ -94,31 +95,31 @@
 	}
 }
 
-/** True when all ranks have confirmed. */
+/** Records a rank's confirmation and returns whether all ranks have confirmed. */
 function confirmRank(round: GroupRound, rank: number): boolean {
 	round.confirmed.add(rank)
 	return round.confirmed.size === round.ranks
 }
 
-function enter(round: GroupRound, phase: RoundPhase): void {
+function enterPhase(round: GroupRound, phase: RoundPhase): void {
 	round.phase = phase
 	round.confirmed.clear()
 }
 
 function fail(round: GroupRound, reason: string): void {
-	enter(round, 'failed')
+	enterPhase(round, 'failed')
 	round.reason = reason
 }
 
-function takeConflict(round: GroupRound, rank: number): void {
+function handleConflict(round: GroupRound, rank: number): void {
 	switch (round.phase) {
 		case 'arming':
-			// The group stays held. Taking back needs a new fence: an order of
-			// this round may still arm a rank after it has been disarmed.
+			// The group stays held. A roll-back needs a new fence, because a delayed order
+			// of this round could still arm a rank after it has been disarmed.
 			fail(round, REFUSED_TO_ARM)
 			return
 		case 'holding':
-			// The pass has begun: a later one is chosen with the next report.
+			// The pass has already begun: the next report selects a later one.
 			round.step = 0
 			return
 		case 'preparing':
@@ -128,7 +129,7 @@
 		case 'probing':
 		case 'disarming':
 		case 'releasing':
-			fail(round, `rank ${rank} refuses: the group has formed anew`)
+			fail(round, `rank ${rank} refuses: the group has re-formed`)
 			return
 		case 'inspecting':
 		case 'waiting':
@@ -142,17 +143,17 @@
 }
 
 /**
- * Takes a report of the anchor that was made after the present phase began.
- * `lead` is the number of passes that are to begin before the change.
+ * Applies a report of the anchor that was made after the present phase began.
+ * `leadPasses` is the number of passes to begin before the change takes effect.
  */
 export function takeAnchorReport(
 	round: GroupRound,
 	report: RankReport,
-	lead: number,
+	leadPasses: number,
 ): void {
 	if (isOver(round)) return
 	if (report.epoch !== round.epoch || !report.open) {
-		fail(round, 'the group has formed anew')
+		fail(round, 'the group has re-formed')
 		return
 	}
 	switch (round.phase) {
@@ -161,10 +162,10 @@
 			inspect(round, report)
 			return
 		case 'holding':
-			if (round.step === 0) round.step = report.step + 1 + lead
+			if (round.step === 0) round.step = report.step + 1 + leadPasses
 			return
 		case 'settling':
-			settle(round, report)
+			checkSettled(round, report)
 			return
 		case 'fencing':
 		case 'preparing':
@@ -181,38 +182,38 @@
 }
 
 /**
- * Gives a change up because a rank has not answered the probe: nothing has been
- * armed under this fence, so the group may go on with its old map.
+ * Abandons a change because a rank has not answered the probe. No rank has been armed
+ * under this fence, so the group can continue with its old map.
  */
 export function giveUpProbing(round: GroupRound): void {
 	if (round.phase !== 'probing') return
 	round.version = 0
-	enter(round, 'releasing')
+	enterPhase(round, 'releasing')
 }
 
-function settle(round: GroupRound, report: RankReport): void {
-	if (report.map === round.version) enter(round, 'done')
-	// A double of the hold that came after the release: every rank is armed,
-	// and the release has to be given again, or the group stands still for good.
-	else if (report.held === round.step) enter(round, 'releasing')
-	else if (!report.armed) fail(round, 'another round took the change back')
+function checkSettled(round: GroupRound, report: RankReport): void {
+	if (report.map === round.version) enterPhase(round, 'done')
+	// A duplicate of the hold arrived after the release. Every rank is armed, so the
+	// release is sent again; otherwise the group would stay held for ever.
+	else if (report.held === round.step) enterPhase(round, 'releasing')
+	else if (!report.armed) fail(round, 'another round rolled the change back')
 }
 
 function inspect(round: GroupRound, report: RankReport): void {
 	const { held, armed, prepared } = report
 	if (held !== undefined) {
-		// Every rank had prepared this version before the hold was asked for.
+		// Every rank prepared this version before the hold order was sent.
 		round.inherited = true
 		round.step = held
 		round.version = armed?.version ?? prepared ?? 0
-		if (round.version === 0) enter(round, 'releasing')
-		else enter(round, round.undo ? 'disarming' : 'arming')
+		if (round.version === 0) enterPhase(round, 'releasing')
+		else enterPhase(round, round.undo ? 'disarming' : 'arming')
 		return
 	}
 	if (armed !== undefined) {
-		enter(round, 'waiting')
+		enterPhase(round, 'waiting')
 		return
 	}
-	if (round.map) enter(round, 'preparing')
-	else enter(round, 'done')
+	if (round.map) enterPhase(round, 'preparing')
+	else enterPhase(round, 'done')
 }
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -1,6 +1,6 @@
 /**
- * A search for a better map of all sets of a group, under a limit on what one
- * rank copies for it.
+ * Searches for a better map of all sets of a group, under a limit on the copies that
+ * one rank makes for it.
  */
 
 import type { ExpertLayout } from '../types/traffic.ts'
@@ -15,28 +15,29 @@
 	readPlacement,
 } from './placementTable.ts'
 
-/** A plan for all sets of a group, under a limit on what one rank copies. */
+/** A planned placement of all sets of a group. */
 export interface GroupPlan {
 	readonly placements: readonly SetPlacement[]
-	/** Most new experts on one rank, all sets together. */
+	/** Largest number of new copies on one rank, over all sets. */
 	readonly mostNew: number
-	/** New experts on all ranks. */
+	/** Number of new copies on all ranks. */
 	readonly copies: number
-	/** Load of the most loaded rank over the mean, by set. */
+	/** Skew (load of the most loaded rank over the mean) of each set. */
 	readonly skews: readonly number[]
 }
 
-/** A search over all sets of a group, to be taken further step by step. */
+/** State of a search over all sets of a group, which can be continued. */
 export interface GroupSearch {
 	readonly sets: readonly Search[]
 	readonly budget: CopyBudget
-	/** Best change of each set, until something makes it void. */
+	/** Cached best change of each set; `unknown` if it must be determined. */
 	readonly best: (Change | undefined | 'unknown')[]
+	/** Skew below which a set is not changed. */
 	readonly target: number
 	stepsLeft: number
 }
 
-/** Begins a search from the present map; `shares` holds each set's demand. */
+/** Creates a search from the present map; `shares` holds the demand of each set. */
 export function beginGroupSearch(
 	map: readonly SetPlacement[],
 	shares: readonly Float64Array[],
@@ -57,22 +58,22 @@
 	}
 }
 
-/** Load of a set's most loaded rank over the mean. */
+/** Returns the load of a set's most loaded rank over the mean. */
 export function skewOfSearch(search: Search): number {
 	return maxOf(search.loads)
 }
 
 /**
- * Goes on until no change is worth while when each rank copies `most` experts.
- * All sets draw on that number: a rank copies one expert after the other, so its
- * sum is what a change of the map waits for. Yields between steps that take
- * long, so that a caller can let others run.
+ * Continues a search until no further change is worthwhile with at most
+ * `maxCopiesPerRank` new copies on each rank. All sets share that limit: a rank copies
+ * one expert after another, so its total determines when a map change takes effect.
+ * Yields between long steps, so that the caller can run other tasks.
  */
 export function* searchOn(
 	search: GroupSearch,
-	most: number,
+	maxCopiesPerRank: number,
 ): Generator<void, GroupPlan> {
-	search.budget.most = most
+	search.budget.most = maxCopiesPerRank
 	search.best.fill('unknown')
 	for (; search.stepsLeft > 0; search.stepsLeft--) {
 		const set = yield* findBestSet(search)
@@ -80,31 +81,35 @@
 		applyChange(search.sets[set]!, search.best[set] as Change)
 		search.best[set] = 'unknown'
 	}
-	return readPlan(search)
+	return toGroupPlan(search)
 }
 
-/** The set with the best change; undefined when no set has one. */
+/** Returns the index of the set with the best change; undefined if there is none. */
 function* findBestSet(
 	search: GroupSearch,
 ): Generator<void, number | undefined> {
 	const { sets, best, target } = search
-	let found: number | undefined
-	for (const [set, one] of sets.entries()) {
+	let bestSet: number | undefined
+	for (const [set, setSearch] of sets.entries()) {
 		let change = best[set]
-		if (change === 'unknown' || (change && !isStillAllowed(one, change))) {
-			change = maxOf(one.loads) > target ? findBest(one) : undefined
+		if (
+			change === 'unknown' ||
+			(change && !isWithinBudget(setSearch, change))
+		) {
+			change = maxOf(setSearch.loads) > target ? findBest(setSearch) : undefined
 			best[set] = change
 			yield
 		}
 		if (!change) continue
-		const leader = found === undefined ? undefined : (best[found] as Change)
-		if (!leader || change.worth > leader.worth) found = set
+		const bestSoFar =
+			bestSet === undefined ? undefined : (best[bestSet] as Change)
+		if (!bestSoFar || change.worth > bestSoFar.worth) bestSet = set
 	}
-	return found
+	return bestSet
 }
 
-/** Another set may have used what a change was to use of the budget. */
-function isStillAllowed(search: Search, change: Change): boolean {
+/** Whether other sets have left enough of the copy budget for a change. */
+function isWithinBudget(search: Search, change: Change): boolean {
 	const { budget, places } = search
 	const ranks = [change.at, change.backAt]
 		.filter(at => at >= 0)
@@ -112,7 +117,7 @@
 	return ranks.every(rank => budget.used[rank]! < budget.most)
 }
 
-function readPlan({ sets, budget }: GroupSearch): GroupPlan {
+function toGroupPlan({ sets, budget }: GroupSearch): GroupPlan {
 	return {
 		placements: sets.map(readPlacement),
 		mostNew: Math.max(...budget.used),
--- a/packages/core/src/core/mapChangePlan.ts
+++ b/packages/core/src/core/mapChangePlan.ts
@@ -1,62 +1,66 @@
-/**
- * Which change of the map a coordinator makes, from what all ranks have told of
- * themselves.
- */
+/** Determines a coordinator's next map change from the states that all ranks reported. */
 
 import type { MapChange, RankReply } from '../internal.ts'
 
-/** What a rank has told of itself. */
+/** A rank's reply to a `learn` request: its state. */
 export type Learned = Extract<RankReply, { type: 'learned' }>
 
-/** What a coordinator is about. */
+/** Phase of a coordinator. */
 export type CoordinatorPhase =
 	| 'idle'
-	/** Waits for n of n answers to learn. */
+	/** Waits for the states of all ranks. */
 	| 'learning'
-	/** Closes what earlier coordinators left open. */
+	/** Commits or aborts changes that earlier coordinators left undecided. */
 	| 'closing'
-	/** Waits for n of n promises. */
+	/** Waits for the promises of all ranks. */
 	| 'preparing'
-	/** Tells a commit until every rank has it. */
+	/** Sends a commit until every rank has acknowledged it. */
 	| 'committing'
-	/** Tells an abort until every rank has it. */
+	/** Sends an abort until every rank has acknowledged it. */
 	| 'aborting'
 
-/** A coordinator of one group. */
+/** State of the coordinator of one group. */
 export interface CoordinatorState {
 	/** Number of ranks. */
 	readonly size: number
 	phase: CoordinatorPhase
 	fence: number
-	/** Map that is to come into force; `undefined` when only to recover. */
+	/** Map to activate; `undefined` in a round that only recovers. */
 	wanted: string | undefined
-	/** Steps between the last one begun and the change. */
+	/** Number of steps from the last one begun to the change. */
 	lead: number
-	/** Map of a group none of whose ranks remembers one. */
+	/** Map of a group in which no rank remembers one. */
 	readonly firstMap: string
+	/** Reported state of each rank; `undefined` until it has replied. */
 	readonly learned: (Learned | undefined)[]
-	/** Ranks that have yet to answer the open request. */
+	/** Ranks that have not replied to the current request yet. */
 	readonly open: Set<number>
 	change: MapChange | undefined
-	/** Highest fence heard of in a refusal. */
+	/** Highest fence reported in a refusal. */
 	highest: number
-	/** Changes committed with every rank's acknowledgement. */
+	/** Number of changes whose commit every rank has acknowledged. */
 	finished: number
 }
 
-/** The change to make now: a new generation first, then the wanted map. */
+/**
+ * Returns the next change, if one is needed. A group that is not complete gets a new
+ * generation with its current map first, and the target map in a later change.
+ */
 export function planChange(state: CoordinatorState): MapChange | undefined {
-	const all = listLearned(state)
+	const reported = listLearned(state)
 	const { fence, lead } = state
-	const generation = Math.max(...all.map(rank => rank.generation))
-	const step = Math.max(...all.map(lastPlannedStep)) + lead
-	const current = findCurrentMap(state, all)
-	const whole = all.every(rank => rank.joined && rank.generation === generation)
-	if (!whole) return { fence, generation: generation + 1, step, mapId: current }
-	const pending = all.some(
+	const generation = Math.max(...reported.map(rank => rank.generation))
+	const step = Math.max(...reported.map(lastPlannedStep)) + lead
+	const current = findCurrentMap(state, reported)
+	const isComplete = reported.every(
+		rank => rank.joined && rank.generation === generation,
+	)
+	if (!isComplete)
+		return { fence, generation: generation + 1, step, mapId: current }
+	const isChangePending = reported.some(
 		rank => rank.committed && rank.committed.step > rank.step,
 	)
-	if (pending || state.wanted === undefined || state.wanted === current)
+	if (isChangePending || state.wanted === undefined || state.wanted === current)
 		return undefined
 	return { fence, generation, step, mapId: state.wanted }
 }
@@ -65,19 +69,19 @@
 	return Math.max(rank.step, rank.committed?.step ?? 0)
 }
 
-/** The newest committed map that a member remembers. */
+/** Returns the newest committed map that any rank remembers. */
 function findCurrentMap(
 	state: CoordinatorState,
-	all: readonly Learned[],
+	reported: readonly Learned[],
 ): string {
 	let newest: MapChange | undefined
-	for (const { committed } of all)
+	for (const { committed } of reported)
 		if (committed && committed.fence > (newest?.fence ?? 0)) newest = committed
 	if (newest) return newest.mapId
-	return all.find(rank => rank.joined)?.mapId ?? state.firstMap
+	return reported.find(rank => rank.joined)?.mapId ?? state.firstMap
 }
 
-/** What was told, by those that have answered. */
+/** Lists the states of the ranks that have replied. */
 export function listLearned(state: CoordinatorState): Learned[] {
 	return state.learned.filter(learned => learned !== undefined)
 }
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -1,7 +1,8 @@
 /**
- * The coordinator's side of the map protocol: learn from every rank, finish or
- * give up what is open, then prepare one change and commit it with n of n
- * promises. It may be paused, doubled or killed at any point.
+ * The coordinator's side of the map protocol. A round learns the state of every rank,
+ * commits or aborts undecided changes, then prepares one change and commits it with the
+ * promises of all ranks. The process may be paused or killed at any point, and several
+ * coordinators may be active at once.
  */
 
 import type {
@@ -13,13 +14,13 @@
 } from '../internal.ts'
 import { listLearned, planChange } from '../internal.ts'
 
-/** A request to one rank. */
+/** A request addressed to one rank. */
 export interface RankOrder {
 	readonly rank: number
 	readonly req: RankRequest
 }
 
-/** Makes an idle coordinator. */
+/** Creates an idle coordinator. */
 export function createCoordinator(
 	size: number,
 	firstMap: string,
@@ -40,20 +41,20 @@
 }
 
 /**
- * The next fence of coordinator `id` out of `ids`, above all it has heard of.
- * No two coordinators share one.
+ * Returns the next fence of coordinator `id` out of `ids` coordinators, higher than all
+ * fences it has seen. No two coordinators use the same fence.
  */
 export function nextFence(
 	state: CoordinatorState,
 	id: number,
 	ids: number,
 ): number {
-	const above = Math.max(state.fence, state.highest)
-	const round = Math.floor(above / ids) + 1
+	const highestSeen = Math.max(state.fence, state.highest)
+	const round = Math.floor(highestSeen / ids) + 1
 	return round * ids + id
 }
 
-/** Begins a round. */
+/** Starts a round and returns the requests to send. */
 export function startRound(
 	state: CoordinatorState,
 	fence: number,
@@ -66,10 +67,13 @@
 	state.lead = lead
 	state.change = undefined
 	state.learned.fill(undefined)
-	return askAll(state, { type: 'learn', fence })
+	return sendToAll(state, { type: 'learn', fence })
 }
 
-/** Takes a rank's reply; late, doubled and foreign ones are harmless. */
+/**
+ * Handles a rank's reply and returns the requests to send. Late replies, duplicates and
+ * replies to other coordinators are ignored.
+ */
 export function takeRankReply(
 	state: CoordinatorState,
 	rank: number,
@@ -93,23 +97,23 @@
 }
 
 /**
- * Time is up for the open request. What was only prepared is given up; what was
- * decided is told again.
+ * Handles a time-out of the current request and returns the requests to send. A change
+ * that is only prepared is aborted; a decided change is sent again.
  */
 export function repeatRound(state: CoordinatorState): RankOrder[] {
 	switch (state.phase) {
 		case 'idle':
 			return []
 		case 'learning':
-			return askOpen(state, { type: 'learn', fence: state.fence })
+			return sendToOpen(state, { type: 'learn', fence: state.fence })
 		case 'closing':
-			return closeOpenChanges(state)
+			return closeUndecidedChanges(state)
 		case 'preparing':
 			return abortChange(state)
 		case 'committing':
-			return askOpen(state, commitOf(state))
+			return sendToOpen(state, createCommit(state))
 		case 'aborting':
-			return askOpen(state, abortOf(state))
+			return sendToOpen(state, createAbort(state))
 		default:
 			return state.phase satisfies never
 	}
@@ -124,32 +128,34 @@
 	state.learned[rank] = reply
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
-	return closeOpenChanges(state)
+	return closeUndecidedChanges(state)
 }
 
-/** A change that any rank saw committed is finished; others are given up. */
-function closeOpenChanges(state: CoordinatorState): RankOrder[] {
-	const all = listLearned(state)
+/** Commits each undecided change that any rank has committed, and aborts the others. */
+function closeUndecidedChanges(state: CoordinatorState): RankOrder[] {
+	const reported = listLearned(state)
 	state.phase = 'closing'
 	state.open.clear()
 	const orders: RankOrder[] = []
-	for (const [rank, { promised }] of all.entries()) {
+	for (const [rank, { promised }] of reported.entries()) {
 		if (!promised) continue
 		state.open.add(rank)
-		orders.push({ rank, req: closingOf(state, all, promised) })
+		orders.push({ rank, req: createClosingRequest(state, reported, promised) })
 	}
 	return orders.length > 0 ? orders : prepareChange(state)
 }
 
-function closingOf(
+function createClosingRequest(
 	state: CoordinatorState,
-	all: readonly Learned[],
+	reported: readonly Learned[],
 	promised: MapChange,
 ): RankRequest {
 	const { fence } = state
 	const changeFence = promised.fence
-	const seen = all.some(other => other.committed?.fence === changeFence)
-	if (seen) return { type: 'commit', fence, change: promised }
+	const isCommitted = reported.some(
+		other => other.committed?.fence === changeFence,
+	)
+	if (isCommitted) return { type: 'commit', fence, change: promised }
 	return { type: 'abort', fence, changeFence }
 }
 
@@ -158,7 +164,7 @@
 	if (!change) return endRound(state)
 	state.phase = 'preparing'
 	state.change = change
-	return askAll(state, { type: 'prepare', fence: state.fence, change })
+	return sendToAll(state, { type: 'prepare', fence: state.fence, change })
 }
 
 function onPromised(
@@ -167,13 +173,13 @@
 	incarnation: number,
 ): RankOrder[] {
 	if (state.phase !== 'preparing') return []
-	// It restarted since it was asked: its promise is not the one needed.
+	// The rank has restarted since its state was learned: this promise does not count.
 	if (state.learned[rank]?.incarnation !== incarnation)
 		return abortChange(state)
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
 	state.phase = 'committing'
-	return askAll(state, commitOf(state))
+	return sendToAll(state, createCommit(state))
 }
 
 function onDecided(
@@ -204,7 +210,7 @@
 function onClosed(state: CoordinatorState, rank: number): RankOrder[] {
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
-	// What was just finished may not be in force yet: learn again.
+	// The changes just completed may not be in effect yet: the states are learned again.
 	return startRound(state, state.fence, state.wanted, state.lead)
 }
 
@@ -219,7 +225,7 @@
 		case 'closing':
 		case 'aborting':
 		case 'committing':
-			// Another coordinator went on with a higher fence; it will finish.
+			// Another coordinator has a higher fence and will complete the change.
 			return state.highest > state.fence ? endRound(state) : []
 		case 'idle':
 			return []
@@ -230,7 +236,7 @@
 
 function abortChange(state: CoordinatorState): RankOrder[] {
 	state.phase = 'aborting'
-	return askAll(state, abortOf(state))
+	return sendToAll(state, createAbort(state))
 }
 
 function endRound(state: CoordinatorState): RankOrder[] {
@@ -239,21 +245,21 @@
 	return []
 }
 
-function commitOf(state: CoordinatorState): RankRequest {
+function createCommit(state: CoordinatorState): RankRequest {
 	return { type: 'commit', fence: state.fence, change: state.change! }
 }
 
-function abortOf(state: CoordinatorState): RankRequest {
+function createAbort(state: CoordinatorState): RankRequest {
 	const changeFence = state.change?.fence ?? state.fence
 	return { type: 'abort', fence: state.fence, changeFence }
 }
 
-function askAll(state: CoordinatorState, req: RankRequest): RankOrder[] {
+function sendToAll(state: CoordinatorState, req: RankRequest): RankOrder[] {
 	state.open.clear()
 	for (let rank = 0; rank < state.size; rank++) state.open.add(rank)
-	return askOpen(state, req)
+	return sendToOpen(state, req)
 }
 
-function askOpen(state: CoordinatorState, req: RankRequest): RankOrder[] {
+function sendToOpen(state: CoordinatorState, req: RankRequest): RankOrder[] {
 	return [...state.open].map(rank => ({ rank, req }))
 }
--- a/packages/core/src/core/mapNeed.ts
+++ b/packages/core/src/core/mapNeed.ts
@@ -1,61 +1,64 @@
 /**
- * What a lock-step group needs so that pauses stay in time: when another expert
- * map is worth its copying, and how many requests it may hold.
+ * Policies that keep the pauses of a lock-step group's streams within their limit: when
+ * a change of the expert map is worth its copying, and how many requests the group may
+ * hold at once.
  */
 
 import type { PassCost, PassFit } from '../internal.ts'
 import { COPYING_FACTOR, heldWithin, predictPassMs } from '../internal.ts'
 
-/** A plan must make passes shorter by this part. */
+/** Least relative reduction of the pass time for which a plan is used. */
 const MIN_GAIN = 0.08
 /**
- * Part of the longest pause in time that a pass may be predicted to take: the
- * rest is for prompts that are read and for the way to the caller.
+ * Share of the longest allowed pause that the predicted pass time may take; the rest is
+ * left for reading prompts and for the network to the caller.
  */
-const FULL_PAUSE_SHARE = 0.85
+const PASS_PAUSE_SHARE = 0.85
 /**
- * The same for the few passes between a shift of demand and the map that cures
- * it: fewer passes are less likely to meet one that takes longer than predicted.
+ * The same share for the few passes between a demand shift and the map change that
+ * adapts to it. It is larger, because among fewer passes one that takes longer than
+ * predicted is less likely.
  */
 const SHIFT_PAUSE_SHARE = 0.9
-/** The same for passes after a shift with the present map, for it to be kept. */
+/** The same share for passes after a demand shift, below which the present map is kept. */
 const KEPT_MAP_SHARE = 0.65
-/** Part of an engine's slots that requests may always hold. */
+/** Share of an engine's slots that requests may always occupy. */
 const MIN_HELD_SHARE = 0.5
-/** Part of the longest pause beyond which a slow rank's own steps are hopeless. */
-const HOPELESS_SHARE = 0.85
-/** Shifts that come within this time are prepared for, ms. */
-const SHIFTS_OFTEN_MS = 6_000
+/** Share of the longest allowed pause beyond which a slow rank cannot meet the limit. */
+const SLOW_RANK_SHARE = 0.85
+/** Demand shifts expected within this time lower the limit on held requests, ms. */
+const FREQUENT_SHIFT_MS = 6_000
 
-/** What must not be passed. */
+/** Limits of a group. */
 export interface GroupLimits {
-	/** Longest pause between events that is in time, ms; 0 if unstated. */
+	/** Longest allowed pause between the events of a stream, ms; 0 if not set. */
 	readonly maxPauseMs: number
-	/** Requests that an engine runs at once. */
+	/** Number of requests that an engine runs at once. */
 	readonly slots: number
 }
 
-/** What a group may hold depends on. */
+/** Conditions that determine how many requests a group may hold. */
 export interface LetInState {
-	/** Time of a pass over that of a balanced one, now. */
+	/** Present time of a pass relative to a balanced one. */
 	readonly factor: number
-	/** The same right after demand shifts, as seen so far. */
+	/** Time of a pass right after a demand shift, relative to a balanced one, as observed. */
 	readonly shiftedFactor: number
-	/** How long demand is expected to stay as it is, ms. */
+	/** Expected time until demand shifts, ms. */
 	readonly steadyMs: number
-	/** Whether ranks copy experts for longer than a pass to cure a shift. */
+	/** Whether adapting to a shift makes ranks copy experts for longer than a pass. */
 	readonly copiesLong: boolean
-	/** How passes were seen to compare with the published figures. */
+	/** Fit of the observed passes to the published figures. */
 	readonly fit: PassFit
 }
 
 /**
- * Requests that a rank may hold for streams to be in time: undefined for as many
- * as fit. A limit that a shift would break is too high where streams are likely
- * to see one: all that are under way when it comes would be late. Copying counts
- * there only where it lasts: 192 ranks that copy for 10 ms may hold 3 requests each
- * in place of 2.25 (worked out). Limits took streams in time from 0.93 to 0.96 on
- * emulated quiet days, and from 0.58 to 0.67 on days with a fifth more load.
+ * Returns how many requests a rank may hold for streams to meet the pause limit;
+ * undefined for no limit. Where demand shifts are frequent, the limit also has to hold
+ * right after a shift, or all streams in progress at that time would be late. Copying
+ * is taken into account there only if it lasts longer than a pass: by calculation, 192
+ * ranks that copy for 10 ms may hold 3 requests each instead of 2.25. In emulations the
+ * limit raised the share of streams in time from 0.93 to 0.96 on days with low load, and
+ * from 0.58 to 0.67 on days with 20 % more load.
  */
 export function allowedHeld(
 	{ factor, shiftedFactor, steadyMs, copiesLong, fit }: LetInState,
@@ -63,36 +66,38 @@
 	cost: PassCost,
 ): number | undefined {
 	if (maxPauseMs <= 0 || cost.perRequestMs <= 0) return undefined
-	const within = (share: number, worst: number, copying: boolean) =>
-		heldWithin(cost, fit, share * maxPauseMs, { factor: worst, copying })
-	const isPrepared = steadyMs < SHIFTS_OFTEN_MS && shiftedFactor > factor
+	const within = (share: number, worstFactor: number, copying: boolean) =>
+		heldWithin(cost, fit, share * maxPauseMs, { factor: worstFactor, copying })
+	const allowsForShift = steadyMs < FREQUENT_SHIFT_MS && shiftedFactor > factor
 	const held = Math.min(
-		within(FULL_PAUSE_SHARE, factor, true),
-		isPrepared ? within(SHIFT_PAUSE_SHARE, shiftedFactor, copiesLong) : slots,
+		within(PASS_PAUSE_SHARE, factor, true),
+		allowsForShift
+			? within(SHIFT_PAUSE_SHARE, shiftedFactor, copiesLong)
+			: slots,
 	)
 	if (held >= slots) return undefined
 	return Math.max(slots * MIN_HELD_SHARE, held)
 }
 
 /**
- * Whether a rank is so slow that its own steps take longer than a stream may
- * pause. No limit brings streams back in time then, and those that are served
- * late are worth more than those that are refused.
+ * Whether a rank is so slow that its own steps exceed the pause limit. Limiting the
+ * held requests cannot make streams punctual then, and a late stream is worth more than
+ * a refused one.
  */
 export function isBeyondLimits(
 	{ maxPauseMs }: GroupLimits,
 	{ stepMs, stepsPerPass }: PassCost,
 	slowestPace: number,
 ): boolean {
-	const ownMs = stepsPerPass * stepMs * slowestPace * COPYING_FACTOR
-	return maxPauseMs > 0 && ownMs > HOPELESS_SHARE * maxPauseMs
+	const ownStepsMs = stepsPerPass * stepMs * slowestPace * COPYING_FACTOR
+	return maxPauseMs > 0 && ownStepsMs > SLOW_RANK_SHARE * maxPauseMs
 }
 
 /**
- * Whether streams could be late with the present map: whether the next shift of
- * demand, or the present one, would make passes too long while it is cured.
- * Without it a group with time to spare copies experts for nobody: four times as
- * many on an emulated quiet day of 16 ranks, for no more streams in time.
+ * Whether streams could be late with the present map: whether the present demand, or
+ * the next shift, makes passes too long until a map change takes effect. Without this
+ * check a group with spare time copies experts without any benefit: four times as many
+ * on an emulated day of 16 ranks with low load, for no more streams in time.
  */
 export function isMapNeeded(
 	held: number,
@@ -105,25 +110,25 @@
 	cost: PassCost,
 ): boolean {
 	if (maxPauseMs <= 0) return true
-	const worst = Math.max(factor, shiftedFactor)
+	const worstFactor = Math.max(factor, shiftedFactor)
 	const passMs = predictPassMs(cost, fit, held, {
-		factor: worst,
+		factor: worstFactor,
 		copying: true,
 	})
 	return passMs > KEPT_MAP_SHARE * maxPauseMs
 }
 
-/** What a change of the map costs and how long it lasts. */
+/** Cost of a map change, and how long its benefit lasts. */
 export interface RoundCost {
-	/** To copy one expert to a rank, ms. */
+	/** Time to copy one expert to a rank, ms. */
 	readonly copyMs: number
-	/** From the plan until the new map is in use, without copying, ms. */
+	/** Time from the plan until the new map is in use, without copying, ms. */
 	readonly overheadMs: number
-	/** How long demand is expected to stay as it is, ms. */
+	/** Expected time until demand shifts, ms. */
 	readonly steadyMs: number
 }
 
-/** How much of a pass a plan saves, for each ms until it does so. */
+/** Returns the pass time that a plan saves per ms until it takes effect. */
 export function gainRate(
 	before: number,
 	after: number,
@@ -134,8 +139,8 @@
 }
 
 /**
- * Whether a plan saves more than its copying costs, in passes until demand is
- * expected to shift. `copies` is the most that one rank copies.
+ * Whether a plan saves more pass time until the expected demand shift than its copying
+ * costs. `copies` is the largest number of copies on one rank.
  */
 export function isWorthwhile(
 	before: number,
@@ -145,7 +150,7 @@
 ): boolean {
 	if (1 - after / before < MIN_GAIN) return false
 	const copyingMs = copies * copyMs
-	const usedMs = Math.max(0, steadyMs - overheadMs - copyingMs)
+	const inUseMs = Math.max(0, steadyMs - overheadMs - copyingMs)
 	const lost = (COPYING_FACTOR - 1) * before * copyingMs
-	return (before - after) * usedMs > lost
+	return (before - after) * inUseMs > lost
 }
--- a/packages/core/src/core/mapPlan.ts
+++ b/packages/core/src/core/mapPlan.ts
@@ -1,6 +1,6 @@
 /**
- * The next map of a lock-step group: which experts to copy first when copying
- * takes a large part of the time for which demand stays as it is.
+ * Plans the next map of a lock-step group, and selects which experts to copy first when
+ * copying takes a large part of the time between demand shifts.
  */
 
 import type { GroupPlan, RoundCost, SetPlacement } from '../internal.ts'
@@ -14,37 +14,37 @@
 } from '../internal.ts'
 import type { ExpertLayout } from '../types/traffic.ts'
 
-/** A plan does not copy for a most loaded rank below this, over the mean. */
+/** Skew (load of the most loaded rank over the mean) below which a set is not changed. */
 const TARGET_SKEW = 1.04
 
-/** What a plan starts from. */
+/** Input of a plan. */
 export interface MapBasis {
 	/** Map in use, by set. */
 	readonly map: readonly SetPlacement[]
-	/** Each expert's part of its set's demand, by set. */
+	/** Share of each expert in its set's demand, by set. */
 	readonly shares: readonly Float64Array[]
 	readonly layout: ExpertLayout
-	/** How slow each rank is; 1 is its usual speed. */
+	/** Slowdown factor of each rank; 1 is its usual speed. */
 	readonly paces: readonly number[]
 	readonly cost: RoundCost
 }
 
-/** A map to change to. */
+/** A planned map change. */
 export interface MapPlan extends GroupPlan {
-	/** Time of a pass over that of a balanced one, before and after. */
+	/** Time of a pass relative to a balanced one, before and after the change. */
 	readonly before: number
 	readonly after: number
 }
 
 /**
- * A better map, if its gain outweighs the copying. Of plans that let each rank
- * copy one, two, four experts and so on, the one that saves most for each ms
- * until it is in use: where copies are slow, the few that matter come first and
- * the rest in later rounds. Yields between steps that take long.
+ * Returns a better map if its gain outweighs the copying. Compares plans that let each
+ * rank copy one, two, four experts and so on, and selects the one that saves the most
+ * pass time per ms until it takes effect. Where copies are slow, the most useful copies
+ * come first and the others in later rounds. Yields between long steps.
  *
- * With copies of 0.4 s and a shift each 3.5 s, streams in time went from 0.67 to
- * 0.87 of those asked for, against whole plans made when passes came near the
- * longest pause (two emulated quiet days of 12 ranks).
+ * With copies of 0.4 s and a demand shift every 3.5 s, the share of requested streams in
+ * time rose from 0.67 to 0.87, compared with complete plans made when passes came near
+ * the pause limit (two emulated days of 12 ranks with low load).
  */
 export function* planMap(
 	basis: MapBasis,
@@ -54,9 +54,9 @@
 	const before = passFactor(search.sets.map(skewOfSearch), layout.expertShare)
 	let best: MapPlan | undefined
 	let bestRate = 0
-	const most = layout.maxNew * layout.sets
-	for (let copies = 1; copies < 2 * most; copies *= 2) {
-		const plan = yield* searchOn(search, Math.min(copies, most))
+	const maxCopies = layout.maxNew * layout.sets
+	for (let copies = 1; copies < 2 * maxCopies; copies *= 2) {
+		const plan = yield* searchOn(search, Math.min(copies, maxCopies))
 		const after = passFactor(plan.skews, layout.expertShare)
 		const rate = gainRate(before, after, plan.mostNew, cost)
 		if (rate <= bestRate) continue
--- a/packages/core/src/core/mapProtocol.ts
+++ b/packages/core/src/core/mapProtocol.ts
@@ -1,14 +1,14 @@
 /**
- * One expert map per step: the protocol between a group's coordinator and its
- * ranks, as pure transition functions. DESIGN.md says why each rule stands;
- * the tests explore these very functions exhaustively.
+ * Protocol between a group's coordinator and its ranks, as pure transition functions. It
+ * guarantees that all ranks use the same expert map in every step. DESIGN.md gives the
+ * reasons behind the rules; the tests explore these functions exhaustively.
  *
  * Fences are unique: no two coordinators ever use the same number.
  */
 
-/** A change of the map that all ranks make at one step. */
+/** A map change that all ranks apply at the same step. */
 export interface MapChange {
-	/** Fence of the coordinator that prepared it; names the change. */
+	/** Fence of the round that prepared the change; identifies the change. */
 	readonly fence: number
 	readonly generation: number
 	/** First step with the new map. */
@@ -16,28 +16,28 @@
 	readonly mapId: string
 }
 
-/** What a rank holds. Engines that check fences hold it themselves. */
+/** State of a rank. Engines that check fences keep it themselves. */
 export interface RankState {
-	/** Rises when the rank loses what it held. */
+	/** Increases when the rank loses its state. */
 	incarnation: number
-	/** Whether it is a member of a generation, and so may step. */
+	/** Whether the rank belongs to a generation; only then may it begin steps. */
 	joined: boolean
 	generation: number
 	/** Last step begun. */
 	step: number
 	/** Map of the last step begun. */
 	mapId: string
-	/** Highest fence heard of; lower ones are refused. */
+	/** Highest fence received; requests with a lower one are refused. */
 	fence: number
-	/** Highest fence of a change that was decided here. */
+	/** Highest fence of a change committed or aborted at this rank. */
 	decidedFence: number
-	/** In doubt: its step is not begun before the decision. */
+	/** Prepared change without a decision; its step does not begin before that. */
 	promised: MapChange | undefined
-	/** Last commit; kept after it is applied, until the next one. */
+	/** Last committed change; kept after it has taken effect, until the next commit. */
 	committed: MapChange | undefined
 }
 
-/** From a coordinator to a rank. */
+/** A request from a coordinator to a rank. */
 export type RankRequest =
 	| { readonly type: 'learn'; readonly fence: number }
 	| {
@@ -53,11 +53,11 @@
 	| {
 			readonly type: 'abort'
 			readonly fence: number
-			/** Fence of the change that is given up. */
+			/** Fence of the change that is aborted. */
 			readonly changeFence: number
 	  }
 
-/** From a rank to a coordinator. */
+/** A reply from a rank to a coordinator. */
 export type RankReply =
 	| {
 			readonly type: 'learned'
@@ -83,14 +83,14 @@
 	  }
 	| {
 			readonly type: 'refused'
-			/** Fence of the request that is refused. */
+			/** Fence of the refused request. */
 			readonly fence: number
 			readonly request: RankRequest['type']
-			/** Highest fence that the rank has heard of. */
+			/** Highest fence that the rank has received. */
 			readonly highest: number
 	  }
 
-/** A rank that is a member of the first generation. */
+/** Creates a rank that belongs to the first generation. */
 export function createRank(mapId: string): RankState {
 	return {
 		incarnation: 0,
@@ -105,7 +105,7 @@
 	}
 }
 
-/** A rank that has lost what it held; it may not step before it is let in. */
+/** Creates a rank that has lost its state; it begins no step before it rejoins. */
 export function restartRank(incarnation: number): RankState {
 	return {
 		...createRank(''),
@@ -115,7 +115,7 @@
 	}
 }
 
-/** Lets a rank take a request; changes `rank` and gives its reply. */
+/** Applies a request to `rank`, which is changed, and returns the reply. */
 export function takeRankRequest(rank: RankState, req: RankRequest): RankReply {
 	if (req.fence < rank.fence) return refuse(rank, req)
 	switch (req.type) {
@@ -139,7 +139,7 @@
 	return !rank.promised || rank.promised.step > rank.step + 1
 }
 
-/** Begins the next step, with a new map if one is due. */
+/** Begins the next step, with the committed map if its step is reached. */
 export function beginStep(rank: RankState): void {
 	rank.step++
 	const { committed } = rank
@@ -177,18 +177,18 @@
 ): RankReply {
 	const { change } = req
 	const { incarnation, fence } = rank
-	const doubled = rank.promised?.fence === change.fence
-	if (doubled) return { type: 'promised', fence, incarnation }
-	const learned = req.fence === rank.fence
-	const begun = change.step <= rank.step
-	// Within a generation one change at a time; a new generation takes over
-	// what the old one could not begin for want of a rank.
-	const pending =
+	const isDuplicate = rank.promised?.fence === change.fence
+	if (isDuplicate) return { type: 'promised', fence, incarnation }
+	const isLearned = req.fence === rank.fence
+	const hasBegun = change.step <= rank.step
+	// Only one change at a time is pending within a generation. A new generation takes
+	// over a change that the old one could not begin because a rank was missing.
+	const isChangePending =
 		change.generation === rank.generation &&
 		rank.committed !== undefined &&
 		rank.committed.step > rank.step
-	const decided = change.fence <= rank.decidedFence
-	if (!learned || begun || rank.promised || pending || decided)
+	const isDecided = change.fence <= rank.decidedFence
+	if (!isLearned || hasBegun || rank.promised || isChangePending || isDecided)
 		return refuse(rank, req)
 	rank.promised = change
 	return { type: 'promised', fence, incarnation }
@@ -199,18 +199,19 @@
 	req: Extract<RankRequest, { type: 'commit' }>,
 ): RankReply {
 	const { change } = req
-	const known = rank.committed?.fence === change.fence
-	// Only a rank that promised may commit: one that lost its promise in a
-	// restart is no part of what was decided.
-	if (!known && rank.promised?.fence !== change.fence) return refuse(rank, req)
+	const isCommitted = rank.committed?.fence === change.fence
+	// Only a rank with the promise may commit: one that lost its promise in a restart
+	// does not take part in the change.
+	if (!isCommitted && rank.promised?.fence !== change.fence)
+		return refuse(rank, req)
 	rank.fence = req.fence
-	if (!known) {
+	if (!isCommitted) {
 		rank.promised = undefined
 		rank.committed = change
 		rank.decidedFence = change.fence
 		joinGeneration(rank, change)
 	}
-	return decided(rank, req.fence, change.fence)
+	return replyDecided(rank, req.fence, change.fence)
 }
 
 function abort(
@@ -221,10 +222,10 @@
 	rank.fence = req.fence
 	if (rank.promised?.fence === req.changeFence) rank.promised = undefined
 	rank.decidedFence = Math.max(rank.decidedFence, req.changeFence)
-	return decided(rank, req.fence, req.changeFence)
+	return replyDecided(rank, req.fence, req.changeFence)
 }
 
-/** A new generation begins at a step barrier that all its ranks share. */
+/** Joins a change's generation, which begins at the same step on all of its ranks. */
 function joinGeneration(rank: RankState, change: MapChange): void {
 	if (rank.joined && rank.generation === change.generation) return
 	rank.joined = true
@@ -232,7 +233,7 @@
 	rank.step = change.step - 1
 }
 
-function decided(
+function replyDecided(
 	rank: RankState,
 	fence: number,
 	changeFence: number,
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -1,53 +1,53 @@
 /**
- * How long a pass of a lock-step group takes, and how much the group may hold
- * for its passes to stay within a limit. What the published figures leave open,
- * how much of a pass imbalance stretches and what comes besides, is fitted to the
- * passes that are seen.
+ * Predicts how long a pass of a lock-step group takes, and how many requests the group
+ * may hold for its passes to stay within a limit. The published figures do not state how
+ * much of a pass is stretched by imbalance, nor what overhead there is; both are fitted
+ * to observed passes.
  */
 
-/** How a pass grows with the requests of its ranks. */
+/** Published cost of a pass, depending on the requests of its ranks. */
 export interface PassCost {
-	/** A token step without requests, ms. */
+	/** Time of a token step without requests, ms. */
 	readonly stepMs: number
-	/** What each request adds to it, ms. */
+	/** Time that each request adds to a token step, ms. */
 	readonly perRequestMs: number
-	/** Token steps in a pass. */
+	/** Number of token steps in a pass. */
 	readonly stepsPerPass: number
 }
 
-/** What a pass depends on besides its cost. */
+/** Conditions that affect the time of a pass. */
 export interface PassState {
-	/** Time of a pass over that of one with balanced ranks. */
+	/** Time of a pass relative to one with balanced ranks. */
 	readonly factor: number
-	/** Whether ranks copy experts meanwhile. */
+	/** Whether ranks copy experts during the pass. */
 	readonly copying: boolean
 }
 
-/** How much longer passes are while experts are copied, by the platform's page. */
+/** Factor by which passes take longer while experts are copied, as published by the platform. */
 export const COPYING_FACTOR = 1.15
 
-/** How the passes of a group compare with its published figures. */
+/** Relation of observed passes to the published cost. */
 export interface PassFit {
-	/** A balanced pass over the published one. */
+	/** Time of a balanced pass relative to the published one. */
 	readonly base: number
 	/**
-	 * Part of a step without requests that imbalance stretches; all of what
-	 * requests add is stretched.
+	 * Share of a step without requests that imbalance stretches; the time that requests
+	 * add is stretched entirely.
 	 */
 	readonly stepSkew: number
 }
 
-/** A mean of passes that ran under the same conditions. */
+/** Mean of observed passes that ran under the same conditions. */
 export interface PassSeen extends PassState {
 	readonly passMs: number
-	/** Requests that each rank held, in the mean. */
+	/** Mean number of requests that each rank held. */
 	readonly held: number
 }
 
-/** Sums of a least-squares fit that forgets. */
+/** State of a least-squares fit with exponential forgetting. */
 export interface PassFitter {
 	fit: PassFit
-	/** Sums over observations of 1, x, x squared, y and x times y. */
+	/** Sums over samples of 1, x, x squared, y, and x times y. */
 	count: number
 	x: number
 	xx: number
@@ -56,25 +56,25 @@
 }
 
 /**
- * Before passes were seen. Two kinds of emulated groups, with steps of 4.55 and
- * 5.85 ms, gave 0.26 and 0.29 for the part of a step that imbalance stretches.
+ * Fit before any pass is observed. Two kinds of emulated groups, with steps of 4.55 and
+ * 5.85 ms, gave 0.26 and 0.29 for the share of a step that imbalance stretches.
  */
-const FIRST_FIT: PassFit = { base: 1, stepSkew: 0.3 }
-/** Observations that the first fit stands for, and how far apart they lie. */
+const INITIAL_FIT: PassFit = { base: 1, stepSkew: 0.3 }
+/** Weight of the first fit, in samples, and their standard deviation in x. */
 const PRIOR_WEIGHT = 6
 const PRIOR_SPREAD = 0.5
-/** What is kept of older observations at each new one: some 25 count. */
-const KEPT_SHARE = 0.96
-/** A fit is not believed outside these bounds. */
-const LEAST_BASE = 0.6
-const MOST_BASE = 2
+/** Decay of the older samples' weight per new sample; some 25 samples count. */
+const SAMPLE_DECAY = 0.96
+/** Bounds of the fitted base; values outside are clamped. */
+const MIN_BASE = 0.6
+const MAX_BASE = 2
 
-/** Makes a fitter that has seen nothing. */
+/** Creates a fitter without samples. */
 export function createPassFitter(): PassFitter {
-	const { base, stepSkew } = FIRST_FIT
+	const { base, stepSkew } = INITIAL_FIT
 	const xx = PRIOR_WEIGHT * PRIOR_SPREAD ** 2
 	return {
-		fit: FIRST_FIT,
+		fit: INITIAL_FIT,
 		count: PRIOR_WEIGHT,
 		x: 0,
 		xx,
@@ -83,38 +83,38 @@
 	}
 }
 
-/** Takes passes that were seen into the fit. */
+/** Adds a sample of observed passes to the fit. */
 export function notePasses(
 	fitter: PassFitter,
 	cost: PassCost,
 	{ passMs, held, factor, copying }: PassSeen,
 ): void {
 	const { stepMs, perRequestMs, stepsPerPass } = cost
-	const stretched = stepMs + held * perRequestMs * factor
-	const x = (stepMs * (factor - 1)) / stretched
-	const y = passMs / (stepsPerPass * stretched * copyingOf(copying))
-	fitter.count = fitter.count * KEPT_SHARE + 1
-	fitter.x = fitter.x * KEPT_SHARE + x
-	fitter.xx = fitter.xx * KEPT_SHARE + x * x
-	fitter.y = fitter.y * KEPT_SHARE + y
-	fitter.xy = fitter.xy * KEPT_SHARE + x * y
-	fitter.fit = solve(fitter)
+	const stretchedMs = stepMs + held * perRequestMs * factor
+	const x = (stepMs * (factor - 1)) / stretchedMs
+	const y = passMs / (stepsPerPass * stretchedMs * copyingFactor(copying))
+	fitter.count = fitter.count * SAMPLE_DECAY + 1
+	fitter.x = fitter.x * SAMPLE_DECAY + x
+	fitter.xx = fitter.xx * SAMPLE_DECAY + x * x
+	fitter.y = fitter.y * SAMPLE_DECAY + y
+	fitter.xy = fitter.xy * SAMPLE_DECAY + x * y
+	fitter.fit = solveFit(fitter)
 }
 
-function solve({ fit, count, x, xx, y, xy }: PassFitter): PassFit {
+function solveFit({ fit, count, x, xx, y, xy }: PassFitter): PassFit {
 	const determinant = count * xx - x * x
-	// Observations that are all alike cannot tell the two apart.
+	// The two parameters cannot be distinguished if all samples have the same x.
 	if (determinant < 1e-6 * count) return fit
-	const base = clamp((y * xx - xy * x) / determinant, LEAST_BASE, MOST_BASE)
+	const base = clamp((y * xx - xy * x) / determinant, MIN_BASE, MAX_BASE)
 	const slope = (xy * count - y * x) / determinant
 	return { base, stepSkew: clamp(slope / base, 0, 1) }
 }
 
-function clamp(value: number, least: number, most: number): number {
-	return Math.min(most, Math.max(least, value))
+function clamp(value: number, min: number, max: number): number {
+	return Math.min(max, Math.max(min, value))
 }
 
-/** Time of a pass in which each rank holds `held` requests, ms. */
+/** Returns the predicted time of a pass in which each rank holds `held` requests, ms. */
 export function predictPassMs(
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
 	{ base, stepSkew }: PassFit,
@@ -123,12 +123,12 @@
 ): number {
 	const step = stepMs * (1 + stepSkew * (factor - 1))
 	const requests = held * perRequestMs * factor
-	return base * stepsPerPass * (step + requests) * copyingOf(copying)
+	return base * stepsPerPass * (step + requests) * copyingFactor(copying)
 }
 
 /**
- * Requests that each rank may hold, as a fraction, for passes to take `passMs` at
- * most; negative where even empty ranks take longer.
+ * Returns how many requests each rank may hold, not rounded, for passes to take at most
+ * `passMs`; negative if even empty ranks take longer.
  */
 export function heldWithin(
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
@@ -137,11 +137,11 @@
 	{ factor, copying }: PassState,
 ): number {
 	if (perRequestMs <= 0) return Number.POSITIVE_INFINITY
-	const stepThen = passMs / (base * stepsPerPass * copyingOf(copying))
-	const step = stepMs * (1 + stepSkew * (factor - 1))
-	return (stepThen - step) / (perRequestMs * factor)
+	const maxStepMs = passMs / (base * stepsPerPass * copyingFactor(copying))
+	const emptyStepMs = stepMs * (1 + stepSkew * (factor - 1))
+	return (maxStepMs - emptyStepMs) / (perRequestMs * factor)
 }
 
-function copyingOf(copying: boolean): number {
+function copyingFactor(copying: boolean): number {
 	return copying ? COPYING_FACTOR : 1
 }
--- a/packages/core/src/core/placeFlow.ts
+++ b/packages/core/src/core/placeFlow.ts
@@ -1,45 +1,45 @@
 /**
- * How fast places for waiting requests come free at a service, and so how long
- * one that has others before it will wait.
+ * Tracks the rate at which waiting requests of a service are dispatched, and predicts
+ * the waiting time of a request from its position in the queue.
  */
 
-/** Places that came free of late. */
+/** Smoothed rate of recent dispatches. */
 export interface PlaceFlow {
-	/** When the last one came free, ms. */
+	/** Time of the last dispatch, ms. */
 	lastAt: number
-	/** Smoothed time between two, ms. */
+	/** Smoothed interval between two dispatches, ms. */
 	gapMs: number
 }
 
-/** Weight of a new gap. */
-const GAP_WEIGHT = 0.15
-/** Before any place was seen to come free, ms. */
-const FIRST_GAP_MS = 100
-/** A longer gap tells of a service without requests, not of a slow one, ms. */
-const MAX_GAP_MS = 1_000
+/** Weight of a new interval in the smoothed one. */
+const INTERVAL_WEIGHT = 0.15
+/** Interval before any dispatch is observed, ms. */
+const INITIAL_INTERVAL_MS = 100
+/** Upper bound of an interval: a longer one means no requests, not a slow service, ms. */
+const MAX_INTERVAL_MS = 1_000
 
-/** Makes a flow of which nothing was seen. */
+/** Creates a rate without observations. */
 export function createPlaceFlow(): PlaceFlow {
-	return { lastAt: Number.NEGATIVE_INFINITY, gapMs: FIRST_GAP_MS }
+	return { lastAt: Number.NEGATIVE_INFINITY, gapMs: INITIAL_INTERVAL_MS }
 }
 
-/** Notes that a place was given to a request. */
-export function notePlace(flow: PlaceFlow, now: number): void {
-	const gap = Math.min(now - flow.lastAt, MAX_GAP_MS)
-	flow.gapMs += GAP_WEIGHT * (gap - flow.gapMs)
-	flow.lastAt = now
+/** Records that a waiting request was dispatched. */
+export function notePlace(rate: PlaceFlow, now: number): void {
+	const intervalNowMs = Math.min(now - rate.lastAt, MAX_INTERVAL_MS)
+	rate.gapMs += INTERVAL_WEIGHT * (intervalNowMs - rate.gapMs)
+	rate.lastAt = now
 }
 
-/** Time between two places, as far as can be told while none comes, ms. */
+/** Returns the interval between dispatches, with the time since the last one included, ms. */
 export function gapNow({ lastAt, gapMs }: PlaceFlow, now: number): number {
-	return Math.max(gapMs, Math.min(now - lastAt, MAX_GAP_MS))
+	return Math.max(gapMs, Math.min(now - lastAt, MAX_INTERVAL_MS))
 }
 
-/** How long a request with `ahead` others before it will wait, ms. */
+/** Returns the predicted waiting time of a request with `ahead` others before it, ms. */
 export function predictWaitMs(
-	flow: PlaceFlow,
+	rate: PlaceFlow,
 	ahead: number,
 	now: number,
 ): number {
-	return (ahead + 1) * gapNow(flow, now)
+	return (ahead + 1) * gapNow(rate, now)
 }
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -68,8 +68,8 @@
 	{
 		name: 'fit',
 		file: 'packages/core/src/core/passModel.ts',
-		on: '	fitter.fit = solve(fitter)',
-		off: '	solve(fitter)',
+		on: '	fitter.fit = solveFit(fitter)',
+		off: '	solveFit(fitter)',
 	},
 	{
 		name: 'predictedWaits',
@@ -140,8 +140,8 @@
 	{
 		name: 'closures',
 		file: 'packages/core/src/core/closure.ts',
-		on: '	closures.set(group, { since, until: now + tryMs, tryMs })',
-		off: '	closures.set(group, { since, until: since, tryMs })\n	closures.delete(group)',
+		on: '	backoffs.set(group, { since, until: now + tryMs, tryMs })',
+		off: '	backoffs.set(group, { since, until: since, tryMs })\n	backoffs.delete(group)',
 	},
 	{
 		name: 'toldOpen',
