--- a/packages/core/src/core/placement.ts
+++ b/packages/core/src/core/placement.ts
@@ -1,42 +1,42 @@
 /**
- * Where the experts of one layer lie: a table of slots, rank by rank, and the
- * load that a popularity puts on each rank. A replicated expert's tokens split
- * evenly over its holders.
+ * Placement of the experts of one layer: a table of slots, rank by rank, and the load
+ * of each rank under given expert shares. The tokens of a replicated expert are split
+ * evenly between the ranks that hold it.
  */
 
-/** No expert in a slot. */
+/** Marks a slot without an expert. */
 export const EMPTY = -1
 
-/** The slots of one layer. */
+/** Placement of the experts of one layer. */
 export interface LayerPlacement {
 	readonly ranks: number
 	readonly experts: number
-	/** Slots a rank. */
+	/** Number of slots per rank. */
 	readonly width: number
-	/** `rank * width + slot` holds an expert or {@link EMPTY}. */
+	/** Expert or {@link EMPTY} at index `rank * width + slot`. */
 	readonly slots: Int16Array
-	/** Holders of each expert. */
+	/** Number of ranks that hold each expert. */
 	readonly copies: Uint16Array
 }
 
-/** Makes a layer with `experts` in even blocks and `spare` slots a rank. */
+/** Creates a layer with the experts in equal blocks and `spare` empty slots per rank. */
 export function createLayer(
 	ranks: number,
 	experts: number,
 	spare: number,
 ): LayerPlacement {
-	const size = Math.ceil(experts / ranks)
-	const width = size + spare
+	const blockSize = Math.ceil(experts / ranks)
+	const width = blockSize + spare
 	const slots = new Int16Array(ranks * width).fill(EMPTY)
 	for (let expert = 0; expert < experts; expert++) {
-		const rank = Math.floor(expert / size)
-		slots[rank * width + (expert % size)] = expert
+		const rank = Math.floor(expert / blockSize)
+		slots[rank * width + (expert % blockSize)] = expert
 	}
 	const copies = new Uint16Array(experts).fill(1)
 	return { ranks, experts, width, slots, copies }
 }
 
-/** Makes a layer from the experts of each rank. */
+/** Creates a layer from the experts of each rank. */
 export function layerFrom(
 	byRank: readonly (readonly number[])[],
 	experts: number,
@@ -54,7 +54,7 @@
 	return { ranks, experts, width, slots, copies }
 }
 
-/** The experts of each rank. */
+/** Lists the experts of each rank. */
 export function listByRank(layer: LayerPlacement): number[][] {
 	const { ranks, width, slots } = layer
 	return Array.from({ length: ranks }, (_, rank) =>
@@ -64,7 +64,7 @@
 	)
 }
 
-/** A copy that may be changed. */
+/** Returns a copy that can be modified independently. */
 export function cloneLayer(layer: LayerPlacement): LayerPlacement {
 	return {
 		...layer,
@@ -73,7 +73,7 @@
 	}
 }
 
-/** Whether the rank holds the expert. */
+/** Whether a rank holds an expert. */
 export function holds(
 	layer: LayerPlacement,
 	rank: number,
@@ -85,19 +85,19 @@
 	return false
 }
 
-/** Puts `expert` (or {@link EMPTY}) into a slot. */
+/** Sets the slot at index `at` to an expert or {@link EMPTY}. */
 export function setSlot(
 	layer: LayerPlacement,
 	at: number,
 	expert: number,
 ): void {
-	const old = layer.slots[at]!
-	if (old !== EMPTY) layer.copies[old]!--
+	const previous = layer.slots[at]!
+	if (previous !== EMPTY) layer.copies[previous]!--
 	if (expert !== EMPTY) layer.copies[expert]!++
 	layer.slots[at] = expert
 }
 
-/** Load of each rank under `share` (from `offset` on); the mean is 1/ranks. */
+/** Returns the load of each rank under `share` (starting at `offset`); the mean is 1/ranks. */
 export function loadsOf(
 	layer: LayerPlacement,
 	share: Float64Array,
@@ -114,13 +114,13 @@
 	return loads
 }
 
-/** Slowest rank over the mean. */
+/** Returns the load of the most loaded rank over the mean. */
 export function skewOf(loads: Float64Array): number {
-	let most = 0
+	let maxLoad = 0
 	let total = 0
 	for (const load of loads) {
-		most = Math.max(most, load)
+		maxLoad = Math.max(maxLoad, load)
 		total += load
 	}
-	return total > 0 ? (most * loads.length) / total : 1
+	return total > 0 ? (maxLoad * loads.length) / total : 1
 }
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -1,6 +1,6 @@
 /**
- * One step of a search for a better placement: all small changes that take load
- * off the most loaded rank are weighed, and the best for each copy is taken.
+ * One step of a search for a better placement: evaluates all small changes that reduce
+ * the load of the most loaded rank, and selects the one with the largest gain per copy.
  */
 
 import type { Search } from './placementTable.ts'
@@ -13,33 +13,36 @@
 	refreshLoad,
 } from './placementTable.ts'
 
-/** A step of the search must lower the sum by this share. */
+/** Least relative decrease of the sum of powers for which a change is made. */
 const MIN_PROGRESS = 0.002
-/** Least loaded ranks that are looked at in a step. */
+/** Number of least loaded ranks evaluated as targets in a step. */
 const MAX_TARGETS = 16
 
 /**
- * A change of one place, or an exchange between two. Numbers in one object that
- * is used again, since a plan weighs a hundred thousand of them.
+ * A change of one place, or an exchange between two. Candidates are compared as plain
+ * numbers and stored in one reused object, because a plan evaluates about a hundred
+ * thousand of them.
  */
 export interface Change {
+	/** Index of the place. */
 	at: number
+	/** New expert of the place. */
 	expert: number
-	/** Place that gets what `at` had; -1 for a change of one place. */
+	/** Place that receives the previous expert of `at`; -1 for a change of one place. */
 	backAt: number
-	/** By how much it lowers the sum of powers, for each expert copied. */
+	/** Decrease of the sum of powers per expert copied. */
 	worth: number
 }
 
-/** The change that takes most off the loaded ranks for each expert copied. */
+/** Returns the change with the largest gain per expert copied; undefined if none is useful. */
 export function findBest(search: Search): Change | undefined {
-	const hot = findHottest(search.loads)
-	const targets = listCoolest(search.loads, hot)
-	const least = sumOfPowers(search) * MIN_PROGRESS
-	const best: Change = { at: -1, expert: FREE, backAt: -1, worth: least }
-	const weigh = (at: number, expert: number, backAt = -1) => {
-		const copies = copiesOf(search, at, expert, backAt)
-		const worth = gainOf(search, at, expert, backAt) / Math.max(1, copies)
+	const hottest = findMostLoaded(search.loads)
+	const targets = listLeastLoaded(search.loads, hottest)
+	const minWorth = sumOfPowers(search) * MIN_PROGRESS
+	const best: Change = { at: -1, expert: FREE, backAt: -1, worth: minWorth }
+	const evaluate = (at: number, expert: number, backAt = -1) => {
+		const copies = countCopies(search, at, expert, backAt)
+		const worth = computeGain(search, at, expert, backAt) / Math.max(1, copies)
 		if (worth <= best.worth) return
 		best.at = at
 		best.expert = expert
@@ -47,103 +50,112 @@
 		best.worth = worth
 	}
 	const { places } = search
-	for (let from = hot * places; from < (hot + 1) * places; from++) {
+	for (let from = hottest * places; from < (hottest + 1) * places; from++) {
 		const expert = search.slots[from]!
 		if (expert === FREE) continue
-		for (const rank of targets) weighTarget(search, from, rank, weigh)
-		if (search.copies[expert]! >= 2) weighDrop(search, from, targets, weigh)
+		for (const rank of targets) evaluateTarget(search, from, rank, evaluate)
+		if (search.copies[expert]! >= 2)
+			evaluateDrop(search, from, targets, evaluate)
 	}
 	return best.at < 0 ? undefined : best
 }
 
-function findHottest(loads: Float64Array): number {
-	let hot = 0
+function findMostLoaded(loads: Float64Array): number {
+	let hottest = 0
 	for (let rank = 1; rank < loads.length; rank++)
-		if (loads[rank]! > loads[hot]!) hot = rank
-	return hot
+		if (loads[rank]! > loads[hottest]!) hottest = rank
+	return hottest
 }
 
-/** The least loaded ranks but `hot`, least first; a sort of all takes longer. */
-function listCoolest(loads: Float64Array, hot: number): number[] {
-	const coolest: number[] = []
+/**
+ * Lists the least loaded ranks except `hottest` in ascending order of load. An insertion
+ * into a short list is faster than sorting all ranks.
+ */
+function listLeastLoaded(loads: Float64Array, hottest: number): number[] {
+	const leastLoaded: number[] = []
 	for (let rank = 0; rank < loads.length; rank++) {
 		const load = loads[rank]!
-		const isFull = coolest.length === MAX_TARGETS
-		if (rank === hot || (isFull && load >= loads[coolest.at(-1)!]!)) continue
-		if (isFull) coolest.pop()
-		let at = coolest.length
-		while (at > 0 && loads[coolest[at - 1]!]! > load) at--
-		coolest.splice(at, 0, rank)
+		const isFull = leastLoaded.length === MAX_TARGETS
+		if (rank === hottest || (isFull && load >= loads[leastLoaded.at(-1)!]!))
+			continue
+		if (isFull) leastLoaded.pop()
+		let at = leastLoaded.length
+		while (at > 0 && loads[leastLoaded[at - 1]!]! > load) at--
+		leastLoaded.splice(at, 0, rank)
 	}
-	return coolest
+	return leastLoaded
 }
 
-type Weigh = (at: number, expert: number, backAt?: number) => void
+type Evaluate = (at: number, expert: number, backAt?: number) => void
 
-/** Gives the expert at `from` a copy on `rank`, or exchanges it. */
-function weighTarget(
+/** Evaluates copies of the expert at `from` on `rank`, and exchanges with its experts. */
+function evaluateTarget(
 	search: Search,
 	from: number,
 	rank: number,
-	weigh: Weigh,
+	evaluate: Evaluate,
 ): void {
 	const { places, slots, copies } = search
 	const expert = slots[from]!
 	if (hasExpert(search, rank, expert)) return
-	const hot = Math.floor(from / places)
-	const room = canTake(search, rank, expert)
+	const hottest = Math.floor(from / places)
+	const hasRoom = canTake(search, rank, expert)
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const other = slots[at]!
-		const replaced = other !== FREE && isNew(search, rank, other)
-		if (!room && !replaced) continue
-		if (other === FREE || copies[other]! >= 2) weigh(at, expert)
-		if (other === FREE || hasExpert(search, hot, other)) continue
-		const back = canTake(search, hot, other) || isNew(search, hot, expert)
-		if (back) weigh(at, expert, from)
+		const replacesNewCopy = other !== FREE && isNew(search, rank, other)
+		if (!hasRoom && !replacesNewCopy) continue
+		if (other === FREE || copies[other]! >= 2) evaluate(at, expert)
+		if (other === FREE || hasExpert(search, hottest, other)) continue
+		const canExchange =
+			canTake(search, hottest, other) || isNew(search, hottest, expert)
+		if (canExchange) evaluate(at, expert, from)
 	}
 }
 
-/** Replaces one of several copies at `from` by a light expert of another rank. */
-function weighDrop(
+/**
+ * Evaluates dropping the copy at `from` of a replicated expert, or replacing it by an
+ * expert of a target rank.
+ */
+function evaluateDrop(
 	search: Search,
 	from: number,
 	targets: readonly number[],
-	weigh: Weigh,
+	evaluate: Evaluate,
 ): void {
 	const { places, slots } = search
-	const hot = Math.floor(from / places)
+	const hottest = Math.floor(from / places)
 	const dropped = slots[from]!
-	weigh(from, FREE)
+	evaluate(from, FREE)
 	for (const rank of targets)
 		for (let at = rank * places; at < (rank + 1) * places; at++) {
 			const expert = slots[at]!
-			if (expert === FREE || hasExpert(search, hot, expert)) continue
-			if (!canTake(search, hot, expert) && !isNew(search, hot, dropped))
+			if (expert === FREE || hasExpert(search, hottest, expert)) continue
+			if (!canTake(search, hottest, expert) && !isNew(search, hottest, dropped))
 				continue
-			weigh(from, expert)
+			evaluate(from, expert)
 		}
 }
 
-/** Experts that a change copies. */
-function copiesOf(
+/** Returns how many experts a change copies. */
+function countCopies(
 	search: Search,
 	at: number,
 	expert: number,
 	backAt: number,
 ): number {
-	const there = copiesAt(search, at, expert)
+	const there = countCopiesAt(search, at, expert)
 	return backAt < 0
 		? there
-		: there + copiesAt(search, backAt, search.slots[at]!)
+		: there + countCopiesAt(search, backAt, search.slots[at]!)
 }
 
-function copiesAt(search: Search, at: number, expert: number): number {
+function countCopiesAt(search: Search, at: number, expert: number): number {
 	const rank = Math.floor(at / search.places)
 	return expert !== FREE && isNew(search, rank, expert) ? 1 : 0
 }
 
-/** How much a change lowers the sum of powers. */
-function gainOf(
+/** Returns by how much a change decreases the sum of powers. */
+function computeGain(
 	search: Search,
 	at: number,
 	expert: number,
@@ -151,70 +163,71 @@
 ): number {
 	const { loads, added, touchedRanks } = search
 	if (backAt < 0) {
-		addDrop(search, at)
+		addRemoval(search, at)
 		addCopy(search, at, expert)
 	} else {
 		// In an exchange both experts keep their number of copies.
-		addSwap(search, at, expert)
-		addSwap(search, backAt, search.slots[at]!)
+		addReplacement(search, at, expert)
+		addReplacement(search, backAt, search.slots[at]!)
 	}
 	let gain = 0
 	for (let index = 0; index < search.touched; index++) {
 		const rank = touchedRanks[index]!
 		const load = loads[rank]!
-		gain += power(load) - power(Math.max(0, load + added[rank]!))
+		gain += eighthPower(load) - eighthPower(Math.max(0, load + added[rank]!))
 		added[rank] = 0
 	}
 	search.touched = 0
 	return gain
 }
 
-/** The rank of a place loses the expert there; its other holders take over. */
-function addDrop(search: Search, at: number): void {
+/** Adds the load changes of removing the expert of a place; its other holders take over. */
+function addRemoval(search: Search, at: number): void {
 	const { places, slots, share, copies, slowness } = search
 	const expert = slots[at]!
 	if (expert === FREE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
-	add(search, rank, (-share[expert]! / count) * slowness[rank]!)
-	spread(search, expert, rank, count, count - 1)
+	addDelta(search, rank, (-share[expert]! / count) * slowness[rank]!)
+	addOtherHolders(search, expert, rank, count, count - 1)
 }
 
-/** The rank of a place gets a copy; the expert's other holders have less. */
+/** Adds the load changes of a new copy at a place; the expert's other holders have less. */
 function addCopy(search: Search, at: number, expert: number): void {
 	const { places, share, copies, slowness } = search
 	if (expert === FREE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
-	add(search, rank, (share[expert]! / (count + 1)) * slowness[rank]!)
-	spread(search, expert, rank, count, count + 1)
+	addDelta(search, rank, (share[expert]! / (count + 1)) * slowness[rank]!)
+	addOtherHolders(search, expert, rank, count, count + 1)
 }
 
-/** The rank of a place has another expert instead of the one there. */
-function addSwap(search: Search, at: number, expert: number): void {
+/** Adds the load change of replacing the expert of a place in an exchange. */
+function addReplacement(search: Search, at: number, expert: number): void {
 	const { places, slots, share, copies, slowness } = search
 	const old = slots[at]!
 	const rank = Math.floor(at / places)
 	const change = share[expert]! / copies[expert]! - share[old]! / copies[old]!
-	add(search, rank, change * slowness[rank]!)
+	addDelta(search, rank, change * slowness[rank]!)
 }
 
-/** The eighth power: a sum of these looks at the most loaded ranks. */
-function power(load: number): number {
+/** Returns the eighth power; a sum of these is dominated by the most loaded ranks. */
+function eighthPower(load: number): number {
 	const square = load * load
 	const fourth = square * square
 	return fourth * fourth
 }
 
-function add(search: Search, rank: number, change: number): void {
+function addDelta(search: Search, rank: number, change: number): void {
 	const { added, touchedRanks } = search
-	// A sum that came back to nought is listed twice, which does no harm.
+	// A rank whose sum returned to zero is listed twice, which is harmless: its second
+	// entry adds nothing.
 	if (added[rank] === 0) touchedRanks[search.touched++] = rank
 	added[rank]! += change
 }
 
-/** What holders other than `rank` gain or lose when copies change. */
-function spread(
+/** Adds the load changes of the holders other than `rank` when the copy count changes. */
+function addOtherHolders(
 	search: Search,
 	expert: number,
 	rank: number,
@@ -225,41 +238,41 @@
 	const { holders, share, slowness } = search
 	const change = share[expert]! * (1 / after - 1 / before)
 	for (const other of holders[expert]!)
-		if (other !== rank) add(search, other, change * slowness[other]!)
+		if (other !== rank) addDelta(search, other, change * slowness[other]!)
 }
 
-/** Carries a change out. */
+/** Applies a change to the placement and updates the loads. */
 export function applyChange(
 	search: Search,
 	{ at, expert, backAt }: Change,
 ): void {
 	const old = search.slots[at]!
-	const changed = new Set<number>()
-	noteHolders(search, at, changed)
+	const affectedRanks = new Set<number>()
+	addHolders(search, at, affectedRanks)
 	place(search, at, expert)
 	if (backAt >= 0) {
-		noteHolders(search, backAt, changed)
+		addHolders(search, backAt, affectedRanks)
 		place(search, backAt, old)
-		noteHolders(search, backAt, changed)
+		addHolders(search, backAt, affectedRanks)
 	}
-	noteHolders(search, at, changed)
-	for (const rank of changed) refreshLoad(search, rank)
+	addHolders(search, at, affectedRanks)
+	for (const rank of affectedRanks) refreshLoad(search, rank)
 }
 
-/** Adds the rank of a place and all that share the load of the expert there. */
-function noteHolders(
+/** Adds the rank of a place and all ranks that hold the expert there. */
+function addHolders(
 	{ slots, places, holders }: Search,
 	at: number,
-	changed: Set<number>,
+	affectedRanks: Set<number>,
 ): void {
-	changed.add(Math.floor(at / places))
+	affectedRanks.add(Math.floor(at / places))
 	const expert = slots[at]!
 	if (expert === FREE) return
-	for (const rank of holders[expert]!) changed.add(rank)
+	for (const rank of holders[expert]!) affectedRanks.add(rank)
 }
 
 function sumOfPowers(search: Search): number {
 	let sum = 0
-	for (const load of search.loads) sum += power(load)
+	for (const load of search.loads) sum += eighthPower(load)
 	return sum
 }
--- a/packages/core/src/core/placementTable.ts
+++ b/packages/core/src/core/placementTable.ts
@@ -1,56 +1,61 @@
-/** The placement of one set of experts while a search changes it. */
+/** Placement of one set of experts during a search. */
 
 import type { ExpertLayout } from '../types/traffic.ts'
 
-/** No expert in a place. */
+/** Marks a place without an expert. */
 export const FREE = -1
 
-/** A set's experts by rank. */
+/** Experts of a set by rank. */
 export type SetPlacement = readonly (readonly number[])[]
 
-/** New experts of all sets together that one change may give each rank. */
+/** Limit on the new copies that one map change may place on each rank, over all sets. */
 export interface CopyBudget {
+	/** Largest number of new copies on one rank. */
 	most: number
-	/** Given so far, by rank. */
+	/** Number of new copies used so far, by rank. */
 	readonly used: Int16Array
 }
 
-/** Makes a budget of which nothing is used. */
+/** Creates an unused budget. */
 export function createBudget(ranks: number, most: number): CopyBudget {
 	return { most, used: new Int16Array(ranks) }
 }
 
-/** A placement of one set that a search changes, with its loads. */
+/** State of a search for a better placement of one set. */
 export interface Search {
 	readonly ranks: number
+	/** Number of places per rank. */
 	readonly places: number
+	/** Largest number of new copies of this set on one rank. */
 	readonly maxNew: number
 	/** Shared by the sets of a group. */
 	readonly budget: CopyBudget
+	/** Share of each expert in the demand of the set. */
 	readonly share: Float64Array
 	/** Expert in each place, rank by rank. */
 	readonly slots: Int16Array
-	/** 1 where the rank had the expert before. */
+	/** 1 if the rank held the expert before the search, `rank * experts + expert`. */
 	readonly had: Uint8Array
-	/** 1 where the rank has the expert now. */
+	/** 1 if the rank holds the expert now, `rank * experts + expert`. */
 	readonly has: Uint8Array
+	/** Number of copies of each expert. */
 	readonly copies: Int16Array
-	/** Ranks that have each expert now. */
+	/** Ranks that hold each expert now. */
 	readonly holders: number[][]
-	/** New experts on each rank. */
+	/** Number of new copies on each rank. */
 	readonly fresh: Int16Array
-	/** Time that each rank takes; the mean is 1 when none is slow. */
+	/** Relative time that each rank takes; the mean is 1 when no rank is slow. */
 	readonly loads: Float64Array
-	/** Time that a rank takes for an even share of the demand. */
+	/** Factor from a rank's share of the demand to its load, with its slowdown. */
 	readonly slowness: Float64Array
-	/** What the changes that are being weighed add to each rank's load. */
+	/** Change of each rank's load by the candidate under evaluation. */
 	readonly added: Float64Array
-	/** Ranks with an entry in `added`; their number is `touched`. */
+	/** Ranks with an entry in `added`; only the first `touched` elements are valid. */
 	readonly touchedRanks: Int16Array
 	touched: number
 }
 
-/** Makes the state of a search from the present placement. */
+/** Creates a search from the present placement. */
 export function createSearch(
 	placement: SetPlacement,
 	share: Float64Array,
@@ -73,9 +78,11 @@
 		holders: Array.from({ length: experts }, () => []),
 		fresh: new Int16Array(ranks),
 		loads: new Float64Array(ranks),
-		slowness: new Float64Array(ranks).map((_, at) => ranks * (paces[at] ?? 1)),
+		slowness: new Float64Array(ranks).map(
+			(_, rank) => ranks * (paces[rank] ?? 1),
+		),
 		added: new Float64Array(ranks),
-		// A change touches its rank and all holders of two experts at most.
+		// A change affects at most its ranks and all holders of two experts.
 		touchedRanks: new Int16Array(2 * ranks + 4),
 		touched: 0,
 	}
@@ -91,7 +98,7 @@
 	return search
 }
 
-/** Computes the load of a rank anew. */
+/** Recomputes the load of a rank. */
 export function refreshLoad(search: Search, rank: number): void {
 	const { places, slots, share, copies, loads, slowness } = search
 	let load = 0
@@ -102,7 +109,7 @@
 	loads[rank] = load * slowness[rank]!
 }
 
-/** Whether a rank has an expert. */
+/** Whether a rank holds an expert. */
 export function hasExpert(
 	search: Search,
 	rank: number,
@@ -116,23 +123,23 @@
 	return search.had[rank * search.share.length + expert] === 0
 }
 
-/** Whether a rank may still take an expert in this change. */
+/** Whether a rank may hold an expert within the limits on new copies. */
 export function canTake(search: Search, rank: number, expert: number): boolean {
 	if (!isNew(search, rank, expert)) return true
 	const { fresh, maxNew, budget } = search
 	return fresh[rank]! < maxNew && budget.used[rank]! < budget.most
 }
 
-/** Puts an expert, or none, in a place. */
+/** Sets the expert of a place; {@link FREE} empties it. */
 export function place(search: Search, at: number, expert: number): void {
 	const { slots, has, copies, holders, places, share } = search
 	const rank = Math.floor(at / places)
-	const old = slots[at]!
-	if (old !== FREE) {
-		has[rank * share.length + old] = 0
-		copies[old]!--
-		holders[old] = holders[old]!.filter(holder => holder !== rank)
-		if (isNew(search, rank, old)) countNew(search, rank, -1)
+	const previous = slots[at]!
+	if (previous !== FREE) {
+		has[rank * share.length + previous] = 0
+		copies[previous]!--
+		holders[previous] = holders[previous]!.filter(holder => holder !== rank)
+		if (isNew(search, rank, previous)) countNew(search, rank, -1)
 	}
 	slots[at] = expert
 	if (expert === FREE) return
@@ -147,17 +154,17 @@
 	search.budget.used[rank]! += change
 }
 
-/** Load of the most loaded rank. */
+/** Returns the load of the most loaded rank. */
 export function maxOf(loads: Float64Array): number {
 	let most = 0
 	for (const load of loads) most = Math.max(most, load)
 	return most
 }
 
-/** The placement as lists of experts by rank. */
+/** Returns the placement as lists of experts by rank. */
 export function readPlacement(search: Search): number[][] {
 	const { ranks, places, slots } = search
-	// In order, so that two maps with the same content are alike.
+	// Sorted, so that maps with the same content are equal.
 	return Array.from({ length: ranks }, (_, rank) =>
 		[...slots.subarray(rank * places, (rank + 1) * places)]
 			.filter(expert => expert !== FREE)
--- a/packages/core/src/core/rebalance.ts
+++ b/packages/core/src/core/rebalance.ts
@@ -1,41 +1,41 @@
 /**
- * When and where experts move: a short list of loads whose benefit over the
- * time that the popularity is expected to last exceeds their cost.
+ * Plans when and where experts move: a short list of expert loads whose benefit, over
+ * the expected duration of the popularity, exceeds their cost.
  *
- * A layer is planned by local search on its slowest rank: give one of its
- * experts a replica elsewhere, or exchange it. The search goes on past where it
- * pays, and the plan is cut at the best net worth.
+ * A layer is planned by local search on its slowest rank: one of its experts gets a
+ * replica on another rank, or is exchanged. The search continues past the point where
+ * further loads pay off, and the plan ends at the highest net benefit.
  */
 
 import type { LayerPlacement } from '../internal.ts'
 import { cloneLayer, EMPTY, holds, loadsOf, skewOf } from '../internal.ts'
 import { applyChange, findChange } from './rebalanceStep.ts'
 
-/** A plan that lowers skew by less is not worth the stir. */
+/** Least decrease of the skew for which a plan is used. */
 const MIN_GAIN = 0.004
-/** Most loads planned a layer at a time; it bounds a planning slice. */
+/** Maximum number of search steps per layer; it bounds the time of a planning slice. */
 export const MAX_LOADS = 32
-const MS = 1_000
+const MS_PER_SECOND = 1_000
 
-/** What a plan weighs. */
+/** Parameters of the cost and benefit of a plan. */
 export interface RebalanceTerms {
-	/** Worth of step time saved. */
+	/** Weight of the step time saved. */
 	readonly skewWeight: number
-	/** Worth of capacity spent. */
+	/** Weight of the capacity spent. */
 	readonly moveWeight: number
-	/** Time that a benefit is expected to last, ms. */
+	/** Expected duration of the benefit, ms. */
 	readonly horizonMs: number
-	/** Time that the store takes for one expert, ms. */
+	/** Time to load one expert from the store, ms. */
 	readonly loadMs: number
-	/** Share of the group's capacity lost while it loads. */
+	/** Share of the group's capacity lost during a load. */
 	readonly loadLoss: number
-	/** Share of a step that experts take; the rest does not gain. */
+	/** Share of the step time spent in experts; only this share benefits. */
 	readonly expertShare: number
-	/** Layers of the group: each has its part of a step. */
+	/** Number of layers of the group; each takes an equal part of the expert time. */
 	readonly layers: number
 }
 
-/** One expert to be loaded into a slot. */
+/** An expert to be loaded into a slot. */
 export interface ExpertLoad {
 	readonly layer: number
 	readonly rank: number
@@ -50,30 +50,30 @@
 	readonly placement: LayerPlacement
 	readonly skewBefore: number
 	readonly skewAfter: number
-	/** Worth of the time saved over the horizon, in ms of the group. */
+	/** Weighted time saved over the horizon, in ms of the group's capacity. */
 	readonly benefitMs: number
-	/** Worth of the capacity spent, in ms of the group. */
+	/** Weighted cost of the loads, in ms of the group's capacity. */
 	readonly costMs: number
 }
 
-/** Cost of `count` loads, in ms of the whole group's capacity. */
+/** Returns the weighted cost of `count` loads, in ms of the group's capacity. */
 export function costOfLoads(terms: RebalanceTerms, count: number): number {
 	return terms.moveWeight * count * terms.loadMs * terms.loadLoss
 }
 
-/** Worth of bringing a layer's skew down, in ms of the group's capacity. */
+/** Returns the weighted benefit of reducing a layer's skew, in ms of the group's capacity. */
 export function benefitOfSkew(
 	terms: RebalanceTerms,
 	before: number,
 	after: number,
 ): number {
-	const part = terms.expertShare / terms.layers
-	const saved =
-		(part * (before - after)) / (1 + terms.expertShare * (before - 1))
-	return terms.skewWeight * saved * terms.horizonMs
+	const layerShare = terms.expertShare / terms.layers
+	const savedShare =
+		(layerShare * (before - after)) / (1 + terms.expertShare * (before - 1))
+	return terms.skewWeight * savedShare * terms.horizonMs
 }
 
-/** Plans one layer; an empty list of loads when nothing pays. */
+/** Plans one layer; the list of loads is empty if no change pays off. */
 export function planLayer(
 	current: LayerPlacement,
 	share: Float64Array,
@@ -81,8 +81,8 @@
 	terms: RebalanceTerms,
 ): LayerPlan {
 	const offset = layer * current.experts
-	const work = cloneLayer(current)
-	const loads = loadsOf(work, share, offset)
+	const candidate = cloneLayer(current)
+	const loads = loadsOf(candidate, share, offset)
 	const skewBefore = skewOf(loads)
 	let best: LayerPlan = {
 		loads: [],
@@ -93,36 +93,43 @@
 		costMs: 0,
 	}
 	for (let step = 0; step < MAX_LOADS; step++) {
-		const change = findChange(work, share, offset, loads)
+		const change = findChange(candidate, share, offset, loads)
 		if (!change) break
-		applyChange(work, change)
-		loads.set(loadsOf(work, share, offset))
-		const plan = describePlan(current, work, layer, skewBefore, loads, terms)
-		const gains = skewBefore - plan.skewAfter >= MIN_GAIN
-		if (gains && netOf(plan) > netOf(best))
-			best = { ...plan, placement: cloneLayer(work) }
+		applyChange(candidate, change)
+		loads.set(loadsOf(candidate, share, offset))
+		const plan = describePlan(
+			current,
+			candidate,
+			layer,
+			skewBefore,
+			loads,
+			terms,
+		)
+		const isSignificant = skewBefore - plan.skewAfter >= MIN_GAIN
+		if (isSignificant && netOf(plan) > netOf(best))
+			best = { ...plan, placement: cloneLayer(candidate) }
 	}
 	return best
 }
 
-/** Net worth of a plan, in ms of the group's capacity. */
+/** Returns the net benefit of a plan, in ms of the group's capacity. */
 export function netOf(plan: LayerPlan): number {
 	return plan.benefitMs - plan.costMs
 }
 
 function describePlan(
 	current: LayerPlacement,
-	work: LayerPlacement,
+	candidate: LayerPlacement,
 	layer: number,
 	skewBefore: number,
 	rankLoads: Float64Array,
 	terms: RebalanceTerms,
 ): LayerPlan {
-	const loads = listLoads(current, work, layer)
+	const loads = listLoads(current, candidate, layer)
 	const skewAfter = skewOf(rankLoads)
 	return {
 		loads,
-		placement: work,
+		placement: candidate,
 		skewBefore,
 		skewAfter,
 		benefitMs: benefitOfSkew(terms, skewBefore, skewAfter),
@@ -130,7 +137,7 @@
 	}
 }
 
-/** Experts that a rank must fetch because it does not hold them yet. */
+/** Lists the experts that ranks must load because they do not hold them yet. */
 export function listLoads(
 	current: LayerPlacement,
 	next: LayerPlacement,
@@ -145,7 +152,7 @@
 	return loads
 }
 
-/** Time that the store needs for one expert, ms. */
+/** Returns the time to load one expert from the store, ms. */
 export function loadTimeOf(bytes: number, bytesPerSecond: number): number {
-	return (bytes / bytesPerSecond) * MS
+	return (bytes / bytesPerSecond) * MS_PER_SECOND
 }
--- a/packages/core/src/core/rebalanceStep.ts
+++ b/packages/core/src/core/rebalanceStep.ts
@@ -1,53 +1,62 @@
 /**
- * One step of the search for a better placement of a layer: an expert of the
- * slowest rank gets a replica elsewhere, or is exchanged.
+ * One step of the search for a better placement of a layer: an expert of the slowest
+ * rank gets a replica on another rank, or is exchanged.
  */
 
 import type { LayerPlacement } from '../internal.ts'
 import { EMPTY, holds, setSlot } from '../internal.ts'
 
-/** Target ranks tried for each expert of the slowest rank. */
-const TARGETS = 6
-/** Exponent that makes a sum of loads look at the slowest ranks. */
+/** Number of least loaded ranks evaluated for each expert of the slowest rank. */
+const TARGET_RANKS = 6
+/** Exponent of the loads in the objective, so that the slowest ranks dominate the sum. */
 const POWER = 12
-/** A step of the search must lower the sum of powers by this share. */
+/** Least relative decrease of the objective for which a change is made. */
 const MIN_PROGRESS = 1e-3
 
+/** A new expert, or none, in the slot at index `at`. */
 interface SlotChange {
 	readonly at: number
 	readonly expert: number
 }
 
-/** One step of the search: slots that change together. */
+/** A search step: slots that change together. */
 export interface PlacementChange {
 	readonly slots: readonly SlotChange[]
+	/** Objective after the change. */
 	readonly score: number
 }
 
-/** The change that takes most load off the slowest ranks, if one does enough. */
+/** Returns the change with the lowest objective; undefined if none lowers it enough. */
 export function findChange(
-	work: LayerPlacement,
+	candidate: LayerPlacement,
 	share: Float64Array,
 	offset: number,
 	loads: Float64Array,
 ): PlacementChange | undefined {
 	const order = [...loads.keys()].sort((a, b) => loads[a]! - loads[b]!)
 	const slowest = order.at(-1)!
-	const targets = order.slice(0, TARGETS)
-	const start = scoreOf(loads)
+	const targets = order.slice(0, TARGET_RANKS)
+	const startScore = computeScore(loads)
 	let best: PlacementChange | undefined
 	for (
-		let from = slowest * work.width;
-		from < (slowest + 1) * work.width;
+		let from = slowest * candidate.width;
+		from < (slowest + 1) * candidate.width;
 		from++
 	) {
-		const expert = work.slots[from]!
+		const expert = candidate.slots[from]!
 		if (expert === EMPTY) continue
 		for (const rank of targets) {
-			if (rank === slowest || holds(work, rank, expert)) continue
-			for (const slots of listChanges(work, from, rank, expert)) {
-				const score = scoreChange(work, share, offset, loads, slots, start)
-				if (score < (best?.score ?? start * (1 - MIN_PROGRESS)))
+			if (rank === slowest || holds(candidate, rank, expert)) continue
+			for (const slots of listChanges(candidate, from, rank, expert)) {
+				const score = scoreChange(
+					candidate,
+					share,
+					offset,
+					loads,
+					slots,
+					startScore,
+				)
+				if (score < (best?.score ?? startScore * (1 - MIN_PROGRESS)))
 					best = { slots, score }
 			}
 		}
@@ -55,42 +64,46 @@
 	return best
 }
 
-/** Ways to take load of `expert` from its slot `from` to `rank`. */
+/** Lists the changes that move load of `expert` from its slot `from` to `rank`. */
 function listChanges(
-	work: LayerPlacement,
+	candidate: LayerPlacement,
 	from: number,
 	rank: number,
 	expert: number,
 ): SlotChange[][] {
-	const ways: SlotChange[][] = []
-	let emptySeen = false
-	const slowest = Math.floor(from / work.width)
-	for (let at = rank * work.width; at < (rank + 1) * work.width; at++) {
-		const old = work.slots[at]!
+	const changes: SlotChange[][] = []
+	let hasSeenEmpty = false
+	const slowest = Math.floor(from / candidate.width)
+	for (
+		let at = rank * candidate.width;
+		at < (rank + 1) * candidate.width;
+		at++
+	) {
+		const old = candidate.slots[at]!
 		if (old === EMPTY) {
-			if (emptySeen) continue
-			emptySeen = true
-			ways.push([{ at, expert }])
-			ways.push([
+			if (hasSeenEmpty) continue
+			hasSeenEmpty = true
+			changes.push([{ at, expert }])
+			changes.push([
 				{ at, expert },
 				{ at: from, expert: EMPTY },
 			])
 			continue
 		}
-		// A copy that others have too may give way to a replica.
-		if (work.copies[old]! > 1) ways.push([{ at, expert }])
-		if (!holds(work, slowest, old))
-			ways.push([
+		// A copy of an expert that other ranks hold too may be replaced.
+		if (candidate.copies[old]! > 1) changes.push([{ at, expert }])
+		if (!holds(candidate, slowest, old))
+			changes.push([
 				{ at, expert },
 				{ at: from, expert: old },
 			])
 	}
-	return ways
+	return changes
 }
 
-/** Objective after a change; only the ranks it touches are worked out anew. */
+/** Returns the objective after a change; only the terms of affected ranks are recomputed. */
 function scoreChange(
-	work: LayerPlacement,
+	candidate: LayerPlacement,
 	share: Float64Array,
 	offset: number,
 	loads: Float64Array,
@@ -98,59 +111,63 @@
 	sum: number,
 ): number {
 	const mean = 1 / loads.length
-	const moved = new Map<number, number>()
-	const note = (expert: number, sign: 1 | -1) => {
+	const deltas = new Map<number, number>()
+	const addSigned = (expert: number, sign: 1 | -1) => {
 		if (expert !== EMPTY)
-			addLoads(work, share[offset + expert]!, expert, sign, moved)
+			addLoads(candidate, share[offset + expert]!, expert, sign, deltas)
 	}
 	const experts = new Set(slots.map(slot => slot.expert))
-	for (const { at } of slots) experts.add(work.slots[at]!)
-	for (const expert of experts) note(expert, -1)
-	const olds = slots.map(({ at }) => work.slots[at]!)
-	applySlots(work, slots)
-	for (const expert of experts) note(expert, 1)
-	for (const [index, { at }] of slots.entries()) setSlot(work, at, olds[index]!)
+	for (const { at } of slots) experts.add(candidate.slots[at]!)
+	for (const expert of experts) addSigned(expert, -1)
+	const previous = slots.map(({ at }) => candidate.slots[at]!)
+	applySlots(candidate, slots)
+	for (const expert of experts) addSigned(expert, 1)
+	for (const [index, { at }] of slots.entries())
+		setSlot(candidate, at, previous[index]!)
 	let after = sum
-	for (const [rank, change] of moved) {
+	for (const [rank, change] of deltas) {
 		const load = loads[rank]!
 		after += ((load + change) / mean) ** POWER - (load / mean) ** POWER
 	}
 	return after
 }
 
-/** Adds the expert's load on each of its holders to `moved`, times `sign`. */
+/** Adds the expert's load on each of its holders, times `sign`, to `deltas`. */
 function addLoads(
-	work: LayerPlacement,
+	candidate: LayerPlacement,
 	share: number,
 	expert: number,
 	sign: 1 | -1,
-	moved: Map<number, number>,
+	deltas: Map<number, number>,
 ): void {
-	const each = (sign * share) / work.copies[expert]!
-	const { slots, width } = work
+	const loadPerCopy = (sign * share) / candidate.copies[expert]!
+	const { slots, width } = candidate
 	for (
 		let at = slots.indexOf(expert);
 		at >= 0;
 		at = slots.indexOf(expert, at + 1)
 	) {
 		const rank = Math.floor(at / width)
-		moved.set(rank, (moved.get(rank) ?? 0) + each)
+		deltas.set(rank, (deltas.get(rank) ?? 0) + loadPerCopy)
 	}
 }
 
-/** Carries a change out. */
+/** Applies a change to the placement. */
 export function applyChange(
-	work: LayerPlacement,
+	candidate: LayerPlacement,
 	change: PlacementChange,
 ): void {
-	applySlots(work, change.slots)
+	applySlots(candidate, change.slots)
 }
 
-function applySlots(work: LayerPlacement, slots: readonly SlotChange[]): void {
-	for (const { at, expert } of slots) setSlot(work, at, expert)
+function applySlots(
+	candidate: LayerPlacement,
+	slots: readonly SlotChange[],
+): void {
+	for (const { at, expert } of slots) setSlot(candidate, at, expert)
 }
 
-function scoreOf(loads: Float64Array): number {
+function computeScore(loads: Float64Array): number {
 	const mean = 1 / loads.length
 	let sum = 0
 	for (const load of loads) sum += (load / mean) ** POWER
