--- a/packages/core/src/core/expertEstimate.ts
+++ b/packages/core/src/core/expertEstimate.ts
@@ -14,7 +14,7 @@
 const ERROR_WEIGHT = 0.15
 /** Expected duration of a popularity, in half-lives of the selected average. */
 const HORIZON_HALF_LIVES = 6
-/** Another average is selected only if its error is below this share of the present one. */
+/** Another average is selected only if it reduces the error to less than this share. */
 const SWITCH_ERROR_RATIO = 0.95
 
 /** Estimates for all layers of a group; the shares of a layer add up to 1. */
--- a/packages/core/src/core/groupPlan.ts
+++ b/packages/core/src/core/groupPlan.ts
@@ -20,7 +20,7 @@
 	/** Skew (load of the most loaded rank over the mean) before and after. */
 	readonly before: number
 	readonly after: number
-	/** Largest number of new copies on one rank. */
+	/** Maximum number of new copies on one rank. */
 	readonly mostNew: number
 	/** Number of new copies on all ranks. */
 	readonly copies: number
--- a/packages/core/src/core/groupRound.ts
+++ b/packages/core/src/core/groupRound.ts
@@ -201,7 +201,7 @@
 	readonly order: EngineOrder
 }
 
-/** Lists the orders of the present phase that are not confirmed yet, sent ones included. */
+/** Lists the unconfirmed orders of the present phase, including those already sent. */
 export function listWanted(round: GroupRound): WantedOrder[] {
 	const { fence, epoch, version, step, map } = round
 	switch (round.phase) {
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -18,7 +18,7 @@
 /** A planned placement of all sets of a group. */
 export interface GroupPlan {
 	readonly placements: readonly SetPlacement[]
-	/** Largest number of new copies on one rank, over all sets. */
+	/** Maximum number of new copies on one rank, over all sets. */
 	readonly mostNew: number
 	/** Number of new copies on all ranks. */
 	readonly copies: number
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -136,13 +136,16 @@
 	const reported = listLearned(state)
 	state.phase = 'closing'
 	state.open.clear()
-	const orders: RankOrder[] = []
+	const requests: RankOrder[] = []
 	for (const [rank, { promised }] of reported.entries()) {
 		if (!promised) continue
 		state.open.add(rank)
-		orders.push({ rank, req: createClosingRequest(state, reported, promised) })
+		requests.push({
+			rank,
+			req: createClosingRequest(state, reported, promised),
+		})
 	}
-	return orders.length > 0 ? orders : prepareChange(state)
+	return requests.length > 0 ? requests : prepareChange(state)
 }
 
 function createClosingRequest(
--- a/packages/core/src/core/mapNeed.ts
+++ b/packages/core/src/core/mapNeed.ts
@@ -7,11 +7,11 @@
 import type { PassCost, PassFit } from '../internal.ts'
 import { COPYING_FACTOR, heldWithin, predictPassMs } from '../internal.ts'
 
-/** Least relative reduction of the pass time for which a plan is used. */
+/** Minimum relative reduction of the pass time for which a plan is used. */
 const MIN_GAIN = 0.08
 /**
  * Share of the longest allowed pause that the predicted pass time may take; the rest is
- * left for reading prompts and for the network to the caller.
+ * left for prompt processing and the network to the caller.
  */
 const PASS_PAUSE_SHARE = 0.85
 /**
@@ -20,7 +20,9 @@
  * predicted is less likely.
  */
 const SHIFT_PAUSE_SHARE = 0.9
-/** The same share for passes after a demand shift, below which the present map is kept. */
+/**
+ * The same share for passes after a demand shift, below which the present map is kept.
+ */
 const KEPT_MAP_SHARE = 0.65
 /** Share of an engine's slots that requests may always occupy. */
 const MIN_HELD_SHARE = 0.5
@@ -41,7 +43,10 @@
 export interface LetInState {
 	/** Present time of a pass relative to a balanced one. */
 	readonly factor: number
-	/** Time of a pass right after a demand shift, relative to a balanced one, as observed. */
+	/**
+	 * Time of a pass right after a demand shift, relative to a balanced one, as
+	 * observed.
+	 */
 	readonly shiftedFactor: number
 	/** Expected time until demand shifts, ms. */
 	readonly steadyMs: number
@@ -80,9 +85,9 @@
 }
 
 /**
- * Whether a rank is so slow that its own steps exceed the pause limit. Limiting the
- * held requests cannot make streams punctual then, and a late stream is worth more than
- * a refused one.
+ * Whether a rank is so slow that its own steps exceed the pause limit. No limit on the
+ * held requests makes streams meet it then, and a late stream is worth more than a
+ * refused one.
  */
 export function isBeyondLimits(
 	{ maxPauseMs }: GroupLimits,
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -23,7 +23,10 @@
 	readonly copying: boolean
 }
 
-/** Factor by which passes take longer while experts are copied, as published by the platform. */
+/**
+ * Factor by which passes take longer while experts are copied, as published by the
+ * platform.
+ */
 export const COPYING_FACTOR = 1.15
 
 /** Relation of observed passes to the published cost. */
--- a/packages/core/src/core/placeFlow.ts
+++ b/packages/core/src/core/placeFlow.ts
@@ -25,12 +25,12 @@
 
 /** Records that a waiting request was dispatched. */
 export function notePlace(rate: PlaceFlow, now: number): void {
-	const intervalNowMs = Math.min(now - rate.lastAt, MAX_INTERVAL_MS)
-	rate.gapMs += INTERVAL_WEIGHT * (intervalNowMs - rate.gapMs)
+	const newIntervalMs = Math.min(now - rate.lastAt, MAX_INTERVAL_MS)
+	rate.gapMs += INTERVAL_WEIGHT * (newIntervalMs - rate.gapMs)
 	rate.lastAt = now
 }
 
-/** Returns the interval between dispatches, with the time since the last one included, ms. */
+/** Returns the smoothed interval, or the time since the last dispatch if longer, ms. */
 export function gapNow({ lastAt, gapMs }: PlaceFlow, now: number): number {
 	return Math.max(gapMs, Math.min(now - lastAt, MAX_INTERVAL_MS))
 }
--- a/packages/core/src/core/placement.ts
+++ b/packages/core/src/core/placement.ts
@@ -97,7 +97,7 @@
 	layer.slots[at] = expert
 }
 
-/** Returns the load of each rank under `share` (starting at `offset`); the mean is 1/ranks. */
+/** Returns the load of each rank under the shares from `offset` on; the mean is 1/ranks. */
 export function loadsOf(
 	layer: LayerPlacement,
 	share: Float64Array,
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -13,7 +13,7 @@
 	refreshLoad,
 } from './placementTable.ts'
 
-/** Least relative decrease of the sum of powers for which a change is made. */
+/** Minimum relative decrease of the sum of powers for which a change is made. */
 const MIN_PROGRESS = 0.002
 /** Number of least loaded ranks evaluated as targets in a step. */
 const MAX_TARGETS = 16
@@ -34,7 +34,7 @@
 	worth: number
 }
 
-/** Returns the change with the largest gain per expert copied; undefined if none is useful. */
+/** Returns the change with the largest gain per copy; undefined if none is useful. */
 export function findBest(search: Search): Change | undefined {
 	const hottest = findMostLoaded(search.loads)
 	const targets = listLeastLoaded(search.loads, hottest)
@@ -181,7 +181,7 @@
 	return gain
 }
 
-/** Adds the load changes of removing the expert of a place; its other holders take over. */
+/** Adds the load changes of removing a place's expert; its other holders take over. */
 function addRemoval(search: Search, at: number): void {
 	const { places, slots, share, copies, slowness } = search
 	const expert = slots[at]!
@@ -192,7 +192,7 @@
 	addOtherHolders(search, expert, rank, count, count - 1)
 }
 
-/** Adds the load changes of a new copy at a place; the expert's other holders have less. */
+/** Adds the load changes of a new copy at a place, also for the expert's other holders. */
 function addCopy(search: Search, at: number, expert: number): void {
 	const { places, share, copies, slowness } = search
 	if (expert === FREE) return
--- a/packages/core/src/core/placementTable.ts
+++ b/packages/core/src/core/placementTable.ts
@@ -10,7 +10,7 @@
 
 /** Limit on the new copies that one map change may place on each rank, over all sets. */
 export interface CopyBudget {
-	/** Largest number of new copies on one rank. */
+	/** Maximum number of new copies on one rank. */
 	most: number
 	/** Number of new copies used so far, by rank. */
 	readonly used: Int16Array
@@ -26,7 +26,7 @@
 	readonly ranks: number
 	/** Number of places per rank. */
 	readonly places: number
-	/** Largest number of new copies of this set on one rank. */
+	/** Maximum number of new copies of this set on one rank. */
 	readonly maxNew: number
 	/** Shared by the sets of a group. */
 	readonly budget: CopyBudget
--- a/packages/core/src/core/rebalance.ts
+++ b/packages/core/src/core/rebalance.ts
@@ -11,7 +11,7 @@
 import { cloneLayer, EMPTY, holds, loadsOf, skewOf } from '../internal.ts'
 import { applyChange, findChange } from './rebalanceStep.ts'
 
-/** Least decrease of the skew for which a plan is used. */
+/** Minimum decrease of the skew for which a plan is used. */
 const MIN_GAIN = 0.004
 /** Maximum number of search steps per layer; it bounds the time of a planning slice. */
 export const MAX_LOADS = 32
@@ -61,7 +61,7 @@
 	return terms.moveWeight * count * terms.loadMs * terms.loadLoss
 }
 
-/** Returns the weighted benefit of reducing a layer's skew, in ms of the group's capacity. */
+/** Returns the weighted benefit of a lower skew, in ms of the group's capacity. */
 export function benefitOfSkew(
 	terms: RebalanceTerms,
 	before: number,
--- a/packages/core/src/core/rebalanceStep.ts
+++ b/packages/core/src/core/rebalanceStep.ts
@@ -10,7 +10,7 @@
 const TARGET_RANKS = 6
 /** Exponent of the loads in the objective, so that the slowest ranks dominate the sum. */
 const POWER = 12
-/** Least relative decrease of the objective for which a change is made. */
+/** Minimum relative decrease of the objective for which a change is made. */
 const MIN_PROGRESS = 1e-3
 
 /** A new expert, or none, in the slot at index `at`. */
@@ -101,7 +101,7 @@
 	return changes
 }
 
-/** Returns the objective after a change; only the terms of affected ranks are recomputed. */
+/** Returns the objective after a change, recomputing only the affected ranks. */
 function scoreChange(
 	candidate: LayerPlacement,
 	share: Float64Array,
