--- a/packages/core/src/core/placementTable.ts
+++ b/packages/core/src/core/placementTable.ts
@@ -156,9 +156,9 @@
 
 /** Returns the load of the most loaded rank. */
 export function maxOf(loads: Float64Array): number {
-	let most = 0
-	for (const load of loads) most = Math.max(most, load)
-	return most
+	let max = 0
+	for (const load of loads) max = Math.max(max, load)
+	return max
 }
 
 /** Returns the placement as lists of experts by rank. */
