--- a/packages/core/test/models/groupRoundModel.ts
+++ b/packages/core/test/models/groupRoundModel.ts
@@ -77,14 +77,14 @@
 			continue
 		}
 		events.push({ type: 'report', by })
-		if (round.phase === 'probing') events.push({ type: 'giveUp', by })
-		if (state.deaths < bounds.deaths) events.push({ type: 'die', by })
+		if (round.phase === 'probing') events.push({ type: 'abandon', by })
+		if (state.deaths < bounds.deaths) events.push({ type: 'crash', by })
 		for (const at of listWanted(round).keys()) {
 			events.push({ type: 'order', by, at })
 			if (state.late < bounds.late) events.push({ type: 'lose', by, at })
 		}
 	}
-	for (const at of state.pending.keys()) events.push({ type: 'carryOut', at })
+	for (const at of state.pending.keys()) events.push({ type: 'execute', at })
 	if (state.step < bounds.steps && state.held !== state.step + 1)
 		events.push({ type: 'pass' })
 	if (state.reforms < bounds.reforms) events.push({ type: 'reform' })
@@ -105,27 +105,27 @@
 		case 'report':
 			takeAnchorReport(state.rounds[event.by]!, createReport(state), 0)
 			break
-		case 'die':
+		case 'crash':
 			state.deaths++
 			state.rounds[event.by] = null
 			state.undo[event.by] = false
 			break
-		case 'giveUp':
+		case 'abandon':
 			giveUpProbing(state.rounds[event.by]!)
 			break
 		case 'order': {
 			const round = state.rounds[event.by]!
-			const wanted = listWanted(round)[event.at]!
-			const answer = executeOrder(state, wanted, mutant)
-			takeOrderAnswer(round, wanted, answer)
-			if (answer === 'done') skipGuards(round, wanted, mutant)
+			const pendingOrder = listWanted(round)[event.at]!
+			const answer = executeOrder(state, pendingOrder, mutant)
+			takeOrderAnswer(round, pendingOrder, answer)
+			if (answer === 'done') skipGuards(round, pendingOrder, mutant)
 			break
 		}
 		case 'lose':
 			state.late++
 			state.pending.push(listWanted(state.rounds[event.by]!)[event.at]!)
 			break
-		case 'carryOut':
+		case 'execute':
 			executeOrder(state, state.pending[event.at]!, mutant)
 			state.pending.splice(event.at, 1)
 			break
--- a/packages/core/test/models/groupRoundModelState.ts
+++ b/packages/core/test/models/groupRoundModelState.ts
@@ -64,7 +64,7 @@
 /** An event of the model. */
 export type RoundEvent =
 	| {
-			readonly type: 'begin' | 'report' | 'die' | 'giveUp'
+			readonly type: 'begin' | 'report' | 'crash' | 'abandon'
 			readonly by: number
 	  }
 	/** Executes an order and delivers its answer at once. */
@@ -72,5 +72,5 @@
 	/** Sends an order that is never answered. */
 	| { readonly type: 'lose'; readonly by: number; readonly at: number }
 	/** Executes an unanswered order; its coordinator may send it again. */
-	| { readonly type: 'carryOut'; readonly at: number }
+	| { readonly type: 'execute'; readonly at: number }
 	| { readonly type: 'pass' | 'reform' }
