--- a/packages/core/src/core/placeFlow.ts
+++ b/packages/core/src/core/dispatchRate.ts
@@ -4,11 +4,11 @@
  */
 
 /** Smoothed rate of recent dispatches. */
-export interface PlaceFlow {
+export interface DispatchRate {
 	/** Time of the last dispatch, ms. */
 	lastAt: number
 	/** Smoothed interval between two dispatches, ms. */
-	gapMs: number
+	intervalMs: number
 }
 
 /** Weight of a new interval in the smoothed one. */
@@ -19,27 +19,30 @@
 const MAX_INTERVAL_MS = 1_000
 
 /** Creates a rate without observations. */
-export function createPlaceFlow(): PlaceFlow {
-	return { lastAt: Number.NEGATIVE_INFINITY, gapMs: INITIAL_INTERVAL_MS }
+export function createDispatchRate(): DispatchRate {
+	return { lastAt: Number.NEGATIVE_INFINITY, intervalMs: INITIAL_INTERVAL_MS }
 }
 
 /** Records that a waiting request was dispatched. */
-export function notePlace(rate: PlaceFlow, now: number): void {
+export function recordDispatch(rate: DispatchRate, now: number): void {
 	const newIntervalMs = Math.min(now - rate.lastAt, MAX_INTERVAL_MS)
-	rate.gapMs += INTERVAL_WEIGHT * (newIntervalMs - rate.gapMs)
+	rate.intervalMs += INTERVAL_WEIGHT * (newIntervalMs - rate.intervalMs)
 	rate.lastAt = now
 }
 
 /** Returns the smoothed interval, or the time since the last dispatch if longer, ms. */
-export function gapNow({ lastAt, gapMs }: PlaceFlow, now: number): number {
+export function currentIntervalMs(
+	{ lastAt, intervalMs: gapMs }: DispatchRate,
+	now: number,
+): number {
 	return Math.max(gapMs, Math.min(now - lastAt, MAX_INTERVAL_MS))
 }
 
 /** Returns the predicted waiting time of a request with `ahead` others before it, ms. */
 export function predictWaitMs(
-	rate: PlaceFlow,
+	rate: DispatchRate,
 	ahead: number,
 	now: number,
 ): number {
-	return (ahead + 1) * gapNow(rate, now)
+	return (ahead + 1) * currentIntervalMs(rate, now)
 }
--- a/packages/core/src/core/expertEstimate.ts
+++ b/packages/core/src/core/expertEstimate.ts
@@ -33,7 +33,7 @@
 }
 
 /** Creates an estimate without observations. */
-export function createEstimate(
+export function createExpertEstimate(
 	layers: number,
 	experts: number,
 	windowMs: number,
@@ -76,7 +76,7 @@
 }
 
 /** Returns how long the present popularity is expected to last, ms. */
-export function expectedHorizon(estimate: ExpertEstimate): number {
+export function expectedHorizonMs(estimate: ExpertEstimate): number {
 	return HALF_LIVES[estimate.chosen]! * HORIZON_HALF_LIVES * estimate.windowMs
 }
 
--- a/packages/core/src/core/closure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -5,17 +5,17 @@
  */
 
 /** Interval between probes of a refusing group, ms; re-forming takes some 600 ms. */
-export const TRY_AGAIN_MS = 100
+export const GROUP_RETRY_MS = 100
 
 /**
  * Interval between probes after a coordinator has reported the group broken, ms. The
  * coordinator also reports when the group runs again, and the probes of all entries
  * use up the retry budget.
  */
-export const TRY_TOLD_MS = 500
+export const BROKEN_GROUP_RETRY_MS = 500
 
 /** Backoff state of a group that refuses requests. */
-export interface Closure {
+export interface GroupClosure {
 	/** Time of the first refusal, ms. */
 	readonly since: number
 	/** Time before which no request is sent to the group, ms. */
@@ -25,41 +25,48 @@
 }
 
 /** Backoff of each refusing group, by group name. */
-export type Closures = Map<string, Closure>
+export type GroupClosures = Map<string, GroupClosure>
 
 /** Records that a rank refused a request on behalf of its whole group. */
-export function noteClosed(
-	backoffs: Closures,
+export function recordGroupRefused(
+	backoffs: GroupClosures,
 	group: string,
 	now: number,
 ): void {
 	const current = backoffs.get(group)
 	const since = current?.since ?? now
-	const tryMs = current?.tryMs ?? TRY_AGAIN_MS
+	const tryMs = current?.tryMs ?? GROUP_RETRY_MS
 	backoffs.set(group, { since, until: now + tryMs, tryMs })
 }
 
 /** Records that a group's coordinator reported it broken. */
-export function noteToldClosed(
-	backoffs: Closures,
+export function recordGroupReportedBroken(
+	backoffs: GroupClosures,
 	group: string,
 	now: number,
 ): void {
 	const since = backoffs.get(group)?.since ?? now
-	backoffs.set(group, { since, until: now + TRY_TOLD_MS, tryMs: TRY_TOLD_MS })
+	backoffs.set(group, {
+		since,
+		until: now + BROKEN_GROUP_RETRY_MS,
+		tryMs: BROKEN_GROUP_RETRY_MS,
+	})
 }
 
 /**
  * Ends the backoff after a rank of the group has accepted a request. Returns whether
  * the group was backing off.
  */
-export function noteOpen(backoffs: Closures, group: string): boolean {
+export function clearGroupClosure(
+	backoffs: GroupClosures,
+	group: string,
+): boolean {
 	return backoffs.delete(group)
 }
 
 /** Whether a group is backing off and no probe of it is due. */
-export function isShut(
-	backoffs: Closures,
+export function isGroupClosed(
+	backoffs: GroupClosures,
 	group: string,
 	now: number,
 ): boolean {
@@ -71,8 +78,8 @@
  * Whether a request may be sent now. During backoff, `true` makes the request a probe:
  * the next one is allowed after the probe's answer or the probe interval.
  */
-export function mayEnter(
-	backoffs: Closures,
+export function tryEnterGroup(
+	backoffs: GroupClosures,
 	group: string,
 	now: number,
 ): boolean {
--- a/packages/core/src/core/mapNeed.ts
+++ b/packages/core/src/core/groupPolicy.ts
@@ -5,7 +5,11 @@
  */
 
 import type { PassCost, PassFit } from '../internal.ts'
-import { COPYING_FACTOR, heldWithin, predictPassMs } from '../internal.ts'
+import {
+	COPYING_FACTOR,
+	maxInFlightWithin,
+	predictPassMs,
+} from '../internal.ts'
 
 /** Minimum relative reduction of the pass time for which a plan is used. */
 const MIN_GAIN = 0.08
@@ -40,7 +44,7 @@
 }
 
 /** Conditions that determine how many requests a group may hold. */
-export interface LetInState {
+export interface LoadConditions {
 	/** Present time of a pass relative to a balanced one. */
 	readonly factor: number
 	/**
@@ -65,14 +69,17 @@
  * limit raised the share of streams in time from 0.93 to 0.96 on days with low load, and
  * from 0.58 to 0.67 on days with 20 % more load.
  */
-export function allowedHeld(
-	{ factor, shiftedFactor, steadyMs, copiesLong, fit }: LetInState,
+export function maxInFlightPerRank(
+	{ factor, shiftedFactor, steadyMs, copiesLong, fit }: LoadConditions,
 	{ maxPauseMs, slots }: GroupLimits,
 	cost: PassCost,
 ): number | undefined {
 	if (maxPauseMs <= 0 || cost.perRequestMs <= 0) return undefined
 	const within = (share: number, worstFactor: number, copying: boolean) =>
-		heldWithin(cost, fit, share * maxPauseMs, { factor: worstFactor, copying })
+		maxInFlightWithin(cost, fit, share * maxPauseMs, {
+			factor: worstFactor,
+			copying,
+		})
 	const allowsForShift = steadyMs < FREQUENT_SHIFT_MS && shiftedFactor > factor
 	const held = Math.min(
 		within(PASS_PAUSE_SHARE, factor, true),
@@ -89,7 +96,7 @@
  * held requests makes streams meet it then, and a late stream is worth more than a
  * refused one.
  */
-export function isBeyondLimits(
+export function isRankTooSlow(
 	{ maxPauseMs }: GroupLimits,
 	{ stepMs, stepsPerPass }: PassCost,
 	slowestPace: number,
@@ -110,7 +117,7 @@
 		factor,
 		shiftedFactor,
 		fit,
-	}: Pick<LetInState, 'factor' | 'shiftedFactor' | 'fit'>,
+	}: Pick<LoadConditions, 'factor' | 'shiftedFactor' | 'fit'>,
 	{ maxPauseMs }: GroupLimits,
 	cost: PassCost,
 ): boolean {
@@ -124,7 +131,7 @@
 }
 
 /** Cost of a map change, and how long its benefit lasts. */
-export interface RoundCost {
+export interface MapChangeCost {
 	/** Time to copy one expert to a rank, ms. */
 	readonly copyMs: number
 	/** Time from the plan until the new map is in use, without copying, ms. */
@@ -138,7 +145,7 @@
 	before: number,
 	after: number,
 	copies: number,
-	{ copyMs, overheadMs }: RoundCost,
+	{ copyMs, overheadMs }: MapChangeCost,
 ): number {
 	return (before - after) / (overheadMs + copies * copyMs)
 }
@@ -147,11 +154,11 @@
  * Whether a plan saves more pass time until the expected demand shift than its copying
  * costs. `copies` is the largest number of copies on one rank.
  */
-export function isWorthwhile(
+export function isMapChangeWorthwhile(
 	before: number,
 	after: number,
 	copies: number,
-	{ copyMs, overheadMs, steadyMs }: RoundCost,
+	{ copyMs, overheadMs, steadyMs }: MapChangeCost,
 ): boolean {
 	if (1 - after / before < MIN_GAIN) return false
 	const copyingMs = copies * copyMs
--- a/packages/core/src/core/groupRound.ts
+++ b/packages/core/src/core/groupRound.ts
@@ -191,18 +191,18 @@
 }
 
 /** Whether the round has completed or failed. */
-export function isOver(round: GroupRound): boolean {
+export function isRoundOver(round: GroupRound): boolean {
 	return round.phase === 'done' || round.phase === 'failed'
 }
 
 /** An order to be sent to a rank. */
-export interface WantedOrder {
+export interface PendingOrder {
 	readonly rank: number
 	readonly order: EngineOrder
 }
 
 /** Lists the unconfirmed orders of the present phase, including those already sent. */
-export function listWanted(round: GroupRound): WantedOrder[] {
+export function listPendingOrders(round: GroupRound): PendingOrder[] {
 	const { fence, epoch, version, step, map } = round
 	switch (round.phase) {
 		case 'fencing':
@@ -246,12 +246,12 @@
 	}
 }
 
-function forAnchor(order: EngineOrder): WantedOrder[] {
+function forAnchor(order: EngineOrder): PendingOrder[] {
 	return [{ rank: ANCHOR_RANK, order }]
 }
 
-function forUnconfirmed(round: GroupRound, order: EngineOrder): WantedOrder[] {
-	const pending: WantedOrder[] = []
+function forUnconfirmed(round: GroupRound, order: EngineOrder): PendingOrder[] {
+	const pending: PendingOrder[] = []
 	for (let rank = 0; rank < round.ranks; rank++)
 		if (!round.confirmed.has(rank)) pending.push({ rank, order })
 	return pending
--- a/packages/core/src/core/groupRoundSteps.ts
+++ b/packages/core/src/core/groupRoundSteps.ts
@@ -7,11 +7,11 @@
 	EngineOrder,
 	GroupRound,
 	OrderAnswer,
+	PendingOrder,
 	RankReport,
 	RoundPhase,
-	WantedOrder,
 } from '../internal.ts'
-import { isOver, REFUSED_TO_ARM, unusedVersion } from '../internal.ts'
+import { isRoundOver, REFUSED_TO_ARM, unusedVersion } from '../internal.ts'
 
 /** Type of the orders that each phase sends, if any. */
 const ORDER_OF_PHASE: Record<RoundPhase, EngineOrder['type'] | undefined> = {
@@ -30,12 +30,12 @@
 }
 
 /** Applies the answer to an order; answers to orders of earlier phases are ignored. */
-export function takeOrderAnswer(
+export function applyOrderAnswer(
 	round: GroupRound,
-	{ rank, order }: WantedOrder,
+	{ rank, order }: PendingOrder,
 	answer: OrderAnswer,
 ): void {
-	if (isOver(round) || order.type !== ORDER_OF_PHASE[round.phase]) return
+	if (isRoundOver(round) || order.type !== ORDER_OF_PHASE[round.phase]) return
 	if ('step' in order && order.step !== round.step) return
 	const expectedVersion =
 		round.phase === 'fencing' ? unusedVersion(round.fence) : round.version
@@ -146,12 +146,12 @@
  * Applies a report of the anchor that was made after the present phase began.
  * `leadPasses` is the number of passes to begin before the change takes effect.
  */
-export function takeAnchorReport(
+export function applyAnchorReport(
 	round: GroupRound,
 	report: RankReport,
 	leadPasses: number,
 ): void {
-	if (isOver(round)) return
+	if (isRoundOver(round)) return
 	if (report.epoch !== round.epoch || !report.open) {
 		fail(round, 'the group has re-formed')
 		return
@@ -185,7 +185,7 @@
  * Abandons a change because a rank has not answered the probe. No rank has been armed
  * under this fence, so the group can continue with its old map.
  */
-export function giveUpProbing(round: GroupRound): void {
+export function abandonProbing(round: GroupRound): void {
 	if (round.phase !== 'probing') return
 	round.version = 0
 	enterPhase(round, 'releasing')
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -5,15 +5,19 @@
 
 import type { ExpertLayout } from '../types/traffic.ts'
 import { STEPS_PER_RANK } from './groupPlan.ts'
-import type { Change } from './placementStep.ts'
-import { applyChange, findBest } from './placementStep.ts'
-import type { CopyBudget, Search, SetPlacement } from './placementTable.ts'
+import type {
+	CopyBudget,
+	PlacementSearch,
+	SetPlacement,
+} from './placementSearch.ts'
 import {
 	createBudget,
 	createSearch,
 	maxOf,
 	readPlacement,
-} from './placementTable.ts'
+} from './placementSearch.ts'
+import type { PlaceChange } from './placementStep.ts'
+import { applyChange, findBestChange } from './placementStep.ts'
 
 /** A planned placement of all sets of a group. */
 export interface GroupPlan {
@@ -28,17 +32,17 @@
 
 /** State of a search over all sets of a group, which can be continued. */
 export interface GroupSearch {
-	readonly sets: readonly Search[]
+	readonly sets: readonly PlacementSearch[]
 	readonly budget: CopyBudget
 	/** Cached best change of each set; `unknown` if it must be determined. */
-	readonly best: (Change | undefined | 'unknown')[]
+	readonly best: (PlaceChange | undefined | 'unknown')[]
 	/** Skew below which a set is not changed. */
 	readonly target: number
 	stepsLeft: number
 }
 
 /** Creates a search from the present map; `shares` holds the demand of each set. */
-export function beginGroupSearch(
+export function createGroupSearch(
 	map: readonly SetPlacement[],
 	shares: readonly Float64Array[],
 	layout: ExpertLayout,
@@ -59,7 +63,7 @@
 }
 
 /** Returns the load of a set's most loaded rank over the mean. */
-export function skewOfSearch(search: Search): number {
+export function computeSearchSkew(search: PlacementSearch): number {
 	return maxOf(search.loads)
 }
 
@@ -69,16 +73,16 @@
  * one expert after another, so its total determines when a map change takes effect.
  * Yields between long steps, so that the caller can run other tasks.
  */
-export function* searchOn(
+export function* continueSearch(
 	search: GroupSearch,
 	maxCopiesPerRank: number,
 ): Generator<void, GroupPlan> {
-	search.budget.most = maxCopiesPerRank
+	search.budget.maxPerRank = maxCopiesPerRank
 	search.best.fill('unknown')
 	for (; search.stepsLeft > 0; search.stepsLeft--) {
 		const set = yield* findBestSet(search)
 		if (set === undefined) break
-		applyChange(search.sets[set]!, search.best[set] as Change)
+		applyChange(search.sets[set]!, search.best[set] as PlaceChange)
 		search.best[set] = 'unknown'
 	}
 	return toGroupPlan(search)
@@ -96,32 +100,33 @@
 			change === 'unknown' ||
 			(change && !isWithinBudget(setSearch, change))
 		) {
-			change = maxOf(setSearch.loads) > target ? findBest(setSearch) : undefined
+			change =
+				maxOf(setSearch.loads) > target ? findBestChange(setSearch) : undefined
 			best[set] = change
 			yield
 		}
 		if (!change) continue
 		const bestSoFar =
-			bestSet === undefined ? undefined : (best[bestSet] as Change)
+			bestSet === undefined ? undefined : (best[bestSet] as PlaceChange)
 		if (!bestSoFar || change.worth > bestSoFar.worth) bestSet = set
 	}
 	return bestSet
 }
 
 /** Whether other sets have left enough of the copy budget for a change. */
-function isWithinBudget(search: Search, change: Change): boolean {
+function isWithinBudget(search: PlacementSearch, change: PlaceChange): boolean {
 	const { budget, places } = search
 	const ranks = [change.at, change.backAt]
 		.filter(at => at >= 0)
 		.map(at => Math.floor(at / places))
-	return ranks.every(rank => budget.used[rank]! < budget.most)
+	return ranks.every(rank => budget.usedByRank[rank]! < budget.maxPerRank)
 }
 
 function toGroupPlan({ sets, budget }: GroupSearch): GroupPlan {
 	return {
 		placements: sets.map(readPlacement),
-		mostNew: Math.max(...budget.used),
-		copies: budget.used.reduce((sum, used) => sum + used, 0),
+		mostNew: Math.max(...budget.usedByRank),
+		copies: budget.usedByRank.reduce((sum, used) => sum + used, 0),
 		skews: sets.map(search => maxOf(search.loads)),
 	}
 }
--- a/packages/core/src/core/mapChangePlan.ts
+++ b/packages/core/src/core/mapChangePlan.ts
@@ -3,10 +3,10 @@
 import type { MapChange, RankReply } from '../internal.ts'
 
 /** A rank's reply to a `learn` request: its state. */
-export type Learned = Extract<RankReply, { type: 'learned' }>
+export type LearnedReply = Extract<RankReply, { type: 'learned' }>
 
 /** Phase of a coordinator. */
-export type CoordinatorPhase =
+export type MapCoordinatorPhase =
 	| 'idle'
 	/** Waits for the states of all ranks. */
 	| 'learning'
@@ -20,19 +20,19 @@
 	| 'aborting'
 
 /** State of the coordinator of one group. */
-export interface CoordinatorState {
+export interface MapCoordinatorState {
 	/** Number of ranks. */
 	readonly size: number
-	phase: CoordinatorPhase
+	phase: MapCoordinatorPhase
 	fence: number
 	/** Map to activate; `undefined` in a round that only recovers. */
-	wanted: string | undefined
+	targetMapId: string | undefined
 	/** Number of steps from the last one begun to the change. */
 	lead: number
 	/** Map of a group in which no rank remembers one. */
-	readonly firstMap: string
+	readonly initialMapId: string
 	/** Reported state of each rank; `undefined` until it has replied. */
-	readonly learned: (Learned | undefined)[]
+	readonly learned: (LearnedReply | undefined)[]
 	/** Ranks that have not replied to the current request yet. */
 	readonly open: Set<number>
 	change: MapChange | undefined
@@ -46,8 +46,10 @@
  * Returns the next change, if one is needed. A group that is not complete gets a new
  * generation with its current map first, and the target map in a later change.
  */
-export function planChange(state: CoordinatorState): MapChange | undefined {
-	const reported = listLearned(state)
+export function planMapChange(
+	state: MapCoordinatorState,
+): MapChange | undefined {
+	const reported = listLearnedReplies(state)
 	const { fence, lead } = state
 	const generation = Math.max(...reported.map(rank => rank.generation))
 	const step = Math.max(...reported.map(lastPlannedStep)) + lead
@@ -60,28 +62,32 @@
 	const isChangePending = reported.some(
 		rank => rank.committed && rank.committed.step > rank.step,
 	)
-	if (isChangePending || state.wanted === undefined || state.wanted === current)
+	if (
+		isChangePending ||
+		state.targetMapId === undefined ||
+		state.targetMapId === current
+	)
 		return undefined
-	return { fence, generation, step, mapId: state.wanted }
+	return { fence, generation, step, mapId: state.targetMapId }
 }
 
-function lastPlannedStep(rank: Learned): number {
+function lastPlannedStep(rank: LearnedReply): number {
 	return Math.max(rank.step, rank.committed?.step ?? 0)
 }
 
 /** Returns the newest committed map that any rank remembers. */
 function findCurrentMap(
-	state: CoordinatorState,
-	reported: readonly Learned[],
+	state: MapCoordinatorState,
+	reported: readonly LearnedReply[],
 ): string {
 	let newest: MapChange | undefined
 	for (const { committed } of reported)
 		if (committed && committed.fence > (newest?.fence ?? 0)) newest = committed
 	if (newest) return newest.mapId
-	return reported.find(rank => rank.joined)?.mapId ?? state.firstMap
+	return reported.find(rank => rank.joined)?.mapId ?? state.initialMapId
 }
 
 /** Lists the states of the ranks that have replied. */
-export function listLearned(state: CoordinatorState): Learned[] {
+export function listLearnedReplies(state: MapCoordinatorState): LearnedReply[] {
 	return state.learned.filter(learned => learned !== undefined)
 }
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -6,32 +6,32 @@
  */
 
 import type {
-	CoordinatorState,
-	Learned,
+	LearnedReply,
 	MapChange,
+	MapCoordinatorState,
 	RankReply,
 	RankRequest,
 } from '../internal.ts'
-import { listLearned, planChange } from '../internal.ts'
+import { listLearnedReplies, planMapChange } from '../internal.ts'
 
 /** A request addressed to one rank. */
-export interface RankOrder {
+export interface AddressedRequest {
 	readonly rank: number
 	readonly req: RankRequest
 }
 
 /** Creates an idle coordinator. */
-export function createCoordinator(
+export function createMapCoordinator(
 	size: number,
 	firstMap: string,
-): CoordinatorState {
+): MapCoordinatorState {
 	return {
 		size,
 		phase: 'idle',
 		fence: 0,
-		wanted: undefined,
+		targetMapId: undefined,
 		lead: 1,
-		firstMap,
+		initialMapId: firstMap,
 		learned: new Array(size).fill(undefined),
 		open: new Set(),
 		change: undefined,
@@ -45,7 +45,7 @@
  * fences it has seen. No two coordinators use the same fence.
  */
 export function nextFence(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	id: number,
 	ids: number,
 ): number {
@@ -55,15 +55,15 @@
 }
 
 /** Starts a round and returns the requests to send. */
-export function startRound(
-	state: CoordinatorState,
+export function startMapRound(
+	state: MapCoordinatorState,
 	fence: number,
 	wanted: string | undefined,
 	lead: number,
-): RankOrder[] {
+): AddressedRequest[] {
 	state.phase = 'learning'
 	state.fence = fence
-	state.wanted = wanted
+	state.targetMapId = wanted
 	state.lead = lead
 	state.change = undefined
 	state.learned.fill(undefined)
@@ -74,11 +74,11 @@
  * Handles a rank's reply and returns the requests to send. Late replies, duplicates and
  * replies to other coordinators are ignored.
  */
-export function takeRankReply(
-	state: CoordinatorState,
+export function handleRankReply(
+	state: MapCoordinatorState,
 	rank: number,
 	reply: RankReply,
-): RankOrder[] {
+): AddressedRequest[] {
 	if (reply.type === 'refused')
 		state.highest = Math.max(state.highest, reply.highest)
 	if (reply.fence !== state.fence) return []
@@ -100,7 +100,9 @@
  * Handles a time-out of the current request and returns the requests to send. A change
  * that is only prepared is aborted; a decided change is sent again.
  */
-export function repeatRound(state: CoordinatorState): RankOrder[] {
+export function handleRoundTimeout(
+	state: MapCoordinatorState,
+): AddressedRequest[] {
 	switch (state.phase) {
 		case 'idle':
 			return []
@@ -120,10 +122,10 @@
 }
 
 function onLearned(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	rank: number,
-	reply: Learned,
-): RankOrder[] {
+	reply: LearnedReply,
+): AddressedRequest[] {
 	if (state.phase !== 'learning') return []
 	state.learned[rank] = reply
 	state.open.delete(rank)
@@ -132,11 +134,11 @@
 }
 
 /** Commits each undecided change that any rank has committed, and aborts the others. */
-function closeUndecidedChanges(state: CoordinatorState): RankOrder[] {
-	const reported = listLearned(state)
+function closeUndecidedChanges(state: MapCoordinatorState): AddressedRequest[] {
+	const reported = listLearnedReplies(state)
 	state.phase = 'closing'
 	state.open.clear()
-	const requests: RankOrder[] = []
+	const requests: AddressedRequest[] = []
 	for (const [rank, { promised }] of reported.entries()) {
 		if (!promised) continue
 		state.open.add(rank)
@@ -149,8 +151,8 @@
 }
 
 function createClosingRequest(
-	state: CoordinatorState,
-	reported: readonly Learned[],
+	state: MapCoordinatorState,
+	reported: readonly LearnedReply[],
 	promised: MapChange,
 ): RankRequest {
 	const { fence } = state
@@ -162,8 +164,8 @@
 	return { type: 'abort', fence, changeFence }
 }
 
-function prepareChange(state: CoordinatorState): RankOrder[] {
-	const change = planChange(state)
+function prepareChange(state: MapCoordinatorState): AddressedRequest[] {
+	const change = planMapChange(state)
 	if (!change) return endRound(state)
 	state.phase = 'preparing'
 	state.change = change
@@ -171,10 +173,10 @@
 }
 
 function onPromised(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	rank: number,
 	incarnation: number,
-): RankOrder[] {
+): AddressedRequest[] {
 	if (state.phase !== 'preparing') return []
 	// The rank has restarted since its state was learned: this promise does not count.
 	if (state.learned[rank]?.incarnation !== incarnation)
@@ -186,10 +188,10 @@
 }
 
 function onDecided(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	rank: number,
 	changeFence: number,
-): RankOrder[] {
+): AddressedRequest[] {
 	switch (state.phase) {
 		case 'closing':
 			if (state.learned[rank]?.promised?.fence !== changeFence) return []
@@ -210,17 +212,20 @@
 	}
 }
 
-function onClosed(state: CoordinatorState, rank: number): RankOrder[] {
+function onClosed(
+	state: MapCoordinatorState,
+	rank: number,
+): AddressedRequest[] {
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
 	// The changes just completed may not be in effect yet: the states are learned again.
-	return startRound(state, state.fence, state.wanted, state.lead)
+	return startMapRound(state, state.fence, state.targetMapId, state.lead)
 }
 
 function onRefused(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	request: RankRequest['type'],
-): RankOrder[] {
+): AddressedRequest[] {
 	switch (state.phase) {
 		case 'preparing':
 			return request === 'prepare' ? abortChange(state) : []
@@ -237,32 +242,38 @@
 	}
 }
 
-function abortChange(state: CoordinatorState): RankOrder[] {
+function abortChange(state: MapCoordinatorState): AddressedRequest[] {
 	state.phase = 'aborting'
 	return sendToAll(state, createAbort(state))
 }
 
-function endRound(state: CoordinatorState): RankOrder[] {
+function endRound(state: MapCoordinatorState): AddressedRequest[] {
 	state.phase = 'idle'
 	state.open.clear()
 	return []
 }
 
-function createCommit(state: CoordinatorState): RankRequest {
+function createCommit(state: MapCoordinatorState): RankRequest {
 	return { type: 'commit', fence: state.fence, change: state.change! }
 }
 
-function createAbort(state: CoordinatorState): RankRequest {
+function createAbort(state: MapCoordinatorState): RankRequest {
 	const changeFence = state.change?.fence ?? state.fence
 	return { type: 'abort', fence: state.fence, changeFence }
 }
 
-function sendToAll(state: CoordinatorState, req: RankRequest): RankOrder[] {
+function sendToAll(
+	state: MapCoordinatorState,
+	req: RankRequest,
+): AddressedRequest[] {
 	state.open.clear()
 	for (let rank = 0; rank < state.size; rank++) state.open.add(rank)
 	return sendToOpen(state, req)
 }
 
-function sendToOpen(state: CoordinatorState, req: RankRequest): RankOrder[] {
+function sendToOpen(
+	state: MapCoordinatorState,
+	req: RankRequest,
+): AddressedRequest[] {
 	return [...state.open].map(rank => ({ rank, req }))
 }
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -16,7 +16,7 @@
 }
 
 /** Conditions that affect the time of a pass. */
-export interface PassState {
+export interface PassConditions {
 	/** Time of a pass relative to one with balanced ranks. */
 	readonly factor: number
 	/** Whether ranks copy experts during the pass. */
@@ -41,7 +41,7 @@
 }
 
 /** Mean of observed passes that ran under the same conditions. */
-export interface PassSeen extends PassState {
+export interface PassSample extends PassConditions {
 	readonly passMs: number
 	/** Mean number of requests that each rank held. */
 	readonly held: number
@@ -87,10 +87,10 @@
 }
 
 /** Adds a sample of observed passes to the fit. */
-export function notePasses(
+export function addPassSample(
 	fitter: PassFitter,
 	cost: PassCost,
-	{ passMs, held, factor, copying }: PassSeen,
+	{ passMs, held, factor, copying }: PassSample,
 ): void {
 	const { stepMs, perRequestMs, stepsPerPass } = cost
 	const stretchedMs = stepMs + held * perRequestMs * factor
@@ -122,7 +122,7 @@
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
 	{ base, stepSkew }: PassFit,
 	held: number,
-	{ factor, copying }: PassState,
+	{ factor, copying }: PassConditions,
 ): number {
 	const step = stepMs * (1 + stepSkew * (factor - 1))
 	const requests = held * perRequestMs * factor
@@ -133,11 +133,11 @@
  * Returns how many requests each rank may hold, not rounded, for passes to take at most
  * `passMs`; negative if even empty ranks take longer.
  */
-export function heldWithin(
+export function maxInFlightWithin(
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
 	{ base, stepSkew }: PassFit,
 	passMs: number,
-	{ factor, copying }: PassState,
+	{ factor, copying }: PassConditions,
 ): number {
 	if (perRequestMs <= 0) return Number.POSITIVE_INFINITY
 	const maxStepMs = passMs / (base * stepsPerPass * copyingFactor(copying))
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -3,15 +3,15 @@
  * the load of the most loaded rank, and selects the one with the largest gain per copy.
  */
 
-import type { Search } from './placementTable.ts'
+import type { PlacementSearch } from './placementSearch.ts'
 import {
 	canTake,
-	FREE,
+	FREE_PLACE,
 	hasExpert,
 	isNew,
-	place,
 	refreshLoad,
-} from './placementTable.ts'
+	setPlace,
+} from './placementSearch.ts'
 
 /** Minimum relative decrease of the sum of powers for which a change is made. */
 const MIN_PROGRESS = 0.002
@@ -23,7 +23,7 @@
  * numbers and stored in one reused object, because a plan evaluates about a hundred
  * thousand of them.
  */
-export interface Change {
+export interface PlaceChange {
 	/** Index of the place. */
 	at: number
 	/** New expert of the place. */
@@ -35,11 +35,18 @@
 }
 
 /** Returns the change with the largest gain per copy; undefined if none is useful. */
-export function findBest(search: Search): Change | undefined {
+export function findBestChange(
+	search: PlacementSearch,
+): PlaceChange | undefined {
 	const hottest = findMostLoaded(search.loads)
 	const targets = listLeastLoaded(search.loads, hottest)
 	const minWorth = sumOfPowers(search) * MIN_PROGRESS
-	const best: Change = { at: -1, expert: FREE, backAt: -1, worth: minWorth }
+	const best: PlaceChange = {
+		at: -1,
+		expert: FREE_PLACE,
+		backAt: -1,
+		worth: minWorth,
+	}
 	const evaluate = (at: number, expert: number, backAt = -1) => {
 		const copies = countCopies(search, at, expert, backAt)
 		const worth = computeGain(search, at, expert, backAt) / Math.max(1, copies)
@@ -52,7 +59,7 @@
 	const { places } = search
 	for (let from = hottest * places; from < (hottest + 1) * places; from++) {
 		const expert = search.slots[from]!
-		if (expert === FREE) continue
+		if (expert === FREE_PLACE) continue
 		for (const rank of targets) evaluateTarget(search, from, rank, evaluate)
 		if (search.copies[expert]! >= 2)
 			evaluateDrop(search, from, targets, evaluate)
@@ -90,7 +97,7 @@
 
 /** Evaluates copies of the expert at `from` on `rank`, and exchanges with its experts. */
 function evaluateTarget(
-	search: Search,
+	search: PlacementSearch,
 	from: number,
 	rank: number,
 	evaluate: Evaluate,
@@ -102,10 +109,10 @@
 	const hasRoom = canTake(search, rank, expert)
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const other = slots[at]!
-		const replacesNewCopy = other !== FREE && isNew(search, rank, other)
+		const replacesNewCopy = other !== FREE_PLACE && isNew(search, rank, other)
 		if (!hasRoom && !replacesNewCopy) continue
-		if (other === FREE || copies[other]! >= 2) evaluate(at, expert)
-		if (other === FREE || hasExpert(search, hottest, other)) continue
+		if (other === FREE_PLACE || copies[other]! >= 2) evaluate(at, expert)
+		if (other === FREE_PLACE || hasExpert(search, hottest, other)) continue
 		const canExchange =
 			canTake(search, hottest, other) || isNew(search, hottest, expert)
 		if (canExchange) evaluate(at, expert, from)
@@ -117,7 +124,7 @@
  * expert of a target rank.
  */
 function evaluateDrop(
-	search: Search,
+	search: PlacementSearch,
 	from: number,
 	targets: readonly number[],
 	evaluate: Evaluate,
@@ -125,11 +132,11 @@
 	const { places, slots } = search
 	const hottest = Math.floor(from / places)
 	const dropped = slots[from]!
-	evaluate(from, FREE)
+	evaluate(from, FREE_PLACE)
 	for (const rank of targets)
 		for (let at = rank * places; at < (rank + 1) * places; at++) {
 			const expert = slots[at]!
-			if (expert === FREE || hasExpert(search, hottest, expert)) continue
+			if (expert === FREE_PLACE || hasExpert(search, hottest, expert)) continue
 			if (!canTake(search, hottest, expert) && !isNew(search, hottest, dropped))
 				continue
 			evaluate(from, expert)
@@ -138,7 +145,7 @@
 
 /** Returns how many experts a change copies. */
 function countCopies(
-	search: Search,
+	search: PlacementSearch,
 	at: number,
 	expert: number,
 	backAt: number,
@@ -149,19 +156,23 @@
 		: there + countCopiesAt(search, backAt, search.slots[at]!)
 }
 
-function countCopiesAt(search: Search, at: number, expert: number): number {
+function countCopiesAt(
+	search: PlacementSearch,
+	at: number,
+	expert: number,
+): number {
 	const rank = Math.floor(at / search.places)
-	return expert !== FREE && isNew(search, rank, expert) ? 1 : 0
+	return expert !== FREE_PLACE && isNew(search, rank, expert) ? 1 : 0
 }
 
 /** Returns by how much a change decreases the sum of powers. */
 function computeGain(
-	search: Search,
+	search: PlacementSearch,
 	at: number,
 	expert: number,
 	backAt: number,
 ): number {
-	const { loads, added, touchedRanks } = search
+	const { loads, loadDeltas: added, changedRanks: touchedRanks } = search
 	if (backAt < 0) {
 		addRemoval(search, at)
 		addCopy(search, at, expert)
@@ -171,21 +182,21 @@
 		addReplacement(search, backAt, search.slots[at]!)
 	}
 	let gain = 0
-	for (let index = 0; index < search.touched; index++) {
+	for (let index = 0; index < search.changedCount; index++) {
 		const rank = touchedRanks[index]!
 		const load = loads[rank]!
 		gain += eighthPower(load) - eighthPower(Math.max(0, load + added[rank]!))
 		added[rank] = 0
 	}
-	search.touched = 0
+	search.changedCount = 0
 	return gain
 }
 
 /** Adds the load changes of removing a place's expert; its other holders take over. */
-function addRemoval(search: Search, at: number): void {
-	const { places, slots, share, copies, slowness } = search
+function addRemoval(search: PlacementSearch, at: number): void {
+	const { places, slots, share, copies, loadScale: slowness } = search
 	const expert = slots[at]!
-	if (expert === FREE) return
+	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
 	addDelta(search, rank, (-share[expert]! / count) * slowness[rank]!)
@@ -193,9 +204,9 @@
 }
 
 /** Adds the load changes of a new copy at a place, also for the expert's other holders. */
-function addCopy(search: Search, at: number, expert: number): void {
-	const { places, share, copies, slowness } = search
-	if (expert === FREE) return
+function addCopy(search: PlacementSearch, at: number, expert: number): void {
+	const { places, share, copies, loadScale: slowness } = search
+	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
 	addDelta(search, rank, (share[expert]! / (count + 1)) * slowness[rank]!)
@@ -203,8 +214,12 @@
 }
 
 /** Adds the load change of replacing the expert of a place in an exchange. */
-function addReplacement(search: Search, at: number, expert: number): void {
-	const { places, slots, share, copies, slowness } = search
+function addReplacement(
+	search: PlacementSearch,
+	at: number,
+	expert: number,
+): void {
+	const { places, slots, share, copies, loadScale: slowness } = search
 	const old = slots[at]!
 	const rank = Math.floor(at / places)
 	const change = share[expert]! / copies[expert]! - share[old]! / copies[old]!
@@ -218,24 +233,24 @@
 	return fourth * fourth
 }
 
-function addDelta(search: Search, rank: number, change: number): void {
-	const { added, touchedRanks } = search
+function addDelta(search: PlacementSearch, rank: number, change: number): void {
+	const { loadDeltas: added, changedRanks: touchedRanks } = search
 	// A rank whose sum returned to zero is listed twice, which is harmless: its second
 	// entry adds nothing.
-	if (added[rank] === 0) touchedRanks[search.touched++] = rank
+	if (added[rank] === 0) touchedRanks[search.changedCount++] = rank
 	added[rank]! += change
 }
 
 /** Adds the load changes of the holders other than `rank` when the copy count changes. */
 function addOtherHolders(
-	search: Search,
+	search: PlacementSearch,
 	expert: number,
 	rank: number,
 	before: number,
 	after: number,
 ): void {
 	if (after <= 0 || before <= 0) return
-	const { holders, share, slowness } = search
+	const { holders, share, loadScale: slowness } = search
 	const change = share[expert]! * (1 / after - 1 / before)
 	for (const other of holders[expert]!)
 		if (other !== rank) addDelta(search, other, change * slowness[other]!)
@@ -243,16 +258,16 @@
 
 /** Applies a change to the placement and updates the loads. */
 export function applyChange(
-	search: Search,
-	{ at, expert, backAt }: Change,
+	search: PlacementSearch,
+	{ at, expert, backAt }: PlaceChange,
 ): void {
 	const old = search.slots[at]!
 	const affectedRanks = new Set<number>()
 	addHolders(search, at, affectedRanks)
-	place(search, at, expert)
+	setPlace(search, at, expert)
 	if (backAt >= 0) {
 		addHolders(search, backAt, affectedRanks)
-		place(search, backAt, old)
+		setPlace(search, backAt, old)
 		addHolders(search, backAt, affectedRanks)
 	}
 	addHolders(search, at, affectedRanks)
@@ -261,17 +276,17 @@
 
 /** Adds the rank of a place and all ranks that hold the expert there. */
 function addHolders(
-	{ slots, places, holders }: Search,
+	{ slots, places, holders }: PlacementSearch,
 	at: number,
 	affectedRanks: Set<number>,
 ): void {
 	affectedRanks.add(Math.floor(at / places))
 	const expert = slots[at]!
-	if (expert === FREE) return
+	if (expert === FREE_PLACE) return
 	for (const rank of holders[expert]!) affectedRanks.add(rank)
 }
 
-function sumOfPowers(search: Search): number {
+function sumOfPowers(search: PlacementSearch): number {
 	let sum = 0
 	for (const load of search.loads) sum += eighthPower(load)
 	return sum
--- a/packages/core/src/core/rebalance.ts
+++ b/packages/core/src/core/rebalance.ts
@@ -8,7 +8,13 @@
  */
 
 import type { LayerPlacement } from '../internal.ts'
-import { cloneLayer, EMPTY, holds, loadsOf, skewOf } from '../internal.ts'
+import {
+	cloneLayer,
+	computeRankLoads,
+	computeSkew,
+	EMPTY_SLOT,
+	holdsExpert,
+} from '../internal.ts'
 import { applyChange, findChange } from './rebalanceStep.ts'
 
 /** Minimum decrease of the skew for which a plan is used. */
@@ -18,7 +24,7 @@
 const MS_PER_SECOND = 1_000
 
 /** Parameters of the cost and benefit of a plan. */
-export interface RebalanceTerms {
+export interface RebalanceParameters {
 	/** Weight of the step time saved. */
 	readonly skewWeight: number
 	/** Weight of the capacity spent. */
@@ -57,13 +63,13 @@
 }
 
 /** Returns the weighted cost of `count` loads, in ms of the group's capacity. */
-export function costOfLoads(terms: RebalanceTerms, count: number): number {
+export function loadCostMs(terms: RebalanceParameters, count: number): number {
 	return terms.moveWeight * count * terms.loadMs * terms.loadLoss
 }
 
 /** Returns the weighted benefit of a lower skew, in ms of the group's capacity. */
-export function benefitOfSkew(
-	terms: RebalanceTerms,
+export function skewBenefitMs(
+	terms: RebalanceParameters,
 	before: number,
 	after: number,
 ): number {
@@ -78,12 +84,12 @@
 	current: LayerPlacement,
 	share: Float64Array,
 	layer: number,
-	terms: RebalanceTerms,
+	terms: RebalanceParameters,
 ): LayerPlan {
 	const offset = layer * current.experts
 	const candidate = cloneLayer(current)
-	const loads = loadsOf(candidate, share, offset)
-	const skewBefore = skewOf(loads)
+	const loads = computeRankLoads(candidate, share, offset)
+	const skewBefore = computeSkew(loads)
 	let best: LayerPlan = {
 		loads: [],
 		placement: current,
@@ -96,7 +102,7 @@
 		const change = findChange(candidate, share, offset, loads)
 		if (!change) break
 		applyChange(candidate, change)
-		loads.set(loadsOf(candidate, share, offset))
+		loads.set(computeRankLoads(candidate, share, offset))
 		const plan = describePlan(
 			current,
 			candidate,
@@ -106,14 +112,14 @@
 			terms,
 		)
 		const isSignificant = skewBefore - plan.skewAfter >= MIN_GAIN
-		if (isSignificant && netOf(plan) > netOf(best))
+		if (isSignificant && netBenefitMs(plan) > netBenefitMs(best))
 			best = { ...plan, placement: cloneLayer(candidate) }
 	}
 	return best
 }
 
 /** Returns the net benefit of a plan, in ms of the group's capacity. */
-export function netOf(plan: LayerPlan): number {
+export function netBenefitMs(plan: LayerPlan): number {
 	return plan.benefitMs - plan.costMs
 }
 
@@ -123,36 +129,37 @@
 	layer: number,
 	skewBefore: number,
 	rankLoads: Float64Array,
-	terms: RebalanceTerms,
+	terms: RebalanceParameters,
 ): LayerPlan {
-	const loads = listLoads(current, candidate, layer)
-	const skewAfter = skewOf(rankLoads)
+	const loads = listExpertLoads(current, candidate, layer)
+	const skewAfter = computeSkew(rankLoads)
 	return {
 		loads,
 		placement: candidate,
 		skewBefore,
 		skewAfter,
-		benefitMs: benefitOfSkew(terms, skewBefore, skewAfter),
-		costMs: costOfLoads(terms, loads.length),
+		benefitMs: skewBenefitMs(terms, skewBefore, skewAfter),
+		costMs: loadCostMs(terms, loads.length),
 	}
 }
 
 /** Lists the experts that ranks must load because they do not hold them yet. */
-export function listLoads(
+export function listExpertLoads(
 	current: LayerPlacement,
 	next: LayerPlacement,
 	layer: number,
 ): ExpertLoad[] {
 	const loads: ExpertLoad[] = []
 	for (const [slot, expert] of next.slots.entries()) {
-		if (expert === EMPTY) continue
-		const rank = Math.floor(slot / next.width)
-		if (!holds(current, rank, expert)) loads.push({ layer, rank, slot, expert })
+		if (expert === EMPTY_SLOT) continue
+		const rank = Math.floor(slot / next.slotsPerRank)
+		if (!holdsExpert(current, rank, expert))
+			loads.push({ layer, rank, slot, expert })
 	}
 	return loads
 }
 
 /** Returns the time to load one expert from the store, ms. */
-export function loadTimeOf(bytes: number, bytesPerSecond: number): number {
+export function expertLoadMs(bytes: number, bytesPerSecond: number): number {
 	return (bytes / bytesPerSecond) * MS_PER_SECOND
 }
--- a/packages/core/src/core/rebalanceStep.ts
+++ b/packages/core/src/core/rebalanceStep.ts
@@ -4,7 +4,7 @@
  */
 
 import type { LayerPlacement } from '../internal.ts'
-import { EMPTY, holds, setSlot } from '../internal.ts'
+import { EMPTY_SLOT, holdsExpert, setSlot } from '../internal.ts'
 
 /** Number of least loaded ranks evaluated for each expert of the slowest rank. */
 const TARGET_RANKS = 6
@@ -39,14 +39,14 @@
 	const startScore = computeScore(loads)
 	let best: PlacementChange | undefined
 	for (
-		let from = slowest * candidate.width;
-		from < (slowest + 1) * candidate.width;
+		let from = slowest * candidate.slotsPerRank;
+		from < (slowest + 1) * candidate.slotsPerRank;
 		from++
 	) {
 		const expert = candidate.slots[from]!
-		if (expert === EMPTY) continue
+		if (expert === EMPTY_SLOT) continue
 		for (const rank of targets) {
-			if (rank === slowest || holds(candidate, rank, expert)) continue
+			if (rank === slowest || holdsExpert(candidate, rank, expert)) continue
 			for (const slots of listChanges(candidate, from, rank, expert)) {
 				const score = scoreChange(
 					candidate,
@@ -73,26 +73,26 @@
 ): SlotChange[][] {
 	const changes: SlotChange[][] = []
 	let hasSeenEmpty = false
-	const slowest = Math.floor(from / candidate.width)
+	const slowest = Math.floor(from / candidate.slotsPerRank)
 	for (
-		let at = rank * candidate.width;
-		at < (rank + 1) * candidate.width;
+		let at = rank * candidate.slotsPerRank;
+		at < (rank + 1) * candidate.slotsPerRank;
 		at++
 	) {
 		const old = candidate.slots[at]!
-		if (old === EMPTY) {
+		if (old === EMPTY_SLOT) {
 			if (hasSeenEmpty) continue
 			hasSeenEmpty = true
 			changes.push([{ at, expert }])
 			changes.push([
 				{ at, expert },
-				{ at: from, expert: EMPTY },
+				{ at: from, expert: EMPTY_SLOT },
 			])
 			continue
 		}
 		// A copy of an expert that other ranks hold too may be replaced.
 		if (candidate.copies[old]! > 1) changes.push([{ at, expert }])
-		if (!holds(candidate, slowest, old))
+		if (!holdsExpert(candidate, slowest, old))
 			changes.push([
 				{ at, expert },
 				{ at: from, expert: old },
@@ -113,7 +113,7 @@
 	const mean = 1 / loads.length
 	const deltas = new Map<number, number>()
 	const addSigned = (expert: number, sign: 1 | -1) => {
-		if (expert !== EMPTY)
+		if (expert !== EMPTY_SLOT)
 			addLoads(candidate, share[offset + expert]!, expert, sign, deltas)
 	}
 	const experts = new Set(slots.map(slot => slot.expert))
@@ -141,7 +141,7 @@
 	deltas: Map<number, number>,
 ): void {
 	const loadPerCopy = (sign * share) / candidate.copies[expert]!
-	const { slots, width } = candidate
+	const { slots, slotsPerRank: width } = candidate
 	for (
 		let at = slots.indexOf(expert);
 		at >= 0;
--- a/packages/core/test/groupPlan.test.ts
+++ b/packages/core/test/groupPlan.test.ts
@@ -4,12 +4,12 @@
 import * as assert from 'uvu/assert'
 import type { SetPlacement } from '../src/index.ts'
 import {
+	computeSetSkew,
 	createRandom,
-	dealExperts,
-	isWorthwhile,
+	distributeRoundRobin,
+	isMapChangeWorthwhile,
 	planMap,
 	planSet,
-	skewOfSet,
 } from '../src/index.ts'
 
 const SIZES = [
@@ -88,13 +88,13 @@
 for (const size of SIZES)
 	test(`plan: ${size.name}: meets all limits and does not raise the highest load`, () => {
 		const layout = layoutOf(size)
-		let placement: SetPlacement = dealExperts(size.ranks, layout)
+		let placement: SetPlacement = distributeRoundRobin(size.ranks, layout)
 		for (let seed = 1; seed <= 6; seed++) {
 			const share = skewedShare(size.experts, seed)
 			const plan = planSet(placement, share, layout)
 			checkPlacement(plan.placement, placement, size)
 			assert.ok(plan.after <= plan.before + 1e-9)
-			const skew = skewOfSet(plan.placement, share, layout)
+			const skew = computeSetSkew(plan.placement, share, layout)
 			assert.ok(Math.abs(skew - plan.after) < 1e-6)
 			placement = plan.placement
 		}
@@ -104,7 +104,7 @@
 	const size = SIZES[0]!
 	const layout = layoutOf(size)
 	const share = skewedShare(size.experts, 4)
-	const initial = dealExperts(size.ranks, layout)
+	const initial = distributeRoundRobin(size.ranks, layout)
 	const copies = [2, 1.5, 1.2].map(
 		target => planSet(initial, share, layout, [], target).copies,
 	)
@@ -119,7 +119,7 @@
 	const paces = Array.from({ length: size.ranks }, (_, rank) =>
 		rank === 3 ? 12 : 1,
 	)
-	const initial = dealExperts(size.ranks, layout)
+	const initial = distributeRoundRobin(size.ranks, layout)
 	const plan = planSet(initial, share, layout, paces)
 	assert.ok(plan.before > 6, `before ${plan.before}`)
 	assert.ok(plan.after < plan.before / 2, `after ${plan.after}`)
@@ -129,7 +129,7 @@
 	const size = SIZES[0]!
 	const layout = layoutOf(size)
 	const share = new Float64Array(size.experts).fill(1 / size.experts)
-	const initial = dealExperts(size.ranks, layout)
+	const initial = distributeRoundRobin(size.ranks, layout)
 	assert.is(planSet(initial, share, layout).copies, 0)
 })
 
@@ -144,7 +144,7 @@
 function planFor(copyMs: number, steadyMs: number) {
 	const size = { ranks: 12, experts: 96, places: 11, maxNew: 4 }
 	const layout = { ...layoutOf({ name: '', ...size }), sets: 3 }
-	const initial = dealExperts(size.ranks, layout)
+	const initial = distributeRoundRobin(size.ranks, layout)
 	const map = [initial, initial, initial]
 	const shares = map.map((_, set) => skewedShare(size.experts, set + 1))
 	const paces = new Array<number>(size.ranks).fill(1)
@@ -209,7 +209,7 @@
 for (const { name, before, after, steadyMs, worthwhile } of GAINS)
 	test(`map change: ${name} is ${worthwhile ? 'worth' : 'not worth'} its copies`, () => {
 		const cost = { copyMs: 400, overheadMs: 300, steadyMs }
-		assert.is(isWorthwhile(before, after, 1, cost), worthwhile)
+		assert.is(isMapChangeWorthwhile(before, after, 1, cost), worthwhile)
 	})
 
 test.run()
--- a/packages/core/test/mapNeed.test.ts
+++ b/packages/core/test/groupPolicy.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { allowedHeld, isBeyondLimits } from '../src/index.ts'
+import { isRankTooSlow, maxInFlightPerRank } from '../src/index.ts'
 
 const LIMIT_CASES: {
 	name: string
@@ -62,7 +62,7 @@
 		const limits = { maxPauseMs: 120, slots: 8 }
 		const cost = { stepMs: 4.55, perRequestMs: 1.3575, stepsPerPass: 4 }
 		const fit = { base: 1, stepSkew: 0.3 }
-		const held = allowedHeld({ ...state, copiesLong, fit }, limits, cost)
+		const held = maxInFlightPerRank({ ...state, copiesLong, fit }, limits, cost)
 		assert.is(held && Number(held.toFixed(2)), expected)
 	})
 
@@ -76,7 +76,7 @@
 for (const { pace, maxPauseMs, isTooSlow } of PACE_CASES)
 	test(`pace ${pace}, pause limit ${maxPauseMs} ms: a limit on held requests ${isTooSlow ? 'cannot help' : 'can help'}`, () => {
 		const cost = { stepMs: 5.85, perRequestMs: 0.53, stepsPerPass: 5 }
-		assert.is(isBeyondLimits({ maxPauseMs, slots: 8 }, cost, pace), isTooSlow)
+		assert.is(isRankTooSlow({ maxPauseMs, slots: 8 }, cost, pace), isTooSlow)
 	})
 
 test.run()
--- a/packages/core/test/models/groupRoundModelState.ts
+++ b/packages/core/test/models/groupRoundModelState.ts
@@ -1,6 +1,6 @@
 /** States, events, mutants and bounds of the model of rounds. */
 
-import type { GroupRound, WantedOrder } from '../../src/index.ts'
+import type { GroupRound, PendingOrder } from '../../src/index.ts'
 
 /** Bounds of an exploration. */
 export interface RoundBounds {
@@ -13,7 +13,7 @@
 	/** Number of unanswered orders that may be executed later. */
 	readonly late: number
 	/** Number of coordinator crashes. */
-	readonly deaths: number
+	readonly crashes: number
 	/** Number of times that the group re-forms. */
 	readonly reforms: number
 }
@@ -53,10 +53,10 @@
 	/** Whether the next round of each coordinator rolls back a refused change. */
 	undo: boolean[]
 	/** Orders in flight that will not be answered. */
-	pending: WantedOrder[]
+	pending: PendingOrder[]
 	begun: number
 	late: number
-	deaths: number
+	crashes: number
 	reforms: number
 	fault: string
 }
--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -5,18 +5,22 @@
  * or is lost, as in the RPC layer; the randomised runs also deliver late replies.
  */
 
-import type { CoordinatorState, RankOrder, RankReply } from '../../src/index.ts'
+import type {
+	AddressedRequest,
+	MapCoordinatorState,
+	RankReply,
+} from '../../src/index.ts'
 import {
 	beginStep,
-	createCoordinator,
+	createMapCoordinator,
 	createRank,
-	mayBegin,
+	createRestartedRank,
+	handleRankReply,
+	handleRankRequest,
+	handleRoundTimeout,
+	mayBeginStep,
 	nextFence,
-	repeatRound,
-	restartRank,
-	startRound,
-	takeRankReply,
-	takeRankRequest,
+	startMapRound,
 } from '../../src/index.ts'
 import type { Model } from './explore.ts'
 import type {
@@ -55,10 +59,10 @@
 	return {
 		ranks: createList(bounds.ranks, () => createRank(FIRST_MAP)),
 		coordinators: createList(bounds.coordinators, () =>
-			toJson(createCoordinator(bounds.ranks, FIRST_MAP)),
+			toJson(createMapCoordinator(bounds.ranks, FIRST_MAP)),
 		),
 		messages: [],
-		doubles: 0,
+		duplicates: 0,
 		losses: 0,
 		late: 0,
 		lateReplies: [],
@@ -90,7 +94,7 @@
 			for (const again of [false, true]) {
 				if (replyFate === 'lost' && state.losses >= bounds.losses) continue
 				if (replyFate === 'late' && state.late >= bounds.late) continue
-				if (again && state.doubles >= bounds.doubles) continue
+				if (again && state.duplicates >= bounds.duplicates) continue
 				events.push({ do: 'deliver', message, replyFate, again })
 			}
 	for (const index of state.lateReplies.keys())
@@ -110,7 +114,7 @@
 	mutant: MapMutant,
 ): boolean {
 	const own = state.ranks[rank]!
-	const isAllowed = mutant === 'gate' ? own.joined : mayBegin(own)
+	const isAllowed = mutant === 'gate' ? own.joined : mayBeginStep(own)
 	if (!isAllowed) return false
 	return state.ranks.every(
 		other =>
@@ -131,7 +135,7 @@
 			return start(state, event.coordinator, bounds)
 		case 'timeout': {
 			const next = { ...state, timeouts: state.timeouts + 1 }
-			return runCoordinator(next, event.coordinator, repeatRound)
+			return runCoordinator(next, event.coordinator, handleRoundTimeout)
 		}
 		case 'deliver':
 			return deliver(state, event, mutant)
@@ -149,7 +153,7 @@
 		case 'restart': {
 			const ranks = [...state.ranks]
 			const { incarnation } = ranks[event.rank]!
-			ranks[event.rank] = restartRank(incarnation + 1)
+			ranks[event.rank] = createRestartedRank(incarnation + 1)
 			return { ...state, ranks, restarts: state.restarts + 1 }
 		}
 		default:
@@ -168,14 +172,14 @@
 	const next = { ...state, rounds }
 	return runCoordinator(next, coordinator, held => {
 		const fence = nextFence(held, coordinator, bounds.coordinators)
-		return startRound(held, fence, wanted, 1)
+		return startMapRound(held, fence, wanted, 1)
 	})
 }
 
 function runCoordinator(
 	state: MapModelState,
 	coordinator: number,
-	change: (held: CoordinatorState) => RankOrder[],
+	change: (held: MapCoordinatorState) => AddressedRequest[],
 ): MapModelState {
 	const held = fromJson(state.coordinators[coordinator]!)
 	const orders = change(held)
@@ -199,7 +203,7 @@
 	const rank = { ...ranks[message.to]! }
 	ranks[message.to] = rank
 	if (mutant === 'fence') rank.fence = Math.min(rank.fence, message.req.fence)
-	const reply = takeRankRequest(rank, message.req)
+	const reply = handleRankRequest(rank, message.req)
 	const messages = event.again
 		? state.messages
 		: state.messages.filter(one => one !== event.message)
@@ -207,7 +211,7 @@
 		...state,
 		ranks,
 		messages,
-		doubles: state.doubles + (event.again ? 1 : 0),
+		doubles: state.duplicates + (event.again ? 1 : 0),
 		losses: state.losses + (event.replyFate === 'lost' ? 1 : 0),
 		late: state.late + (event.replyFate === 'late' ? 1 : 0),
 	}
@@ -222,19 +226,19 @@
 }
 
 function applyReply(
-	held: CoordinatorState,
+	held: MapCoordinatorState,
 	rank: number,
 	reply: RankReply,
 	mutant: MapMutant,
-): RankOrder[] {
-	const orders = takeRankReply(held, rank, reply)
+): AddressedRequest[] {
+	const orders = handleRankReply(held, rank, reply)
 	const firstPromise = held.phase === 'preparing' && reply.type === 'promised'
 	if (mutant !== 'nOfN' || !firstPromise) return orders
 	// The mutant counts the first promise as the promises of all ranks.
 	const missing = [...held.open][0]!
 	held.open.clear()
 	held.open.add(missing)
-	return takeRankReply(held, missing, reply)
+	return handleRankReply(held, missing, reply)
 }
 
 function begin(state: MapModelState, at: number): MapModelState {
@@ -273,13 +277,13 @@
 export function recovers(state: MapModelState, bounds: MapBounds): boolean {
 	const ranks = state.ranks.map(rank => ({ ...rank }))
 	const ids = bounds.coordinators + 1
-	const coordinator = createCoordinator(bounds.ranks, FIRST_MAP)
+	const coordinator = createMapCoordinator(bounds.ranks, FIRST_MAP)
 	coordinator.highest = Math.max(...ranks.map(rank => rank.fence)) + 1
 	const fence = nextFence(coordinator, bounds.coordinators, ids)
-	const queue = startRound(coordinator, fence, undefined, 1)
+	const queue = startMapRound(coordinator, fence, undefined, 1)
 	for (let order = queue.shift(); order; order = queue.shift()) {
-		const reply = takeRankRequest(ranks[order.rank]!, order.req)
-		queue.push(...takeRankReply(coordinator, order.rank, reply))
+		const reply = handleRankRequest(ranks[order.rank]!, order.req)
+		queue.push(...handleRankReply(coordinator, order.rank, reply))
 	}
 	const [first] = ranks
 	return ranks.every(
@@ -293,11 +297,11 @@
 	return [...list, item].sort()
 }
 
-function toJson(state: CoordinatorState): CoordinatorJson {
+function toJson(state: MapCoordinatorState): CoordinatorJson {
 	return { ...state, learned: [...state.learned], open: [...state.open].sort() }
 }
 
-function fromJson(json: CoordinatorJson): CoordinatorState {
+function fromJson(json: CoordinatorJson): MapCoordinatorState {
 	// JSON text would turn undefined into null, but the model converts states to text
 	// only for their keys and never reads them back.
 	return { ...json, learned: [...json.learned], open: new Set(json.open) }
--- a/packages/core/test/models/mapModelState.ts
+++ b/packages/core/test/models/mapModelState.ts
@@ -1,7 +1,7 @@
 /** States, events, mutants and bounds of the model of the map protocol. */
 
 import type {
-	CoordinatorState,
+	MapCoordinatorState,
 	RankReply,
 	RankRequest,
 	RankState,
@@ -20,7 +20,7 @@
 	/** Number of time-outs of coordinators. */
 	readonly timeouts: number
 	/** Number of requests delivered more than once. */
-	readonly doubles: number
+	readonly duplicates: number
 	/** Number of lost replies. */
 	readonly losses: number
 	/** Number of replies delivered at any later time, out of order. */
@@ -50,7 +50,7 @@
 	readonly coordinators: CoordinatorJson[]
 	/** Messages in flight, as JSON; a message may never be delivered. */
 	readonly messages: string[]
-	readonly doubles: number
+	readonly duplicates: number
 	readonly losses: number
 	readonly late: number
 	readonly lateReplies: LateReply[]
@@ -73,7 +73,7 @@
 }
 
 /** JSON-compatible state of a coordinator. */
-export type CoordinatorJson = Omit<CoordinatorState, 'open'> & {
+export type CoordinatorJson = Omit<MapCoordinatorState, 'open'> & {
 	readonly open: number[]
 }
 
--- a/packages/core/test/rebalance.test.ts
+++ b/packages/core/test/rebalance.test.ts
@@ -2,26 +2,26 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { RebalanceTerms } from '../src/index.ts'
+import type { RebalanceParameters } from '../src/index.ts'
 import {
-	createEstimate,
+	computeRankLoads,
+	computeSkew,
+	createExpertEstimate,
 	createLayer,
+	createLayerFromRanks,
 	createRandom,
-	expectedHorizon,
+	expectedHorizonMs,
 	expectedShares,
-	layerFrom,
-	listByRank,
-	loadsOf,
+	listExpertsByRank,
 	observeTokens,
 	planLayer,
-	skewOf,
 } from '../src/index.ts'
 
 const RANKS = 8
 const EXPERTS = 32
 const WINDOW_MS = 60_000
 
-const TERMS: RebalanceTerms = {
+const TERMS: RebalanceParameters = {
 	skewWeight: 1,
 	moveWeight: 1,
 	horizonMs: 600_000,
@@ -39,7 +39,7 @@
 
 const PLANS: {
 	name: string
-	terms: Partial<RebalanceTerms>
+	terms: Partial<RebalanceParameters>
 	spare: number
 	/** Bounds of the skew after the plan. */
 	skew: [number, number]
@@ -80,7 +80,7 @@
 		const share = zipf(1)
 		const layer = createLayer(RANKS, EXPERTS, spare)
 		const plan = planLayer(layer, share, 0, { ...TERMS, ...terms })
-		const after = skewOf(loadsOf(plan.placement, share, 0))
+		const after = computeSkew(computeRankLoads(plan.placement, share, 0))
 		assert.ok(after >= skew[0] && after <= skew[1], `skew ${after}`)
 		const count = plan.loads.length
 		assert.ok(count >= loads[0] && count <= loads[1], `${count} loads`)
@@ -110,8 +110,8 @@
 
 test('placement: conversion from and to experts by rank', () => {
 	const byRank = [[0, 1], [2, 3, 0], [1]]
-	const layer = layerFrom(byRank, 4, 2)
-	assert.equal(listByRank(layer), byRank)
+	const layer = createLayerFromRanks(byRank, 4, 2)
+	assert.equal(listExpertsByRank(layer), byRank)
 	assert.equal([...layer.copies], [2, 2, 1, 1])
 })
 
@@ -137,7 +137,7 @@
 for (const { name, pick, horizon } of POPULARITIES)
 	test(`estimate: ${name} selects a long half-life`, () => {
 		const random = createRandom(3)
-		const estimate = createEstimate(1, EXPERTS, WINDOW_MS)
+		const estimate = createExpertEstimate(1, EXPERTS, WINDOW_MS)
 		const popularities = [zipf(1), zipf(1).reverse()]
 		for (let window = 0; window < 60; window++) {
 			const share = popularities[pick(window)]!
@@ -147,7 +147,7 @@
 				noisy.map(part => part * 1e6),
 			)
 		}
-		const horizonMs = expectedHorizon(estimate)
+		const horizonMs = expectedHorizonMs(estimate)
 		assert.ok(
 			horizonMs >= horizon[0] && horizonMs <= horizon[1],
 			`horizon ${horizonMs} ms`,
@@ -155,7 +155,7 @@
 	})
 
 test('estimate: an abrupt change is followed within a few windows', () => {
-	const estimate = createEstimate(1, EXPERTS, WINDOW_MS)
+	const estimate = createExpertEstimate(1, EXPERTS, WINDOW_MS)
 	const [oldShares, newShares] = [zipf(1), zipf(1).reverse()]
 	for (let n = 0; n < 30; n++) observeTokens(estimate, oldShares)
 	for (let n = 0; n < 8; n++) observeTokens(estimate, newShares)
