--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -15,7 +15,7 @@
 	readonly off: string
 }
 
-const NEED = 'packages/core/src/core/mapNeed.ts'
+const NEED = 'packages/core/src/core/groupPolicy.ts'
 const QUARANTINE = 'packages/core/src/core/quarantine.ts'
 const DISPATCH = 'packages/core/src/core/dispatch.ts'
 const DEMAND = 'packages/groups/src/demand.ts'
@@ -139,7 +139,7 @@
 	},
 	{
 		name: 'closures',
-		file: 'packages/core/src/core/closure.ts',
+		file: 'packages/core/src/core/groupClosure.ts',
 		on: '	backoffs.set(group, { since, until: now + tryMs, tryMs })',
 		off: '	backoffs.set(group, { since, until: since, tryMs })\n	backoffs.delete(group)',
 	},
