--- a/packages/core/src/core/groupClosure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -5,14 +5,14 @@
  */
 
 /** Interval between probes of a refusing group, ms; re-forming takes some 600 ms. */
-export const GROUP_RETRY_MS = 100
+export const GROUP_PROBE_INTERVAL_MS = 100
 
 /**
  * Interval between probes after a coordinator has reported the group broken, ms. The
  * coordinator also reports when the group runs again, and the probes of all entries
  * use up the retry budget.
  */
-export const BROKEN_GROUP_RETRY_MS = 500
+export const BROKEN_GROUP_PROBE_INTERVAL_MS = 500
 
 /** Backoff state of a group that refuses requests. */
 export interface GroupClosure {
@@ -35,7 +35,7 @@
 ): void {
 	const current = backoffs.get(group)
 	const since = current?.since ?? now
-	const tryMs = current?.tryMs ?? GROUP_RETRY_MS
+	const tryMs = current?.tryMs ?? GROUP_PROBE_INTERVAL_MS
 	backoffs.set(group, { since, until: now + tryMs, tryMs })
 }
 
@@ -48,8 +48,8 @@
 	const since = backoffs.get(group)?.since ?? now
 	backoffs.set(group, {
 		since,
-		until: now + BROKEN_GROUP_RETRY_MS,
-		tryMs: BROKEN_GROUP_RETRY_MS,
+		until: now + BROKEN_GROUP_PROBE_INTERVAL_MS,
+		tryMs: BROKEN_GROUP_PROBE_INTERVAL_MS,
 	})
 }
 
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -44,7 +44,7 @@
 export interface PassSample extends PassConditions {
 	readonly passMs: number
 	/** Mean number of requests that each rank held. */
-	readonly held: number
+	readonly inFlight: number
 }
 
 /** State of a least-squares fit with exponential forgetting. */
@@ -90,7 +90,7 @@
 export function addPassSample(
 	fitter: PassFitter,
 	cost: PassCost,
-	{ passMs, held, factor, copying }: PassSample,
+	{ passMs, inFlight: held, factor, copying }: PassSample,
 ): void {
 	const { stepMs, perRequestMs, stepsPerPass } = cost
 	const stretchedMs = stepMs + held * perRequestMs * factor
