--- a/packages/core/src/core/dispatchRate.ts
+++ b/packages/core/src/core/dispatchRate.ts
@@ -32,10 +32,10 @@
 
 /** Returns the smoothed interval, or the time since the last dispatch if longer, ms. */
 export function currentIntervalMs(
-	{ lastAt, intervalMs: gapMs }: DispatchRate,
+	{ lastAt, intervalMs }: DispatchRate,
 	now: number,
 ): number {
-	return Math.max(gapMs, Math.min(now - lastAt, MAX_INTERVAL_MS))
+	return Math.max(intervalMs, Math.min(now - lastAt, MAX_INTERVAL_MS))
 }
 
 /** Returns the predicted waiting time of a request with `ahead` others before it, ms. */
--- a/packages/core/src/core/groupClosure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -1,10 +1,10 @@
 /**
- * Backoff for lock-step groups that refuse requests. While a group re-forms, all
- * of its ranks refuse at once. To avoid a storm of retries, single probe requests
- * find out whether the group accepts requests again.
+ * Closed lock-step groups, which refuse requests at all ranks, as they do while they
+ * re-form. To avoid a storm of retries, single probe requests find out whether a group
+ * accepts requests again.
  */
 
-/** Interval between probes of a refusing group, ms; re-forming takes some 600 ms. */
+/** Interval between probes of a closed group, ms; re-forming takes some 600 ms. */
 export const GROUP_PROBE_INTERVAL_MS = 100
 
 /**
@@ -14,7 +14,7 @@
  */
 export const BROKEN_GROUP_PROBE_INTERVAL_MS = 500
 
-/** Backoff state of a group that refuses requests. */
+/** State of a closed group. */
 export interface GroupClosure {
 	/** Time of the first refusal, ms. */
 	readonly since: number
@@ -24,29 +24,29 @@
 	tryMs: number
 }
 
-/** Backoff of each refusing group, by group name. */
+/** Closed groups, by name. */
 export type GroupClosures = Map<string, GroupClosure>
 
 /** Records that a rank refused a request on behalf of its whole group. */
 export function recordGroupRefused(
-	backoffs: GroupClosures,
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): void {
-	const current = backoffs.get(group)
+	const current = closures.get(group)
 	const since = current?.since ?? now
 	const tryMs = current?.tryMs ?? GROUP_PROBE_INTERVAL_MS
-	backoffs.set(group, { since, until: now + tryMs, tryMs })
+	closures.set(group, { since, until: now + tryMs, tryMs })
 }
 
 /** Records that a group's coordinator reported it broken. */
 export function recordGroupReportedBroken(
-	backoffs: GroupClosures,
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): void {
-	const since = backoffs.get(group)?.since ?? now
-	backoffs.set(group, {
+	const since = closures.get(group)?.since ?? now
+	closures.set(group, {
 		since,
 		until: now + BROKEN_GROUP_PROBE_INTERVAL_MS,
 		tryMs: BROKEN_GROUP_PROBE_INTERVAL_MS,
@@ -54,38 +54,38 @@
 }
 
 /**
- * Ends the backoff after a rank of the group has accepted a request. Returns whether
- * the group was backing off.
+ * Records that a rank of the group accepted a request. Returns whether the group was
+ * closed.
  */
 export function clearGroupClosure(
-	backoffs: GroupClosures,
+	closures: GroupClosures,
 	group: string,
 ): boolean {
-	return backoffs.delete(group)
+	return closures.delete(group)
 }
 
-/** Whether a group is backing off and no probe of it is due. */
+/** Whether a group is closed and no probe of it is due. */
 export function isGroupClosed(
-	backoffs: GroupClosures,
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): boolean {
-	const backoff = backoffs.get(group)
-	return backoff !== undefined && now < backoff.until
+	const closure = closures.get(group)
+	return closure !== undefined && now < closure.until
 }
 
 /**
- * Whether a request may be sent now. During backoff, `true` makes the request a probe:
- * the next one is allowed after the probe's answer or the probe interval.
+ * Whether a request may be sent now. If the group is closed, `true` makes the request a
+ * probe: the next one is allowed after the probe's answer or the probe interval.
  */
 export function tryEnterGroup(
-	backoffs: GroupClosures,
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): boolean {
-	const backoff = backoffs.get(group)
-	if (!backoff) return true
-	if (now < backoff.until) return false
-	backoff.until = now + backoff.tryMs
+	const closure = closures.get(group)
+	if (!closure) return true
+	if (now < closure.until) return false
+	closure.until = now + closure.tryMs
 	return true
 }
--- a/packages/core/src/core/groupPlan.ts
+++ b/packages/core/src/core/groupPlan.ts
@@ -29,16 +29,16 @@
 /**
  * Plans one set with as few copies as possible, until the load of the most loaded
  * rank is at most `target` times the mean. `share` holds each expert's share of the
- * demand, `paces` the slowdown of each rank (1 is the usual speed).
+ * demand, `slowdowns` the slowdown of each rank (1 is the usual speed).
  */
 export function planSet(
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: ExpertLayout,
-	paces: readonly number[] = [],
+	slowdowns: readonly number[] = [],
 	target = 1,
 ): SetPlan {
-	const search = createSearch(placement, share, layout, paces)
+	const search = createSearch(placement, share, layout, slowdowns)
 	const before = maxOf(search.loads)
 	const maxSteps = search.ranks * STEPS_PER_RANK
 	for (let step = 0; step < maxSteps; step++) {
@@ -64,7 +64,7 @@
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: Pick<ExpertLayout, 'experts'>,
-	paces: readonly number[] = [],
+	slowdowns: readonly number[] = [],
 ): number {
 	const copies = new Int16Array(layout.experts)
 	for (const own of placement) for (const expert of own) copies[expert]!++
@@ -72,7 +72,7 @@
 	for (const [rank, own] of placement.entries()) {
 		let load = 0
 		for (const expert of own) load += share[expert]! / copies[expert]!
-		maxLoad = Math.max(maxLoad, load * (paces[rank] ?? 1))
+		maxLoad = Math.max(maxLoad, load * (slowdowns[rank] ?? 1))
 	}
 	return maxLoad * placement.length
 }
--- a/packages/core/src/core/groupPolicy.ts
+++ b/packages/core/src/core/groupPolicy.ts
@@ -1,7 +1,7 @@
 /**
  * Policies that keep the pauses of a lock-step group's streams within their limit: when
  * a change of the expert map is worth its copying, and how many requests the group may
- * hold at once.
+ * have in flight.
  */
 
 import type { PassCost, PassFit } from '../internal.ts'
@@ -29,10 +29,10 @@
  */
 const KEPT_MAP_SHARE = 0.65
 /** Share of an engine's slots that requests may always occupy. */
-const MIN_HELD_SHARE = 0.5
+const MIN_IN_FLIGHT_SHARE = 0.5
 /** Share of the longest allowed pause beyond which a slow rank cannot meet the limit. */
 const SLOW_RANK_SHARE = 0.85
-/** Demand shifts expected within this time lower the limit on held requests, ms. */
+/** Demand shifts expected within this time lower the limit on requests in flight, ms. */
 const FREQUENT_SHIFT_MS = 6_000
 
 /** Limits of a group. */
@@ -43,7 +43,7 @@
 	readonly slots: number
 }
 
-/** Conditions that determine how many requests a group may hold. */
+/** Conditions that determine how many requests a group may have in flight. */
 export interface LoadConditions {
 	/** Present time of a pass relative to a balanced one. */
 	readonly factor: number
@@ -61,11 +61,11 @@
 }
 
 /**
- * Returns how many requests a rank may hold for streams to meet the pause limit;
- * undefined for no limit. Where demand shifts are frequent, the limit also has to hold
+ * Returns how many requests a rank may have in flight for streams to meet the pause
+ * limit; undefined for no limit. Where demand shifts are frequent, the limit also has to hold
  * right after a shift, or all streams in progress at that time would be late. Copying
  * is taken into account there only if it lasts longer than a pass: by calculation, 192
- * ranks that copy for 10 ms may hold 3 requests each instead of 2.25. In emulations the
+ * ranks that copy for 10 ms may have 3 requests each in flight instead of 2.25. In emulations the
  * limit raised the share of streams in time from 0.93 to 0.96 on days with low load, and
  * from 0.58 to 0.67 on days with 20 % more load.
  */
@@ -81,27 +81,27 @@
 			copying,
 		})
 	const allowsForShift = steadyMs < FREQUENT_SHIFT_MS && shiftedFactor > factor
-	const held = Math.min(
+	const limit = Math.min(
 		within(PASS_PAUSE_SHARE, factor, true),
 		allowsForShift
 			? within(SHIFT_PAUSE_SHARE, shiftedFactor, copiesLong)
 			: slots,
 	)
-	if (held >= slots) return undefined
-	return Math.max(slots * MIN_HELD_SHARE, held)
+	if (limit >= slots) return undefined
+	return Math.max(slots * MIN_IN_FLIGHT_SHARE, limit)
 }
 
 /**
  * Whether a rank is so slow that its own steps exceed the pause limit. No limit on the
- * held requests makes streams meet it then, and a late stream is worth more than a
- * refused one.
+ * requests in flight makes streams meet it then, and a late stream is worth more than
+ * a refused one.
  */
 export function isRankTooSlow(
 	{ maxPauseMs }: GroupLimits,
 	{ stepMs, stepsPerPass }: PassCost,
-	slowestPace: number,
+	maxSlowdown: number,
 ): boolean {
-	const ownStepsMs = stepsPerPass * stepMs * slowestPace * COPYING_FACTOR
+	const ownStepsMs = stepsPerPass * stepMs * maxSlowdown * COPYING_FACTOR
 	return maxPauseMs > 0 && ownStepsMs > SLOW_RANK_SHARE * maxPauseMs
 }
 
@@ -112,7 +112,7 @@
  * on an emulated day of 16 ranks with low load, for no more streams in time.
  */
 export function isMapNeeded(
-	held: number,
+	inFlight: number,
 	{
 		factor,
 		shiftedFactor,
@@ -123,7 +123,7 @@
 ): boolean {
 	if (maxPauseMs <= 0) return true
 	const worstFactor = Math.max(factor, shiftedFactor)
-	const passMs = predictPassMs(cost, fit, held, {
+	const passMs = predictPassMs(cost, fit, inFlight, {
 		factor: worstFactor,
 		copying: true,
 	})
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -46,14 +46,14 @@
 	map: readonly SetPlacement[],
 	shares: readonly Float64Array[],
 	layout: ExpertLayout,
-	paces: readonly number[],
+	slowdowns: readonly number[],
 	target: number,
 ): GroupSearch {
 	const ranks = map[0]!.length
 	const budget = createBudget(ranks, 0)
 	return {
 		sets: map.map((placement, set) =>
-			createSearch(placement, shares[set]!, layout, paces, budget),
+			createSearch(placement, shares[set]!, layout, slowdowns, budget),
 		),
 		budget,
 		best: map.map(() => 'unknown'),
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -23,7 +23,7 @@
 /** Creates an idle coordinator. */
 export function createMapCoordinator(
 	size: number,
-	firstMap: string,
+	initialMapId: string,
 ): MapCoordinatorState {
 	return {
 		size,
@@ -31,7 +31,7 @@
 		fence: 0,
 		targetMapId: undefined,
 		lead: 1,
-		initialMapId: firstMap,
+		initialMapId,
 		learned: new Array(size).fill(undefined),
 		open: new Set(),
 		change: undefined,
@@ -58,12 +58,12 @@
 export function startMapRound(
 	state: MapCoordinatorState,
 	fence: number,
-	wanted: string | undefined,
+	targetMapId: string | undefined,
 	lead: number,
 ): AddressedRequest[] {
 	state.phase = 'learning'
 	state.fence = fence
-	state.targetMapId = wanted
+	state.targetMapId = targetMapId
 	state.lead = lead
 	state.change = undefined
 	state.learned.fill(undefined)
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -1,6 +1,6 @@
 /**
  * Predicts how long a pass of a lock-step group takes, and how many requests the group
- * may hold for its passes to stay within a limit. The published figures do not state how
+ * may have in flight for its passes to stay within a limit. The published figures do not state how
  * much of a pass is stretched by imbalance, nor what overhead there is; both are fitted
  * to observed passes.
  */
@@ -43,7 +43,7 @@
 /** Mean of observed passes that ran under the same conditions. */
 export interface PassSample extends PassConditions {
 	readonly passMs: number
-	/** Mean number of requests that each rank held. */
+	/** Mean number of requests in flight per rank. */
 	readonly inFlight: number
 }
 
@@ -90,10 +90,10 @@
 export function addPassSample(
 	fitter: PassFitter,
 	cost: PassCost,
-	{ passMs, inFlight: held, factor, copying }: PassSample,
+	{ passMs, inFlight, factor, copying }: PassSample,
 ): void {
 	const { stepMs, perRequestMs, stepsPerPass } = cost
-	const stretchedMs = stepMs + held * perRequestMs * factor
+	const stretchedMs = stepMs + inFlight * perRequestMs * factor
 	const x = (stepMs * (factor - 1)) / stretchedMs
 	const y = passMs / (stepsPerPass * stretchedMs * copyingFactor(copying))
 	fitter.count = fitter.count * SAMPLE_DECAY + 1
@@ -117,21 +117,21 @@
 	return Math.min(max, Math.max(min, value))
 }
 
-/** Returns the predicted time of a pass in which each rank holds `held` requests, ms. */
+/** Returns the predicted time of a pass with `inFlight` requests on each rank, ms. */
 export function predictPassMs(
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
 	{ base, stepSkew }: PassFit,
-	held: number,
+	inFlight: number,
 	{ factor, copying }: PassConditions,
 ): number {
 	const step = stepMs * (1 + stepSkew * (factor - 1))
-	const requests = held * perRequestMs * factor
+	const requests = inFlight * perRequestMs * factor
 	return base * stepsPerPass * (step + requests) * copyingFactor(copying)
 }
 
 /**
- * Returns how many requests each rank may hold, not rounded, for passes to take at most
- * `passMs`; negative if even empty ranks take longer.
+ * Returns how many requests each rank may have in flight, not rounded, for passes to
+ * take at most `passMs`; negative if even empty ranks take longer.
  */
 export function maxInFlightWithin(
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
--- a/packages/core/src/core/placement.ts
+++ b/packages/core/src/core/placement.ts
@@ -13,7 +13,7 @@
 	readonly experts: number
 	/** Number of slots per rank. */
 	readonly slotsPerRank: number
-	/** Expert or {@link EMPTY_SLOT} at index `rank * width + slot`. */
+	/** Expert or {@link EMPTY_SLOT} at index `rank * slotsPerRank + slot`. */
 	readonly slots: Int16Array
 	/** Number of ranks that hold each expert. */
 	readonly copies: Uint16Array
@@ -26,14 +26,14 @@
 	spare: number,
 ): LayerPlacement {
 	const blockSize = Math.ceil(experts / ranks)
-	const width = blockSize + spare
-	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
+	const slotsPerRank = blockSize + spare
+	const slots = new Int16Array(ranks * slotsPerRank).fill(EMPTY_SLOT)
 	for (let expert = 0; expert < experts; expert++) {
 		const rank = Math.floor(expert / blockSize)
-		slots[rank * width + (expert % blockSize)] = expert
+		slots[rank * slotsPerRank + (expert % blockSize)] = expert
 	}
 	const copies = new Uint16Array(experts).fill(1)
-	return { ranks, experts, slotsPerRank: width, slots, copies }
+	return { ranks, experts, slotsPerRank, slots, copies }
 }
 
 /** Creates a layer from the experts of each rank. */
@@ -43,22 +43,22 @@
 	spare: number,
 ): LayerPlacement {
 	const ranks = byRank.length
-	const width = Math.ceil(experts / ranks) + spare
-	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
+	const slotsPerRank = Math.ceil(experts / ranks) + spare
+	const slots = new Int16Array(ranks * slotsPerRank).fill(EMPTY_SLOT)
 	const copies = new Uint16Array(experts)
 	for (const [rank, own] of byRank.entries())
 		for (const [slot, expert] of own.entries()) {
-			slots[rank * width + slot] = expert
+			slots[rank * slotsPerRank + slot] = expert
 			copies[expert]!++
 		}
-	return { ranks, experts, slotsPerRank: width, slots, copies }
+	return { ranks, experts, slotsPerRank, slots, copies }
 }
 
 /** Lists the experts of each rank. */
 export function listExpertsByRank(layer: LayerPlacement): number[][] {
-	const { ranks, slotsPerRank: width, slots } = layer
+	const { ranks, slotsPerRank, slots } = layer
 	return Array.from({ length: ranks }, (_, rank) =>
-		[...slots.subarray(rank * width, (rank + 1) * width)].filter(
+		[...slots.subarray(rank * slotsPerRank, (rank + 1) * slotsPerRank)].filter(
 			expert => expert !== EMPTY_SLOT,
 		),
 	)
@@ -79,8 +79,8 @@
 	rank: number,
 	expert: number,
 ): boolean {
-	const { slotsPerRank: width, slots } = layer
-	for (let at = rank * width; at < (rank + 1) * width; at++)
+	const { slotsPerRank, slots } = layer
+	for (let at = rank * slotsPerRank; at < (rank + 1) * slotsPerRank; at++)
 		if (slots[at] === expert) return true
 	return false
 }
@@ -103,10 +103,10 @@
 	share: Float64Array,
 	offset: number,
 ): Float64Array {
-	const { ranks, slotsPerRank: width, slots, copies } = layer
+	const { ranks, slotsPerRank, slots, copies } = layer
 	const loads = new Float64Array(ranks)
 	for (let rank = 0; rank < ranks; rank++)
-		for (let at = rank * width; at < (rank + 1) * width; at++) {
+		for (let at = rank * slotsPerRank; at < (rank + 1) * slotsPerRank; at++) {
 			const expert = slots[at]!
 			if (expert === EMPTY_SLOT) continue
 			loads[rank]! += share[offset + expert]! / copies[expert]!
--- a/packages/core/src/core/placementSearch.ts
+++ b/packages/core/src/core/placementSearch.ts
@@ -17,8 +17,8 @@
 }
 
 /** Creates an unused budget. */
-export function createBudget(ranks: number, most: number): CopyBudget {
-	return { maxPerRank: most, usedByRank: new Int16Array(ranks) }
+export function createBudget(ranks: number, maxPerRank: number): CopyBudget {
+	return { maxPerRank, usedByRank: new Int16Array(ranks) }
 }
 
 /** State of a search for a better placement of one set. */
@@ -50,7 +50,7 @@
 	readonly loadScale: Float64Array
 	/** Change of each rank's load by the candidate under evaluation. */
 	readonly loadDeltas: Float64Array
-	/** Ranks with an entry in `added`; only the first `touched` elements are valid. */
+	/** Ranks with an entry in `loadDeltas`; only the first `changedCount` elements are valid. */
 	readonly changedRanks: Int16Array
 	changedCount: number
 }
@@ -60,7 +60,7 @@
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: ExpertLayout,
-	paces: readonly number[],
+	slowdowns: readonly number[],
 	budget = createBudget(placement.length, Number.POSITIVE_INFINITY),
 ): PlacementSearch {
 	const ranks = placement.length
@@ -79,7 +79,7 @@
 		newCopies: new Int16Array(ranks),
 		loads: new Float64Array(ranks),
 		loadScale: new Float64Array(ranks).map(
-			(_, rank) => ranks * (paces[rank] ?? 1),
+			(_, rank) => ranks * (slowdowns[rank] ?? 1),
 		),
 		loadDeltas: new Float64Array(ranks),
 		// A change affects at most its ranks and all holders of two experts.
@@ -100,13 +100,13 @@
 
 /** Recomputes the load of a rank. */
 export function refreshLoad(search: PlacementSearch, rank: number): void {
-	const { places, slots, share, copies, loads, loadScale: slowness } = search
+	const { places, slots, share, copies, loads, loadScale } = search
 	let load = 0
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const expert = slots[at]!
 		if (expert !== FREE_PLACE) load += share[expert]! / copies[expert]!
 	}
-	loads[rank] = load * slowness[rank]!
+	loads[rank] = load * loadScale[rank]!
 }
 
 /** Whether a rank holds an expert. */
@@ -134,8 +134,10 @@
 	expert: number,
 ): boolean {
 	if (!isNew(search, rank, expert)) return true
-	const { newCopies: fresh, maxNew, budget } = search
-	return fresh[rank]! < maxNew && budget.usedByRank[rank]! < budget.maxPerRank
+	const { newCopies, maxNew, budget } = search
+	return (
+		newCopies[rank]! < maxNew && budget.usedByRank[rank]! < budget.maxPerRank
+	)
 }
 
 /** Sets the expert of a place; {@link FREE_PLACE} empties it. */
@@ -144,18 +146,18 @@
 	at: number,
 	expert: number,
 ): void {
-	const { slots, hasNow: has, copies, holders, places, share } = search
+	const { slots, hasNow, copies, holders, places, share } = search
 	const rank = Math.floor(at / places)
 	const previous = slots[at]!
 	if (previous !== FREE_PLACE) {
-		has[rank * share.length + previous] = 0
+		hasNow[rank * share.length + previous] = 0
 		copies[previous]!--
 		holders[previous] = holders[previous]!.filter(holder => holder !== rank)
 		if (isNew(search, rank, previous)) countNew(search, rank, -1)
 	}
 	slots[at] = expert
 	if (expert === FREE_PLACE) return
-	has[rank * share.length + expert] = 1
+	hasNow[rank * share.length + expert] = 1
 	copies[expert]!++
 	holders[expert]!.push(rank)
 	if (isNew(search, rank, expert)) countNew(search, rank, 1)
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -172,7 +172,7 @@
 	expert: number,
 	backAt: number,
 ): number {
-	const { loads, loadDeltas: added, changedRanks: touchedRanks } = search
+	const { loads, loadDeltas, changedRanks } = search
 	if (backAt < 0) {
 		addRemoval(search, at)
 		addCopy(search, at, expert)
@@ -183,10 +183,11 @@
 	}
 	let gain = 0
 	for (let index = 0; index < search.changedCount; index++) {
-		const rank = touchedRanks[index]!
+		const rank = changedRanks[index]!
 		const load = loads[rank]!
-		gain += eighthPower(load) - eighthPower(Math.max(0, load + added[rank]!))
-		added[rank] = 0
+		gain +=
+			eighthPower(load) - eighthPower(Math.max(0, load + loadDeltas[rank]!))
+		loadDeltas[rank] = 0
 	}
 	search.changedCount = 0
 	return gain
@@ -194,22 +195,22 @@
 
 /** Adds the load changes of removing a place's expert; its other holders take over. */
 function addRemoval(search: PlacementSearch, at: number): void {
-	const { places, slots, share, copies, loadScale: slowness } = search
+	const { places, slots, share, copies, loadScale } = search
 	const expert = slots[at]!
 	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
-	addDelta(search, rank, (-share[expert]! / count) * slowness[rank]!)
+	addDelta(search, rank, (-share[expert]! / count) * loadScale[rank]!)
 	addOtherHolders(search, expert, rank, count, count - 1)
 }
 
 /** Adds the load changes of a new copy at a place, also for the expert's other holders. */
 function addCopy(search: PlacementSearch, at: number, expert: number): void {
-	const { places, share, copies, loadScale: slowness } = search
+	const { places, share, copies, loadScale } = search
 	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
-	addDelta(search, rank, (share[expert]! / (count + 1)) * slowness[rank]!)
+	addDelta(search, rank, (share[expert]! / (count + 1)) * loadScale[rank]!)
 	addOtherHolders(search, expert, rank, count, count + 1)
 }
 
@@ -219,11 +220,11 @@
 	at: number,
 	expert: number,
 ): void {
-	const { places, slots, share, copies, loadScale: slowness } = search
+	const { places, slots, share, copies, loadScale } = search
 	const old = slots[at]!
 	const rank = Math.floor(at / places)
 	const change = share[expert]! / copies[expert]! - share[old]! / copies[old]!
-	addDelta(search, rank, change * slowness[rank]!)
+	addDelta(search, rank, change * loadScale[rank]!)
 }
 
 /** Returns the eighth power; a sum of these is dominated by the most loaded ranks. */
@@ -234,11 +235,11 @@
 }
 
 function addDelta(search: PlacementSearch, rank: number, change: number): void {
-	const { loadDeltas: added, changedRanks: touchedRanks } = search
+	const { loadDeltas, changedRanks } = search
 	// A rank whose sum returned to zero is listed twice, which is harmless: its second
 	// entry adds nothing.
-	if (added[rank] === 0) touchedRanks[search.changedCount++] = rank
-	added[rank]! += change
+	if (loadDeltas[rank] === 0) changedRanks[search.changedCount++] = rank
+	loadDeltas[rank]! += change
 }
 
 /** Adds the load changes of the holders other than `rank` when the copy count changes. */
@@ -250,10 +251,10 @@
 	after: number,
 ): void {
 	if (after <= 0 || before <= 0) return
-	const { holders, share, loadScale: slowness } = search
+	const { holders, share, loadScale } = search
 	const change = share[expert]! * (1 / after - 1 / before)
 	for (const other of holders[expert]!)
-		if (other !== rank) addDelta(search, other, change * slowness[other]!)
+		if (other !== rank) addDelta(search, other, change * loadScale[other]!)
 }
 
 /** Applies a change to the placement and updates the loads. */
--- a/packages/core/src/core/rebalanceStep.ts
+++ b/packages/core/src/core/rebalanceStep.ts
@@ -141,13 +141,13 @@
 	deltas: Map<number, number>,
 ): void {
 	const loadPerCopy = (sign * share) / candidate.copies[expert]!
-	const { slots, slotsPerRank: width } = candidate
+	const { slots, slotsPerRank } = candidate
 	for (
 		let at = slots.indexOf(expert);
 		at >= 0;
 		at = slots.indexOf(expert, at + 1)
 	) {
-		const rank = Math.floor(at / width)
+		const rank = Math.floor(at / slotsPerRank)
 		deltas.set(rank, (deltas.get(rank) ?? 0) + loadPerCopy)
 	}
 }
--- a/packages/core/test/groupPolicy.test.ts
+++ b/packages/core/test/groupPolicy.test.ts
@@ -1,4 +1,4 @@
-/** Limit on the requests that a lock-step group holds, and slow ranks. */
+/** Limit on the requests in flight at a rank of a lock-step group, and slow ranks. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -58,25 +58,36 @@
 ]
 
 for (const { name, expected, copiesLong = true, ...state } of LIMIT_CASES)
-	test(`held requests: ${name}`, () => {
+	test(`requests in flight: ${name}`, () => {
 		const limits = { maxPauseMs: 120, slots: 8 }
 		const cost = { stepMs: 4.55, perRequestMs: 1.3575, stepsPerPass: 4 }
 		const fit = { base: 1, stepSkew: 0.3 }
-		const held = maxInFlightPerRank({ ...state, copiesLong, fit }, limits, cost)
-		assert.is(held && Number(held.toFixed(2)), expected)
+		const inFlight = maxInFlightPerRank(
+			{ ...state, copiesLong, fit },
+			limits,
+			cost,
+		)
+		assert.is(inFlight && Number(inFlight.toFixed(2)), expected)
 	})
 
-const PACE_CASES: { pace: number; maxPauseMs: number; isTooSlow: boolean }[] = [
-	{ pace: 1, maxPauseMs: 120, isTooSlow: false },
-	{ pace: 3, maxPauseMs: 120, isTooSlow: false },
-	{ pace: 12, maxPauseMs: 120, isTooSlow: true },
-	{ pace: 12, maxPauseMs: 0, isTooSlow: false },
+const SLOWDOWN_CASES: {
+	slowdown: number
+	maxPauseMs: number
+	isTooSlow: boolean
+}[] = [
+	{ slowdown: 1, maxPauseMs: 120, isTooSlow: false },
+	{ slowdown: 3, maxPauseMs: 120, isTooSlow: false },
+	{ slowdown: 12, maxPauseMs: 120, isTooSlow: true },
+	{ slowdown: 12, maxPauseMs: 0, isTooSlow: false },
 ]
 
-for (const { pace, maxPauseMs, isTooSlow } of PACE_CASES)
-	test(`pace ${pace}, pause limit ${maxPauseMs} ms: a limit on held requests ${isTooSlow ? 'cannot help' : 'can help'}`, () => {
+for (const { slowdown, maxPauseMs, isTooSlow } of SLOWDOWN_CASES)
+	test(`slowdown ${slowdown}, pause limit ${maxPauseMs} ms: a limit on requests in flight ${isTooSlow ? 'cannot help' : 'can help'}`, () => {
 		const cost = { stepMs: 5.85, perRequestMs: 0.53, stepsPerPass: 5 }
-		assert.is(isRankTooSlow({ maxPauseMs, slots: 8 }, cost, pace), isTooSlow)
+		assert.is(
+			isRankTooSlow({ maxPauseMs, slots: 8 }, cost, slowdown),
+			isTooSlow,
+		)
 	})
 
 test.run()
--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -99,8 +99,8 @@
 			}
 	for (const index of state.lateReplies.keys())
 		events.push({ do: 'lateReply', index })
-	for (const [rank, held] of state.ranks.entries()) {
-		if (held.step < bounds.steps && canBegin(state, rank, mutant))
+	for (const [rank, rankState] of state.ranks.entries()) {
+		if (rankState.step < bounds.steps && canBegin(state, rank, mutant))
 			events.push({ do: 'begin', rank })
 		if (state.restarts < bounds.restarts) events.push({ do: 'restart', rank })
 	}
@@ -144,8 +144,8 @@
 			const lateReplies = state.lateReplies.filter(
 				(_, index) => index !== event.index,
 			)
-			return runCoordinator({ ...state, lateReplies }, at, held =>
-				applyReply(held, rank, reply, mutant),
+			return runCoordinator({ ...state, lateReplies }, at, coordinatorState =>
+				applyReply(coordinatorState, rank, reply, mutant),
 			)
 		}
 		case 'begin':
@@ -168,25 +168,25 @@
 ): MapModelState {
 	const rounds = [...state.rounds]
 	rounds[coordinator]!++
-	const wanted = `m${coordinator + 1}`
+	const targetMapId = `m${coordinator + 1}`
 	const next = { ...state, rounds }
-	return runCoordinator(next, coordinator, held => {
-		const fence = nextFence(held, coordinator, bounds.coordinators)
-		return startMapRound(held, fence, wanted, 1)
+	return runCoordinator(next, coordinator, coordinatorState => {
+		const fence = nextFence(coordinatorState, coordinator, bounds.coordinators)
+		return startMapRound(coordinatorState, fence, targetMapId, 1)
 	})
 }
 
 function runCoordinator(
 	state: MapModelState,
 	coordinator: number,
-	change: (held: MapCoordinatorState) => AddressedRequest[],
+	change: (coordinatorState: MapCoordinatorState) => AddressedRequest[],
 ): MapModelState {
-	const held = fromJson(state.coordinators[coordinator]!)
-	const orders = change(held)
+	const coordinatorState = fromJson(state.coordinators[coordinator]!)
+	const requests = change(coordinatorState)
 	const coordinators = [...state.coordinators]
-	coordinators[coordinator] = toJson(held)
+	coordinators[coordinator] = toJson(coordinatorState)
 	let messages = state.messages
-	for (const { rank, req } of orders) {
+	for (const { rank, req } of requests) {
 		const message: Message = { to: rank, from: coordinator, req }
 		messages = insertSorted(messages, JSON.stringify(message))
 	}
@@ -211,34 +211,35 @@
 		...state,
 		ranks,
 		messages,
-		doubles: state.duplicates + (event.again ? 1 : 0),
+		duplicates: state.duplicates + (event.again ? 1 : 0),
 		losses: state.losses + (event.replyFate === 'lost' ? 1 : 0),
 		late: state.late + (event.replyFate === 'late' ? 1 : 0),
 	}
 	if (event.replyFate === 'lost') return next
 	if (event.replyFate === 'late') {
-		const held: LateReply = { rank: message.to, at: message.from, reply }
-		return { ...next, lateReplies: [...state.lateReplies, held] }
+		const lateReply: LateReply = { rank: message.to, at: message.from, reply }
+		return { ...next, lateReplies: [...state.lateReplies, lateReply] }
 	}
-	return runCoordinator(next, message.from, held =>
-		applyReply(held, message.to, reply, mutant),
+	return runCoordinator(next, message.from, coordinatorState =>
+		applyReply(coordinatorState, message.to, reply, mutant),
 	)
 }
 
 function applyReply(
-	held: MapCoordinatorState,
+	coordinatorState: MapCoordinatorState,
 	rank: number,
 	reply: RankReply,
 	mutant: MapMutant,
 ): AddressedRequest[] {
-	const orders = handleRankReply(held, rank, reply)
-	const firstPromise = held.phase === 'preparing' && reply.type === 'promised'
-	if (mutant !== 'nOfN' || !firstPromise) return orders
+	const requests = handleRankReply(coordinatorState, rank, reply)
+	const firstPromise =
+		coordinatorState.phase === 'preparing' && reply.type === 'promised'
+	if (mutant !== 'nOfN' || !firstPromise) return requests
 	// The mutant counts the first promise as the promises of all ranks.
-	const missing = [...held.open][0]!
-	held.open.clear()
-	held.open.add(missing)
-	return handleRankReply(held, missing, reply)
+	const missing = [...coordinatorState.open][0]!
+	coordinatorState.open.clear()
+	coordinatorState.open.add(missing)
+	return handleRankReply(coordinatorState, missing, reply)
 }
 
 function begin(state: MapModelState, at: number): MapModelState {
@@ -255,11 +256,11 @@
 	const isComplete = ranks.every(
 		other => other.generation === rank.generation && other.step >= rank.step,
 	)
-	return isComplete ? noteHistory(next, rank.mapId) : next
+	return isComplete ? recordHistory(next, rank.mapId) : next
 }
 
 /** Records the map of a complete step; a map that was replaced must not be used again. */
-function noteHistory(state: MapModelState, mapId: string): MapModelState {
+function recordHistory(state: MapModelState, mapId: string): MapModelState {
 	if (state.history.at(-1) === mapId) return state
 	const history = [...state.history, mapId]
 	if (!state.history.includes(mapId)) return { ...state, history }
--- a/packages/core/test/passModel.test.ts
+++ b/packages/core/test/passModel.test.ts
@@ -51,12 +51,17 @@
 		const fitter = createPassFitter()
 		for (let count = 0; count < 120; count++) {
 			const factor = 1 + 2 * random()
-			const held = 2 + 6 * random()
+			const inFlight = 2 + 6 * random()
 			const copying = random() < 0.3
 			const state = { factor, copying }
 			const noise = 1 + 0.1 * (random() - 0.5)
-			const passMs = predictPassMs(COST, truth, held, state) * noise
-			addPassSample(fitter, COST, { passMs, inFlight: held, factor, copying })
+			const passMs = predictPassMs(COST, truth, inFlight, state) * noise
+			addPassSample(fitter, COST, {
+				passMs,
+				inFlight,
+				factor,
+				copying,
+			})
 		}
 		assert.ok(Math.abs(fitter.fit.base - truth.base) < 0.08)
 		assert.ok(Math.abs(fitter.fit.stepSkew - truth.stepSkew) < 0.12)
@@ -64,7 +69,7 @@
 
 test('pass model: an outlier does not move the fit out of bounds', () => {
 	const fitter = createPassFitter()
-	const outlier = { passMs: 4_000, held: 5, factor: 1.5, copying: false }
+	const outlier = { passMs: 4_000, inFlight: 5, factor: 1.5, copying: false }
 	addPassSample(fitter, COST, outlier)
 	assert.ok(fitter.fit.base <= 2 && fitter.fit.stepSkew <= 1)
 })
@@ -72,19 +77,19 @@
 const MAP_NEEDS = [
 	{
 		name: 'pass time far below the limit',
-		held: 1,
+		inFlight: 1,
 		shiftedFactor: 2,
 		needed: false,
 	},
 	{
 		name: 'passes too long after a shift',
-		held: 6,
+		inFlight: 6,
 		shiftedFactor: 2.4,
 		needed: true,
 	},
 ]
 
-for (const { name, held, shiftedFactor, needed } of MAP_NEEDS)
+for (const { name, inFlight, shiftedFactor, needed } of MAP_NEEDS)
 	test(`map change ${needed ? 'needed' : 'not needed'}: ${name}`, () => {
 		const state = {
 			factor: 1.1,
@@ -93,7 +98,7 @@
 			fit: PUBLISHED_FIT,
 		}
 		const limits = { maxPauseMs: 120, slots: 8 }
-		assert.is(isMapNeeded(held, state, limits, COST), needed)
+		assert.is(isMapNeeded(inFlight, state, limits, COST), needed)
 	})
 
 test.run()
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -44,8 +44,8 @@
 	{
 		name: 'limits',
 		file: NEED,
-		on: '	if (held >= slots) return undefined',
-		off: '	if (held > Number.NEGATIVE_INFINITY) return undefined',
+		on: '	if (limit >= slots) return undefined',
+		off: '	if (limit > Number.NEGATIVE_INFINITY) return undefined',
 	},
 	{
 		name: 'forgetting',
@@ -140,8 +140,8 @@
 	{
 		name: 'closures',
 		file: 'packages/core/src/core/groupClosure.ts',
-		on: '	backoffs.set(group, { since, until: now + tryMs, tryMs })',
-		off: '	backoffs.set(group, { since, until: since, tryMs })\n	backoffs.delete(group)',
+		on: '	closures.set(group, { since, until: now + tryMs, tryMs })',
+		off: '	closures.set(group, { since, until: since, tryMs })\n	closures.delete(group)',
 	},
 	{
 		name: 'toldOpen',
