--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -282,9 +282,9 @@
 	coordinator.highest = Math.max(...ranks.map(rank => rank.fence)) + 1
 	const fence = nextFence(coordinator, bounds.coordinators, ids)
 	const queue = startMapRound(coordinator, fence, undefined, 1)
-	for (let order = queue.shift(); order; order = queue.shift()) {
-		const reply = handleRankRequest(ranks[order.rank]!, order.req)
-		queue.push(...handleRankReply(coordinator, order.rank, reply))
+	for (let next = queue.shift(); next; next = queue.shift()) {
+		const reply = handleRankRequest(ranks[next.rank]!, next.req)
+		queue.push(...handleRankReply(coordinator, next.rank, reply))
 	}
 	const [first] = ranks
 	return ranks.every(
