--- a/packages/core/src/core/groupRound.ts
+++ b/packages/core/src/core/groupRound.ts
@@ -1,5 +1,5 @@
 /**
- * State machine for one change of a lock-step group's expert map, without side effects.
+ * State machine for one change of a lock-step group's expert map, without I/O.
  *
  * Engines keep the state that must survive a coordinator crash: the map in use, the
  * prepared and armed versions, a hold, and the highest fence seen. An order may be
