--- a/packages/core/src/core/groupClosure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -1,44 +1,45 @@
 /**
- * Lock-step groups that refuse at every rank at once, as they do while they form
- * anew: instead of a storm of tries, one request at a time finds out whether the
- * group is open again.
+ * Closed lock-step groups, which refuse requests at all ranks, as they do while they
+ * re-form. To avoid a storm of retries, single probe requests find out whether a group
+ * accepts requests again.
  */
 
-/** Between tries while a group refuses, ms; a forming takes some 600. */
+/** Interval between probes of a closed group, ms; re-forming takes some 600 ms. */
 export const GROUP_PROBE_INTERVAL_MS = 100
 
 /**
- * The same while a coordinator says that the group is broken and will say when it
- * runs again: the tries of all entries count toward what may be sent again.
+ * Interval between probes after a coordinator has reported the group broken, ms. The
+ * coordinator also reports when the group runs again, and the probes of all entries
+ * use up the retry budget.
  */
 export const BROKEN_GROUP_PROBE_INTERVAL_MS = 500
 
-/** What is known of a group that refuses. */
+/** State of a closed group. */
 export interface GroupClosure {
-	/** When it began to refuse, ms. */
+	/** Time of the first refusal, ms. */
 	readonly since: number
-	/** Nothing is sent before this time, ms. */
+	/** Time before which no request is sent to the group, ms. */
 	until: number
-	/** Between two tries, ms. */
+	/** Interval between two probes, ms. */
 	tryMs: number
 }
 
-/** Groups that refuse, by name. */
+/** Closed groups, by name. */
 export type GroupClosures = Map<string, GroupClosure>
 
-/** Notes that a rank refused for its whole group. */
+/** Records that a rank refused a request on behalf of its whole group. */
 export function recordGroupRefused(
 	closures: GroupClosures,
 	group: string,
 	now: number,
 ): void {
-	const known = closures.get(group)
-	const since = known?.since ?? now
-	const tryMs = known?.tryMs ?? GROUP_PROBE_INTERVAL_MS
+	const current = closures.get(group)
+	const since = current?.since ?? now
+	const tryMs = current?.tryMs ?? GROUP_PROBE_INTERVAL_MS
 	closures.set(group, { since, until: now + tryMs, tryMs })
 }
 
-/** Notes that a group's coordinator calls it broken. */
+/** Records that a group's coordinator reported it broken. */
 export function recordGroupReportedBroken(
 	closures: GroupClosures,
 	group: string,
@@ -52,7 +53,10 @@
 	})
 }
 
-/** Notes that a rank of the group took a request; true if it was closed. */
+/**
+ * Records that a rank of the group accepted a request. Returns whether the group was
+ * closed.
+ */
 export function clearGroupClosure(
 	closures: GroupClosures,
 	group: string,
@@ -60,7 +64,7 @@
 	return closures.delete(group)
 }
 
-/** Whether a group is closed and no try of it is due. */
+/** Whether a group is closed and no probe of it is due. */
 export function isGroupClosed(
 	closures: GroupClosures,
 	group: string,
@@ -71,8 +75,8 @@
 }
 
 /**
- * Whether a request may be sent now. While the group is closed, a yes is a try:
- * the next one waits until its answer, or a while.
+ * Whether a request may be sent now. If the group is closed, `true` makes the request a
+ * probe: the next one is allowed after the probe's answer or the probe interval.
  */
 export function tryEnterGroup(
 	closures: GroupClosures,
--- a/packages/core/src/core/groupPlan.ts
+++ b/packages/core/src/core/groupPlan.ts
@@ -1,7 +1,7 @@
 /**
- * Where the experts of a lock-step group should lie, for demand that turns
- * within seconds: a few changes of the present map that take load off the most
- * loaded ranks, within what one change may copy.
+ * Plans the placement of a lock-step group's experts, for demand that changes within
+ * seconds: a few changes of the present map that take load off the most loaded
+ * ranks, within the limit on copies per change.
  */
 
 import type { ExpertLayout } from '../types/traffic.ts'
@@ -11,37 +11,37 @@
 
 export type { SetPlacement } from './placementSearch.ts'
 
-/** Steps of a search for each rank of a set. */
+/** Maximum number of search steps per rank of a set. */
 export const STEPS_PER_RANK = 4
 
-/** What planning a set gives. */
+/** A planned placement of one set. */
 export interface SetPlan {
 	readonly placement: SetPlacement
-	/** Load of the most loaded rank over the mean, before and after. */
+	/** Skew (load of the most loaded rank over the mean) before and after. */
 	readonly before: number
 	readonly after: number
-	/** Most new experts on one rank. */
+	/** Maximum number of new copies on one rank. */
 	readonly mostNew: number
-	/** New experts on all ranks. */
+	/** Number of new copies on all ranks. */
 	readonly copies: number
 }
 
 /**
- * Plans one set, with as few copies as bring the most loaded rank down to
- * `target` times the mean. `share` holds each expert's part of the demand,
- * `paces` how slow each rank is.
+ * Plans one set with as few copies as possible, until the load of the most loaded
+ * rank is at most `target` times the mean. `share` holds each expert's share of the
+ * demand, `slowdowns` the slowdown of each rank (1 is the usual speed).
  */
 export function planSet(
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: ExpertLayout,
-	paces: readonly number[] = [],
+	slowdowns: readonly number[] = [],
 	target = 1,
 ): SetPlan {
-	const search = createSearch(placement, share, layout, paces)
+	const search = createSearch(placement, share, layout, slowdowns)
 	const before = maxOf(search.loads)
-	const most = search.ranks * STEPS_PER_RANK
-	for (let step = 0; step < most; step++) {
+	const maxSteps = search.ranks * STEPS_PER_RANK
+	for (let step = 0; step < maxSteps; step++) {
 		if (maxOf(search.loads) <= target) break
 		const change = findBestChange(search)
 		if (!change) break
@@ -52,29 +52,32 @@
 		before,
 		after: maxOf(search.loads),
 		mostNew: Math.max(...search.newCopies),
-		copies: search.newCopies.reduce((sum, fresh) => sum + fresh, 0),
+		copies: search.newCopies.reduce((sum, count) => sum + count, 0),
 	}
 }
 
-/** Load of the most loaded rank over the mean; many times a second. */
+/**
+ * Returns the load of the most loaded rank over the mean. Called many times a second,
+ * so it does not set up a search.
+ */
 export function computeSetSkew(
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: Pick<ExpertLayout, 'experts'>,
-	paces: readonly number[] = [],
+	slowdowns: readonly number[] = [],
 ): number {
 	const copies = new Int16Array(layout.experts)
 	for (const own of placement) for (const expert of own) copies[expert]!++
-	let most = 0
+	let maxLoad = 0
 	for (const [rank, own] of placement.entries()) {
 		let load = 0
 		for (const expert of own) load += share[expert]! / copies[expert]!
-		most = Math.max(most, load * (paces[rank] ?? 1))
+		maxLoad = Math.max(maxLoad, load * (slowdowns[rank] ?? 1))
 	}
-	return most * placement.length
+	return maxLoad * placement.length
 }
 
-/** Time of a pass over that of one with balanced ranks. */
+/** Returns the time of a pass relative to one with balanced ranks. */
 export function passFactor(
 	skews: readonly number[],
 	expertShare: number,
@@ -83,7 +86,7 @@
 	return 1 - expertShare + expertShare * mean
 }
 
-/** The map that a group forms with: experts dealt in turn. */
+/** Returns the map that a group forms with: experts assigned round robin. */
 export function distributeRoundRobin(
 	ranks: number,
 	layout: Pick<ExpertLayout, 'experts'>,
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -1,6 +1,6 @@
 /**
- * A search for a better map of all sets of a group, under a limit on what one
- * rank copies for it.
+ * Searches for a better map of all sets of a group, under a limit on the copies that
+ * one rank makes for it.
  */
 
 import type { ExpertLayout } from '../types/traffic.ts'
@@ -19,40 +19,41 @@
 import type { PlaceChange } from './placementStep.ts'
 import { applyChange, findBestChange } from './placementStep.ts'
 
-/** A plan for all sets of a group, under a limit on what one rank copies. */
+/** A planned placement of all sets of a group. */
 export interface GroupPlan {
 	readonly placements: readonly SetPlacement[]
-	/** Most new experts on one rank, all sets together. */
+	/** Maximum number of new copies on one rank, over all sets. */
 	readonly mostNew: number
-	/** New experts on all ranks. */
+	/** Number of new copies on all ranks. */
 	readonly copies: number
-	/** Load of the most loaded rank over the mean, by set. */
+	/** Skew (load of the most loaded rank over the mean) of each set. */
 	readonly skews: readonly number[]
 }
 
-/** A search over all sets of a group, to be taken further step by step. */
+/** State of a search over all sets of a group, which can be continued. */
 export interface GroupSearch {
 	readonly sets: readonly PlacementSearch[]
 	readonly budget: CopyBudget
-	/** Best change of each set, until something makes it void. */
+	/** Cached best change of each set; `unknown` if it must be determined. */
 	readonly best: (PlaceChange | undefined | 'unknown')[]
+	/** Skew below which a set is not changed. */
 	readonly target: number
 	stepsLeft: number
 }
 
-/** Begins a search from the present map; `shares` holds each set's demand. */
+/** Creates a search from the present map; `shares` holds the demand of each set. */
 export function createGroupSearch(
 	map: readonly SetPlacement[],
 	shares: readonly Float64Array[],
 	layout: ExpertLayout,
-	paces: readonly number[],
+	slowdowns: readonly number[],
 	target: number,
 ): GroupSearch {
 	const ranks = map[0]!.length
 	const budget = createBudget(ranks, 0)
 	return {
 		sets: map.map((placement, set) =>
-			createSearch(placement, shares[set]!, layout, paces, budget),
+			createSearch(placement, shares[set]!, layout, slowdowns, budget),
 		),
 		budget,
 		best: map.map(() => 'unknown'),
@@ -61,22 +62,22 @@
 	}
 }
 
-/** Load of a set's most loaded rank over the mean. */
+/** Returns the load of a set's most loaded rank over the mean. */
 export function computeSearchSkew(search: PlacementSearch): number {
 	return maxOf(search.loads)
 }
 
 /**
- * Goes on until no change is worth while when each rank copies `most` experts.
- * All sets draw on that number: a rank copies one expert after the other, so its
- * sum is what a change of the map waits for. Yields between steps that take
- * long, so that a caller can let others run.
+ * Continues a search until no further change is worthwhile with at most
+ * `maxCopiesPerRank` new copies on each rank. All sets share that limit: a rank copies
+ * one expert after another, so its total determines when a map change takes effect.
+ * Yields between long steps, so that the caller can run other tasks.
  */
 export function* continueSearch(
 	search: GroupSearch,
-	most: number,
+	maxCopiesPerRank: number,
 ): Generator<void, GroupPlan> {
-	search.budget.maxPerRank = most
+	search.budget.maxPerRank = maxCopiesPerRank
 	search.best.fill('unknown')
 	for (; search.stepsLeft > 0; search.stepsLeft--) {
 		const set = yield* findBestSet(search)
@@ -84,32 +85,36 @@
 		applyChange(search.sets[set]!, search.best[set] as PlaceChange)
 		search.best[set] = 'unknown'
 	}
-	return readPlan(search)
+	return toGroupPlan(search)
 }
 
-/** The set with the best change; undefined when no set has one. */
+/** Returns the index of the set with the best change; undefined if there is none. */
 function* findBestSet(
 	search: GroupSearch,
 ): Generator<void, number | undefined> {
 	const { sets, best, target } = search
-	let found: number | undefined
-	for (const [set, one] of sets.entries()) {
+	let bestSet: number | undefined
+	for (const [set, setSearch] of sets.entries()) {
 		let change = best[set]
-		if (change === 'unknown' || (change && !isStillAllowed(one, change))) {
-			change = maxOf(one.loads) > target ? findBestChange(one) : undefined
+		if (
+			change === 'unknown' ||
+			(change && !isWithinBudget(setSearch, change))
+		) {
+			change =
+				maxOf(setSearch.loads) > target ? findBestChange(setSearch) : undefined
 			best[set] = change
 			yield
 		}
 		if (!change) continue
-		const leader =
-			found === undefined ? undefined : (best[found] as PlaceChange)
-		if (!leader || change.worth > leader.worth) found = set
+		const bestSoFar =
+			bestSet === undefined ? undefined : (best[bestSet] as PlaceChange)
+		if (!bestSoFar || change.worth > bestSoFar.worth) bestSet = set
 	}
-	return found
+	return bestSet
 }
 
-/** Another set may have used what a change was to use of the budget. */
-function isStillAllowed(search: PlacementSearch, change: PlaceChange): boolean {
+/** Whether other sets have left enough of the copy budget for a change. */
+function isWithinBudget(search: PlacementSearch, change: PlaceChange): boolean {
 	const { budget, places } = search
 	const ranks = [change.at, change.backAt]
 		.filter(at => at >= 0)
@@ -117,7 +122,7 @@
 	return ranks.every(rank => budget.usedByRank[rank]! < budget.maxPerRank)
 }
 
-function readPlan({ sets, budget }: GroupSearch): GroupPlan {
+function toGroupPlan({ sets, budget }: GroupSearch): GroupPlan {
 	return {
 		placements: sets.map(readPlacement),
 		mostNew: Math.max(...budget.usedByRank),
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -1,7 +1,8 @@
 /**
- * The coordinator's side of the map protocol: learn from every rank, finish or
- * give up what is open, then prepare one change and commit it with n of n
- * promises. It may be paused, doubled or killed at any point.
+ * The coordinator's side of the map protocol. A round learns the state of every rank,
+ * commits or aborts undecided changes, then prepares one change and commits it with the
+ * promises of all ranks. The process may be paused or killed at any point, and several
+ * coordinators may be active at once.
  */
 
 import type {
@@ -13,16 +14,16 @@
 } from '../internal.ts'
 import { listLearnedReplies, planMapChange } from '../internal.ts'
 
-/** A request to one rank. */
+/** A request addressed to one rank. */
 export interface AddressedRequest {
 	readonly rank: number
 	readonly req: RankRequest
 }
 
-/** Makes an idle coordinator. */
+/** Creates an idle coordinator. */
 export function createMapCoordinator(
 	size: number,
-	firstMap: string,
+	initialMapId: string,
 ): MapCoordinatorState {
 	return {
 		size,
@@ -30,7 +31,7 @@
 		fence: 0,
 		targetMapId: undefined,
 		lead: 1,
-		initialMapId: firstMap,
+		initialMapId,
 		learned: new Array(size).fill(undefined),
 		open: new Set(),
 		change: undefined,
@@ -40,36 +41,39 @@
 }
 
 /**
- * The next fence of coordinator `id` out of `ids`, above all it has heard of.
- * No two coordinators share one.
+ * Returns the next fence of coordinator `id` out of `ids` coordinators, higher than all
+ * fences it has seen. No two coordinators use the same fence.
  */
 export function nextFence(
 	state: MapCoordinatorState,
 	id: number,
 	ids: number,
 ): number {
-	const above = Math.max(state.fence, state.highest)
-	const round = Math.floor(above / ids) + 1
+	const highestSeen = Math.max(state.fence, state.highest)
+	const round = Math.floor(highestSeen / ids) + 1
 	return round * ids + id
 }
 
-/** Begins a round. */
+/** Starts a round and returns the requests to send. */
 export function startMapRound(
 	state: MapCoordinatorState,
 	fence: number,
-	wanted: string | undefined,
+	targetMapId: string | undefined,
 	lead: number,
 ): AddressedRequest[] {
 	state.phase = 'learning'
 	state.fence = fence
-	state.targetMapId = wanted
+	state.targetMapId = targetMapId
 	state.lead = lead
 	state.change = undefined
 	state.learned.fill(undefined)
-	return askAll(state, { type: 'learn', fence })
+	return sendToAll(state, { type: 'learn', fence })
 }
 
-/** Takes a rank's reply; late, doubled and foreign ones are harmless. */
+/**
+ * Handles a rank's reply and returns the requests to send. Late replies, duplicates and
+ * replies to other coordinators are ignored.
+ */
 export function handleRankReply(
 	state: MapCoordinatorState,
 	rank: number,
@@ -93,8 +97,8 @@
 }
 
 /**
- * Time is up for the open request. What was only prepared is given up; what was
- * decided is told again.
+ * Handles a time-out of the current request and returns the requests to send. A change
+ * that is only prepared is aborted; a decided change is sent again.
  */
 export function handleRoundTimeout(
 	state: MapCoordinatorState,
@@ -103,15 +107,15 @@
 		case 'idle':
 			return []
 		case 'learning':
-			return askOpen(state, { type: 'learn', fence: state.fence })
+			return sendToOpen(state, { type: 'learn', fence: state.fence })
 		case 'closing':
-			return closeOpenChanges(state)
+			return closeUndecidedChanges(state)
 		case 'preparing':
 			return abortChange(state)
 		case 'committing':
-			return askOpen(state, commitOf(state))
+			return sendToOpen(state, createCommit(state))
 		case 'aborting':
-			return askOpen(state, abortOf(state))
+			return sendToOpen(state, createAbort(state))
 		default:
 			return state.phase satisfies never
 	}
@@ -126,32 +130,37 @@
 	state.learned[rank] = reply
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
-	return closeOpenChanges(state)
+	return closeUndecidedChanges(state)
 }
 
-/** A change that any rank saw committed is finished; others are given up. */
-function closeOpenChanges(state: MapCoordinatorState): AddressedRequest[] {
-	const all = listLearnedReplies(state)
+/** Commits each undecided change that any rank has committed, and aborts the others. */
+function closeUndecidedChanges(state: MapCoordinatorState): AddressedRequest[] {
+	const reported = listLearnedReplies(state)
 	state.phase = 'closing'
 	state.open.clear()
-	const orders: AddressedRequest[] = []
-	for (const [rank, { promised }] of all.entries()) {
+	const requests: AddressedRequest[] = []
+	for (const [rank, { promised }] of reported.entries()) {
 		if (!promised) continue
 		state.open.add(rank)
-		orders.push({ rank, req: closingOf(state, all, promised) })
+		requests.push({
+			rank,
+			req: createClosingRequest(state, reported, promised),
+		})
 	}
-	return orders.length > 0 ? orders : prepareChange(state)
+	return requests.length > 0 ? requests : prepareChange(state)
 }
 
-function closingOf(
+function createClosingRequest(
 	state: MapCoordinatorState,
-	all: readonly LearnedReply[],
+	reported: readonly LearnedReply[],
 	promised: MapChange,
 ): RankRequest {
 	const { fence } = state
 	const changeFence = promised.fence
-	const seen = all.some(other => other.committed?.fence === changeFence)
-	if (seen) return { type: 'commit', fence, change: promised }
+	const isCommitted = reported.some(
+		other => other.committed?.fence === changeFence,
+	)
+	if (isCommitted) return { type: 'commit', fence, change: promised }
 	return { type: 'abort', fence, changeFence }
 }
 
@@ -160,7 +169,7 @@
 	if (!change) return endRound(state)
 	state.phase = 'preparing'
 	state.change = change
-	return askAll(state, { type: 'prepare', fence: state.fence, change })
+	return sendToAll(state, { type: 'prepare', fence: state.fence, change })
 }
 
 function onPromised(
@@ -169,13 +178,13 @@
 	incarnation: number,
 ): AddressedRequest[] {
 	if (state.phase !== 'preparing') return []
-	// It restarted since it was asked: its promise is not the one needed.
+	// The rank has restarted since its state was learned: this promise does not count.
 	if (state.learned[rank]?.incarnation !== incarnation)
 		return abortChange(state)
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
 	state.phase = 'committing'
-	return askAll(state, commitOf(state))
+	return sendToAll(state, createCommit(state))
 }
 
 function onDecided(
@@ -209,7 +218,7 @@
 ): AddressedRequest[] {
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
-	// What was just finished may not be in force yet: learn again.
+	// The changes just completed may not be in effect yet: the states are learned again.
 	return startMapRound(state, state.fence, state.targetMapId, state.lead)
 }
 
@@ -224,7 +233,7 @@
 		case 'closing':
 		case 'aborting':
 		case 'committing':
-			// Another coordinator went on with a higher fence; it will finish.
+			// Another coordinator has a higher fence and will complete the change.
 			return state.highest > state.fence ? endRound(state) : []
 		case 'idle':
 			return []
@@ -235,7 +244,7 @@
 
 function abortChange(state: MapCoordinatorState): AddressedRequest[] {
 	state.phase = 'aborting'
-	return askAll(state, abortOf(state))
+	return sendToAll(state, createAbort(state))
 }
 
 function endRound(state: MapCoordinatorState): AddressedRequest[] {
@@ -244,25 +253,25 @@
 	return []
 }
 
-function commitOf(state: MapCoordinatorState): RankRequest {
+function createCommit(state: MapCoordinatorState): RankRequest {
 	return { type: 'commit', fence: state.fence, change: state.change! }
 }
 
-function abortOf(state: MapCoordinatorState): RankRequest {
+function createAbort(state: MapCoordinatorState): RankRequest {
 	const changeFence = state.change?.fence ?? state.fence
 	return { type: 'abort', fence: state.fence, changeFence }
 }
 
-function askAll(
+function sendToAll(
 	state: MapCoordinatorState,
 	req: RankRequest,
 ): AddressedRequest[] {
 	state.open.clear()
 	for (let rank = 0; rank < state.size; rank++) state.open.add(rank)
-	return askOpen(state, req)
+	return sendToOpen(state, req)
 }
 
-function askOpen(
+function sendToOpen(
 	state: MapCoordinatorState,
 	req: RankRequest,
 ): AddressedRequest[] {
--- a/packages/core/src/core/placement.ts
+++ b/packages/core/src/core/placement.ts
@@ -1,70 +1,70 @@
 /**
- * Where the experts of one layer lie: a table of slots, rank by rank, and the
- * load that a popularity puts on each rank. A replicated expert's tokens split
- * evenly over its holders.
+ * Placement of the experts of one layer: a table of slots, rank by rank, and the load
+ * of each rank under given expert shares. The tokens of a replicated expert are split
+ * evenly between the ranks that hold it.
  */
 
-/** No expert in a slot. */
+/** Marks a slot without an expert. */
 export const EMPTY_SLOT = -1
 
-/** The slots of one layer. */
+/** Placement of the experts of one layer. */
 export interface LayerPlacement {
 	readonly ranks: number
 	readonly experts: number
-	/** Slots a rank. */
+	/** Number of slots per rank. */
 	readonly slotsPerRank: number
-	/** `rank * width + slot` holds an expert or {@link EMPTY_SLOT}. */
+	/** Expert or {@link EMPTY_SLOT} at index `rank * slotsPerRank + slot`. */
 	readonly slots: Int16Array
-	/** Holders of each expert. */
+	/** Number of ranks that hold each expert. */
 	readonly copies: Uint16Array
 }
 
-/** Makes a layer with `experts` in even blocks and `spare` slots a rank. */
+/** Creates a layer with the experts in equal blocks and `spare` empty slots per rank. */
 export function createLayer(
 	ranks: number,
 	experts: number,
 	spare: number,
 ): LayerPlacement {
-	const size = Math.ceil(experts / ranks)
-	const width = size + spare
-	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
+	const blockSize = Math.ceil(experts / ranks)
+	const slotsPerRank = blockSize + spare
+	const slots = new Int16Array(ranks * slotsPerRank).fill(EMPTY_SLOT)
 	for (let expert = 0; expert < experts; expert++) {
-		const rank = Math.floor(expert / size)
-		slots[rank * width + (expert % size)] = expert
+		const rank = Math.floor(expert / blockSize)
+		slots[rank * slotsPerRank + (expert % blockSize)] = expert
 	}
 	const copies = new Uint16Array(experts).fill(1)
-	return { ranks, experts, slotsPerRank: width, slots, copies }
+	return { ranks, experts, slotsPerRank, slots, copies }
 }
 
-/** Makes a layer from the experts of each rank. */
+/** Creates a layer from the experts of each rank. */
 export function createLayerFromRanks(
 	byRank: readonly (readonly number[])[],
 	experts: number,
 	spare: number,
 ): LayerPlacement {
 	const ranks = byRank.length
-	const width = Math.ceil(experts / ranks) + spare
-	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
+	const slotsPerRank = Math.ceil(experts / ranks) + spare
+	const slots = new Int16Array(ranks * slotsPerRank).fill(EMPTY_SLOT)
 	const copies = new Uint16Array(experts)
 	for (const [rank, own] of byRank.entries())
 		for (const [slot, expert] of own.entries()) {
-			slots[rank * width + slot] = expert
+			slots[rank * slotsPerRank + slot] = expert
 			copies[expert]!++
 		}
-	return { ranks, experts, slotsPerRank: width, slots, copies }
+	return { ranks, experts, slotsPerRank, slots, copies }
 }
 
-/** The experts of each rank. */
+/** Lists the experts of each rank. */
 export function listExpertsByRank(layer: LayerPlacement): number[][] {
-	const { ranks, slotsPerRank: width, slots } = layer
+	const { ranks, slotsPerRank, slots } = layer
 	return Array.from({ length: ranks }, (_, rank) =>
-		[...slots.subarray(rank * width, (rank + 1) * width)].filter(
+		[...slots.subarray(rank * slotsPerRank, (rank + 1) * slotsPerRank)].filter(
 			expert => expert !== EMPTY_SLOT,
 		),
 	)
 }
 
-/** A copy that may be changed. */
+/** Returns a copy that can be modified independently. */
 export function cloneLayer(layer: LayerPlacement): LayerPlacement {
 	return {
 		...layer,
@@ -73,40 +73,40 @@
 	}
 }
 
-/** Whether the rank holds the expert. */
+/** Whether a rank holds an expert. */
 export function holdsExpert(
 	layer: LayerPlacement,
 	rank: number,
 	expert: number,
 ): boolean {
-	const { slotsPerRank: width, slots } = layer
-	for (let at = rank * width; at < (rank + 1) * width; at++)
+	const { slotsPerRank, slots } = layer
+	for (let at = rank * slotsPerRank; at < (rank + 1) * slotsPerRank; at++)
 		if (slots[at] === expert) return true
 	return false
 }
 
-/** Puts `expert` (or {@link EMPTY_SLOT}) into a slot. */
+/** Sets the slot at index `at` to an expert or {@link EMPTY_SLOT}. */
 export function setSlot(
 	layer: LayerPlacement,
 	at: number,
 	expert: number,
 ): void {
-	const old = layer.slots[at]!
-	if (old !== EMPTY_SLOT) layer.copies[old]!--
+	const previous = layer.slots[at]!
+	if (previous !== EMPTY_SLOT) layer.copies[previous]!--
 	if (expert !== EMPTY_SLOT) layer.copies[expert]!++
 	layer.slots[at] = expert
 }
 
-/** Load of each rank under `share` (from `offset` on); the mean is 1/ranks. */
+/** Returns the load of each rank under the shares from `offset` on; the mean is 1/ranks. */
 export function computeRankLoads(
 	layer: LayerPlacement,
 	share: Float64Array,
 	offset: number,
 ): Float64Array {
-	const { ranks, slotsPerRank: width, slots, copies } = layer
+	const { ranks, slotsPerRank, slots, copies } = layer
 	const loads = new Float64Array(ranks)
 	for (let rank = 0; rank < ranks; rank++)
-		for (let at = rank * width; at < (rank + 1) * width; at++) {
+		for (let at = rank * slotsPerRank; at < (rank + 1) * slotsPerRank; at++) {
 			const expert = slots[at]!
 			if (expert === EMPTY_SLOT) continue
 			loads[rank]! += share[offset + expert]! / copies[expert]!
@@ -114,13 +114,13 @@
 	return loads
 }
 
-/** Slowest rank over the mean. */
+/** Returns the load of the most loaded rank over the mean. */
 export function computeSkew(loads: Float64Array): number {
-	let most = 0
+	let maxLoad = 0
 	let total = 0
 	for (const load of loads) {
-		most = Math.max(most, load)
+		maxLoad = Math.max(maxLoad, load)
 		total += load
 	}
-	return total > 0 ? (most * loads.length) / total : 1
+	return total > 0 ? (maxLoad * loads.length) / total : 1
 }
--- a/packages/core/src/core/placementSearch.ts
+++ b/packages/core/src/core/placementSearch.ts
@@ -1,61 +1,66 @@
-/** The placement of one set of experts while a search changes it. */
+/** Placement of one set of experts during a search. */
 
 import type { ExpertLayout } from '../types/traffic.ts'
 
-/** No expert in a place. */
+/** Marks a place without an expert. */
 export const FREE_PLACE = -1
 
-/** A set's experts by rank. */
+/** Experts of a set by rank. */
 export type SetPlacement = readonly (readonly number[])[]
 
-/** New experts of all sets together that one change may give each rank. */
+/** Limit on the new copies that one map change may place on each rank, over all sets. */
 export interface CopyBudget {
+	/** Maximum number of new copies on one rank. */
 	maxPerRank: number
-	/** Given so far, by rank. */
+	/** Number of new copies used so far, by rank. */
 	readonly usedByRank: Int16Array
 }
 
-/** Makes a budget of which nothing is used. */
-export function createBudget(ranks: number, most: number): CopyBudget {
-	return { maxPerRank: most, usedByRank: new Int16Array(ranks) }
+/** Creates an unused budget. */
+export function createBudget(ranks: number, maxPerRank: number): CopyBudget {
+	return { maxPerRank, usedByRank: new Int16Array(ranks) }
 }
 
-/** A placement of one set that a search changes, with its loads. */
+/** State of a search for a better placement of one set. */
 export interface PlacementSearch {
 	readonly ranks: number
+	/** Number of places per rank. */
 	readonly places: number
+	/** Maximum number of new copies of this set on one rank. */
 	readonly maxNew: number
 	/** Shared by the sets of a group. */
 	readonly budget: CopyBudget
+	/** Share of each expert in the demand of the set. */
 	readonly share: Float64Array
 	/** Expert in each place, rank by rank. */
 	readonly slots: Int16Array
-	/** 1 where the rank had the expert before. */
+	/** 1 if the rank held the expert before the search, `rank * experts + expert`. */
 	readonly hadBefore: Uint8Array
-	/** 1 where the rank has the expert now. */
+	/** 1 if the rank holds the expert now, `rank * experts + expert`. */
 	readonly hasNow: Uint8Array
+	/** Number of copies of each expert. */
 	readonly copies: Int16Array
-	/** Ranks that have each expert now. */
+	/** Ranks that hold each expert now. */
 	readonly holders: number[][]
-	/** New experts on each rank. */
+	/** Number of new copies on each rank. */
 	readonly newCopies: Int16Array
-	/** Time that each rank takes; the mean is 1 when none is slow. */
+	/** Relative time that each rank takes; the mean is 1 when no rank is slow. */
 	readonly loads: Float64Array
-	/** Time that a rank takes for an even share of the demand. */
+	/** Factor from a rank's share of the demand to its load, with its slowdown. */
 	readonly loadScale: Float64Array
-	/** What the changes that are being weighed add to each rank's load. */
+	/** Change of each rank's load by the candidate under evaluation. */
 	readonly loadDeltas: Float64Array
-	/** Ranks with an entry in `added`; their number is `touched`. */
+	/** Ranks with an entry in `loadDeltas`; only the first `changedCount` elements are valid. */
 	readonly changedRanks: Int16Array
 	changedCount: number
 }
 
-/** Makes the state of a search from the present placement. */
+/** Creates a search from the present placement. */
 export function createSearch(
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: ExpertLayout,
-	paces: readonly number[],
+	slowdowns: readonly number[],
 	budget = createBudget(placement.length, Number.POSITIVE_INFINITY),
 ): PlacementSearch {
 	const ranks = placement.length
@@ -73,9 +78,11 @@
 		holders: Array.from({ length: experts }, () => []),
 		newCopies: new Int16Array(ranks),
 		loads: new Float64Array(ranks),
-		loadScale: new Float64Array(ranks).map((_, at) => ranks * (paces[at] ?? 1)),
+		loadScale: new Float64Array(ranks).map(
+			(_, rank) => ranks * (slowdowns[rank] ?? 1),
+		),
 		loadDeltas: new Float64Array(ranks),
-		// A change touches its rank and all holders of two experts at most.
+		// A change affects at most its ranks and all holders of two experts.
 		changedRanks: new Int16Array(2 * ranks + 4),
 		changedCount: 0,
 	}
@@ -91,18 +98,18 @@
 	return search
 }
 
-/** Computes the load of a rank anew. */
+/** Recomputes the load of a rank. */
 export function refreshLoad(search: PlacementSearch, rank: number): void {
-	const { places, slots, share, copies, loads, loadScale: slowness } = search
+	const { places, slots, share, copies, loads, loadScale } = search
 	let load = 0
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const expert = slots[at]!
 		if (expert !== FREE_PLACE) load += share[expert]! / copies[expert]!
 	}
-	loads[rank] = load * slowness[rank]!
+	loads[rank] = load * loadScale[rank]!
 }
 
-/** Whether a rank has an expert. */
+/** Whether a rank holds an expert. */
 export function hasExpert(
 	search: PlacementSearch,
 	rank: number,
@@ -120,35 +127,37 @@
 	return search.hadBefore[rank * search.share.length + expert] === 0
 }
 
-/** Whether a rank may still take an expert in this change. */
+/** Whether a rank may hold an expert within the limits on new copies. */
 export function canTake(
 	search: PlacementSearch,
 	rank: number,
 	expert: number,
 ): boolean {
 	if (!isNew(search, rank, expert)) return true
-	const { newCopies: fresh, maxNew, budget } = search
-	return fresh[rank]! < maxNew && budget.usedByRank[rank]! < budget.maxPerRank
+	const { newCopies, maxNew, budget } = search
+	return (
+		newCopies[rank]! < maxNew && budget.usedByRank[rank]! < budget.maxPerRank
+	)
 }
 
-/** Puts an expert, or none, in a place. */
+/** Sets the expert of a place; {@link FREE_PLACE} empties it. */
 export function setPlace(
 	search: PlacementSearch,
 	at: number,
 	expert: number,
 ): void {
-	const { slots, hasNow: has, copies, holders, places, share } = search
+	const { slots, hasNow, copies, holders, places, share } = search
 	const rank = Math.floor(at / places)
-	const old = slots[at]!
-	if (old !== FREE_PLACE) {
-		has[rank * share.length + old] = 0
-		copies[old]!--
-		holders[old] = holders[old]!.filter(holder => holder !== rank)
-		if (isNew(search, rank, old)) countNew(search, rank, -1)
+	const previous = slots[at]!
+	if (previous !== FREE_PLACE) {
+		hasNow[rank * share.length + previous] = 0
+		copies[previous]!--
+		holders[previous] = holders[previous]!.filter(holder => holder !== rank)
+		if (isNew(search, rank, previous)) countNew(search, rank, -1)
 	}
 	slots[at] = expert
 	if (expert === FREE_PLACE) return
-	has[rank * share.length + expert] = 1
+	hasNow[rank * share.length + expert] = 1
 	copies[expert]!++
 	holders[expert]!.push(rank)
 	if (isNew(search, rank, expert)) countNew(search, rank, 1)
@@ -159,17 +168,17 @@
 	search.budget.usedByRank[rank]! += change
 }
 
-/** Load of the most loaded rank. */
+/** Returns the load of the most loaded rank. */
 export function maxOf(loads: Float64Array): number {
-	let most = 0
-	for (const load of loads) most = Math.max(most, load)
-	return most
+	let max = 0
+	for (const load of loads) max = Math.max(max, load)
+	return max
 }
 
-/** The placement as lists of experts by rank. */
+/** Returns the placement as lists of experts by rank. */
 export function readPlacement(search: PlacementSearch): number[][] {
 	const { ranks, places, slots } = search
-	// In order, so that two maps with the same content are alike.
+	// Sorted, so that maps with the same content are equal.
 	return Array.from({ length: ranks }, (_, rank) =>
 		[...slots.subarray(rank * places, (rank + 1) * places)]
 			.filter(expert => expert !== FREE_PLACE)
--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -1,9 +1,8 @@
 /**
- * The map protocol under an adversary: every request may be delivered at any
- * time, more than once, in any order, or never; two coordinators act at once
- * (one of them may be a paused one that woke); ranks may restart. A reply comes
- * with its call or is lost, as the RPC layer has it; the randomised runs let
- * replies be late as well.
+ * Model of the map protocol under faults: every request may be delivered at any time,
+ * more than once, in any order, or never; two coordinators are active at once (one of
+ * them may have resumed after a pause); ranks may restart. A reply arrives with its call
+ * or is lost, as in the RPC layer; the randomised runs also deliver late replies.
  */
 
 import type {
@@ -30,16 +29,16 @@
 	MapBounds,
 	MapModelEvent,
 	MapModelState,
+	MapMutant,
 	Message,
-	Mutant,
 } from './mapModelState.ts'
 
 const FIRST_MAP = 'm0'
 
-/** The model for given bounds. */
+/** Creates a model with the given bounds, optionally without one of the guards. */
 export function createMapModel(
 	bounds: MapBounds,
-	mutant: Mutant = 'none',
+	mutant: MapMutant = 'none',
 ): Model<MapModelState, MapModelEvent> {
 	return {
 		initial: createInitial(bounds),
@@ -47,17 +46,19 @@
 		apply: (state, event) => applyEvent(state, event, bounds, mutant),
 		findFault: state => {
 			if (state.fault !== null) return state.fault
-			return recovers(state, bounds) ? undefined : 'a gate stays shut'
+			return recovers(state, bounds)
+				? undefined
+				: 'a rank stays blocked after recovery'
 		},
 	}
 }
 
 function createInitial(bounds: MapBounds): MapModelState {
-	const repeat = <T>(count: number, make: (at: number) => T) =>
+	const createList = <T>(count: number, make: (at: number) => T) =>
 		Array.from({ length: count }, (_, at) => make(at))
 	return {
-		ranks: repeat(bounds.ranks, () => createRank(FIRST_MAP)),
-		coordinators: repeat(bounds.coordinators, () =>
+		ranks: createList(bounds.ranks, () => createRank(FIRST_MAP)),
+		coordinators: createList(bounds.coordinators, () =>
 			toJson(createMapCoordinator(bounds.ranks, FIRST_MAP)),
 		),
 		messages: [],
@@ -65,7 +66,7 @@
 		losses: 0,
 		late: 0,
 		lateReplies: [],
-		rounds: repeat(bounds.coordinators, () => 0),
+		rounds: createList(bounds.coordinators, () => 0),
 		restarts: 0,
 		timeouts: 0,
 		used: {},
@@ -77,13 +78,13 @@
 function listEvents(
 	state: MapModelState,
 	bounds: MapBounds,
-	mutant: Mutant,
+	mutant: MapMutant,
 ): MapModelEvent[] {
 	if (state.fault !== null) return []
 	const events: MapModelEvent[] = []
 	for (const [coordinator, { phase }] of state.coordinators.entries()) {
-		const startable = phase === 'idle' || phase === 'learning'
-		if (startable && state.rounds[coordinator]! < bounds.rounds)
+		const canStart = phase === 'idle' || phase === 'learning'
+		if (canStart && state.rounds[coordinator]! < bounds.rounds)
 			events.push({ do: 'start', coordinator })
 		if (phase !== 'idle' && state.timeouts < bounds.timeouts)
 			events.push({ do: 'timeout', coordinator })
@@ -98,19 +99,23 @@
 			}
 	for (const index of state.lateReplies.keys())
 		events.push({ do: 'lateReply', index })
-	for (const [rank, held] of state.ranks.entries()) {
-		if (held.step < bounds.steps && canBegin(state, rank, mutant))
+	for (const [rank, rankState] of state.ranks.entries()) {
+		if (rankState.step < bounds.steps && canBegin(state, rank, mutant))
 			events.push({ do: 'begin', rank })
 		if (state.restarts < bounds.restarts) events.push({ do: 'restart', rank })
 	}
 	return events
 }
 
-/** In lock-step no rank is more than one step ahead of another. */
-function canBegin(state: MapModelState, rank: number, mutant: Mutant): boolean {
+/** Whether a rank can begin its next step; no rank is more than one step ahead. */
+function canBegin(
+	state: MapModelState,
+	rank: number,
+	mutant: MapMutant,
+): boolean {
 	const own = state.ranks[rank]!
-	const gateOpen = mutant === 'gate' ? own.joined : mayBeginStep(own)
-	if (!gateOpen) return false
+	const isAllowed = mutant === 'gate' ? own.joined : mayBeginStep(own)
+	if (!isAllowed) return false
 	return state.ranks.every(
 		other =>
 			other.joined &&
@@ -123,14 +128,14 @@
 	state: MapModelState,
 	event: MapModelEvent,
 	bounds: MapBounds,
-	mutant: Mutant,
+	mutant: MapMutant,
 ): MapModelState {
 	switch (event.do) {
 		case 'start':
 			return start(state, event.coordinator, bounds)
 		case 'timeout': {
 			const next = { ...state, timeouts: state.timeouts + 1 }
-			return act(next, event.coordinator, handleRoundTimeout)
+			return runCoordinator(next, event.coordinator, handleRoundTimeout)
 		}
 		case 'deliver':
 			return deliver(state, event, mutant)
@@ -139,8 +144,8 @@
 			const lateReplies = state.lateReplies.filter(
 				(_, index) => index !== event.index,
 			)
-			return act({ ...state, lateReplies }, at, held =>
-				takeReply(held, rank, reply, mutant),
+			return runCoordinator({ ...state, lateReplies }, at, coordinatorState =>
+				applyReply(coordinatorState, rank, reply, mutant),
 			)
 		}
 		case 'begin':
@@ -163,27 +168,27 @@
 ): MapModelState {
 	const rounds = [...state.rounds]
 	rounds[coordinator]!++
-	const wanted = `m${coordinator + 1}`
+	const targetMapId = `m${coordinator + 1}`
 	const next = { ...state, rounds }
-	return act(next, coordinator, held => {
-		const fence = nextFence(held, coordinator, bounds.coordinators)
-		return startMapRound(held, fence, wanted, 1)
+	return runCoordinator(next, coordinator, coordinatorState => {
+		const fence = nextFence(coordinatorState, coordinator, bounds.coordinators)
+		return startMapRound(coordinatorState, fence, targetMapId, 1)
 	})
 }
 
-function act(
+function runCoordinator(
 	state: MapModelState,
 	coordinator: number,
-	change: (held: MapCoordinatorState) => AddressedRequest[],
+	change: (coordinatorState: MapCoordinatorState) => AddressedRequest[],
 ): MapModelState {
-	const held = fromJson(state.coordinators[coordinator]!)
-	const orders = change(held)
+	const coordinatorState = fromJson(state.coordinators[coordinator]!)
+	const requests = change(coordinatorState)
 	const coordinators = [...state.coordinators]
-	coordinators[coordinator] = toJson(held)
+	coordinators[coordinator] = toJson(coordinatorState)
 	let messages = state.messages
-	for (const { rank, req } of orders) {
+	for (const { rank, req } of requests) {
 		const message: Message = { to: rank, from: coordinator, req }
-		messages = insert(messages, JSON.stringify(message))
+		messages = insertSorted(messages, JSON.stringify(message))
 	}
 	return { ...state, coordinators, messages }
 }
@@ -191,7 +196,7 @@
 function deliver(
 	state: MapModelState,
 	event: Extract<MapModelEvent, { do: 'deliver' }>,
-	mutant: Mutant,
+	mutant: MapMutant,
 ): MapModelState {
 	const message: Message = JSON.parse(event.message)
 	const ranks = [...state.ranks]
@@ -206,34 +211,35 @@
 		...state,
 		ranks,
 		messages,
-		doubles: state.duplicates + (event.again ? 1 : 0),
+		duplicates: state.duplicates + (event.again ? 1 : 0),
 		losses: state.losses + (event.replyFate === 'lost' ? 1 : 0),
 		late: state.late + (event.replyFate === 'late' ? 1 : 0),
 	}
 	if (event.replyFate === 'lost') return next
 	if (event.replyFate === 'late') {
-		const held: LateReply = { rank: message.to, at: message.from, reply }
-		return { ...next, lateReplies: [...state.lateReplies, held] }
+		const lateReply: LateReply = { rank: message.to, at: message.from, reply }
+		return { ...next, lateReplies: [...state.lateReplies, lateReply] }
 	}
-	return act(next, message.from, held =>
-		takeReply(held, message.to, reply, mutant),
+	return runCoordinator(next, message.from, coordinatorState =>
+		applyReply(coordinatorState, message.to, reply, mutant),
 	)
 }
 
-function takeReply(
-	held: MapCoordinatorState,
+function applyReply(
+	coordinatorState: MapCoordinatorState,
 	rank: number,
 	reply: RankReply,
-	mutant: Mutant,
+	mutant: MapMutant,
 ): AddressedRequest[] {
-	const orders = handleRankReply(held, rank, reply)
-	const firstPromise = held.phase === 'preparing' && reply.type === 'promised'
-	if (mutant !== 'nOfN' || !firstPromise) return orders
-	// The mutant takes the first promise for all of them.
-	const missing = [...held.open][0]!
-	held.open.clear()
-	held.open.add(missing)
-	return handleRankReply(held, missing, reply)
+	const requests = handleRankReply(coordinatorState, rank, reply)
+	const firstPromise =
+		coordinatorState.phase === 'preparing' && reply.type === 'promised'
+	if (mutant !== 'nOfN' || !firstPromise) return requests
+	// The mutant counts the first promise as the promises of all ranks.
+	const missing = [...coordinatorState.open][0]!
+	coordinatorState.open.clear()
+	coordinatorState.open.add(missing)
+	return handleRankReply(coordinatorState, missing, reply)
 }
 
 function begin(state: MapModelState, at: number): MapModelState {
@@ -241,29 +247,33 @@
 	const rank = { ...ranks[at]! }
 	ranks[at] = rank
 	beginStep(rank)
-	const place = `${rank.generation}/${rank.step}`
-	const before = state.used[place]
-	const used = { ...state.used, [place]: rank.mapId }
+	const stepKey = `${rank.generation}/${rank.step}`
+	const previousMapId = state.used[stepKey]
+	const used = { ...state.used, [stepKey]: rank.mapId }
 	const next = { ...state, ranks, used }
-	if (before !== undefined && before !== rank.mapId)
-		return { ...next, fault: `two maps in step ${place}` }
-	const whole = ranks.every(
+	if (previousMapId !== undefined && previousMapId !== rank.mapId)
+		return { ...next, fault: `two maps in step ${stepKey}` }
+	const isComplete = ranks.every(
 		other => other.generation === rank.generation && other.step >= rank.step,
 	)
-	return whole ? noteHistory(next, rank.mapId) : next
+	return isComplete ? recordHistory(next, rank.mapId) : next
 }
 
-/** A map that a whole step used never comes back after another. */
-function noteHistory(state: MapModelState, mapId: string): MapModelState {
+/** Records the map of a complete step; a map that was replaced must not be used again. */
+function recordHistory(state: MapModelState, mapId: string): MapModelState {
 	if (state.history.at(-1) === mapId) return state
 	const history = [...state.history, mapId]
 	if (!state.history.includes(mapId)) return { ...state, history }
-	return { ...state, history, fault: `map ${mapId} came back` }
+	return {
+		...state,
+		history,
+		fault: `map ${mapId} is used again after another map`,
+	}
 }
 
 /**
- * Lets one more coordinator run a round with every message delivered, and tells
- * whether the group then steps again.
+ * Runs a round of one more coordinator with every message delivered, and returns whether
+ * the group can step again.
  */
 export function recovers(state: MapModelState, bounds: MapBounds): boolean {
 	const ranks = state.ranks.map(rank => ({ ...rank }))
@@ -272,9 +282,9 @@
 	coordinator.highest = Math.max(...ranks.map(rank => rank.fence)) + 1
 	const fence = nextFence(coordinator, bounds.coordinators, ids)
 	const queue = startMapRound(coordinator, fence, undefined, 1)
-	for (let order = queue.shift(); order; order = queue.shift()) {
-		const reply = handleRankRequest(ranks[order.rank]!, order.req)
-		queue.push(...handleRankReply(coordinator, order.rank, reply))
+	for (let next = queue.shift(); next; next = queue.shift()) {
+		const reply = handleRankRequest(ranks[next.rank]!, next.req)
+		queue.push(...handleRankReply(coordinator, next.rank, reply))
 	}
 	const [first] = ranks
 	return ranks.every(
@@ -283,7 +293,7 @@
 	)
 }
 
-function insert(list: readonly string[], item: string): string[] {
+function insertSorted(list: readonly string[], item: string): string[] {
 	if (list.includes(item)) return [...list]
 	return [...list, item].sort()
 }
@@ -293,7 +303,7 @@
 }
 
 function fromJson(json: CoordinatorJson): MapCoordinatorState {
-	// JSON text has null where the state has undefined; nothing tells them apart
-	// here, since states never travel as text.
+	// JSON text would turn undefined into null, but the model converts states to text
+	// only for their keys and never reads them back.
 	return { ...json, learned: [...json.learned], open: new Set(json.open) }
 }
