--- a/packages/core/src/core/admission.ts
+++ b/packages/core/src/core/admission.ts
@@ -1,10 +1,10 @@
 /**
- * The agent's decisions on requests. It alone hands work to its backend server,
- * so it alone can prove that a request did not run.
+ * Admission of requests at the agent. Only the agent sends requests to its backend
+ * server, so only the agent can prove that a request did not run.
  *
- * One transition function over plain state: `stepAdmission(state, event)`
- * changes the state and returns effects for the daemon to carry out. Times are
- * monotonic milliseconds unless a name says `wall` (Unix milliseconds).
+ * A single transition function over plain state: `stepAdmission(state, event, at)`
+ * updates the state and returns the effects that the daemon has to carry out. Times
+ * are monotonic milliseconds; names containing `wall` are Unix milliseconds.
  */
 
 import type {
@@ -42,15 +42,19 @@
 	unknown,
 } from '../internal.ts'
 
-/** What one process lets pass before it treats itself as paused, in ms. */
+/** Gap between two events after which the process counts as having been paused, ms. */
 export const PAUSE_MS = 1_000
-/** After a pause, offers that may have waited in a socket are refused, in ms. */
+/**
+ * Time after a pause during which offers are refused, ms: they may have been waiting
+ * in a socket buffer during the pause.
+ */
 export const WAKE_GRACE_MS = 100
-/** Most requests that wait at an agent. */
+/** Maximum number of requests in an agent's queue. */
 export const MAX_WAITING = 4_096
+/** Smoothing factor of the moving average of service times. */
 const SERVICE_TIME_DECAY = 0.1
 
-/** Makes the state of an agent that has just started. */
+/** Creates the state of an agent that has just started. */
 export function createAdmission(at: Moment, slots: number): AdmissionState {
 	return {
 		bornWall: at.wall,
@@ -71,13 +75,13 @@
 	}
 }
 
-/** Lets `event` happen. */
+/** Applies `event` to the state and returns the resulting effects. */
 export function stepAdmission(
 	state: AdmissionState,
 	event: AdmissionEvent,
 	at: Moment,
 ): AdmissionEffect[] {
-	const effects = noticePause(state, at)
+	const effects = detectPause(state, at)
 	switch (event.type) {
 		case 'offer':
 			effects.push(...admit(state, event.offer, at))
@@ -101,7 +105,7 @@
 			noteRestAsked(state, event.forMs, at.now)
 			break
 		case 'taken':
-			// One from before the rest was under way then.
+			// A request that was started before the backoff does not show that it is over.
 			if (event.startedAt >= state.restsUntil) state.nextTryAt = undefined
 			break
 		case 'limit':
@@ -112,10 +116,10 @@
 			effects.push(...refuseAll(state, 'leaving', at))
 			break
 		case 'serverStarts':
-			beginLife(state)
+			resetServerSignals(state)
 			break
 		case 'tick':
-			forget(state, at)
+			evictExpired(state, at)
 			break
 		default:
 			event satisfies never
@@ -125,7 +129,7 @@
 	return effects
 }
 
-/** What a void order is answered with; ask after the event was let happen. */
+/** Returns the answer to a void request; call it after the `void` event was applied. */
 export function answerVoid(
 	state: AdmissionState,
 	name: AttemptName,
@@ -134,13 +138,14 @@
 }
 
 /**
- * Work that waited across a pause of this process may have been given up by its
- * entry; it is refused, never started late.
+ * Detects a pause of this process and refuses all queued requests: their entries may
+ * have abandoned them in the meantime, so they must not be started late.
  */
-function noticePause(state: AdmissionState, at: Moment): AdmissionEffect[] {
+function detectPause(state: AdmissionState, at: Moment): AdmissionEffect[] {
 	const { lastSeen } = state
 	state.lastSeen = at
-	// A suspended VM's steady clock stands still; a time of day set ahead looks alike.
+	// The monotonic clock stops while the VM is suspended, so the wall clock is compared
+	// too. A wall clock that is set ahead cannot be told apart from a suspension.
 	const gap = Math.max(at.now - lastSeen.now, at.wall - lastSeen.wall)
 	if (gap <= PAUSE_MS) return []
 	state.wokeAt = at.now
@@ -156,8 +161,8 @@
 	return waiting.map(row => refuseWaiting(state, row, kind, at))
 }
 
-/** What the former life of the backend server said ends with it. */
-function beginLife(state: AdmissionState): void {
+/** Discards the signals of the previous incarnation of the backend server. */
+function resetServerSignals(state: AdmissionState): void {
 	state.serverLeaves = false
 	state.limit = undefined
 	state.restsUntil = Number.NEGATIVE_INFINITY
@@ -170,7 +175,7 @@
 	at: Moment,
 ): AdmissionEffect[] {
 	const id = attemptKey(offer)
-	// A doubled message: the first copy has its effect already.
+	// A duplicate message: the first copy has already been applied.
 	if (state.attempts.has(id)) return []
 	const known = offer.claim && state.keys.get(offer.claim.key)
 	if (known) return [attach(state, offer, known)]
@@ -191,7 +196,7 @@
 	return []
 }
 
-/** The key ran, or runs, before: its first outcome is the only one. */
+/** Attaches the offer to the earlier attempt with the same key, whose outcome is final. */
 function attach(
 	state: AdmissionState,
 	offer: Offer,
@@ -218,19 +223,20 @@
 	offer: Offer,
 	at: Moment,
 ): NotRun | Unknown | undefined {
-	// First: a key that may have run before is never said not to have run.
-	const forgotten = offer.claim && judgeAge(state, offer.claim, at)
-	if (forgotten) return forgotten
+	// Must come first: a key that may have run before must never be reported as `notRun`.
+	const evicted = offer.claim && judgeAge(state, offer.claim, at)
+	if (evicted) return evicted
 	if (state.voided.has(attemptKey(offer))) return notRun('voided')
 	if (state.mode === 'leaving' || state.serverLeaves) return notRun('leaving')
 	if (state.mode === 'suspect') return notRun('groupSplit')
 	if (at.now - state.wokeAt < WAKE_GRACE_MS) return notRun('paused')
 	if (state.queue.waiting.length >= MAX_WAITING) return notRun('overloaded')
-	const claimed = offer.claim && judgeClaim(state, offer.claim, at)
-	if (claimed) return claimed
-	const held = findHold(state, state.queue.waiting.length, at.now)
-	const patienceMs = offer.mayWait ? offer.startBudgetMs : 0
-	if (held.forMs > patienceMs) return notRun(held.kind, Math.ceil(held.forMs))
+	const rejected = offer.claim && judgeClaim(state, offer.claim, at)
+	if (rejected) return rejected
+	const delay = findHold(state, state.queue.waiting.length, at.now)
+	const maxDelayMs = offer.mayWait ? offer.startBudgetMs : 0
+	if (delay.forMs > maxDelayMs)
+		return notRun(delay.kind, Math.ceil(delay.forMs))
 	const wait = estimateWait(state, offer.priority)
 	if (wait <= offer.startBudgetMs) return undefined
 	return notRun('overloaded', Math.ceil(wait))
@@ -257,7 +263,8 @@
 	const row = state.attempts.get(attemptKey(name))
 	if (row?.phase === 'waiting')
 		return [refuseWaiting(state, row, 'callerGone', at)]
-	// Work that may not be repeated goes on: its caller may ask again by key.
+	// A request that must not be repeated continues: its caller may fetch the answer
+	// later with the same key.
 	if (row?.phase !== 'running' || row.claim) return []
 	return [{ do: 'cancel', name: nameOf(row) }]
 }
@@ -277,13 +284,13 @@
 		if (row.claim) state.keys.delete(row.claim.key)
 		return
 	}
-	const held = at.now - row.startedAt
+	const serviceMs = at.now - row.startedAt
 	const first = state.serviceMs === 0
 	const decay = first ? 1 : SERVICE_TIME_DECAY
-	state.serviceMs += decay * (held - state.serviceMs)
+	state.serviceMs += decay * (serviceMs - state.serviceMs)
 }
 
-function forget(state: AdmissionState, at: Moment): void {
+function evictExpired(state: AdmissionState, at: Moment): void {
 	for (const [id, until] of state.voided)
 		if (until <= at.now) state.voided.delete(id)
 	for (const [key, row] of state.keys)
--- a/packages/core/src/core/admissionKeys.ts
+++ b/packages/core/src/core/admissionKeys.ts
@@ -1,6 +1,6 @@
 /**
- * Keys of requests that may not run twice: which one an agent may take, and how long
- * it remembers it.
+ * Idempotency keys of requests that must not run twice: which keys an agent accepts and
+ * how long it retains them.
  */
 
 import type {
@@ -13,11 +13,12 @@
 } from '../internal.ts'
 import { nameOf, notRun, unknown } from '../internal.ts'
 
-/** Stated bound on the difference between any two clocks, in ms. */
+/** Assumed upper bound on the difference between any two wall clocks, ms. */
 export const CLOCK_BOUND_MS = 5_000
-/** Most keys that an agent remembers. */
+/** Maximum number of keys that an agent retains. */
 export const MAX_KEYS = 20_000
-/** Whether the key may be older than what this agent can remember. */
+
+/** Returns `unknown` if the key may have been used before this agent's records begin. */
 export function judgeAge(
 	state: AdmissionState,
 	claim: KeyClaim,
@@ -26,11 +27,11 @@
 	if (claim.fresh || claim.homeSinceWall === undefined) return undefined
 	if (claim.wallTime <= at.wall - claim.windowMs) return unknown('keyForgotten')
 	const safeSince = Math.max(state.bornWall, claim.homeSinceWall)
-	const young = claim.wallTime > safeSince + CLOCK_BOUND_MS
-	return young ? undefined : unknown('keyForgotten')
+	const isRecent = claim.wallTime > safeSince + CLOCK_BOUND_MS
+	return isRecent ? undefined : unknown('keyForgotten')
 }
 
-/** Refuses a key that this agent must not run. */
+/** Returns the refusal of a key that this agent must not run, if any. */
 export function judgeClaim(
 	state: AdmissionState,
 	claim: KeyClaim,
@@ -42,7 +43,7 @@
 	return undefined
 }
 
-/** Remembers the first try of a key. */
+/** Records the first attempt of a key. */
 export function rememberKey(
 	state: AdmissionState,
 	offer: Offer,
--- a/packages/core/src/core/admissionQueue.ts
+++ b/packages/core/src/core/admissionQueue.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that wait at an agent: how long a new one would, which can no longer start
- * in time, and which are started next.
+ * The queue of requests at an agent: estimates the wait of a new request, sheds those
+ * that can no longer start in time, and starts the next ones.
  */
 
 import type {
@@ -19,19 +19,20 @@
 	takeStart,
 } from '../internal.ts'
 
-/** How long a void order and a finished attempt are remembered, in ms. */
+/** Retention time of void requests and finished attempts, ms. */
 export const ATTEMPT_MEMORY_MS = 120_000
-/** One string for a try, as a table key. */
+
+/** Returns a string that identifies an attempt, used as a map key. */
 export function attemptKey(name: AttemptName): string {
 	return `${name.reqId}/${name.attempt}`
 }
 
-/** The name alone of what has more. */
+/** Returns only the name of an attempt. */
 export function nameOf(name: AttemptName): AttemptName {
 	return { reqId: name.reqId, attempt: name.attempt }
 }
 
-/** How long a new request of this priority would wait, in ms. */
+/** Estimates how long a new request of this priority would wait, ms. */
 export function estimateWait(state: AdmissionState, priority: number): number {
 	if (state.running < state.slots) return 0
 	const waiting = state.queue.waiting
@@ -40,7 +41,7 @@
 	return ((ahead + 1) / state.slots) * state.serviceMs
 }
 
-/** Gives up, at once, what can no longer start in time. */
+/** Refuses queued requests as soon as they can no longer start in time. */
 export function shedHopeless(
 	state: AdmissionState,
 	at: Moment,
@@ -49,24 +50,24 @@
 	let ahead = 0
 	for (const row of [...state.queue.waiting]) {
 		const full = state.running + ahead >= state.slots
-		const turnMs = full ? ((ahead + 1) / state.slots) * state.serviceMs : 0
-		const held = findHold(state, ahead, at.now)
-		const wait = Math.max(turnMs, held.forMs)
-		const late = at.now >= row.startBy
-		const hopeless = at.now + wait > row.startBy
-		const goesElsewhere = held.forMs > 0 && !row.mayWait
-		if (!late && !hopeless && !goesElsewhere) {
+		const queueMs = full ? ((ahead + 1) / state.slots) * state.serviceMs : 0
+		const delay = findHold(state, ahead, at.now)
+		const wait = Math.max(queueMs, delay.forMs)
+		const expired = at.now >= row.startBy
+		const willExpire = at.now + wait > row.startBy
+		const goesElsewhere = delay.forMs > 0 && !row.mayWait
+		if (!expired && !willExpire && !goesElsewhere) {
 			ahead++
 			continue
 		}
-		const waitKind = held.forMs > turnMs ? held.kind : 'overloaded'
-		const kind = late ? 'startBudget' : waitKind
+		const waitKind = delay.forMs > queueMs ? delay.kind : 'overloaded'
+		const kind = expired ? 'startBudget' : waitKind
 		effects.push(refuseWaiting(state, row, kind, at, Math.ceil(wait)))
 	}
 	return effects
 }
 
-/** Starts as many as there are slots for, and the limit allows. */
+/** Starts queued requests while there are free slots and the start limit allows it. */
 export function startNext(
 	state: AdmissionState,
 	at: Moment,
@@ -84,7 +85,7 @@
 	return effects
 }
 
-/** Refuses one that waits. */
+/** Removes a request from the queue and refuses it. */
 export function refuseWaiting(
 	state: AdmissionState,
 	row: AttemptRow,
@@ -95,7 +96,7 @@
 	removeWaiting(state.queue, row)
 	row.phase = 'refused'
 	row.forgetAt = at.now + ATTEMPT_MEMORY_MS
-	// It never started, so its key is free for another try.
+	// It never started, so its key may be used by another attempt.
 	if (row.claim) state.keys.delete(row.claim.key)
 	const outcome = notRun(kind, retryAfterMs)
 	return { do: 'refuse', name: nameOf(row), outcome }
--- a/packages/core/src/core/affinity.ts
+++ b/packages/core/src/core/affinity.ts
@@ -1,36 +1,37 @@
 /**
- * Which server is likely to hold a prompt's prefix. Cache events come late and
- * with gaps, so a mark fades with time and never forbids anything.
+ * Prefix affinity: which server is likely to have a prompt's prefix in its cache. Cache
+ * events arrive late and incompletely, so the confidence in a record decays with time
+ * and affinity never excludes a server.
  */
 
 import { hashText } from '../internal.ts'
 
-/** Characters of the prompt that stand for its prefix. */
+/** Number of leading characters of a prompt that identify its prefix. */
 export const PREFIX_CHARS = 256
 const HALF_LIFE_MS = 60_000
-const MAX_MARKS = 16_384
+const MAX_RECORDS = 16_384
 
 interface Mark {
 	readonly server: string
 	readonly at: number
 }
 
-/** Marks of prefixes seen, oldest first. */
+/** Records of recently seen prefixes, oldest first. */
 export interface AffinityTable {
 	readonly marks: Map<number, Mark>
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createAffinity(): AffinityTable {
 	return { marks: new Map() }
 }
 
-/** The table key of a prompt. */
+/** Returns the table key of a prompt. */
 export function hashPrefix(prompt: string): number {
 	return hashText(prompt.slice(0, PREFIX_CHARS))
 }
 
-/** Notes that `server` has just worked on this prefix. */
+/** Records that `server` has just processed this prefix. */
 export function notePrefix(
 	table: AffinityTable,
 	prefix: number,
@@ -39,21 +40,21 @@
 ): void {
 	table.marks.delete(prefix)
 	table.marks.set(prefix, { server, at: now })
-	if (table.marks.size <= MAX_MARKS) return
+	if (table.marks.size <= MAX_RECORDS) return
 	const oldest = table.marks.keys().next().value
 	if (oldest !== undefined) table.marks.delete(oldest)
 }
 
-/** The likely holder of a prefix and how far to trust it, 0 to 1. */
+/** Returns the server that likely has the prefix cached, and the confidence, 0 to 1. */
 export function findPrefix(
 	table: AffinityTable,
 	prefix: number,
 	now: number,
 ): { readonly server: string; readonly credit: number } | undefined {
-	const mark = table.marks.get(prefix)
-	if (!mark) return undefined
+	const record = table.marks.get(prefix)
+	if (!record) return undefined
 	return {
-		server: mark.server,
-		credit: 0.5 ** ((now - mark.at) / HALF_LIFE_MS),
+		server: record.server,
+		credit: 0.5 ** ((now - record.at) / HALF_LIFE_MS),
 	}
 }
--- a/packages/core/src/core/bucket.ts
+++ b/packages/core/src/core/bucket.ts
@@ -1,22 +1,22 @@
-/** A token bucket: what flows in at a rate is kept for some seconds. */
+/** A token bucket: tokens are added at a fixed rate up to a few seconds' worth. */
 
-/** How much a bucket holds, in seconds of its rate. */
+/** Capacity of a bucket, in seconds of its rate. */
 export const BURST_SECONDS = 2
 const MS = 1000
 
-/** A bucket's state. */
+/** State of a token bucket. */
 export interface Bucket {
 	level: number
-	/** When it was last filled up, ms. */
+	/** When it was last refilled, ms. */
 	filledAt: number
 }
 
-/** Makes a full bucket of a rate a second. */
+/** Creates a full bucket; `rate` is in tokens per second. */
 export function fullBucket(rate: number, now: number): Bucket {
 	return { level: capacityOf(rate), filledAt: now }
 }
 
-/** Fills the bucket up to `now`; gives the ms until `amount` may be taken. */
+/** Refills the bucket up to `now`; returns the time until `amount` may be taken, ms. */
 export function waitFor(
 	bucket: Bucket,
 	rate: number,
@@ -27,13 +27,13 @@
 	const gained = ((now - bucket.filledAt) / MS) * rate
 	bucket.level = Math.min(capacity, bucket.level + gained)
 	bucket.filledAt = now
-	// What is larger than the bucket may be taken when it is full.
+	// An amount larger than the capacity may be taken when the bucket is full.
 	const needed = Math.min(amount, capacity)
 	if (bucket.level >= needed) return 0
 	return ((needed - bucket.level) / rate) * MS
 }
 
-/** Takes an amount, which may leave a debt. */
+/** Takes an amount; the level may become negative. */
 export function takeFrom(bucket: Bucket, amount: number): void {
 	bucket.level -= amount
 }
--- a/packages/core/src/core/config.ts
+++ b/packages/core/src/core/config.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and judges a configuration document. A pure function of the text, so
- * every node reaches the same verdict.
+ * Parses and validates a configuration document. The result depends on the text alone,
+ * so every node comes to the same one.
  */
 
 import { parse as parseIni } from 'ini'
@@ -8,20 +8,20 @@
 import type { Config, Fault, LineIndex } from '../internal.ts'
 import { ConfigSchema, findLine, indexLines } from '../internal.ts'
 
-/** The verdict on a document. */
+/** Result of parsing and validating a document. */
 export type ConfigVerdict =
 	| { readonly valid: true; readonly config: Config }
 	| { readonly valid: false; readonly faults: readonly Fault[] }
 
-/** The platform's bound on a value, in bytes. */
+/** Maximum size of a published value on the platform, in bytes. */
 export const MAX_DOCUMENT_BYTES = 1_048_576
 
-/** Judges `text`; lists all faults at once, in order of their lines. */
+/** Parses and validates `text`; returns all faults in line order. */
 export function readConfig(text: string): ConfigVerdict {
-	return readDocument(text, ConfigSchema, findLooseEnds)
+	return readDocument(text, ConfigSchema, checkReferences)
 }
 
-/** Judges an INI text by `schema`; `check` sees it if each value is right. */
+/** Validates an INI text against `schema`, then, if that succeeds, with `check`. */
 export function readDocument<T extends v.GenericSchema>(
 	text: string,
 	schema: T,
@@ -41,11 +41,11 @@
 	const found = parsed.success
 		? check(parsed.output, index)
 		: parsed.issues.map(issue => describeIssue(issue, index))
-	// A line that cannot be read is one fault, not two.
-	const unread = new Set(index.faults.map(fault => fault.line))
+	// A line that cannot be parsed is reported only once.
+	const unparsed = new Set(index.faults.map(fault => fault.line))
 	const faults = [
 		...index.faults,
-		...found.filter(fault => !unread.has(fault.line)),
+		...found.filter(fault => !unparsed.has(fault.line)),
 	]
 	faults.sort((a, b) => a.line - b.line)
 	if (faults.length > 0 || !parsed.success) return { valid: false, faults }
@@ -56,7 +56,7 @@
 	const path = (issue.path ?? []).map(item => String(item.key))
 	const deep = path.length > 2
 	const section = deep ? path.slice(0, 2).join('.') : path.join('.')
-	// Below the key stand the places of a list.
+	// Path items after the key are list indices.
 	const key = deep ? path[2]! : ''
 	const line = findLine(index, section, key)
 	return { line, section, key, expected: describeExpectation(issue, key) }
@@ -68,8 +68,8 @@
 	return `${key || 'this section'} to be given`
 }
 
-/** Names that point nowhere, and doubled addresses. */
-function findLooseEnds(config: Config, index: LineIndex): Fault[] {
+/** Finds references to missing sections, and duplicate addresses. */
+function checkReferences(config: Config, index: LineIndex): Fault[] {
 	const faults: Fault[] = []
 	const fail = (section: string, key: string, expected: string) => {
 		const line = findLine(index, section, key)
@@ -88,8 +88,9 @@
 		const section = `server.${name}`
 		if (!config.dataCentre[server.dataCentre])
 			fail(section, 'dataCentre', 'the name of a [dataCentre.…]')
-		const twin = agents.get(server.agent)
-		if (twin) fail(section, 'agent', `an address other than that of ${twin}`)
+		const duplicate = agents.get(server.agent)
+		if (duplicate)
+			fail(section, 'agent', `an address other than that of ${duplicate}`)
 		agents.set(server.agent, name)
 		switch (server.kind) {
 			case 'service':
@@ -117,7 +118,11 @@
 			if (config.server[rank]?.kind !== 'engine')
 				fail(section, 'ranks', `a [server.${rank}] of kind engine`)
 			if (other)
-				fail(section, 'ranks', `${rank} once; group ${other} has it too`)
+				fail(
+					section,
+					'ranks',
+					`${rank} in one group only; it is also in group ${other}`,
+				)
 			groupOf.set(rank, name)
 		}
 	}
@@ -151,10 +156,11 @@
 		for (const expert of experts) placed.add(expert)
 	}
 	const missing = group.experts - placed.size
-	if (missing > 0) fail(section, '', `every expert placed; ${missing} are not`)
+	if (missing > 0)
+		fail(section, '', `every expert placed; ${missing} are missing`)
 }
 
-/** Reads a list such as `0-7, 12`; an unreadable part gives `NaN`. */
+/** Parses a list such as `0-7, 12`; returns `[NaN]` if a part is malformed. */
 export function readExperts(text: string): number[] {
 	const experts = new Set<number>()
 	for (const part of text.split(/[\s,]+/)) {
@@ -167,7 +173,7 @@
 	return [...experts]
 }
 
-/** Splits a checked `IP:port`. */
+/** Splits a validated `IP:port`. */
 export function splitAddress(address: string): { ip: string; port: number } {
 	const at = address.lastIndexOf(':')
 	return { ip: address.slice(0, at), port: Number(address.slice(at + 1)) }
--- a/packages/core/src/core/diff.ts
+++ b/packages/core/src/core/diff.ts
@@ -1,36 +1,36 @@
-/** What applying one configuration over another changes. */
+/** The differences between two configurations. */
 
 import type { Config, GroupConfig } from '../internal.ts'
 import { readExperts } from '../internal.ts'
 
-/** One difference of keys or whole sections. */
+/** A difference in a key or a whole section. */
 export interface ConfigChange {
 	readonly kind: 'added' | 'removed' | 'changed'
 	readonly section: string
-	/** Empty for a whole section. */
+	/** Empty if the whole section was added or removed. */
 	readonly key: string
 	readonly before?: string
 	readonly after?: string
 }
 
-/** Experts that a group must load because its placement changes. */
+/** Expert loads that a change of a group's placement requires. */
 export interface PlacementMoves {
 	readonly group: string
-	/** Loads of one expert on one rank in one layer. */
+	/** Number of loads; each is one expert on one rank in one layer. */
 	readonly loads: number
 	readonly bytes: number
 }
 
-/** All differences. */
+/** All differences between two configurations. */
 export interface ConfigDiff {
 	readonly changes: readonly ConfigChange[]
 	readonly moves: readonly PlacementMoves[]
 }
 
 type Section = Readonly<Record<string, unknown>>
-type Kind = keyof Config
+type SectionKind = keyof Config
 
-const KINDS: readonly Kind[] = [
+const SECTION_KINDS: readonly SectionKind[] = [
 	'dataCentre',
 	'model',
 	'group',
@@ -42,15 +42,17 @@
 
 /** Compares two valid configurations. */
 export function diffConfigs(from: Config, to: Config): ConfigDiff {
-	const changes = KINDS.flatMap(kind => diffKind(kind, from[kind], to[kind]))
+	const changes = SECTION_KINDS.flatMap(kind =>
+		diffKind(kind, from[kind], to[kind]),
+	)
 	const moves = Object.keys(to.group)
 		.map(group => diffPlacement(from, to, group))
-		.filter(moved => moved.loads > 0)
+		.filter(move => move.loads > 0)
 	return { changes, moves }
 }
 
 function diffKind(
-	kind: Kind,
+	kind: SectionKind,
 	from: Readonly<Record<string, Section>>,
 	to: Readonly<Record<string, Section>>,
 ): ConfigChange[] {
@@ -94,28 +96,28 @@
 	group: string,
 ): PlacementMoves {
 	const next = to.group[group]!
-	const old = from.group[group]
-	const before = old ? readPlacement(from, group, old) : []
+	const previous = from.group[group]
+	const before = previous ? readPlacement(from, group, previous) : []
 	const after = readPlacement(to, group, next)
 	let loads = 0
 	for (const [rank, experts] of after.entries()) {
-		const had = new Set(before[rank] ?? [])
-		loads += experts.filter(expert => !had.has(expert)).length
+		const loaded = new Set(before[rank] ?? [])
+		loads += experts.filter(expert => !loaded.has(expert)).length
 	}
 	loads *= next.layers
 	return { group, loads, bytes: loads * next.bytesPerExpert }
 }
 
-/** Experts of each rank by the configuration; even blocks when not given. */
+/** Returns the configured experts of each rank, or even blocks if none are given. */
 export function readPlacement(
 	config: Config,
 	name: string,
 	group: GroupConfig,
 ): number[][] {
-	const given = config.placement[name]
+	const placement = config.placement[name]
 	const size = Math.ceil(group.experts / group.ranks.length)
 	return group.ranks.map((_, rank) => {
-		if (given) return readExperts(given[`rank${rank}`] ?? '')
+		if (placement) return readExperts(placement[`rank${rank}`] ?? '')
 		const block = Array.from({ length: size }, (_, at) => rank * size + at)
 		return block.filter(expert => expert < group.experts)
 	})
--- a/packages/core/src/core/elapsedClock.ts
+++ b/packages/core/src/core/elapsedClock.ts
@@ -1,39 +1,41 @@
 /**
- * Time that also passes while a VM is suspended, from its two clocks: the steady one
- * stands still then, the time of day goes on. Ages, leases and deadlines go by it.
+ * A clock that also advances while the VM is suspended. It combines the monotonic clock,
+ * which stops during a suspension, with the wall clock, which does not. Ages, leases and
+ * deadlines are measured with it.
  *
- * The time of day may also be set. Set ahead it looks like a suspension: what is
- * believed counts as older than it is, and is learnt anew. Set back it is passed over.
+ * The wall clock may also be adjusted. A step forward is treated as a suspension, so
+ * cached state counts as older than it is and is fetched again. A step back is ignored.
  */
 
 import type { Moment } from '../types/admission.ts'
 
 /**
- * Between two looks, the time of day that is ahead by less is slewed or read late, ms:
- * clocks are slewed by half a ms a second.
+ * Smallest difference between the advances of the two clocks that counts as a jump, ms.
+ * Smaller ones are due to slewing, at 0.5 ms per second, or to a delay between reading
+ * the two clocks.
  */
-const LEAST_JUMP_MS = 250
+const MIN_JUMP_MS = 250
 
-/** Both clocks when they were last looked at, and what they have shown. */
+/** The last readings of both clocks and the jumps detected so far. */
 export interface ElapsedClock {
 	last: Moment
-	/** How long the VM seems to have been suspended in all, ms. */
+	/** Total time that the VM appears to have been suspended, ms. */
 	suspendedMs: number
-	/** How often the clocks have parted, either way. */
+	/** Number of jumps, in either direction. */
 	jumps: number
 }
 
-/** Makes a clock that has seen no suspension. */
+/** Creates a clock that has seen no suspension. */
 export function createElapsedClock(at: Moment): ElapsedClock {
 	return { last: at, suspendedMs: 0, jumps: 0 }
 }
 
-/** Time that has elapsed, ms, on a scale of its own; it never goes back. */
+/** Returns the elapsed time, ms; its origin is arbitrary and it never goes back. */
 export function tellElapsed(clock: ElapsedClock, at: Moment): number {
 	const { last } = clock
 	const aheadMs = at.wall - last.wall - (at.now - last.now)
 	clock.last = at
-	if (Math.abs(aheadMs) >= LEAST_JUMP_MS) {
+	if (Math.abs(aheadMs) >= MIN_JUMP_MS) {
 		clock.jumps++
 		clock.suspendedMs += Math.max(0, aheadMs)
 	}
--- a/packages/core/src/core/entryRoster.ts
+++ b/packages/core/src/core/entryRoster.ts
@@ -1,28 +1,28 @@
-/** Which entries there are, as far as this one hears. */
+/** Membership of the entries, as seen by this one. */
 
 import type { EntryCount } from '../internal.ts'
 
-/** An entry that has been silent for this long is not counted on, ms. */
+/** An entry without contact for this long is not considered reachable, ms. */
 export const PEER_SILENT_MS = 2_000
-/** An entry counts as one that is cut off, not gone, for this long, ms. */
-const KNOWN_MS = 60_000
+/** For this long after its last contact, an entry counts as cut off, not as gone, ms. */
+const RETENTION_MS = 60_000
 
-/** What is known of another entry. */
 interface KnownEntry {
-	/** When it was first named, or last heard, ms. */
+	/** When it was discovered or last contacted this entry, ms. */
 	knownAt: number
-	heardAt: number
+	/** When it last contacted this entry, ms. */
+	contactAt: number
 }
 
-/** The entries by their control addresses. */
+/** The entries, by their control addresses. */
 export interface EntryRoster {
 	readonly others: Map<string, KnownEntry>
-	/** This entry and those that it hears. */
+	/** This entry and the reachable others, sorted. */
 	heard: readonly string[]
 	count: EntryCount
 }
 
-/** Makes the roster of an entry that knows of itself only. */
+/** Creates the membership of an entry that knows only itself. */
 export function createEntryRoster(own: string): EntryRoster {
 	return {
 		others: new Map(),
@@ -31,28 +31,29 @@
 	}
 }
 
-/** Notes that another entry has been named. */
+/** Records that another entry has been discovered. */
 export function noteEntryNamed(
 	{ others }: EntryRoster,
 	address: string,
 	now: number,
 ): void {
 	if (others.has(address)) return
-	others.set(address, { knownAt: now, heardAt: Number.NEGATIVE_INFINITY })
+	others.set(address, { knownAt: now, contactAt: Number.NEGATIVE_INFINITY })
 }
 
-/** Notes that another entry has been heard. */
+/** Records contact from another entry. */
 export function noteEntryHeard(
 	{ others }: EntryRoster,
 	address: string,
 	now: number,
 ): void {
-	others.set(address, { knownAt: now, heardAt: now })
+	others.set(address, { knownAt: now, contactAt: now })
 }
 
 /**
- * Takes stock; true when other entries are heard than before. Of entries that this one
- * is not linked to nothing is heard: they count as heard.
+ * Updates the reachable entries and the counts; returns whether the reachable entries
+ * have changed. Entries without a link to this one cannot contact it and count as
+ * reachable.
  */
 export function lookAtRoster(
 	roster: EntryRoster,
@@ -61,14 +62,14 @@
 	now: number,
 ): boolean {
 	const known = [...roster.others]
-		.filter(([, { knownAt }]) => now - knownAt <= KNOWN_MS)
+		.filter(([, { knownAt }]) => now - knownAt <= RETENTION_MS)
 		.map(([address]) => address)
-	const heard = known.filter(address => {
-		const { heardAt } = roster.others.get(address)!
-		return now - heardAt <= PEER_SILENT_MS || !isLinked(address)
+	const reachable = known.filter(address => {
+		const { contactAt } = roster.others.get(address)!
+		return now - contactAt <= PEER_SILENT_MS || !isLinked(address)
 	})
 	const before = roster.heard
-	roster.heard = [own, ...heard].sort()
+	roster.heard = [own, ...reachable].sort()
 	roster.count = {
 		heard: roster.heard.length,
 		known: known.length + 1,
--- a/packages/core/src/core/entryShare.ts
+++ b/packages/core/src/core/entryShare.ts
@@ -1,11 +1,12 @@
 /**
- * How entries that decide apart use servers together: which part of what comes
- * they take, and which servers each turns to first. Entries learn of each other's
- * requests a fifth of a second late, while a seventh of all requests at a group of
- * 192 ranks are new; until then each assumes that the others do as it does.
+ * How entries share servers without coordinating each request: the fraction of their
+ * requests they admit, and the servers that each of them prefers. Entries learn of each
+ * other's requests about 0.2 s late, and at a group of 192 ranks a seventh of all
+ * requests in flight are newer than that. For these, each entry assumes that the others
+ * behave as it does.
  */
 
-/** An entry's demand of late, requests a second. */
+/** Recent demand of an entry, requests per second. */
 export interface EntryDemand {
 	readonly name: string
 	readonly dataCentre: string
@@ -13,51 +14,52 @@
 }
 
 /**
- * Every entry counts as if this came to it besides, requests a second: one that
- * had nothing of late may still send the first request that comes.
+ * Added to the demand of every entry, requests per second, so that an entry without
+ * recent requests may still send the first one that arrives.
  */
-const LEAST_PER_SECOND = 0.5
+const MIN_PER_SECOND = 0.5
 const SECOND_MS = 1_000
 
 function weightOf({ perSecond }: EntryDemand): number {
-	return perSecond + LEAST_PER_SECOND
+	return perSecond + MIN_PER_SECOND
 }
 
-/** What comes to and leaves a group by way of all entries. */
+/** Arrivals and completions at a group, over all entries. */
 export interface GroupIntake {
-	/** Requests that come to all entries, a second. */
+	/** Requests per second that arrive at all entries. */
 	readonly perSecond: number
-	/** Requests that end at the group, a second. */
+	/** Requests per second that the group completes. */
 	readonly endedPerSecond: number
-	/** Within this time, places that are free are to be taken, ms. */
+	/** Time within which free slots are to be filled, ms. */
 	readonly horizonMs: number
 }
 
 /**
- * Part of the requests that entries take now, when `room` places of a group are
- * free as far as is known; negative for fewer than none. What ends meanwhile is
- * free as well. As each entry takes the same part of what comes to it, all turn
- * callers away alike, and it does not matter to whom places fall free.
+ * Returns the fraction of arriving requests that entries may admit while `room` slots of
+ * a group are free as far as known; `room` is negative if the group is over its limit.
+ * Slots freed by completing requests are included. All entries admit the same fraction
+ * of their own arrivals, so they refuse callers alike, whichever entry's requests
+ * complete.
  */
 export function partTaken(
 	room: number,
 	{ perSecond, endedPerSecond, horizonMs }: GroupIntake,
 ): number {
-	const places = endedPerSecond + (room * SECOND_MS) / horizonMs
-	return places / Math.max(perSecond, LEAST_PER_SECOND)
+	const slotsPerSecond = endedPerSecond + (room * SECOND_MS) / horizonMs
+	return slotsPerSecond / Math.max(perSecond, MIN_PER_SECOND)
 }
 
-/** A server as the shares of entries are dealt. */
+/** A server to be assigned to an entry. */
 export interface SharedServer {
 	readonly id: string
 	readonly dataCentre: string
 }
 
 /**
- * Places in `servers` that an entry turns to first: a run of them as long as its
- * part of the demand. Entries and servers are laid out data centre by data centre,
- * so that the two mostly meet in their own; entries that know of the same demand
- * deal each server to one of them.
+ * Returns the indices of the servers that an entry prefers: a contiguous range in
+ * proportion to its share of the demand. Entries and servers are ordered by data centre,
+ * so most assignments stay within one. Entries with the same view of the demand assign
+ * each server to exactly one of them.
  */
 export function dealServers(
 	own: EntryDemand,
@@ -80,8 +82,8 @@
 	}
 	const from = (before / total) * servers.length
 	const to = ((before + weightOf(own)) / total) * servers.length
-	// A server belongs to the entry in whose run its middle lies.
-	return order.filter((_, place) => place + 0.5 >= from && place + 0.5 < to)
+	// A server belongs to the entry whose range contains its midpoint.
+	return order.filter((_, index) => index + 0.5 >= from && index + 0.5 < to)
 }
 
 function compare(a: string, b: string): number {
@@ -90,18 +92,25 @@
 }
 
 /**
- * Requests that a server seems to hold, before its own entry tells of them, where
- * few are sent: what that entry has sent there of late is not known yet.
+ * Minimum estimate of the unreported requests at a server assigned to another entry,
+ * for low rates: what that entry has sent recently is not known yet.
  */
-const LEAST_ELSEWHERE = 0.75
-/** Others are taken to be ahead by this part of a request, so that no tie is drawn. */
-const AHEAD = 0.25
+const MIN_UNREPORTED = 0.75
+/** Added to the estimate for other entries, in requests, so that own servers win ties. */
+const TIE_BREAK = 0.25
 
 /**
- * Requests that a server dealt to another entry seems to hold besides those known
- * of: as many as this entry, which has sent `untold` requests since entries told
- * each other, has given to each of its `own` servers that are open.
+ * Estimates the unreported requests at a server assigned to another entry: as many as
+ * this entry has sent to each of its own available servers since the last report.
+ * `unreported` is the number of requests it has sent since then, `ownServers` the number
+ * of its available servers.
  */
-export function expectElsewhere(untold: number, own: number): number {
-	return Math.max(LEAST_ELSEWHERE, untold / Math.max(1, own) + AHEAD)
+export function expectElsewhere(
+	unreported: number,
+	ownServers: number,
+): number {
+	return Math.max(
+		MIN_UNREPORTED,
+		unreported / Math.max(1, ownServers) + TIE_BREAK,
+	)
 }
--- a/packages/core/src/core/errors.ts
+++ b/packages/core/src/core/errors.ts
@@ -1,22 +1,22 @@
 /**
- * The closed list of error kinds and the one table from kind to answer.
- * A kind is also the label of its refusal counter.
+ * The closed list of error kinds and the table that maps each kind to its response.
+ * The kind is also the label of its refusal counter.
  */
 
 /** Whether the request may have run on a backend server. */
 export type Ran = 'no' | 'maybe' | 'yes'
 
-/** How an error kind is answered. */
+/** The response for an error kind. */
 export interface ErrorAnswer {
-	/** HTTP status towards the caller. */
+	/** HTTP status sent to the caller. */
 	readonly status: number
-	/** What is known about execution when this kind is final. */
+	/** What is known about execution if this kind is the final outcome. */
 	readonly ran: Ran
-	/** Default time after which to come back, in milliseconds; 0: do not. */
+	/** Default retry delay in milliseconds; 0 if the caller should not retry. */
 	readonly retryAfterMs: number
-	/** `type` field of the error body that clients of model servers expect. */
+	/** `type` field of the error body, as clients of model servers expect it. */
 	readonly type: string
-	/** One sentence for the caller. */
+	/** Message for the caller, one sentence. */
 	readonly text: string
 }
 
@@ -138,13 +138,13 @@
 	internal: row(500, 'maybe', 1000, server, 'A fault in juniperhook itself.'),
 } as const satisfies Record<string, ErrorAnswer>
 
-/** Every way in which a request can fail. */
+/** All kinds of request failure. */
 export type ErrorKind = keyof typeof ERRORS
 
-/** All kinds, for the registration of counters. */
+/** All kinds, for registering the counters. */
 export const ERROR_KINDS = Object.keys(ERRORS) as readonly ErrorKind[]
 
-/** Tells whether `value` names an error kind (for input from another process). */
+/** Whether `value`, received from another process, is an error kind. */
 export function isErrorKind(value: unknown): value is ErrorKind {
 	return typeof value === 'string' && Object.hasOwn(ERRORS, value)
 }
--- a/packages/core/src/core/fairQueue.ts
+++ b/packages/core/src/core/fairQueue.ts
@@ -1,45 +1,45 @@
 /**
- * The order in which an agent starts waiting requests: by priority, then fairly
- * by team weight (start-time fair queueing), then by arrival.
+ * The queue that determines the order in which an agent starts waiting requests: by
+ * priority, then by start-time fair queueing over team weights, then by arrival.
  */
 
-/** What the order needs to know of a waiting request. */
+/** The properties of a queued request that determine its position. */
 export interface Waiting {
 	readonly team: string
 	/** 0 is the most urgent. */
 	readonly priority: number
-	/** Team weight; a team with 2 is started twice as often as one with 1. */
+	/** Team weight; a team with weight 2 gets twice as many starts as one with 1. */
 	readonly weight: number
-	/** Virtual start, given by {@link enqueue}. */
+	/** Virtual start time, assigned by {@link enqueue}. */
 	virtualStart: number
-	/** Arrival number, given by {@link enqueue}. */
+	/** Arrival number, assigned by {@link enqueue}. */
 	order: number
 }
 
-/** A queue of one agent. */
+/** The queue of an agent. */
 export interface FairQueue<T extends Waiting> {
 	readonly waiting: T[]
-	/** Virtual finish of each team's latest request; teams idle are dropped. */
+	/** Virtual finish time of each team's latest request; cleared when the queue is empty. */
 	readonly finishOf: Map<string, number>
 	virtualNow: number
 	arrivals: number
 }
 
-/** Makes an empty queue. */
+/** Creates an empty queue. */
 export function createFairQueue<T extends Waiting>(): FairQueue<T> {
 	return { waiting: [], finishOf: new Map(), virtualNow: 0, arrivals: 0 }
 }
 
-/** Adds `item` and keeps the queue in order. */
+/** Inserts `item` at its position in the queue. */
 export function enqueue<T extends Waiting>(queue: FairQueue<T>, item: T): void {
 	const finish = queue.finishOf.get(item.team) ?? 0
 	item.virtualStart = Math.max(queue.virtualNow, finish)
 	item.order = queue.arrivals++
 	queue.finishOf.set(item.team, item.virtualStart + 1 / item.weight)
-	queue.waiting.splice(findPlace(queue.waiting, item), 0, item)
+	queue.waiting.splice(findInsertIndex(queue.waiting, item), 0, item)
 }
 
-/** Takes the next request to start. */
+/** Removes and returns the next request to start. */
 export function dequeue<T extends Waiting>(queue: FairQueue<T>): T | undefined {
 	const next = queue.waiting.shift()
 	if (!next) return undefined
@@ -48,7 +48,7 @@
 	return next
 }
 
-/** Takes `item` out wherever it stands. */
+/** Removes `item` from any position in the queue. */
 export function removeWaiting<T extends Waiting>(
 	queue: FairQueue<T>,
 	item: T,
@@ -57,7 +57,10 @@
 	if (at >= 0) queue.waiting.splice(at, 1)
 }
 
-function findPlace<T extends Waiting>(waiting: readonly T[], item: T): number {
+function findInsertIndex<T extends Waiting>(
+	waiting: readonly T[],
+	item: T,
+): number {
 	let low = 0
 	let high = waiting.length
 	while (low < high) {
--- a/packages/core/src/core/fate.ts
+++ b/packages/core/src/core/fate.ts
@@ -1,48 +1,48 @@
 /**
- * An entry's decisions on one request: from its first try to the one final
- * outcome. Nothing but `settle` ends a request, and it does so once.
+ * The lifecycle of one request at its entry, from the first attempt to the final
+ * outcome. A request ends only by the `settle` effect, which is produced exactly once.
  */
 
 import type { ErrorKind, Outcome } from '../internal.ts'
 import { ANSWERED, ERRORS, notRun, unknown } from '../internal.ts'
 
-/** Most tries of one request. */
+/** Maximum number of attempts of one request. */
 export const MAX_ATTEMPTS = 4
-/** Most times that a broken answer is taken up again. */
+/** Maximum number of times that an interrupted answer is resumed. */
 export const MAX_RESUMES = 8
 
-/** Where a request stands. */
+/** Current state of a request. */
 export type FateState =
-	/** Waits for a server to be chosen. */
+	/** Waiting for a server to be chosen. */
 	| { readonly at: 'routing' }
-	/** Offered; nothing heard yet. */
+	/** Offered to an agent that has not answered yet. */
 	| { readonly at: 'offered' }
-	/** A void order is on its way; `why` is what made it necessary. */
+	/** A void request has been sent; `why` is the failure that caused it. */
 	| { readonly at: 'voiding'; readonly why: ErrorKind }
 	/** Admitted or answering; `next` is the number of the next chunk. */
 	| { readonly at: 'answering'; readonly next: number }
 	| { readonly at: 'settled'; readonly outcome: Outcome }
 
-/** All that an entry decides a request's fate from. */
+/** State of a request's lifecycle. */
 export interface Fate {
-	/** Whether another try may be made although an earlier one may have run. */
+	/** Whether the request may be attempted again after an earlier attempt may have run. */
 	readonly repeatable: boolean
 	state: FateState
-	/** Number of the open try, from 1; 0 before the first. */
+	/** Number of the current attempt, from 1; 0 before the first. */
 	attempt: number
 	resumes: number
-	/** Whether the caller has been sent a part of the answer; the daemon sets it. */
+	/** Whether part of the answer has been sent to the caller; set by the daemon. */
 	told: boolean
-	/** Whether an earlier, given-up try may have run. */
+	/** Whether an earlier, abandoned attempt may have run. */
 	mayHaveRun: boolean
 	/**
-	 * Whether "not run" can be said of all that the caller may have asked before
-	 * by the same key: the entry made the key, or the key's home has spoken.
+	 * Whether `notRun` would hold for all requests that the caller may have sent with the
+	 * same key: the entry created the key, or the key's home has checked it.
 	 */
 	vouched: boolean
 }
 
-/** What happens to a request. Events of a try carry its number. */
+/** An event of a request. Events of an attempt carry its number. */
 export type FateEvent =
 	| { readonly type: 'routed' }
 	| { readonly type: 'noRoute'; readonly kind: ErrorKind }
@@ -58,7 +58,7 @@
 	| { readonly type: 'end'; readonly attempt: number; readonly n: number }
 	| { readonly type: 'linkLost'; readonly attempt: number }
 	| { readonly type: 'backendFailed'; readonly attempt: number }
-	/** Nothing was heard within the start budget. */
+	/** The agent did not answer within the start budget. */
 	| { readonly type: 'silent'; readonly attempt: number }
 	| {
 			readonly type: 'voidAnswer'
@@ -68,24 +68,24 @@
 	| { readonly type: 'deadline' }
 	| { readonly type: 'callerGone' }
 
-/** What the daemon is to do. */
+/** An effect that the daemon has to carry out. */
 export type FateEffect =
 	/** Choose a server and offer the request under `fate.attempt`. */
 	| { readonly do: 'route'; readonly why?: ErrorKind }
 	| { readonly do: 'sendVoid'; readonly attempt: number }
-	/** Take the answer up again from chunk `from`. */
+	/** Resume the answer from chunk `from`. */
 	| { readonly do: 'resume'; readonly attempt: number; readonly from: number }
-	/** Pass the chunk of this event on to the caller. */
+	/** Forward the chunk of this event to the caller. */
 	| { readonly do: 'forward' }
-	/** Tell the agent that nobody waits any more. */
+	/** Notify the agent that the caller no longer waits. */
 	| { readonly do: 'cancel'; readonly attempt: number }
-	/** The event belongs to no open try; count it. */
+	/** The event does not belong to the current attempt; count it. */
 	| { readonly do: 'drop' }
 	| { readonly do: 'settle'; readonly outcome: Outcome }
 
 /**
- * Makes the fate of a request that has just been read; `callerKey` when it has
- * a key that its caller may have used before.
+ * Creates the lifecycle of a request that has just been received; `callerKey` is true if
+ * the request has a key that its caller may have used before.
  */
 export function createFate(repeatable: boolean, callerKey = false): Fate {
 	return {
@@ -99,7 +99,7 @@
 	}
 }
 
-/** Lets `event` happen; `mayRetry` is the retry budget's word. */
+/** Applies `event`; `mayRetry` is whether the retry budget allows another attempt. */
 export function stepFate(
 	fate: Fate,
 	event: FateEvent,
@@ -152,9 +152,9 @@
 ): FateEffect[] {
 	if (outcome.outcome === 'answered') return [{ do: 'drop' }]
 	const { kind, retryAfterMs } = outcome
-	// A home that refuses has looked the key up; another server knows nothing.
+	// A home that refuses has checked the key; any other server has not.
 	if (outcome.outcome === 'notRun' && kind !== 'notHome') fate.vouched = true
-	// An admitted try that is refused later was shed while it waited.
+	// An attempt that is refused after its admission was shed from the queue.
 	if (outcome.outcome === 'notRun' && !fate.told)
 		return tryAgain(fate, kind, retryAfterMs, mayRetry)
 	fate.mayHaveRun = true
@@ -169,7 +169,7 @@
 
 function onChunk(fate: Fate, n: number, mayRetry: boolean): FateEffect[] {
 	const next = fate.state.at === 'answering' ? fate.state.next : 0
-	// A doubled chunk after a resume.
+	// A duplicate chunk after a resume.
 	if (n < next) return [{ do: 'drop' }]
 	if (n > next) return resume(fate, mayRetry)
 	fate.state = { at: 'answering', next: n + 1 }
@@ -234,7 +234,7 @@
 	return [{ do: 'resume', attempt: fate.attempt, from }]
 }
 
-/** The open try is proved not to have run. */
+/** Starts another attempt; the current one is proved not to have run. */
 function tryAgain(
 	fate: Fate,
 	why: ErrorKind,
@@ -247,7 +247,7 @@
 	return [{ do: 'route', why }]
 }
 
-/** The open try may have run. */
+/** Abandons the current attempt, which may have run. */
 function giveUpStarted(
 	fate: Fate,
 	why: ErrorKind,
--- a/packages/core/src/core/lines.ts
+++ b/packages/core/src/core/lines.ts
@@ -1,11 +1,11 @@
 /**
- * Where each section and key of an INI text stands. The INI library gives
- * values without positions and merges doubled sections silently.
+ * Line numbers of the sections and keys of an INI text. The INI parser reports no
+ * positions and silently merges duplicate sections.
  */
 
-/** A fault of a document, for a person to mend. */
+/** A fault in a document, reported to the operator. */
 export interface Fault {
-	/** Line number from 1; 0 when the fault is of the whole document. */
+	/** Line number from 1; 0 if the fault concerns the whole document. */
 	readonly line: number
 	readonly section: string
 	readonly key: string
@@ -13,23 +13,23 @@
 	readonly expected: string
 }
 
-/** Positions in one document. */
+/** Line numbers and syntax faults of a document. */
 export interface LineIndex {
-	/** Line of each section's heading. */
+	/** Line of each section heading, by section name. */
 	readonly sections: ReadonlyMap<string, number>
-	/** Line of each key, under `section\nkey`. */
+	/** Line of each key, by `section\nkey`. */
 	readonly keys: ReadonlyMap<string, number>
-	/** Doubled headings and keys, unreadable lines. */
+	/** Duplicate headings and keys, and malformed lines. */
 	readonly faults: readonly Fault[]
 }
 
 const HEADING = /^\[([^\]]+)\]$/
 const SECTION = /^[a-z]+(\.[a-z0-9][a-z0-9-]*)?$/i
 const PAIR = /^([^=\s][^=]*?)\s*=/
-// biome-ignore lint/suspicious/noControlCharactersInRegex: they are the fault
+// biome-ignore lint/suspicious/noControlCharactersInRegex: it detects them
 const CONTROL = /[\u0000-\u0008\u000b\u000c\u000e-\u001f\ufffd]/
 
-/** Reads the positions in `text`. */
+/** Indexes the lines of `text`. */
 export function indexLines(text: string): LineIndex {
 	const sections = new Map<string, number>()
 	const keys = new Map<string, number>()
@@ -70,7 +70,7 @@
 	return { sections, keys, faults }
 }
 
-/** The best known line of a key: its own, its section's, or 0. */
+/** Returns the line of a key, else that of its section, else 0. */
 export function findLine(
 	index: LineIndex,
 	section: string,
--- a/packages/core/src/core/patch.ts
+++ b/packages/core/src/core/patch.ts
@@ -1,30 +1,30 @@
 /**
- * The difference of two texts as one replaced middle. Documents change by small
- * edits, so this is short where it matters and simple everywhere.
+ * A patch that replaces one contiguous part of a text. Documents change by small edits,
+ * for which this simple format is compact enough.
  */
 
 import { hashText } from '../internal.ts'
 
-/** Replaces the middle of a text. */
+/** Replaces the part of a text between a kept prefix and a kept suffix. */
 export interface TextPatch {
-	/** Characters kept at the beginning. */
+	/** Number of characters kept at the start. */
 	readonly prefix: number
-	/** Characters kept at the end. */
+	/** Number of characters kept at the end. */
 	readonly suffix: number
 	readonly middle: string
-	/** Hash of the result, against a wrong base. */
+	/** Hash of the result, to detect a wrong base. */
 	readonly hash: number
 }
 
-/** The patch that makes `to` of `from`. */
+/** Creates the patch that turns `from` into `to`. */
 export function makePatch(from: string, to: string): TextPatch {
 	const shorter = Math.min(from.length, to.length)
 	let prefix = 0
 	while (prefix < shorter && from[prefix] === to[prefix]) prefix++
 	let suffix = 0
-	const room = shorter - prefix
+	const maxSuffix = shorter - prefix
 	while (
-		suffix < room &&
+		suffix < maxSuffix &&
 		from[from.length - 1 - suffix] === to[to.length - 1 - suffix]
 	)
 		suffix++
@@ -32,7 +32,7 @@
 	return { prefix, suffix, middle, hash: hashText(to) }
 }
 
-/** The patched text, or `undefined` when `from` is not the right base. */
+/** Returns the patched text, or `undefined` if `from` is not the base of the patch. */
 export function applyPatch(from: string, patch: TextPatch): string | undefined {
 	const { prefix, suffix, middle } = patch
 	if (prefix + suffix > from.length) return undefined
--- a/packages/core/src/core/revision.ts
+++ b/packages/core/src/core/revision.ts
@@ -1,58 +1,58 @@
 /**
- * Which configuration is in force: the highest valid revision seen, never an
- * older one, whoever offers it.
+ * Selects the active configuration: the highest valid revision seen. It is never
+ * replaced by a lower revision, whatever its source.
  */
 
 import type { Config, Fault } from '../internal.ts'
 import { readConfig } from '../internal.ts'
 
-/** The configuration in force. */
+/** The active configuration. */
 export interface HeldConfig {
 	readonly revision: number
 	readonly document: string
 	readonly config: Config
 }
 
-/** A revision that was refused whole. */
+/** A revision that was rejected as a whole. */
 export interface RefusedConfig {
 	readonly revision: number
 	readonly faults: readonly Fault[]
 }
 
-/** What a process holds of the configuration. */
+/** The active and the last rejected configuration of a process. */
 export interface RevisionState {
 	held: HeldConfig | undefined
 	refused: RefusedConfig | undefined
 }
 
-/** What became of an offered document. */
+/** Result of offering a document. */
 export type RevisionVerdict = 'adopted' | 'known' | 'stale' | 'invalid'
 
-/** Makes the state of a process that knows nothing yet. */
+/** Creates the state of a process that has no configuration yet. */
 export function createRevisionState(): RevisionState {
 	return { held: undefined, refused: undefined }
 }
 
-/** The highest revision seen, valid or not; 0 before the first. */
+/** Returns the highest revision seen, valid or not; 0 before the first. */
 export function highestSeen(state: RevisionState): number {
 	return Math.max(state.held?.revision ?? 0, state.refused?.revision ?? 0)
 }
 
-/** Offers a published document to the process. */
+/** Validates a published document and activates it if it is valid and newer. */
 export function offerRevision(
 	state: RevisionState,
 	revision: number,
 	document: string,
 ): RevisionVerdict {
-	const inForce = state.held?.revision ?? 0
-	if (revision < inForce) return 'stale'
-	if (revision === inForce || revision === state.refused?.revision)
+	const active = state.held?.revision ?? 0
+	if (revision < active) return 'stale'
+	if (revision === active || revision === state.refused?.revision)
 		return 'known'
-	const verdict = readConfig(document)
-	if (!verdict.valid) {
-		state.refused = { revision, faults: verdict.faults }
+	const result = readConfig(document)
+	if (!result.valid) {
+		state.refused = { revision, faults: result.faults }
 		return 'invalid'
 	}
-	state.held = { revision, document, config: verdict.config }
+	state.held = { revision, document, config: result.config }
 	return 'adopted'
 }
--- a/packages/core/src/core/routeTable.ts
+++ b/packages/core/src/core/routeTable.ts
@@ -1,4 +1,4 @@
-/** Which route, team and service a request belongs to. */
+/** Look-up of the route, team and service of a request. */
 
 import type { Random } from '../internal.ts'
 import type {
@@ -9,16 +9,16 @@
 	TrafficTeam,
 } from '../types/traffic.ts'
 
-/** A configuration, indexed for look-ups. */
+/** A configuration with indexes for look-ups. */
 export interface RouteTable {
 	readonly config: TrafficConfig
-	/** Routes of each host, longest prefix first. */
+	/** Routes by host, longest prefix first. */
 	readonly routesOf: ReadonlyMap<string, readonly TrafficRoute[]>
 	readonly teamOfKey: ReadonlyMap<string, TrafficTeam>
 	readonly services: ReadonlyMap<string, TrafficService>
 }
 
-/** Indexes a configuration. */
+/** Creates the indexes of a configuration. */
 export function createRouteTable(config: TrafficConfig): RouteTable {
 	const routesOf = new Map<string, TrafficRoute[]>()
 	for (const route of config.routes) {
@@ -36,7 +36,7 @@
 	return { config, routesOf, teamOfKey, services }
 }
 
-/** The route of a host and path; the longest prefix wins. */
+/** Returns the route with the longest prefix that matches a host and path. */
 export function findRoute(
 	table: RouteTable,
 	host: string,
@@ -47,7 +47,7 @@
 	return routes?.find(route => path.startsWith(route.pathPrefix))
 }
 
-/** The service that takes a request of the route, by weight. */
+/** Picks a service of a route at random, in proportion to the weights. */
 export function drawService(
 	shares: readonly RouteShare[],
 	random: Random,
--- a/packages/core/src/core/spell.ts
+++ b/packages/core/src/core/spell.ts
@@ -1,39 +1,39 @@
 /**
- * Spells in which a service or a group takes no requests: how long this one has
- * lasted, how long they usually do, and so how long it is likely to go on.
+ * Tracks outages, periods in which a service or group accepts no requests, and estimates
+ * the remaining duration of the current one from the typical duration.
  */
 
-/** Spells of one service or group. */
+/** Outages of one service or group. */
 export interface Spell {
-	/** When the present one began, ms; undefined while there is none. */
+	/** Start of the current outage, ms; undefined while there is none. */
 	since: number | undefined
-	/** Smoothed length, ms. */
+	/** Smoothed duration of past outages, ms. */
 	usualMs: number
 }
 
-/** Weight of a new spell in the usual length. */
-const SPELL_WEIGHT = 0.4
+/** Weight of the latest outage in the smoothed duration. */
+const SMOOTHING_FACTOR = 0.4
 
-/** Makes a record that knows of no spell; `usualMs` is what is assumed first. */
+/** Creates a tracker without outages; `usualMs` is the initial typical duration, ms. */
 export function createSpell(usualMs: number): Spell {
 	return { since: undefined, usualMs }
 }
 
-/** Notes that nothing is taken, if that is new. */
+/** Marks the start of an outage, unless one is already in progress. */
 export function beginSpell(spell: Spell, now: number): void {
 	spell.since ??= now
 }
 
-/** Notes that requests are taken again, if they were not. */
+/** Marks the end of the current outage, if any. */
 export function endSpell(spell: Spell, now: number): void {
 	if (spell.since === undefined) return
-	spell.usualMs += SPELL_WEIGHT * (now - spell.since - spell.usualMs)
+	spell.usualMs += SMOOTHING_FACTOR * (now - spell.since - spell.usualMs)
 	spell.since = undefined
 }
 
 /**
- * How long the present spell is expected to go on, ms; 0 while there is none. One
- * that is longer than usual is expected to go on for half of its time.
+ * Estimates the remaining duration of the current outage, ms; 0 while there is none.
+ * An outage is expected to last at least half as long again as it has lasted so far.
  */
 export function expectSpellEnd({ since, usualMs }: Spell, now: number): number {
 	if (since === undefined) return 0
--- a/packages/core/src/core/spread.ts
+++ b/packages/core/src/core/spread.ts
@@ -1,10 +1,10 @@
 /**
- * How published values reach every process: a few readers of the platform in
- * each region, notices along a graph of bounded degree, fetches of short
- * patches from whoever gave notice, and a slow exchange with random members
- * that repairs whatever was lost. The highest revision wins, never backwards.
+ * Gossip of published values to all processes. A few readers in each region watch the
+ * platform. A new revision is announced by notices along a graph of bounded degree, and
+ * fetched as patches from the sender of a notice. Slow anti-entropy with random members
+ * repairs losses. The highest revision wins; a node never goes back to a lower one.
  *
- * Pure: events in, effects out; the daemons carry the effects.
+ * Pure functions: events in, effects out; the daemons carry out the effects.
  */
 
 import type {
@@ -29,14 +29,17 @@
 	takeValue,
 } from '../internal.ts'
 
-/** Time between exchanges with a random member, ms. */
+/** Mean interval of the anti-entropy with random members, ms. */
 export const EXCHANGE_MS = 10_000
-/** Time between a standby's looks at the readers, ms. */
+/** Mean interval of a standby's checks of the readers, ms. */
 export const LOOK_MS = 1_500
-/** So is one whose watch, which waits 30 s, has not been answered, ms. */
+/**
+ * A reader without an answer from the platform for this long is not in contact, ms.
+ * A watch waits for up to 30 s.
+ */
 export const CONTACT_MS = 40_000
 
-/** Makes a node that knows nothing yet. */
+/** Creates a node without values and members. */
 export function createSpreadNode(
 	self: string,
 	region: string,
@@ -64,7 +67,7 @@
 	}
 }
 
-/** The platform answered, with a value or without news. */
+/** Applies an answer of the platform; `published` is undefined if nothing is newer. */
 export function takePublished(
 	node: SpreadNode,
 	topic: Topic,
@@ -76,7 +79,7 @@
 	return hold(node, topic, published.revision, published.text, '')
 }
 
-/** Takes a message from another process. */
+/** Handles a message from another process. */
 export function takeSpreadMessage(
 	node: SpreadNode,
 	from: string,
@@ -93,7 +96,7 @@
 		case 'value':
 			return takeValue(node, from, message)
 		case 'compare':
-			return compare(node, from, message, now)
+			return handleCompare(node, from, message, now)
 		case 'look':
 			return [send(from, { type: 'contact', ageMs: now - node.contactAt })]
 		case 'contact':
@@ -104,30 +107,30 @@
 	}
 }
 
-/** Runs the periodic parts. */
+/** Runs the periodic tasks: retries of fetches, anti-entropy and reader checks. */
 export function tickSpread(
 	node: SpreadNode,
 	now: number,
 	random: Random,
 ): SpreadEffect[] {
 	const effects = TOPICS.flatMap(topic => repeatFetch(node, topic, now, random))
-	const others = node.members.length
-	if (now >= node.nextExchange && others > 0) {
-		// Jitter keeps a healed fleet from speaking all at once.
+	const memberCount = node.members.length
+	if (now >= node.nextExchange && memberCount > 0) {
+		// Jitter keeps the fleet from synchronising after a partition has healed.
 		node.nextExchange = now + EXCHANGE_MS * (0.5 + random())
-		const { name } = node.members[drawIndex(random, others)]!
-		if (name !== node.self) effects.push(send(name, compareOf(node, true)))
+		const { name } = node.members[drawIndex(random, memberCount)]!
+		if (name !== node.self) effects.push(send(name, compareMessage(node, true)))
 	}
-	const place = node.readers.indexOf(node.self)
-	if (place >= READERS && now >= node.nextLook) {
+	const rank = node.readers.indexOf(node.self)
+	if (rank >= READERS && now >= node.nextLook) {
 		node.nextLook = now + LOOK_MS * (0.75 + random() / 2)
-		for (const reader of node.readers.slice(0, place))
+		for (const reader of node.readers.slice(0, rank))
 			effects.push(send(reader, { type: 'look' }))
 	}
 	return effects
 }
 
-/** The first questions of a process that has just started. */
+/** Compares revisions with `count` random members, after a start. */
 export function askMembers(
 	node: SpreadNode,
 	count: number,
@@ -135,15 +138,15 @@
 ): SpreadEffect[] {
 	const names = new Set<string>()
 	const others = node.members.filter(member => member.name !== node.self)
-	const most = Math.min(count, others.length)
-	while (names.size < most)
+	const target = Math.min(count, others.length)
+	while (names.size < target)
 		names.add(others[drawIndex(random, others.length)]!.name)
-	return [...names].map(name => send(name, compareOf(node, true)))
+	return [...names].map(name => send(name, compareMessage(node, true)))
 }
 
 /**
- * Notes that the value held was judged invalid and `good` stays in force, so
- * that a process that starts now can be given it.
+ * Records the last valid value while the latest one is invalid, so that it can be sent
+ * to processes that start in the meantime; `undefined` once the latest is valid.
  */
 export function keepGood(
 	node: SpreadNode,
@@ -153,7 +156,7 @@
 	node.held[topic].good = good
 }
 
-/** Asks a random member for all it holds, also for what is in force there. */
+/** Fetches the full value from a random member, with its last valid one. */
 export function askWhole(
 	node: SpreadNode,
 	topic: Topic,
@@ -165,12 +168,12 @@
 	return [send(member.name, { type: 'fetch', topic, have: -1 })]
 }
 
-/** Compares with one member what both hold. */
+/** Compares revisions with one member. */
 export function greetMember(node: SpreadNode, name: string): SpreadEffect[] {
-	return [send(name, compareOf(node, true))]
+	return [send(name, compareMessage(node, true))]
 }
 
-function compare(
+function handleCompare(
 	node: SpreadNode,
 	from: string,
 	message: Extract<SpreadMessage, { type: 'compare' }>,
@@ -179,11 +182,11 @@
 	const effects = TOPICS.flatMap((topic, at) =>
 		hear(node, topic, message.revisions[at] ?? 0, from, now),
 	)
-	if (message.answer) effects.push(send(from, compareOf(node, false)))
+	if (message.answer) effects.push(send(from, compareMessage(node, false)))
 	return effects
 }
 
-function compareOf(node: SpreadNode, answer: boolean): SpreadMessage {
+function compareMessage(node: SpreadNode, answer: boolean): SpreadMessage {
 	const revisions = TOPICS.map(topic => node.held[topic].revision)
 	return { type: 'compare', revisions, answer }
 }
--- a/packages/core/src/core/spreadGraph.ts
+++ b/packages/core/src/core/spreadGraph.ts
@@ -1,23 +1,23 @@
 /**
- * Who hears whom when published values spread: neighbours along a graph of bounded
- * degree, and the few readers of each region that watch the platform.
+ * Topology of the gossip: the neighbours of each node in a graph of bounded degree, and
+ * the readers of each region, which watch the platform.
  */
 
 import type { Member, SpreadNode } from '../internal.ts'
 import { topByRendezvous } from '../internal.ts'
 
-/** Ring neighbours that hold the graph together. */
+/** Number of successors on the ring, which keep the graph connected. */
 const RING_DEGREE = 2
-/** Further neighbours that make it shallow. */
+/** Number of further neighbours, which keep the diameter of the graph small. */
 const RANDOM_DEGREE = 4
-/** Processes a region that watch the platform. */
+/** Number of processes per region that watch the platform. */
 export const READERS = 2
-/** Processes a region that step in when readers fall silent. */
+/** Number of processes per region that take over when readers lose contact. */
 export const STANDBYS = 3
-/** A reader that has not answered a look for this long is silent, ms. */
+/** A reader that has not answered a check for this long counts as failed, ms. */
 export const SILENT_MS = 3_500
 
-/** Takes the members in order of their names, which is the ring's order. */
+/** Sets the members, sorted by name, which is the order of the ring. */
 export function setMembers(
 	node: SpreadNode,
 	members: readonly Member[],
@@ -38,19 +38,19 @@
 }
 
 /**
- * Whether this process watches the platform now: it is a reader, or a standby
- * who finds too few readers in contact, or it knows no members at all.
+ * Whether this process should watch the platform: it is a reader, or a standby with too
+ * few readers in contact, or it knows no members at all.
  */
 export function isReader(node: SpreadNode, now: number): boolean {
 	if (node.members.length === 0) return true
-	const place = node.readers.indexOf(node.self)
-	if (place < 0) return false
-	if (place < READERS) return true
-	const before = node.readers.slice(0, place)
-	const silent = before.filter(
+	const rank = node.readers.indexOf(node.self)
+	if (rank < 0) return false
+	if (rank < READERS) return true
+	const preferred = node.readers.slice(0, rank)
+	const failed = preferred.filter(
 		reader => now - (node.readerSeen.get(reader) ?? 0) > SILENT_MS,
 	)
-	return before.length - silent.length < READERS
+	return preferred.length - failed.length < READERS
 }
 
 function pickNeighbours(
@@ -59,10 +59,10 @@
 ): string[] {
 	const names = members.map(member => member.name)
 	const others = names.filter(name => name !== node.self)
-	const after = others.findIndex(name => name > node.self)
+	const next = others.findIndex(name => name > node.self)
 	const picked = new Set<string>()
 	for (let n = 0; n < Math.min(RING_DEGREE, others.length); n++)
-		picked.add(others[(Math.max(after, 0) + n) % others.length]!)
+		picked.add(others[(Math.max(next, 0) + n) % others.length]!)
 	const degree = RING_DEGREE + RANDOM_DEGREE
 	const key = `neighbours of ${node.self}`
 	for (const name of topByRendezvous(key, others, degree))
--- a/packages/core/src/core/spreadValues.ts
+++ b/packages/core/src/core/spreadValues.ts
@@ -1,6 +1,6 @@
 /**
- * How a process takes published values from others: it hears of a newer revision,
- * fetches what it lacks, as patches where that will do, and gives notice in turn.
+ * Transfer of published values between processes: on a notice of a newer revision, a
+ * node fetches it, as patches where possible, and notifies its neighbours in turn.
  */
 
 import type {
@@ -11,23 +11,23 @@
 } from '../internal.ts'
 import { applyPatch, drawIndex, makePatch } from '../internal.ts'
 
-/** Values that the platform publishes. */
+/** Topics of the values that the platform publishes. */
 export const TOPICS = ['config', 'vms'] as const
 /** See {@link TOPICS}. */
 export type Topic = (typeof TOPICS)[number]
 
-/** Patches kept to bring others up to date. */
+/** Number of recent patches retained for other nodes. */
 const KEPT_PATCHES = 32
-/** A fetch without answer is tried elsewhere after this, ms. */
+/** Timeout of the first fetch, after which another node is tried, ms. */
 export const FETCH_MS = 1_000
 /**
- * Each further try waits twice as long, up to 2 to the power of this: the answer
- * may be a whole document on its way over a slow link, and each try sends it
- * once more over the same link.
+ * The timeout doubles with each retry, at most this many times: the answer may be a whole
+ * document in transfer over a slow link, and each retry sends it once more over the same
+ * link.
  */
-const MAX_DOUBLINGS = 4
+const MAX_BACKOFF_EXPONENT = 4
 
-/** Holds a newer value, and gives notice of it to neighbours. */
+/** Stores a newer value and notifies the neighbours. */
 export function hold(
 	node: SpreadNode,
 	topic: Topic,
@@ -36,7 +36,7 @@
 	from: string,
 ): SpreadEffect[] {
 	const held = node.held[topic]
-	// Never backwards, whoever says so.
+	// Never go back to a lower revision, whatever its source.
 	if (revision <= held.revision) return []
 	if (held.revision > 0) {
 		const patch = makePatch(held.text, text)
@@ -53,7 +53,7 @@
 	return [{ do: 'adopt', topic, revision, text }, ...notices]
 }
 
-/** Hears that somebody has a revision, and fetches it if it is news. */
+/** Handles the announcement of a revision by `from`; fetches it if it is newer. */
 export function hear(
 	node: SpreadNode,
 	topic: Topic,
@@ -76,12 +76,12 @@
 ): SpreadEffect[] {
 	const held = node.held[topic]
 	const tries = held.fetching ? held.fetching.tries + 1 : 0
-	const waitMs = FETCH_MS * 2 ** Math.min(tries, MAX_DOUBLINGS)
+	const waitMs = FETCH_MS * 2 ** Math.min(tries, MAX_BACKOFF_EXPONENT)
 	held.fetching = { from, until: now + waitMs, tries }
 	return [send(from, { type: 'fetch', topic, have: held.revision })]
 }
 
-/** A fetch that was not answered goes to a neighbour or a random member. */
+/** Retries a fetch that has timed out, at a neighbour or a random member. */
 export function repeatFetch(
 	node: SpreadNode,
 	topic: Topic,
@@ -98,7 +98,7 @@
 	return startFetch(node, topic, name, now)
 }
 
-/** What a process that has revision `have` is sent. */
+/** Returns the message that updates a process from revision `have`. */
 export function answerFetch(
 	node: SpreadNode,
 	topic: Topic,
@@ -114,7 +114,7 @@
 	return { type: 'patches', topic, revision, base: have, patches: steps }
 }
 
-/** Takes patches; asks for the whole where they do not fit. */
+/** Applies patches; fetches the full value if their base does not match. */
 export function takePatches(
 	node: SpreadNode,
 	from: string,
@@ -123,17 +123,17 @@
 	const { topic, revision, base, patches } = message
 	const held = node.held[topic]
 	if (revision <= held.revision) return []
-	const whole: SpreadMessage = { type: 'fetch', topic, have: -1 }
-	if (held.revision !== base) return [send(from, whole)]
+	const fetchFull: SpreadMessage = { type: 'fetch', topic, have: -1 }
+	if (held.revision !== base) return [send(from, fetchFull)]
 	let text: string | undefined = held.text
 	for (const patch of patches)
 		text = text === undefined ? undefined : applyPatch(text, patch)
-	// A base that does not fit: ask for the whole.
-	if (text === undefined) return [send(from, whole)]
+	// The revision matches but the text does not.
+	if (text === undefined) return [send(from, fetchFull)]
 	return hold(node, topic, revision, text, from)
 }
 
-/** Takes a whole value. */
+/** Applies a full value. */
 export function takeValue(
 	node: SpreadNode,
 	from: string,
@@ -144,7 +144,7 @@
 	return [...effects, ...hold(node, topic, revision, text, from)]
 }
 
-/** A message to another process, as an effect. */
+/** Returns the effect that sends a message to another process. */
 export function send(to: string, message: SpreadMessage): SpreadEffect {
 	return { do: 'send', to, message }
 }
--- a/packages/core/src/core/startRules.ts
+++ b/packages/core/src/core/startRules.ts
@@ -1,6 +1,7 @@
 /**
- * What a backend server says of when it takes requests. Its agent alone hands it work, so
- * one pool of permits keeps a limit for all entries.
+ * Limits on starting requests at a backend server: its backoff and its rate limit. Only
+ * its agent sends requests to it, so a single permit pool enforces the rate limit for
+ * all entries.
  */
 
 import type { AdmissionState, StartLimit } from '../internal.ts'
@@ -12,12 +13,12 @@
 	takePermits,
 } from '../internal.ts'
 
-/** An agent is the only one that sends: no other is to be heard or known. */
+/** The agent is the only sender, so the whole rate is its share. */
 const ALONE = { heard: 1, known: 1, place: 0 }
-/** One permit, for use at once. */
+/** Request for one permit, for immediate use. */
 const ONE_NOW = { count: 1, withinMs: 0 }
 
-/** Takes it that the server wants nothing for a while; a shorter time ends no longer one. */
+/** Applies a backoff that the server has requested; a longer one in effect is kept. */
 export function noteRestAsked(
 	state: AdmissionState,
 	forMs: number,
@@ -28,59 +29,62 @@
 	state.nextTryAt = state.restsUntil
 }
 
-/** Takes what an answer to a request that was started at `startedAt` says of the limit. */
+/**
+ * Applies the rate limit that an answer states, or its absence; `startedAt` is when the
+ * answered request was started.
+ */
 export function noteStartLimit(
 	state: AdmissionState,
 	perSecond: number | undefined,
 	startedAt: number,
 	now: number,
 ): void {
-	const known = state.limit
-	if (perSecond === known?.perSecond) return
+	const current = state.limit
+	if (perSecond === current?.perSecond) return
 	if (perSecond === undefined) {
-		// An answer to a request from before the limit says nothing of its end.
-		if (known && startedAt > known.since) state.limit = undefined
+		// An answer to a request from before the limit does not show that it was lifted.
+		if (current && startedAt > current.since) state.limit = undefined
 		return
 	}
-	const pool = known?.pool ?? createPermitPool()
+	const pool = current?.pool ?? createPermitPool()
 	state.limit = { perSecond, since: now, pool }
 }
 
-/** Uses up the right to start a request now; false if there is none. */
+/** Acquires the right to start a request now; returns whether that was possible. */
 export function takeStart(state: AdmissionState, now: number): boolean {
 	const { limit, nextTryAt } = state
 	if (nextTryAt !== undefined && now < nextTryAt) return false
-	if (limit && !takeLimited(limit, now)) return false
+	if (limit && !acquirePermit(limit, now)) return false
 	if (nextTryAt !== undefined) state.nextTryAt = now + REST_TRY_MS
 	return true
 }
 
-function takeLimited(limit: StartLimit, now: number): boolean {
+function acquirePermit(limit: StartLimit, now: number): boolean {
 	const pace = paceOfHome(limit.perSecond, ALONE)
 	return takePermits(limit.pool, pace, ONE_NOW, now).dueMs.length > 0
 }
 
-/** What keeps a request from the backend server, whatever its slots. */
+/** Delay of a start by a backoff or rate limit, whether or not a slot is free. */
 export interface Hold {
 	readonly kind: 'resting' | 'rateLimited'
-	/** For how long, ms; 0 for not at all. */
+	/** Duration, ms; 0 if starts are not delayed. */
 	readonly forMs: number
 }
 
-/** What keeps a request that comes after `ahead` others that wait. */
+/** Returns the delay of a request with `ahead` others before it in the queue. */
 export function findHold(
 	state: AdmissionState,
 	ahead: number,
 	now: number,
 ): Hold {
-	const restMs = restWaitMs(state, ahead, now)
-	const limitMs = limitWaitMs(state, ahead, now)
-	return restMs >= limitMs
-		? { kind: 'resting', forMs: restMs }
+	const backoffMs = backoffDelayMs(state, ahead, now)
+	const limitMs = limitDelayMs(state, ahead, now)
+	return backoffMs >= limitMs
+		? { kind: 'resting', forMs: backoffMs }
 		: { kind: 'rateLimited', forMs: limitMs }
 }
 
-function restWaitMs(
+function backoffDelayMs(
 	{ nextTryAt }: AdmissionState,
 	ahead: number,
 	now: number,
@@ -89,7 +93,7 @@
 	return Math.max(0, nextTryAt + ahead * REST_TRY_MS - now)
 }
 
-function limitWaitMs(
+function limitDelayMs(
 	{ limit }: AdmissionState,
 	ahead: number,
 	now: number,
--- a/packages/core/src/core/subset.ts
+++ b/packages/core/src/core/subset.ts
@@ -1,43 +1,44 @@
 /**
- * Which backend servers an entry keeps links to, so that links grow with the
- * fleet and not with entries times servers. Each server picks its entries by
- * rendezvous, half of them in its own data centre: so every server is seen by
- * several entries, and every entry computes the same picks without talking.
+ * Subsetting: the backend servers that an entry keeps links to, so that the number of
+ * links grows with the fleet and not with entries times servers. Each server gets its
+ * entries by rendezvous hashing, half of them in its own data centre. Every server is
+ * thus linked to several entries, and all entries compute the same assignment without
+ * coordination.
  */
 
 import { hashText } from '../internal.ts'
 
-/** Pools up to this size are seen whole by every entry. */
+/** In pools up to this size, every entry is linked to all servers. */
 export const WHOLE_POOL = 16
-/** Entries that see a server, at least. */
+/** Minimum number of entries linked to a server. */
 export const MIN_ENTRIES = 4
-/** Servers of a pool that an entry sees, on average at least. */
+/** Minimum number of servers of a pool that an entry is linked to, on average. */
 export const MIN_SERVERS = 8
 
-/** A place in the fleet. */
+/** An entry or a server, with its data centre. */
 export interface Placed {
 	readonly name: string
 	readonly dataCentre: string
 }
 
-/** Servers of one pool (a model or a service) that entry `self` is to see. */
+/** Returns the servers of a pool (a model or a service) that entry `self` links to. */
 export function pickSubset(
 	self: string,
 	entries: readonly Placed[],
 	pool: readonly Placed[],
 ): string[] {
-	const known = entries.some(entry => entry.name === self)
-	if (pool.length <= WHOLE_POOL || !known)
+	const isListed = entries.some(entry => entry.name === self)
+	if (pool.length <= WHOLE_POOL || !isListed)
 		return pool.map(server => server.name)
-	const wanted = Math.ceil((entries.length * MIN_SERVERS) / pool.length)
-	const count = Math.max(MIN_ENTRIES, wanted)
+	const required = Math.ceil((entries.length * MIN_SERVERS) / pool.length)
+	const count = Math.max(MIN_ENTRIES, required)
 	const hashed = entries.map(({ name, dataCentre }) => ({
 		name,
 		dataCentre,
 		hash: hashText(name),
 	}))
 	return pool
-		.filter(server => isSeenBy(self, server, hashed, count))
+		.filter(server => isLinkedTo(self, server, hashed, count))
 		.map(server => server.name)
 }
 
@@ -45,18 +46,18 @@
 	readonly hash: number
 }
 
-function isSeenBy(
+function isLinkedTo(
 	self: string,
 	server: Placed,
 	entries: readonly Hashed[],
 	count: number,
 ): boolean {
 	const seed = hashText(server.name)
-	const near = entries.filter(entry => entry.dataCentre === server.dataCentre)
+	const local = entries.filter(entry => entry.dataCentre === server.dataCentre)
 	const half = Math.ceil(count / 2)
 	return (
-		isAmongTop(self, near, seed, half) ||
-		isAmongTop(self, entries, seed, count - Math.min(half, near.length))
+		isAmongTop(self, local, seed, half) ||
+		isAmongTop(self, entries, seed, count - Math.min(half, local.length))
 	)
 }
 
@@ -70,12 +71,12 @@
 	const own = entries.find(entry => entry.name === self)
 	if (!own) return false
 	const score = mix(seed, own.hash)
-	let better = 0
-	for (const entry of entries) if (mix(seed, entry.hash) > score) better++
-	return better < count
+	let higher = 0
+	for (const entry of entries) if (mix(seed, entry.hash) > score) higher++
+	return higher < count
 }
 
-/** A well-spread 32-bit number of two others. */
+/** Mixes two 32-bit hashes into a uniformly distributed one. */
 function mix(a: number, b: number): number {
 	let h = Math.imul(a ^ b, 0x85ebca6b)
 	h = Math.imul(h ^ (h >>> 13), 0xc2b2ae35)
--- a/packages/core/src/core/termRevision.ts
+++ b/packages/core/src/core/termRevision.ts
@@ -1,39 +1,39 @@
 /**
- * The order of what a source has published. Revisions rise within a term; when the source
- * comes back from an older copy of itself a new term begins, and revisions are given out
- * again. So a revision alone orders nothing.
+ * Ordering of a source's revisions. Revisions increase within a term. When the source is
+ * restored from an older copy, a new term begins and revision numbers are reused, so
+ * a revision number alone does not define an order.
  */
 
-/** A revision and the term in which it was given out. */
+/** A revision and the term in which it was assigned. */
 export interface TermRevision {
 	readonly term: number
 	readonly revision: number
 }
 
-/** Before all that is published. */
+/** Precedes all published revisions. */
 export const NO_REVISION: TermRevision = { term: 0, revision: 0 }
 
-/** Negative, zero or positive, as `a` is before, at or after `b`. */
+/** Returns a negative number, 0 or a positive one if `a` is before, equal to or after `b`. */
 export function compareRevisions(a: TermRevision, b: TermRevision): number {
 	return a.term - b.term || a.revision - b.revision
 }
 
-/** Whether `a` is after `b`. */
+/** Whether `a` is later than `b`. */
 export function isLater(a: TermRevision, b: TermRevision): boolean {
 	return compareRevisions(a, b) > 0
 }
 
-/** The later of two. */
+/** Returns the later of two revisions. */
 export function laterOf(a: TermRevision, b: TermRevision): TermRevision {
 	return isLater(b, a) ? b : a
 }
 
-/** Whether both are the same place. */
+/** Whether both are the same revision of the same term. */
 export function isSameRevision(a: TermRevision, b: TermRevision): boolean {
 	return compareRevisions(a, b) === 0
 }
 
-/** For logs and people. */
+/** Formats a revision as `term:revision`, for logs. */
 export function formatRevision({ term, revision }: TermRevision): string {
 	return `${term}:${revision}`
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * juniperhook's decisions as a library: pure functions over plain state. No
- * socket, clock, timer or random source of its own.
+ * The decision logic of juniperhook: pure functions over plain state, without sockets,
+ * clocks, timers or random sources of their own.
  */
 
 export * from './internal.ts'
--- a/packages/core/src/internal.ts
+++ b/packages/core/src/internal.ts
@@ -1,4 +1,6 @@
-/** The one ordered list of this package's modules; they import from here. */
+/**
+ * Re-exports all modules of this package in one fixed order. The modules import from here.
+ */
 
 export * from './core/admission.ts'
 export * from './core/admissionKeys.ts'
--- a/packages/core/src/utils/decimal.ts
+++ b/packages/core/src/utils/decimal.ts
@@ -1,6 +1,6 @@
-/** Decimal numbers in headers. */
+/** Parsing of decimal numbers in headers. */
 
-/** A number that is finite and not negative; undefined for anything else. */
+/** Returns a finite, non-negative number, or undefined for any other text. */
 export function parseDecimal(text: string): number | undefined {
 	const value = text.trim() === '' ? Number.NaN : Number(text)
 	return Number.isFinite(value) && value >= 0 ? value : undefined
--- a/packages/core/src/utils/keyTime.ts
+++ b/packages/core/src/utils/keyTime.ts
@@ -1,6 +1,6 @@
 /**
- * Keys of requests that may not be repeated are UUIDv7 (RFC 9562): their first
- * 48 bits are the Unix time in milliseconds at which the caller made them.
+ * Creation times of idempotency keys. The keys are UUIDv7 (RFC 9562): their first 48 bits
+ * are the Unix time in milliseconds at which the caller created them.
  */
 
 const UUID_V7 =
@@ -8,14 +8,14 @@
 const TIME_DIGITS = 12
 const HEX = 16
 
-/** The key's time in Unix milliseconds, or `undefined` if it is no UUIDv7. */
+/** Returns the creation time of a key, Unix ms, or `undefined` if it is not a UUIDv7. */
 export function readKeyTime(key: string): number | undefined {
 	if (!UUID_V7.test(key)) return undefined
 	const digits = key.replaceAll('-', '').slice(0, TIME_DIGITS)
 	return Number.parseInt(digits, HEX)
 }
 
-/** Makes a UUIDv7 for `wallMs` (Unix milliseconds) and 16 random bytes. */
+/** Creates a UUIDv7 from `wallMs` (Unix milliseconds) and 16 random bytes. */
 export function makeKey(wallMs: number, bytes: Uint8Array): string {
 	const hex = Array.from(bytes, byte => byte.toString(HEX).padStart(2, '0'))
 	const tail = hex.join('')
--- a/packages/core/src/utils/random.ts
+++ b/packages/core/src/utils/random.ts
@@ -1,18 +1,18 @@
-/** Seeded random numbers, so that every decision can be repeated in a test. */
+/** Seeded random numbers, so that tests can reproduce every decision. */
 
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** Draws a number in [0, 1). */
+/** Returns a random number in [0, 1). */
 export type Random = () => number
 
-/** Makes a generator that always gives the same numbers for `seed`. */
+/** Creates a generator whose numbers depend only on `seed`. */
 export function createRandom(seed: number): Random {
 	const generator = xoroshiro128plus(seed)
 	return () => uniformFloat64(generator)
 }
 
-/** A whole number in [0, `limit`). */
+/** Returns a random integer in [0, `limit`). */
 export function drawIndex(random: Random, limit: number): number {
 	return Math.floor(random() * limit)
 }
--- a/packages/core/src/utils/rendezvous.ts
+++ b/packages/core/src/utils/rendezvous.ts
@@ -1,18 +1,18 @@
 /**
- * Rendezvous (highest random weight) hashing: every process that knows the same
- * names picks the same ones, and a change of one name moves only its own share.
+ * Rendezvous (highest random weight) hashing: all processes that know the same names make
+ * the same choice, and adding or removing a name moves only the keys of that name.
  */
 
 import xxhash from 'xxhash-wasm'
 
 const { h32 } = await xxhash()
 
-/** A 32-bit hash of `text`, the same in every process. */
+/** Returns a 32-bit hash of `text`, the same in every process. */
 export function hashText(text: string, seed = 0): number {
 	return h32(text, seed)
 }
 
-/** The first `count` choices for `key`, best first, without a full sort. */
+/** Returns the `count` names with the highest scores for `key`, best first. */
 export function topByRendezvous(
 	key: string,
 	names: readonly string[],
@@ -22,14 +22,14 @@
 	for (const name of names) {
 		const score = h32(`${name}\n${key}`)
 		if (top.length === count && score <= top[count - 1]!.score) continue
-		const place = top.findIndex(other => other.score < score)
-		top.splice(place < 0 ? top.length : place, 0, { name, score })
+		const index = top.findIndex(other => other.score < score)
+		top.splice(index < 0 ? top.length : index, 0, { name, score })
 		if (top.length > count) top.pop()
 	}
 	return top.map(entry => entry.name)
 }
 
-/** The first choice for `key`, or `undefined` without names. */
+/** Returns the name with the highest score for `key`, or `undefined` without names. */
 export function pickByRendezvous(
 	key: string,
 	names: readonly string[],
