--- a/packages/core/src/types/admission.ts
+++ b/packages/core/src/types/admission.ts
@@ -1,54 +1,54 @@
-/** What an agent's decisions on requests are made of; see `admission.ts`. */
+/** Types of the admission at the agent; see `admission.ts`. */
 
 import type { FairQueue, NotRun, PermitPool, Unknown } from '../internal.ts'
 
-/** Names one try of one request. */
+/** Identifies one attempt of one request. */
 export interface AttemptName {
 	readonly reqId: string
 	readonly attempt: number
 }
 
-/** Protection against running twice, for requests that may not be repeated. */
+/** Idempotency key of a request that must not run twice. */
 export interface KeyClaim {
 	readonly key: string
-	/** When the caller made the key, Unix ms. */
+	/** When the caller created the key, Unix ms. */
 	readonly wallTime: number
-	/** How long the key is remembered from then on, in ms. */
+	/** Retention time of the key, from its creation, ms. */
 	readonly windowMs: number
 	/**
-	 * Since when this agent has been the key's home by its configuration, Unix
-	 * ms; `undefined` if another is.
+	 * Since when this agent has been the key's home (the agent that its rendezvous hash
+	 * selects) by its configuration, Unix ms; `undefined` if another agent is.
 	 */
 	readonly homeSinceWall: number | undefined
 	/**
-	 * The entry made the key for this very request and every earlier try was
-	 * proved not to have run, so nothing can have been forgotten.
+	 * Whether the entry created the key for this request and every earlier attempt was
+	 * proved not to have run, so that no record of the key can have been evicted.
 	 */
 	readonly fresh: boolean
 }
 
-/** A try offered by an entry. */
+/** An attempt that an entry offers. */
 export interface Offer extends AttemptName {
 	readonly team: string
 	readonly weight: number
 	readonly priority: number
-	/** How long it may wait for its start, in ms from the offer. */
+	/** Time within which it must start, ms from the offer. */
 	readonly startBudgetMs: number
-	/** Whether it may wait while the server rests or its limit is used up. */
+	/** Whether it may wait for the end of a backoff or for a permit of the rate limit. */
 	readonly mayWait: boolean
 	readonly claim?: KeyClaim
 }
 
-/** How a running try ended. */
+/** How a running attempt ended. */
 export type FinishHow =
-	/** The whole answer was seen and is kept for later askers of its key. */
+	/** The answer is complete and retained for later requests with the same key. */
 	| 'whole'
-	/** It may have run; its answer is not to be had again. */
+	/** It may have run; its answer is not available. */
 	| 'broken'
-	/** The backend server was never reached: proved not to have run. */
+	/** It never reached the backend server, so it is proved not to have run. */
 	| 'unstarted'
 
-/** What happens to an agent. */
+/** An event at an agent. */
 export type AdmissionEvent =
 	| { readonly type: 'offer'; readonly offer: Offer }
 	| { readonly type: 'void'; readonly name: AttemptName }
@@ -60,25 +60,25 @@
 	  }
 	| { readonly type: 'leave' }
 	| { readonly type: 'suspect' }
-	/** The backend server turned a request away and wants no other for so long. */
+	/** The backend server refused a request and asked for a backoff of `forMs`. */
 	| { readonly type: 'rest'; readonly forMs: number }
 	/**
-	 * An answer named how many requests a second the backend server takes, or none; to a
-	 * request that was started then, ms.
+	 * An answer stated the backend server's limit in requests per second, or none;
+	 * `startedAt` is when the answered request was started, ms.
 	 */
 	| {
 			readonly type: 'limit'
 			readonly perSecond: number | undefined
 			readonly startedAt: number
 	  }
-	/** An answer that turned nothing away, to a request that was started then, ms. */
+	/** The backend server accepted a request that was started at `startedAt`, ms. */
 	| { readonly type: 'taken'; readonly startedAt: number }
-	/** The backend server says that it leaves, or its next life has begun. */
+	/** The backend server is leaving, or its next incarnation has started. */
 	| { readonly type: 'serverLeaves' }
 	| { readonly type: 'serverStarts' }
 	| { readonly type: 'tick' }
 
-/** What the daemon is to do. */
+/** An effect that the daemon has to carry out. */
 export type AdmissionEffect =
 	| { readonly do: 'start'; readonly name: AttemptName }
 	| {
@@ -86,80 +86,80 @@
 			readonly name: AttemptName
 			readonly outcome: NotRun | Unknown
 	  }
-	/** Send the answer of `first`, from its beginning, to `name`. */
+	/** Send the answer of `first`, from its start, to `name`. */
 	| {
 			readonly do: 'attach'
 			readonly name: AttemptName
 			readonly first: AttemptName
 	  }
-	/** Tell the backend server to stop working on it. */
+	/** Cancel the request at the backend server. */
 	| { readonly do: 'cancel'; readonly name: AttemptName }
 
-/** Answer to a void order. */
+/** Answer to a void request. */
 export type VoidAnswer = 'void' | 'started'
 
-/** Where a try stands at its agent. */
+/** Phase of an attempt at its agent. */
 export type Phase = 'waiting' | 'running' | 'whole' | 'broken' | 'refused'
 
-/** What an agent remembers of one try. */
+/** An agent's record of an attempt. */
 export interface AttemptRow extends Offer {
 	phase: Phase
-	/** Latest start. */
+	/** Start deadline, ms. */
 	readonly startBy: number
 	startedAt: number
-	/** When the row may go; `Infinity` while it is open. */
+	/** When the record may be evicted, ms; `Infinity` while the attempt is open. */
 	forgetAt: number
 	virtualStart: number
 	order: number
 }
 
-/** What an agent remembers of one key. */
+/** An agent's record of an idempotency key. */
 export interface KeyRow {
 	readonly first: AttemptName
 	readonly forgetWall: number
 }
 
-/** A limit that a backend server has named. */
+/** A rate limit stated by the backend server. */
 export interface StartLimit {
-	/** Requests a second. */
+	/** Requests per second. */
 	readonly perSecond: number
-	/** Since when it is known, ms. */
+	/** When the limit was learned, ms. */
 	readonly since: number
 	readonly pool: PermitPool
 }
 
-/** All that an agent decides from. */
+/** State of the admission at an agent. */
 export interface AdmissionState {
-	/** When this process began, Unix ms; part of its incarnation. */
+	/** When this process started, Unix ms; part of its incarnation. */
 	readonly bornWall: number
-	/** Requests that the backend server runs at once. */
+	/** Maximum number of requests that the backend server runs concurrently. */
 	slots: number
-	/** `suspect`: its group broke the promise of one map. */
+	/** `suspect`: the ranks of its group have been seen with different expert maps. */
 	mode: 'serving' | 'leaving' | 'suspect'
 	lastSeen: Moment
 	wokeAt: number
-	/** Nothing is handed to the backend server before. */
+	/** End of the backoff; no request is started earlier. */
 	restsUntil: number
 	/**
-	 * From a rest until something is taken after it: when the next request may be tried,
-	 * one after the other.
+	 * When the next single request may be started as a probe, ms; set from the start of a
+	 * backoff until the server accepts a request started after it.
 	 */
 	nextTryAt: number | undefined
-	/** How many requests a second it takes; undefined for as many as come. */
+	/** Rate limit of the backend server; undefined if it has none. */
 	limit: StartLimit | undefined
-	/** Whether the backend server's life is about to end, by its own word. */
+	/** Whether the backend server has announced that it is leaving. */
 	serverLeaves: boolean
 	running: number
-	/** Smoothed time that a request holds its slot, in ms. */
+	/** Smoothed time that a request occupies a slot, ms. */
 	serviceMs: number
 	readonly attempts: Map<string, AttemptRow>
-	/** Tries that were voided, and until when that is remembered. */
+	/** Tombstones of voided attempts: when each may be evicted, ms. */
 	readonly voided: Map<string, number>
 	readonly keys: Map<string, KeyRow>
 	readonly queue: FairQueue<AttemptRow>
 }
 
-/** The moment of an event, on both clocks. */
+/** A point in time on both clocks. */
 export interface Moment {
 	/** Monotonic ms. */
 	readonly now: number
--- a/packages/core/src/types/config.ts
+++ b/packages/core/src/types/config.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration document: its schema, and the types inferred from it.
- * Values arrive as text (INI), so each field parses its own text.
+ * Schema of the configuration document, and the types inferred from it. All values are
+ * text in INI, so each field parses its own.
  */
 
 import * as v from 'valibot'
@@ -12,7 +12,7 @@
 const DECIMAL = /^\d+(\.\d+)?$/
 const MAX_PORT = 65_535
 
-/** Tells whether `text` is `IP:port` with an IP number, not a name. */
+/** Whether `text` is `IP:port` with an IPv4 address, not a host name. */
 export function isAddress(text: string): boolean {
 	const parts = ADDRESS.exec(text)
 	if (!parts?.[1] || !parts[2]) return false
@@ -60,41 +60,41 @@
 /** A data centre. */
 export const DataCentreSchema = v.strictObject({ region: name })
 
-/** A model that callers name. */
+/** A model, by the name that callers use. */
 export const ModelSchema = v.strictObject({
-	/** The version that engines must run. */
+	/** Version that the engines must run. */
 	version: v.optional(text, '1'),
-	/** The longest context it takes, in tokens. */
+	/** Maximum context length, tokens. */
 	maxTokens: v.optional(whole(1, 10_000_000, 'tokens'), '131072'),
 })
 
-/** A group of ranks that advance in lock-step. */
+/** A lock-step group of ranks. */
 export const GroupSchema = v.strictObject({
 	model: name,
 	/** Backend servers in rank order. */
 	ranks: list(name),
 	layers: whole(1, 1000, 'layers'),
 	experts: whole(1, 10_000, 'experts a layer'),
-	/** Expert slots a rank a layer beyond an even share. */
+	/** Expert slots per rank and layer in addition to an even share. */
 	spareSlots: v.optional(whole(0, 1000, 'slots a rank a layer'), '2'),
 	bytesPerExpert: v.optional(whole(1, 1e12, 'bytes'), '44000000'),
-	/** Whether the engines refuse orders with a lower fence. */
+	/** Whether the engines refuse orders with a lower fencing token. */
 	checksFences: v.optional(flag, 'yes'),
-	/** Worth of step time saved. */
+	/** Weight of the step time saved by a rebalance. */
 	skewWeight: v.optional(number(0, 1000, 'weight'), '1'),
-	/** Worth of capacity spent on moves. */
+	/** Weight of the capacity lost to moving experts. */
 	moveWeight: v.optional(number(0, 1000, 'weight'), '1'),
-	/** Share of a step that the experts take. */
+	/** Share of the step time spent in the experts. */
 	expertShare: v.optional(number(0.01, 1, 'share'), '0.7'),
-	/** Share of the group's capacity lost while it loads experts. */
+	/** Share of the group's capacity lost while experts are being loaded. */
 	loadLoss: v.optional(number(0, 1, 'share'), '0.05'),
-	/** Rate of the weight store for this group. */
+	/** Bandwidth of the weight store for this group. */
 	storeBytesPerSecond: v.optional(number(1, 1e12, 'bytes/s'), '400000000'),
-	/** Time between plans. */
+	/** Interval between rebalancing plans. */
 	planSeconds: v.optional(number(0.1, 86_400, 's'), '60'),
 })
 
-/** Where a group's experts start: `rank0 = 0-7 64` and so on, every layer. */
+/** Initial placement of a group's experts in every layer, such as `rank0 = 0-7 64`. */
 export const PlacementSchema = v.record(
 	v.pipe(text, v.regex(/^rank\d+$/, 'rankN = list of experts')),
 	v.pipe(text, v.regex(/^[\d\s,-]*$/, 'experts such as 0-7, 12')),
@@ -102,20 +102,20 @@
 
 /** A customer of the operators' fleet. */
 export const TeamSchema = v.strictObject({
-	/** Digests of the team's keys; the keys themselves are never written down. */
+	/** Digests of the team's API keys; the keys themselves are never stored. */
 	keyDigests: list(digest),
 	ratePerSecond: v.optional(number(0.01, 1e6, 'requests a second'), '100'),
 	concurrency: v.optional(whole(1, 1e6, 'requests in flight'), '100'),
 	tokensPerSecond: v.optional(number(1, 1e9, 'tokens a second'), '100000'),
-	/** Share of a contended backend server against other teams. */
+	/** Weight against other teams at a contended backend server. */
 	weight: v.optional(number(0.01, 1000, 'weight'), '1'),
-	/** The most urgent priority that this team may ask for; 0 is the first. */
+	/** Most urgent priority that this team may request; 0 is the most urgent. */
 	bestPriority: v.optional(whole(0, 9, 'priority, 0 first'), '0'),
 })
 
 /** A plain service. */
 export const ServiceSchema = v.strictObject({
-	/** `always`, `never`, or `safe`: methods that HTTP calls safe. */
+	/** Which requests may be repeated; `safe`: those with a safe HTTP method. */
 	repeat: v.optional(
 		v.pipe(
 			text,
@@ -125,23 +125,23 @@
 	),
 	priority: v.optional(whole(0, 9, 'priority, 0 first'), '4'),
 	deadlineSeconds: v.optional(number(0.1, 3600, 's'), '30'),
-	/** How long keys of unrepeatable requests are remembered. */
+	/** Retention time of the idempotency keys of requests that must not be repeated. */
 	keyWindowSeconds: v.optional(number(1, 86_400, 's'), '600'),
 })
 
-/** A backend server and the agent beside it. */
+/** A backend server and its agent. */
 export const ServerSchema = v.strictObject({
 	kind: v.pipe(text, v.picklist(['engine', 'service'], 'engine or service')),
 	dataCentre: name,
-	/** The agent, towards entries. */
+	/** Address on which the agent serves the entries. */
 	agent: address,
-	/** The backend server, towards its agent. */
+	/** Address on which the backend server serves its agent. */
 	backend: address,
-	/** For a plain service: which. */
+	/** Name of the service, if the kind is `service`. */
 	service: v.optional(name),
-	/** For an engine outside a group: its model. */
+	/** Name of the model, for an engine outside a group. */
 	model: v.optional(name),
-	/** Requests that the backend server runs at once. */
+	/** Maximum number of requests that the backend server runs concurrently. */
 	slots: v.optional(whole(1, 100_000, 'requests at once'), '64'),
 })
 
@@ -149,7 +149,7 @@
 	return v.optional(v.record(name, row), {})
 }
 
-/** The whole document. */
+/** The complete document. */
 export const ConfigSchema = v.strictObject({
 	dataCentre: v.record(name, DataCentreSchema),
 	model: table(ModelSchema),
--- a/packages/core/src/types/outcome.ts
+++ b/packages/core/src/types/outcome.ts
@@ -1,43 +1,43 @@
 /**
- * What is known of a request's fate. Only these three exist; every answer to a
- * caller is made from one of them.
+ * The three outcomes of a request, by what is known about its execution. Every response
+ * to a caller is derived from one of them.
  */
 
 import type { ErrorKind } from '../internal.ts'
 
-/** The backend server's whole answer was seen. */
+/** The backend server's answer was received completely. */
 export interface Answered {
 	readonly outcome: 'answered'
 }
 
-/** Proved: no backend server started the request and none ever will. */
+/** It is proved that no backend server started the request and that none will. */
 export interface NotRun {
 	readonly outcome: 'notRun'
 	readonly kind: ErrorKind
-	/** When the caller should come back, in milliseconds. */
+	/** Delay after which the caller should retry, ms. */
 	readonly retryAfterMs: number
 }
 
-/** The request may have run, wholly or in part. */
+/** The request may have run, completely or in part. */
 export interface Unknown {
 	readonly outcome: 'unknown'
 	readonly kind: ErrorKind
-	/** When the caller should come back, in milliseconds. */
+	/** Delay after which the caller should retry, ms. */
 	readonly retryAfterMs: number
 }
 
-/** A request's fate, as told to its caller. */
+/** Outcome of a request, as reported to its caller. */
 export type Outcome = Answered | NotRun | Unknown
 
 /** The single value of {@link Answered}. */
 export const ANSWERED: Answered = { outcome: 'answered' }
 
-/** Makes a proved "not run". The caller of this function holds the proof. */
+/** Creates a `notRun` outcome. The calling code must have the proof. */
 export function notRun(kind: ErrorKind, retryAfterMs = 0): NotRun {
 	return { outcome: 'notRun', kind, retryAfterMs }
 }
 
-/** Makes an "unknown" outcome. */
+/** Creates an `unknown` outcome. */
 export function unknown(kind: ErrorKind, retryAfterMs = 0): Unknown {
 	return { outcome: 'unknown', kind, retryAfterMs }
 }
--- a/packages/core/src/types/spread.ts
+++ b/packages/core/src/types/spread.ts
@@ -1,50 +1,50 @@
-/** Messages and state of the spreading of published values; see `spread.ts`. */
+/** Messages and state of the gossip of published values; see `gossip.ts`. */
 
 import type { TextPatch, Topic } from '../internal.ts'
 
-/** Another process, by the platform's list. */
+/** A process in the platform's membership list. */
 export interface Member {
 	readonly name: string
 	readonly region: string
 }
 
-/** A question for a newer value. */
+/** A fetch of a newer value. */
 export interface Fetch {
 	readonly from: string
-	/** When it counts as lost, ms. */
+	/** When it times out, ms. */
 	readonly until: number
-	/** Questions for the same value before it. */
+	/** Number of earlier fetches of the same value. */
 	readonly tries: number
 }
 
-/** A value as held. */
+/** State of one topic at a node. */
 export interface Held {
 	revision: number
 	text: string
-	/** Patches between successive held revisions, oldest first. */
+	/** Patches between successive stored revisions, oldest first. */
 	readonly patches: { from: number; to: number; patch: TextPatch }[]
-	/** A fetch under way. */
+	/** The fetch in flight, if any. */
 	fetching: Fetch | undefined
-	/** Highest revision that anybody has spoken of. */
+	/** Highest revision announced by any node. */
 	heard: number
-	/** The newest right value, when the one held was judged invalid. */
+	/** The last valid value, if the stored one is invalid. */
 	good: GoodValue | undefined
 }
 
-/** A value that was judged right. */
+/** A value that was found valid. */
 export interface GoodValue {
 	readonly revision: number
 	readonly text: string
 }
 
-/** Between two processes. */
+/** A message between two processes. */
 export type SpreadMessage =
 	| {
 			readonly type: 'notice'
 			readonly topic: Topic
 			readonly revision: number
 	  }
-	/** Asks for what is newer than `have`. */
+	/** Requests what is newer than revision `have`; -1 requests the full value. */
 	| { readonly type: 'fetch'; readonly topic: Topic; readonly have: number }
 	| {
 			readonly type: 'patches'
@@ -58,27 +58,27 @@
 			readonly topic: Topic
 			readonly revision: number
 			readonly text: string
-			/** What is in force where the value itself is invalid. */
+			/** The last valid value, if the value itself is invalid. */
 			readonly good?: GoodValue
 	  }
-	/** Revisions held, in the order of {@link TOPICS}; asks for the other's. */
+	/** Stored revisions, in the order of {@link TOPICS}; `answer` requests the same back. */
 	| {
 			readonly type: 'compare'
 			readonly revisions: readonly number[]
 			readonly answer: boolean
 	  }
-	/** A standby's look at a reader, and its answer. */
+	/** A standby's check of a reader, and the reader's answer. */
 	| { readonly type: 'look' }
 	| { readonly type: 'contact'; readonly ageMs: number }
 
-/** What a process is to do. */
+/** An effect that the daemon has to carry out. */
 export type SpreadEffect =
 	| {
 			readonly do: 'send'
 			readonly to: string
 			readonly message: SpreadMessage
 	  }
-	/** A newer value is held; judge it and put it in force. */
+	/** Validate and activate a newer value. */
 	| {
 			readonly do: 'adopt'
 			readonly topic: Topic
@@ -86,19 +86,19 @@
 			readonly text: string
 	  }
 
-/** One process's part in the spreading. */
+/** Gossip state of a process. */
 export interface SpreadNode {
 	readonly self: string
 	region: string
 	readonly held: Record<Topic, Held>
 	members: readonly Member[]
-	/** Whom it notifies. */
+	/** Names of the members that it notifies. */
 	neighbours: string[]
-	/** Readers and standbys of its region, best first. */
+	/** Readers and standbys of its region, in order of preference. */
 	readers: string[]
 	/** When the platform last answered it, ms. */
 	contactAt: number
-	/** When each reader was last known to be in contact, ms. */
+	/** When each reader was last known to be in contact with the platform, ms. */
 	readonly readerSeen: Map<string, number>
 	nextExchange: number
 	nextLook: number
--- a/packages/core/src/types/traffic.ts
+++ b/packages/core/src/types/traffic.ts
@@ -1,104 +1,104 @@
 /**
- * What an operator's platform publishes about traffic, in juniperhook's own
- * words: routes, services, teams and limits. An adapter decodes its own format
- * into these types once; nothing else knows that format.
+ * The traffic configuration that an operator's platform publishes: routes, services,
+ * teams and limits. An adapter decodes the platform's format into these types; no other
+ * code depends on that format.
  */
 
-/** How often a request of a route may run. */
+/** Whether and how requests of a route may be repeated. */
 export type RouteKind =
-	/** Any number of times. */
+	/** May run any number of times. */
 	| 'repeatable'
-	/** At most once. */
+	/** Must run at most once. */
 	| 'once'
-	/** A stream of numbered events. */
+	/** Answered by a stream of numbered events. */
 	| 'stream'
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface RouteShare {
 	readonly service: string
 	readonly weight: number
 }
 
-/** Requests of one host whose path begins with a prefix. */
+/** A route: requests to one host whose path starts with a prefix. */
 export interface TrafficRoute {
 	readonly name: string
 	readonly host: string
-	/** Begins and ends with a slash. */
+	/** Starts and ends with a slash. */
 	readonly pathPrefix: string
 	readonly shares: readonly RouteShare[]
 	readonly kind: RouteKind
-	/** Longest time a request is held, ms. */
+	/** Request timeout, ms. */
 	readonly timeoutMs: number
-	/** An answer, or a stream's first event, is in time up to here, ms. */
+	/** Target latency of an answer or of a stream's first event, ms. */
 	readonly targetMs: number
 	/** 0 is the most urgent. */
 	readonly priority: number
-	/** Most servers that one request may be sent to. */
+	/** Maximum number of servers that one request may be sent to. */
 	readonly maxAttempts: number
-	/** Whether a request needs no key. */
+	/** Whether requests need no API key. */
 	readonly anonymous: boolean
-	/** Whether a broken stream may go on at another server. */
+	/** Whether an interrupted stream may be resumed at another server. */
 	readonly resumable: boolean
-	/** Longest pause between events that is in time, ms; 0 if unstated. */
+	/** Target for the maximum pause between events, ms; 0 if not stated. */
 	readonly maxPauseMs: number
 }
 
-/** Where the experts of a lock-step group may lie, and what a copy costs. */
+/** Constraints on the expert placement of a lock-step group, and the cost of copies. */
 export interface ExpertLayout {
-	/** Sets of layers that share a placement. */
+	/** Number of sets of layers that share a placement. */
 	readonly sets: number
 	readonly experts: number
-	/** Experts a rank can hold in each set. */
+	/** Number of experts that a rank can hold in each set. */
 	readonly places: number
-	/** New experts that a rank takes in each set in one change. */
+	/** Maximum number of new experts per rank and set in one change. */
 	readonly maxNew: number
 	readonly expertMb: number
-	/** Share of a step that experts take when ranks are balanced. */
+	/** Share of the step time spent in experts while the ranks are balanced. */
 	readonly expertShare: number
-	/** Time a group needs to form again, ms. */
+	/** Time that a group needs to re-form, ms. */
 	readonly reformMs: number
 }
 
-/** How long an engine's work takes. */
+/** Performance profile of an engine. */
 export interface EngineProfile {
 	readonly slots: number
 	readonly memoryTokens: number
-	/** Token steps in a pass that has writers. */
+	/** Token steps per pass while any request is generating tokens. */
 	readonly stepsPerPass: number
 	readonly stepMs: number
-	/** Added to a step by each request that writes, ms. */
+	/** Time that each generating request adds to a step, ms. */
 	readonly perRequestMs: number
-	/** Added to a step by 1,000 tokens of context of a request, ms. */
+	/** Time that each 1,000 tokens of a request's context add to a step, ms. */
 	readonly contextMsPerK: number
 	readonly prefillTokensPerSecond: number
-	/** Prompt tokens read in one step at most. */
+	/** Maximum number of prompt tokens processed in one step. */
 	readonly chunkTokens: number
 	readonly linkMbps: number
 	readonly usualPromptTokens: number
 	readonly usualAnswerTokens: number
-	/** Absent for engines that form no groups. */
+	/** Undefined for engines that form no groups. */
 	readonly experts: ExpertLayout | undefined
 }
 
-/** A service's servers and how they may be called. */
+/** A service and the properties of its servers. */
 export interface TrafficService {
 	readonly name: string
 	readonly healthPath: string
-	/** Connections a server takes from all callers together. */
+	/** Maximum number of connections that a server accepts in total. */
 	readonly maxConnections: number
-	/** Absent for a plain service. */
+	/** Undefined for a plain service. */
 	readonly engine: EngineProfile | undefined
 }
 
-/** A team and its keys. */
+/** A team and its API keys. */
 export interface TrafficTeam {
 	readonly name: string
 	readonly keys: readonly string[]
-	/** Goes before the route's priority; absent when the team has none. */
+	/** Overrides the route's priority; undefined if the team has none. */
 	readonly priority: number | undefined
 }
 
-/** What callers may send, and how slowly. */
+/** Size and time limits on the requests of callers. */
 export interface TrafficLimits {
 	readonly maxHeaderBytes: number
 	readonly maxBodyBytes: number
@@ -106,7 +106,7 @@
 	readonly idleTimeoutMs: number
 }
 
-/** A whole configuration; versions rise, with gaps. */
+/** A complete traffic configuration; versions increase, with gaps. */
 export interface TrafficConfig {
 	readonly version: number
 	readonly routes: readonly TrafficRoute[]
@@ -117,20 +117,20 @@
 
 /** One incarnation of a backend server, as published. */
 export interface ListedServer {
-	/** Belongs to this incarnation alone; see `incarnationId`. */
+	/** Unique to this incarnation; see `incarnationId`. */
 	readonly id: string
-	/** What it is published under and answers to; a restart may keep it. */
+	/** Published name, to which it answers; may stay the same across a restart. */
 	readonly name: string
 	readonly service: string
 	/** `IP:port`. */
 	readonly address: string
 	readonly dataCentre: string
-	/** Requests it runs at once. */
+	/** Maximum number of requests that it runs concurrently. */
 	readonly slots: number
-	/** Whether it is about to end. */
+	/** Whether it is about to shut down. */
 	readonly leaving: boolean
-	/** Time for which it is still slow after its start, ms. */
+	/** Remaining time for which it is slow after its start, ms. */
 	readonly coldMs: number
-	/** Name of the lock-step group that it is a rank of, if any. */
+	/** Name of the lock-step group of which it is a rank, if any. */
 	readonly group?: string | undefined
 }
