--- a/packages/core/test/fate.test.ts
+++ b/packages/core/test/fate.test.ts
@@ -1,4 +1,4 @@
-/** A request's fate, explored in every order within the stated bounds. */
+/** The lifecycle of a request, explored in all event orders within the given bounds. */
 
 import fc from 'fast-check'
 import { test } from 'uvu'
@@ -7,7 +7,7 @@
 import { createFateModel } from './models/fateModel.ts'
 import type { FateBounds, FateMutant } from './models/fateModelState.ts'
 
-const QUIET: FateBounds = {
+const NO_FAILURES: FateBounds = {
 	entries: 1,
 	repeatable: false,
 	keyed: true,
@@ -23,29 +23,35 @@
 
 const EXHAUSTIVE: { name: string; bounds: FateBounds }[] = [
 	{
-		name: 'a booking, a restart, a lost link, a silence',
-		bounds: { ...QUIET, restarts: 1, losses: 1, silences: 1 },
+		name: 'a booking, a restart, a lost link, a time-out',
+		bounds: { ...NO_FAILURES, restarts: 1, losses: 1, silences: 1 },
 	},
 	{
-		name: 'a booking, a lost link, a doubled message',
-		bounds: { ...QUIET, losses: 1, doubles: 1 },
+		name: 'a booking, a lost link, a duplicate message',
+		bounds: { ...NO_FAILURES, losses: 1, doubles: 1 },
 	},
 	{
-		name: 'a booking with an own key, a pause, a leave, a silence',
-		bounds: { ...QUIET, freshKey: true, pauses: 1, leaves: 1, silences: 1 },
+		name: "a booking with the entry's key, a pause, a leave, a time-out",
+		bounds: {
+			...NO_FAILURES,
+			freshKey: true,
+			pauses: 1,
+			leaves: 1,
+			silences: 1,
+		},
 	},
 	{
-		name: 'a booking asked at two entries, a restart',
-		bounds: { ...QUIET, entries: 2, restarts: 1 },
+		name: 'a booking requested at two entries, a restart',
+		bounds: { ...NO_FAILURES, entries: 2, restarts: 1 },
 	},
 	{
-		name: 'a booking asked at two entries, a pause',
-		bounds: { ...QUIET, entries: 2, pauses: 1 },
+		name: 'a booking requested at two entries, a pause',
+		bounds: { ...NO_FAILURES, entries: 2, pauses: 1 },
 	},
 	{
-		name: 'no key, not to be repeated: a pause, a silence, a doubled message',
+		name: 'no key, not repeatable: a pause, a time-out, a duplicate message',
 		bounds: {
-			...QUIET,
+			...NO_FAILURES,
 			keyed: false,
 			freshKey: true,
 			pauses: 1,
@@ -54,9 +60,9 @@
 		},
 	},
 	{
-		name: 'a roster, a restart, a silence',
+		name: 'a repeatable request, a restart, a time-out',
 		bounds: {
-			...QUIET,
+			...NO_FAILURES,
 			repeatable: true,
 			keyed: false,
 			freshKey: true,
@@ -67,7 +73,7 @@
 ]
 
 for (const { name, bounds } of EXHAUSTIVE)
-	test(`fate, every order: ${name}`, () => {
+	test(`request lifecycle, all orders: ${name}`, () => {
 		const found = explore(createFateModel(bounds))
 		assert.is(found.fault, undefined, JSON.stringify(found.path, null, 1))
 		assert.ok(found.complete)
@@ -81,33 +87,33 @@
 }[] = [
 	{
 		mutant: 'retryUnknown',
-		bounds: { ...QUIET, freshKey: true, restarts: 1, losses: 1 },
-		fault: 'it ran twice',
+		bounds: { ...NO_FAILURES, freshKey: true, restarts: 1, losses: 1 },
+		fault: 'ran twice',
 	},
 	{
-		mutant: 'forgetAge',
-		bounds: { ...QUIET, entries: 2, restarts: 1 },
-		fault: 'it ran twice',
+		mutant: 'ignoreKeyAge',
+		bounds: { ...NO_FAILURES, entries: 2, restarts: 1 },
+		fault: 'ran twice',
 	},
 	{
 		mutant: 'noTombstone',
-		bounds: { ...QUIET, keyed: false, freshKey: true, silences: 1 },
-		fault: 'it ran twice',
+		bounds: { ...NO_FAILURES, keyed: false, freshKey: true, silences: 1 },
+		fault: 'ran twice',
 	},
 	{
-		mutant: 'noEndMark',
-		bounds: { ...QUIET },
-		fault: 'half an answer',
+		mutant: 'noEndMarker',
+		bounds: { ...NO_FAILURES },
+		fault: 'incomplete answer',
 	},
 ]
 
 for (const { mutant, bounds, fault } of MUTANTS)
-	test(`fate: without the guard "${mutant}" a fault is found`, () => {
+	test(`request lifecycle: mutant "${mutant}" is detected`, () => {
 		const found = explore(createFateModel(bounds, mutant))
 		assert.is(found.fault, fault)
 	})
 
-test('fate, random orders: two entries, all faults', () => {
+test('request lifecycle, random orders: two entries, all failures', () => {
 	const model = createFateModel({
 		entries: 2,
 		repeatable: false,
--- a/packages/core/test/models/fateModel.ts
+++ b/packages/core/test/models/fateModel.ts
@@ -1,7 +1,7 @@
 /**
- * One booking, asked for at two entries by one key, at one home agent that may
- * pause, restart or be told to leave, over links that lose, double and delay.
- * The functions explored are those of the daemons.
+ * Model of one booking, requested at up to two entries with the same key. Its home agent
+ * may pause, restart or leave; links may lose, duplicate and delay messages. The model
+ * explores the same functions that the daemons run.
  */
 
 import type {
@@ -23,12 +23,12 @@
 } from '../../src/index.ts'
 import type { Model } from './explore.ts'
 import {
-	answerOne,
-	answerReaders,
+	answerAll,
 	dropFrames,
 	nameOf,
 	send,
 	sendAnswer,
+	sendFrame,
 } from './fateModelLinks.ts'
 import type {
 	Draft,
@@ -40,15 +40,15 @@
 	Message,
 } from './fateModelState.ts'
 import {
+	AMPLE_MS,
 	BORN_WALL,
 	createInitial,
-	findBrokenPromise,
+	findViolation,
 	KEY,
 	KEY_WALL,
-	ROOMY_MS,
 } from './fateModelState.ts'
 
-/** The model for given bounds. */
+/** Creates the model with the given bounds. */
 export function createFateModel(
 	bounds: FateBounds,
 	mutant: FateMutant = 'none',
@@ -57,7 +57,7 @@
 		initial: createInitial(bounds),
 		list: state => listEvents(state, bounds),
 		apply: (state, event) => apply(state, event, bounds, mutant),
-		findFault: state => state.fault ?? findBrokenPromise(state, bounds),
+		findFault: state => state.fault ?? findViolation(state, bounds),
 		keyOf: state =>
 			JSON.stringify(state, (_, value) =>
 				value instanceof Map ? [...value] : value,
@@ -107,7 +107,7 @@
 	switch (event.do) {
 		case 'ask':
 			state.asked[event.entry] = true
-			offer(draft, event.entry)
+			sendOffer(draft, event.entry)
 			break
 		case 'deliver': {
 			const at = state.messages.indexOf(event.message)
@@ -120,20 +120,20 @@
 			state.used.losses++
 			const { attempt } = state.fates[event.entry]!
 			dropFrames(state, event.entry)
-			tell(draft, event.entry, { type: 'linkLost', attempt })
+			stepEntry(draft, event.entry, { type: 'linkLost', attempt })
 			break
 		}
 		case 'silent': {
 			state.used.silences++
 			const { attempt } = state.fates[event.entry]!
 			dropFrames(state, event.entry)
-			tell(draft, event.entry, { type: 'silent', attempt })
+			stepEntry(draft, event.entry, { type: 'silent', attempt })
 			break
 		}
 		case 'finish': {
 			const name = nameOf(event.run)
 			stepAgent(draft, { type: 'finish', name, how: 'whole' })
-			answerReaders(draft, event.run)
+			answerAll(draft, event.run)
 			break
 		}
 		case 'restart':
@@ -165,23 +165,23 @@
 	const { state } = draft
 	state.used.restarts++
 	const agent = createAdmission(state.at, 1)
-	if (draft.mutant === 'forgetAge')
+	if (draft.mutant === 'ignoreKeyAge')
 		Object.assign(agent, { bornWall: BORN_WALL })
 	draft.state = {
 		...state,
 		agent,
 		incarnation: state.incarnation + 1,
 		attached: {},
-		// Its connections died with it; only entries' tries in flight notice.
+		// Its connections are closed; only entries with an attempt in flight notice.
 		messages: state.messages.filter(text => !text.includes('"kind":"offer"')),
 	}
 }
 
-function offer(draft: Draft, entry: number): void {
+function sendOffer(draft: Draft, entry: number): void {
 	const { state } = draft
 	const { incarnation } = state
-	state.believes[entry] = incarnation
-	tell(draft, entry, { type: 'routed' })
+	state.knownIncarnation[entry] = incarnation
+	stepEntry(draft, entry, { type: 'routed' })
 	const { attempt } = state.fates[entry]!
 	const name = { reqId: `r${entry}`, attempt }
 	send(state, { kind: 'offer', entry, name, incarnation })
@@ -191,7 +191,7 @@
 	const { state } = draft
 	switch (message.kind) {
 		case 'offer':
-			takeOffer(draft, message)
+			handleOffer(draft, message)
 			break
 		case 'void': {
 			const { entry, name } = message
@@ -205,14 +205,14 @@
 			break
 		}
 		case 'frame':
-			takeFrame(draft, message.entry, message.attempt, message.frame)
+			handleFrame(draft, message.entry, message.attempt, message.frame)
 			break
 		default:
 			message satisfies never
 	}
 }
 
-function takeOffer(
+function handleOffer(
 	draft: Draft,
 	message: Extract<Message, { kind: 'offer' }>,
 ): void {
@@ -221,7 +221,7 @@
 	const claim = {
 		key: KEY,
 		wallTime: KEY_WALL,
-		windowMs: ROOMY_MS,
+		windowMs: AMPLE_MS,
 		homeSinceWall: BORN_WALL,
 		fresh: freshKey,
 	}
@@ -238,7 +238,7 @@
 			team: 'team',
 			weight: 1,
 			priority: 0,
-			startBudgetMs: ROOMY_MS,
+			startBudgetMs: AMPLE_MS,
 			mayWait: true,
 			...(keyed && { claim }),
 		},
@@ -248,10 +248,10 @@
 function stepAgent(draft: Draft, event: AdmissionEvent): void {
 	const { agent, at } = draft.state
 	const effects = stepAdmission(agent, event, at)
-	for (const effect of effects) carryOut(draft, effect)
+	for (const effect of effects) applyAgentEffect(draft, effect)
 }
 
-function carryOut(draft: Draft, effect: AdmissionEffect): void {
+function applyAgentEffect(draft: Draft, effect: AdmissionEffect): void {
 	const { state } = draft
 	const id = attemptKey(effect.name)
 	switch (effect.do) {
@@ -260,7 +260,7 @@
 			break
 		case 'refuse':
 			for (const reader of [id, ...(state.attached[id] ?? [])])
-				answerOne(state, reader, { t: 'refused', outcome: effect.outcome })
+				sendFrame(state, reader, { t: 'refused', outcome: effect.outcome })
 			break
 		case 'attach': {
 			const first = attemptKey(effect.first)
@@ -276,7 +276,7 @@
 	}
 }
 
-function takeFrame(
+function handleFrame(
 	draft: Draft,
 	entry: number,
 	attempt: number,
@@ -284,48 +284,62 @@
 ): void {
 	switch (frame.t) {
 		case 'admitted':
-			tell(draft, entry, { type: 'admitted', attempt })
+			stepEntry(draft, entry, { type: 'admitted', attempt })
 			break
 		case 'chunk':
-			tell(draft, entry, { type: 'chunk', attempt, n: frame.n }, frame.of)
+			stepEntry(draft, entry, { type: 'chunk', attempt, n: frame.n }, frame.of)
 			break
 		case 'end': {
 			const { state } = draft.state.fates[entry]!
 			const next = state.at === 'answering' ? state.next : 0
-			const n = draft.mutant === 'noEndMark' ? next : frame.n
-			tell(draft, entry, { type: 'end', attempt, n })
+			const n = draft.mutant === 'noEndMarker' ? next : frame.n
+			stepEntry(draft, entry, { type: 'end', attempt, n })
 			break
 		}
 		case 'refused':
-			tell(draft, entry, { type: 'refused', attempt, outcome: frame.outcome })
+			stepEntry(draft, entry, {
+				type: 'refused',
+				attempt,
+				outcome: frame.outcome,
+			})
 			break
 		case 'voidAnswer':
-			tell(draft, entry, { type: 'voidAnswer', attempt, answer: frame.answer })
+			stepEntry(draft, entry, {
+				type: 'voidAnswer',
+				attempt,
+				answer: frame.answer,
+			})
 			break
 		default:
 			frame satisfies never
 	}
 }
 
-function tell(draft: Draft, entry: number, event: FateEvent, chunk = ''): void {
+function stepEntry(
+	draft: Draft,
+	entry: number,
+	event: FateEvent,
+	chunk = '',
+): void {
 	const { state, mutant } = draft
 	const fate = state.fates[entry]!
-	const settled = fate.state.at === 'settled'
+	const wasSettled = fate.state.at === 'settled'
 	const effects = stepFate(fate, event, true)
 	for (const effect of effects) {
-		if (settled && effect.do !== 'drop')
-			draft.state = { ...draft.state, fault: 'a settled request went on' }
-		carryOutEntry(draft, entry, effect, chunk)
+		if (wasSettled && effect.do !== 'drop')
+			draft.state = { ...draft.state, fault: 'effect after settling' }
+		applyEntryEffect(draft, entry, effect, chunk)
 	}
-	const { state: now } = fate
-	const gaveUp = now.at === 'settled' && now.outcome.outcome === 'unknown'
-	if (mutant === 'retryUnknown' && gaveUp && fate.attempt < 2) {
+	const { state: after } = fate
+	const isUnknown =
+		after.at === 'settled' && after.outcome.outcome === 'unknown'
+	if (mutant === 'retryUnknown' && isUnknown && fate.attempt < 2) {
 		fate.state = { at: 'routing' }
-		offer(draft, entry)
+		sendOffer(draft, entry)
 	}
 }
 
-function carryOutEntry(
+function applyEntryEffect(
 	draft: Draft,
 	entry: number,
 	effect: FateEffect,
@@ -334,11 +348,11 @@
 	const { state } = draft
 	const fate = state.fates[entry]!
 	const name = { reqId: `r${entry}`, attempt: fate.attempt }
-	const incarnation = state.believes[entry]!
+	const incarnation = state.knownIncarnation[entry]!
 	switch (effect.do) {
 		case 'route':
 			dropFrames(state, entry)
-			offer(draft, entry)
+			sendOffer(draft, entry)
 			break
 		case 'sendVoid':
 			send(state, { kind: 'void', entry, name, incarnation })
@@ -348,7 +362,7 @@
 			resume(draft, entry, name, effect.from)
 			break
 		case 'forward':
-			state.told[entry]!.push(chunk)
+			state.forwarded[entry]!.push(chunk)
 			fate.told = true
 			break
 		case 'cancel':
@@ -360,7 +374,7 @@
 	}
 }
 
-/** The agent answers a resume at once; a lost answer is a lost link again. */
+/** Resumes an answer. The agent responds at once; losing that is another lost link. */
 function resume(
 	draft: Draft,
 	entry: number,
@@ -369,12 +383,12 @@
 ): void {
 	const { state } = draft
 	const id = attemptKey(name)
-	const known = state.believes[entry] === state.incarnation
+	const known = state.knownIncarnation[entry] === state.incarnation
 	const first = Object.keys(state.attached).find(other =>
 		state.attached[other]?.includes(id),
 	)
-	const source = first ?? id
-	const phase = known ? state.agent.attempts.get(source)?.phase : undefined
+	const attempt = first ?? id
+	const phase = known ? state.agent.attempts.get(attempt)?.phase : undefined
 	switch (phase) {
 		case 'whole':
 			sendAnswer(state, id, from)
@@ -386,7 +400,7 @@
 		case 'broken':
 		case undefined: {
 			const outcome = unknown('truncated')
-			answerOne(state, id, { t: 'refused', outcome })
+			sendFrame(state, id, { t: 'refused', outcome })
 			break
 		}
 		default:
--- a/packages/core/test/models/fateModelLinks.ts
+++ b/packages/core/test/models/fateModelLinks.ts
@@ -1,29 +1,29 @@
-/** Links between the entries and the home agent of the model of fates. */
+/** Links between the entries and the home agent in the request lifecycle model. */
 
 import type { AttemptName } from '../../src/index.ts'
 import type { Draft, FateModelState, Frame, Message } from './fateModelState.ts'
 import { CHUNKS, KEY } from './fateModelState.ts'
 
-/** Sends a run's answer to all who wait for it. */
-export function answerReaders(draft: Draft, run: string): void {
+/** Sends the answer of an attempt to it and to all attached attempts. */
+export function answerAll(draft: Draft, run: string): void {
 	const { state } = draft
 	for (const reader of [run, ...(state.attached[run] ?? [])])
 		sendAnswer(state, reader, 0)
 }
 
-/** Sends an answer from a chunk on. */
+/** Sends an answer, starting with chunk `from`. */
 export function sendAnswer(
 	state: FateModelState,
 	reader: string,
 	from: number,
 ): void {
 	for (let n = from; n < CHUNKS; n++)
-		answerOne(state, reader, { t: 'chunk', n, of: KEY })
-	answerOne(state, reader, { t: 'end', n: CHUNKS })
+		sendFrame(state, reader, { t: 'chunk', n, of: KEY })
+	sendFrame(state, reader, { t: 'end', n: CHUNKS })
 }
 
-/** Sends a frame to one who waits. */
-export function answerOne(
+/** Sends a frame to the entry of an attempt. */
+export function sendFrame(
 	state: FateModelState,
 	reader: string,
 	frame: Frame,
@@ -33,7 +33,7 @@
 	send(state, { kind: 'frame', entry, attempt: name.attempt, frame })
 }
 
-/** A connection that the entry has left brings nothing more. */
+/** Drops the frames in flight to an entry, which has closed the connection. */
 export function dropFrames(state: FateModelState, entry: number): void {
 	const kept = state.messages.filter(text => {
 		const message: Message = JSON.parse(text)
@@ -42,7 +42,7 @@
 	state.messages.splice(0, state.messages.length, ...kept)
 }
 
-/** Puts a message on its way; it may stay there for ever. */
+/** Sends a message; it may be delayed indefinitely. */
 export function send(state: FateModelState, message: Message): void {
 	const text = JSON.stringify(message)
 	if (state.messages.includes(text)) return
@@ -50,7 +50,7 @@
 	state.messages.sort()
 }
 
-/** The name that a table key was made of. */
+/** Returns the attempt name that a map key was derived from. */
 export function nameOf(id: string): AttemptName {
 	const [reqId = '', attempt] = id.split('/')
 	return { reqId, attempt: Number(attempt) }
--- a/packages/core/test/models/fateModelState.ts
+++ b/packages/core/test/models/fateModelState.ts
@@ -1,4 +1,4 @@
-/** State of the fate model: entries, one agent, links, and what may befall them. */
+/** State of the request lifecycle model: entries, one agent, links and possible events. */
 
 import type {
 	AdmissionState,
@@ -10,13 +10,13 @@
 } from '../../src/index.ts'
 import { CLOCK_BOUND_MS, createAdmission, createFate } from '../../src/index.ts'
 
-/** Bounds of an exploration. */
+/** Bounds of an exploration: the maximum number of each failure, and the request. */
 export interface FateBounds {
 	readonly entries: number
 	readonly repeatable: boolean
-	/** Whether its tries carry a key. */
+	/** Whether the request carries an idempotency key. */
 	readonly keyed: boolean
-	/** Whether the entry made the key, and so knows it is new. */
+	/** Whether the entry created the key and so knows that it is new. */
 	readonly freshKey: boolean
 	readonly restarts: number
 	readonly pauses: number
@@ -26,17 +26,17 @@
 	readonly silences: number
 }
 
-/** A guard taken out. */
+/** A mutant: the model with one guard removed. */
 export type FateMutant =
 	| 'none'
-	/** Every time-out is followed by another try. */
+	/** Retries after every unknown outcome. */
 	| 'retryUnknown'
-	/** A restarted agent takes old keys for new ones. */
-	| 'forgetAge'
-	/** A void order leaves nothing behind. */
+	/** A restarted agent accepts old keys as new ones. */
+	| 'ignoreKeyAge'
+	/** A void request leaves no tombstone. */
 	| 'noTombstone'
-	/** An answer without its end mark passes for whole. */
-	| 'noEndMark'
+	/** An answer without an end marker counts as complete. */
+	| 'noEndMarker'
 
 export type Message =
 	| {
@@ -72,18 +72,18 @@
 export interface FateModelState {
 	readonly fates: Fate[]
 	readonly asked: boolean[]
-	/** Incarnation that each entry believes in. */
-	readonly believes: number[]
+	/** The agent's incarnation as known to each entry. */
+	readonly knownIncarnation: number[]
 	readonly agent: AdmissionState
 	readonly incarnation: number
 	readonly at: Moment
-	/** Tries whose answers are read by others too: try -> readers. */
+	/** Attempts attached to the answer of another, by the latter. */
 	readonly attached: Record<string, string[]>
 	readonly messages: string[]
-	/** Hand-overs to the backend server, by try. */
+	/** Attempts started at the backend server, in order. */
 	readonly runs: string[]
 	/** Chunks forwarded to each caller. */
-	readonly told: string[][]
+	readonly forwarded: string[][]
 	readonly used: Record<
 		'restarts' | 'pauses' | 'losses' | 'doubles' | 'leaves' | 'silences',
 		number
@@ -91,7 +91,7 @@
 	readonly fault: string | null
 }
 
-/** What may happen. */
+/** An event of the model. */
 export type FateModelEvent =
 	| { readonly do: 'ask'; readonly entry: number }
 	| {
@@ -109,18 +109,18 @@
 export const CHUNKS = 1
 export const KEY = 'team/huts/key'
 export const KEY_WALL = 1_000_000
-/** The booking is made long after the first agent began. */
+/** The first agent starts long before the booking is made. */
 export const BORN_WALL = KEY_WALL - 10 * CLOCK_BOUND_MS
-export const ROOMY_MS = 1e9
+export const AMPLE_MS = 1e9
 
-/** A state in the making, and what it is made under. */
+/** The next state under construction, with its bounds and mutant. */
 export interface Draft {
 	state: FateModelState
 	readonly bounds: FateBounds
 	readonly mutant: FateMutant
 }
 
-/** Before anything was asked. */
+/** Creates the initial state, without requests. */
 export function createInitial(bounds: FateBounds): FateModelState {
 	const each = <T>(make: () => T) =>
 		Array.from({ length: bounds.entries }, make)
@@ -129,14 +129,14 @@
 	return {
 		fates: each(() => createFate(bounds.repeatable, !bounds.freshKey)),
 		asked: each(() => false),
-		believes: each(() => 0),
+		knownIncarnation: each(() => 0),
 		agent,
 		incarnation: 0,
 		at,
 		attached: {},
 		messages: [],
 		runs: [],
-		told: each(() => []),
+		forwarded: each(() => []),
 		used: {
 			restarts: 0,
 			pauses: 0,
@@ -149,19 +149,20 @@
 	}
 }
 
-/** The promise that a state breaks, if any. */
-export function findBrokenPromise(
+/** Returns the violated invariant of a state, if any. */
+export function findViolation(
 	state: FateModelState,
 	bounds: FateBounds,
 ): string | undefined {
-	if (!bounds.repeatable && state.runs.length > 1) return 'it ran twice'
+	if (!bounds.repeatable && state.runs.length > 1) return 'ran twice'
 	for (const [entry, fate] of state.fates.entries()) {
 		if (fate.state.at !== 'settled') continue
 		const { outcome } = fate.state
-		const own = state.runs.some(run => run.startsWith(`r${entry}/`))
-		if (outcome.outcome === 'notRun' && own) return 'not run, but it ran'
-		const whole = state.told[entry]!.length === CHUNKS
-		if (outcome.outcome === 'answered' && !whole) return 'half an answer'
+		const hasRun = state.runs.some(run => run.startsWith(`r${entry}/`))
+		if (outcome.outcome === 'notRun' && hasRun) return 'reported notRun but ran'
+		const isComplete = state.forwarded[entry]!.length === CHUNKS
+		if (outcome.outcome === 'answered' && !isComplete)
+			return 'incomplete answer'
 	}
 	return undefined
 }
--- a/packages/core/test/routeTable.test.ts
+++ b/packages/core/test/routeTable.test.ts
@@ -1,4 +1,4 @@
-/** Which route and service a request has. */
+/** Look-up of routes and weighted choice of services. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -57,7 +57,7 @@
 		assert.is(found?.name, route)
 	})
 
-test('service by weight: shares follow the weights', () => {
+test('services are picked in proportion to their weights', () => {
 	const random = createRandom(7)
 	const shares = [
 		{ service: 'a', weight: 90 },
--- a/packages/core/test/subset.test.ts
+++ b/packages/core/test/subset.test.ts
@@ -15,38 +15,60 @@
 	entries: number
 	servers: number
 	centres: number
-	/** Most servers that an entry may see. */
-	most: number
+	/** Maximum number of servers that an entry may be linked to. */
+	maxServers: number
 }[] = [
-	{ name: "today's size", entries: 3, servers: 16, centres: 3, most: 16 },
-	{ name: 'a tenth', entries: 33, servers: 390, centres: 4, most: 110 },
 	{
-		name: 'one model of nine',
+		name: 'the current size',
+		entries: 3,
+		servers: 16,
+		centres: 3,
+		maxServers: 16,
+	},
+	{
+		name: 'a tenth of the planned size',
+		entries: 33,
+		servers: 390,
+		centres: 4,
+		maxServers: 110,
+	},
+	{
+		name: 'one of nine models',
 		entries: 330,
 		servers: 433,
 		centres: 17,
-		most: 40,
+		maxServers: 40,
+	},
+	{
+		name: 'the size planned for in two years',
+		entries: 330,
+		servers: 3_900,
+		centres: 17,
+		maxServers: 110,
 	},
-	{ name: 'two years', entries: 330, servers: 3_900, centres: 17, most: 110 },
 ]
 
-for (const { name, entries, servers, centres, most } of CASES)
-	test(`subset, ${name}: every server is seen, no entry sees too many`, () => {
+for (const { name, entries, servers, centres, maxServers } of CASES)
+	test(`subset, ${name}: every server is linked, no entry has too many links`, () => {
 		const fleet = place('entry', entries, centres)
 		const pool = place('server', servers, centres)
-		const seen = new Map<string, number>()
+		const links = new Map<string, number>()
 		for (const entry of fleet) {
 			const subset = pickSubset(entry.name, fleet, pool)
-			assert.ok(subset.length > 0, `${entry.name} sees none`)
-			assert.ok(subset.length <= most, `${entry.name} sees ${subset.length}`)
-			for (const server of subset) seen.set(server, (seen.get(server) ?? 0) + 1)
+			assert.ok(subset.length > 0, `${entry.name} has no links`)
+			assert.ok(
+				subset.length <= maxServers,
+				`${entry.name}: ${subset.length} links`,
+			)
+			for (const server of subset)
+				links.set(server, (links.get(server) ?? 0) + 1)
 		}
-		const least = Math.min(entries, MIN_ENTRIES / 2)
+		const minLinks = Math.min(entries, MIN_ENTRIES / 2)
 		for (const server of pool)
-			assert.ok((seen.get(server.name) ?? 0) >= least, server.name)
+			assert.ok((links.get(server.name) ?? 0) >= minLinks, server.name)
 	})
 
-test('subset: an entry that the list does not know sees all', () => {
+test('subset: an entry that is not listed is linked to all servers', () => {
 	const pool = place('server', 100, 2)
 	assert.is(pickSubset('new', place('entry', 5, 2), pool).length, 100)
 })
