--- a/packages/core/test/models/rewindNet.ts
+++ b/packages/core/test/models/rewindNet.ts
@@ -1,7 +1,7 @@
 /**
- * Entries that follow a published list of servers, in virtual time, while its store goes
- * back to older copies: writes, lost answers, cuts, restarts, and what entries tell each
- * other.
+ * Model of entries that follow a published server list while its store is rolled back to
+ * older copies, in virtual time: writes, lost answers, partitions, restarts, and gossip
+ * between entries.
  */
 
 import type {
@@ -30,44 +30,46 @@
 } from '../../src/index.ts'
 
 const STEP_MS = 50
-/** Entries call the store about so often, and tell each other, ms. */
+/** Mean interval between calls of an entry to the store, ms. */
 const CALL_MS = 250
-const TELL_MS = 500
-/** Removals seen after the store's return are doubted for this long, ms. */
-const LAPSED_MS = 1_900
-/** Engines write their entries again within this time, ms. */
+/** Interval of the gossip between entries, ms. */
+const GOSSIP_MS = 500
+/** Removals seen after a rollback stay pending for this long, ms. */
+const PENDING_MS = 1_900
+/** Engines rewrite their records within this time after a rollback, ms. */
 const REWRITE_MS = 1_800
-/** The entry of one that has crashed is removed after this time, ms. */
-const LAPSE_MS = 3_600
-/** Ids of lives that are over, of which another entry is told the last ones. */
-const MOST_LEFT_TOLD = 512
-const CALM_MS = 12_000
+/** The record of a crashed engine expires after this time, ms. */
+const EXPIRY_MS = 3_600
+/** Maximum number of departed incarnations in a gossip message, the latest ones. */
+const MAX_DEPARTED_SENT = 512
+/** Time without failures at the end, for the entries to converge, ms. */
+const SETTLE_MS = 12_000
 const SECOND_MS = 1_000
 
-/** What happens in a run of the model. */
-export interface RewindStory {
+/** Parameters of a run. */
+export interface RollbackScenario {
 	readonly seed: number
 	readonly entries: number
 	readonly servers: number
-	/** For which things happen; calm follows, ms. */
+	/** Time during which failures occur, ms; a time without failures follows. */
 	readonly forMs: number
-	/** Part of the answers that are lost. */
+	/** Fraction of answers that are lost. */
 	readonly lost: number
-	/** How often each happens, a second. */
+	/** Rate of each event, per second. */
 	readonly perSecond: {
-		readonly rewinds: number
-		readonly cuts: number
+		readonly rollbacks: number
+		readonly partitions: number
 		readonly restarts: number
 		readonly changes: number
 	}
 }
 
-/** What became of it. */
-export interface RewindOutcome {
-	readonly rewinds: number
-	/** Longest time for which an entry in touch used a server that left, ms. */
+/** Result of a run. */
+export interface RollbackOutcome {
+	readonly rollbacks: number
+	/** Longest time for which an entry in contact used a departed server, ms. */
 	readonly longestUseMs: number
-	/** By entry, at the end. */
+	/** Servers in use at the end, by entry. */
 	readonly used: readonly (readonly string[])[]
 	readonly published: readonly string[]
 }
@@ -75,9 +77,9 @@
 interface Engine {
 	readonly id: string
 	state: 'ready' | 'leaving' | 'removed' | 'crashed'
-	/** When it is to write its state again, ms. */
+	/** When it next writes its state, ms. */
 	writesAt: number
-	/** When its leaving became readable in the store as it is, ms. */
+	/** When its departure became readable in the current store, ms. */
 	readableAt: number | undefined
 }
 
@@ -89,56 +91,56 @@
 
 interface Store {
 	items: Items
-	/** The items after each revision, the first one before all. */
+	/** The items after each revision; the first copy is the empty store. */
 	copies: Items[]
 	term: number
-	awayUntil: number
+	downUntil: number
 }
 
 interface Entry {
 	list: ServerList
 	position: TermRevision | undefined
 	term: number | undefined
-	doubtUntil: number
-	cutUntil: number
-	/** Since when it has been in touch, ms. */
-	inTouchSince: number
+	pendingUntil: number
+	partitionedUntil: number
+	/** Start of the current period in contact with the store, ms. */
+	inContactSince: number
 	callAt: number
-	tellAt: number
+	gossipAt: number
 }
 
 interface Net {
-	readonly story: RewindStory
+	readonly scenario: RollbackScenario
 	readonly random: Random
 	readonly store: Store
 	readonly engines: Engine[]
 	readonly entries: Entry[]
 	now: number
-	rewinds: number
+	rollbacks: number
 	longestUseMs: number
 }
 
-/** Plays a story to its end. */
-export function playRewinds(story: RewindStory): RewindOutcome {
+/** Runs a scenario to its end. */
+export function simulateRollbacks(scenario: RollbackScenario): RollbackOutcome {
 	const net: Net = {
-		story,
-		random: createRandom(story.seed),
-		store: { items: new Map(), copies: [new Map()], term: 1, awayUntil: 0 },
+		scenario,
+		random: createRandom(scenario.seed),
+		store: { items: new Map(), copies: [new Map()], term: 1, downUntil: 0 },
 		engines: [],
-		entries: Array.from({ length: story.entries }, () => createEntry(0)),
+		entries: Array.from({ length: scenario.entries }, () => createEntry(0)),
 		now: 0,
-		rewinds: 0,
+		rollbacks: 0,
 		longestUseMs: 0,
 	}
-	for (let at = 0; at < story.servers; at++) addEngine(net)
-	for (; net.now < story.forMs + CALM_MS; net.now += STEP_MS) {
-		if (net.now < story.forMs) happen(net)
-		for (const engine of net.engines) live(net, engine)
-		for (const entry of net.entries) follow(net, entry)
-		judge(net)
+	for (let at = 0; at < scenario.servers; at++) addEngine(net)
+	for (; net.now < scenario.forMs + SETTLE_MS; net.now += STEP_MS) {
+		if (net.now < scenario.forMs) injectEvents(net)
+		for (const engine of net.engines) writeIfDue(net, engine)
+		for (const entry of net.entries) stepEntry(net, entry)
+		measureUse(net)
 	}
 	return {
-		rewinds: net.rewinds,
+		rollbacks: net.rollbacks,
 		longestUseMs: net.longestUseMs,
 		used: net.entries.map(entry => idsOf(entry)),
 		published: [...net.store.items]
@@ -153,11 +155,11 @@
 		list: createServerList(),
 		position: undefined,
 		term: undefined,
-		doubtUntil: 0,
-		cutUntil: 0,
-		inTouchSince: now,
+		pendingUntil: 0,
+		partitionedUntil: 0,
+		inContactSince: now,
 		callAt: now,
-		tellAt: now,
+		gossipAt: now,
 	}
 }
 
@@ -167,31 +169,32 @@
 		.sort()
 }
 
-function isDrawn({ random }: Net, perSecond: number): boolean {
+function occurs({ random }: Net, perSecond: number): boolean {
 	return random() < (perSecond * STEP_MS) / SECOND_MS
 }
 
-function drawOf<T>({ random }: Net, some: readonly T[]): T {
+function pickOne<T>({ random }: Net, some: readonly T[]): T {
 	return some[Math.floor(random() * some.length)]!
 }
 
-function happen(net: Net): void {
-	const { rewinds, cuts, restarts, changes } = net.story.perSecond
-	if (isDrawn(net, rewinds)) rewind(net)
-	if (isDrawn(net, cuts))
-		drawOf(net, net.entries).cutUntil = net.now + net.random() * 4_000
-	if (isDrawn(net, restarts))
-		Object.assign(drawOf(net, net.entries), createEntry(net.now))
-	if (isDrawn(net, changes)) change(net)
+function injectEvents(net: Net): void {
+	const { rollbacks, partitions, restarts, changes } = net.scenario.perSecond
+	if (occurs(net, rollbacks)) rollBack(net)
+	if (occurs(net, partitions))
+		pickOne(net, net.entries).partitionedUntil = net.now + net.random() * 4_000
+	if (occurs(net, restarts))
+		Object.assign(pickOne(net, net.entries), createEntry(net.now))
+	if (occurs(net, changes)) changeEngine(net)
 }
 
-function change(net: Net): void {
+function changeEngine(net: Net): void {
 	const ready = net.engines.filter(one => one.state === 'ready')
-	if (ready.length < net.story.servers) addEngine(net)
-	else drawOf(net, ready).state = drawOf(net, ['leaving', 'removed', 'crashed'])
+	if (ready.length < net.scenario.servers) addEngine(net)
+	else
+		pickOne(net, ready).state = pickOne(net, ['leaving', 'removed', 'crashed'])
 	for (const engine of net.engines)
 		if (engine.state === 'crashed' && engine.writesAt <= net.now)
-			engine.writesAt = net.now + LAPSE_MS
+			engine.writesAt = net.now + EXPIRY_MS
 		else if (engine.writesAt <= net.now) write(net, engine)
 }
 
@@ -207,19 +210,19 @@
 	write(net, engine)
 }
 
-/** The store goes back by some revisions and is away for a moment. */
-function rewind(net: Net): void {
+/** Rolls the store back by some revisions, with a short downtime. */
+function rollBack(net: Net): void {
 	const { store } = net
-	const back = Math.floor(net.random() * Math.min(12, store.copies.length))
-	store.copies = store.copies.slice(0, store.copies.length - back)
+	const count = Math.floor(net.random() * Math.min(12, store.copies.length))
+	store.copies = store.copies.slice(0, store.copies.length - count)
 	store.items = store.copies.at(-1)!
 	store.term += net.random() < 0.1 ? 2 : 1
-	store.awayUntil = net.now + net.random() * SECOND_MS
-	net.rewinds++
+	store.downUntil = net.now + net.random() * SECOND_MS
+	net.rollbacks++
 	for (const engine of net.engines) {
 		const { state } = engine
-		const takesMs = state === 'crashed' ? LAPSE_MS : net.random() * REWRITE_MS
-		engine.writesAt = store.awayUntil + takesMs
+		const delayMs = state === 'crashed' ? EXPIRY_MS : net.random() * REWRITE_MS
+		engine.writesAt = store.downUntil + delayMs
 		if (!isGone(net, engine)) engine.readableAt = undefined
 	}
 }
@@ -229,15 +232,15 @@
 	return !item || item.leaving
 }
 
-function live(net: Net, engine: Engine): void {
-	if (engine.writesAt > net.now || net.now < net.store.awayUntil) return
+function writeIfDue(net: Net, engine: Engine): void {
+	if (engine.writesAt > net.now || net.now < net.store.downUntil) return
 	write(net, engine)
 }
 
-/** Writes an engine's state into the store, if it is not there. */
+/** Writes an engine's state to the store, unless it is already there. */
 function write(net: Net, engine: Engine): void {
 	const { store } = net
-	if (net.now < store.awayUntil) return
+	if (net.now < store.downUntil) return
 	const { id, state } = engine
 	const item = store.items.get(id)
 	const isListed = state === 'ready' || state === 'leaving'
@@ -253,57 +256,58 @@
 	if (state !== 'ready') engine.readableAt ??= net.now
 }
 
-function follow(net: Net, entry: Entry): void {
+function stepEntry(net: Net, entry: Entry): void {
 	const { now, store } = net
 	settleRemovals(entry.list, now)
 	settleReturns(entry.list, now)
-	const isCut = now < entry.cutUntil
-	if (isCut || now < store.awayUntil) entry.inTouchSince = now
-	if (isCut) return
+	const isPartitioned = now < entry.partitionedUntil
+	if (isPartitioned || now < store.downUntil) entry.inContactSince = now
+	if (isPartitioned) return
 	if (now >= entry.callAt) {
 		entry.callAt = now + CALL_MS * (0.5 + net.random())
-		const isLost = net.random() < net.story.lost
-		if (now >= store.awayUntil && !isLost) callStore(net, entry)
-		else if (isLost) entry.inTouchSince = now
+		const isLost = net.random() < net.scenario.lost
+		if (now >= store.downUntil && !isLost) callStore(net, entry)
+		else if (isLost) entry.inContactSince = now
 	}
-	if (now < entry.tellAt) return
-	entry.tellAt = now + TELL_MS
+	if (now < entry.gossipAt) return
+	entry.gossipAt = now + GOSSIP_MS
 	for (const other of net.entries)
-		if (other !== entry && now >= other.cutUntil) tell(net, entry, other)
+		if (other !== entry && now >= other.partitionedUntil)
+			sendGossip(net, entry, other)
 }
 
 function callStore(net: Net, entry: Entry): void {
 	const { store, now } = net
 	const { position } = entry
 	const revision = { term: store.term, revision: store.copies.length - 1 }
-	const isWhole =
+	const readsFullList =
 		!position ||
 		position.term !== store.term ||
 		position.revision > revision.revision
-	if (isWhole) readWhole(net, entry, revision)
+	if (readsFullList) readFullList(net, entry, revision)
 	else
 		for (const record of changesSince(store, position.revision))
-			takeOne(entry, record, now, false)
+			applyRecord(entry, record, now, false)
 	noteRead(entry.list, revision)
 	entry.position = revision
 }
 
-function readWhole(net: Net, entry: Entry, revision: TermRevision): void {
+function readFullList(net: Net, entry: Entry, revision: TermRevision): void {
 	const { store, now } = net
 	const known = [...entry.list.records.values()]
-	const isCopy =
+	const isRolledBack =
 		entry.term !== undefined
 			? revision.term > entry.term
 			: known.some(one => one.server && one.revision.term < revision.term)
 	entry.term = revision.term
-	if (isCopy) entry.doubtUntil = now + LAPSED_MS
+	if (isRolledBack) entry.pendingUntil = now + PENDING_MS
 	const listed = [...store.items].map(([id, item]) =>
 		toRecord(store, id, item, item.revision),
 	)
 	const present = new Set(listed.map(({ name }) => name))
 	const missing = findMissing(entry.list, present, revision)
 	for (const record of [...listed, ...missing])
-		takeOne(entry, record, now, isCopy)
+		applyRecord(entry, record, now, isRolledBack)
 }
 
 function changesSince(store: Store, after: number): ServerRecord[] {
@@ -338,35 +342,39 @@
 	return { name: id, revision: { term, revision }, server }
 }
 
-function takeOne(
+function applyRecord(
 	entry: Entry,
 	record: ServerRecord,
 	now: number,
-	isCopy: boolean,
+	isRolledBack: boolean,
 ): void {
-	const { list, doubtUntil } = entry
-	if (!record.server && now < doubtUntil) doubtRemoval(list, record, doubtUntil)
-	else if (isCopy) takeCopied(list, record, now)
+	const { list, pendingUntil } = entry
+	if (!record.server && now < pendingUntil)
+		doubtRemoval(list, record, pendingUntil)
+	else if (isRolledBack) takeCopied(list, record, now)
 	else takeRecord(list, record)
 }
 
-/** Tells another entry what it lacks, and who has left. */
-function tell({ now }: Net, from: Entry, to: Entry): void {
+/** Sends another entry the records it lacks, and the departed incarnations. */
+function sendGossip({ now }: Net, from: Entry, to: Entry): void {
 	const after = to.list.revision
 	const newer = [...from.list.records.values()].filter(record =>
 		isLater(record.revision, after),
 	)
 	for (const record of newer) takeTold(to.list, record, now)
-	const left = listServerNews(createNewsBook(from.list.left), MOST_LEFT_TOLD)
-	takeServerNews(createNewsBook(to.list.left), left, now)
+	const departed = listServerNews(
+		createNewsBook(from.list.left),
+		MAX_DEPARTED_SENT,
+	)
+	takeServerNews(createNewsBook(to.list.left), departed, now)
 }
 
-function judge(net: Net): void {
+function measureUse(net: Net): void {
 	for (const entry of net.entries) {
 		const used = new Set(idsOf(entry))
 		for (const { id, readableAt } of net.engines) {
 			if (readableAt === undefined || !used.has(id)) continue
-			const since = Math.max(readableAt, entry.inTouchSince)
+			const since = Math.max(readableAt, entry.inContactSince)
 			net.longestUseMs = Math.max(net.longestUseMs, net.now - since)
 		}
 	}
--- a/packages/core/test/models/spreadNet.ts
+++ b/packages/core/test/models/spreadNet.ts
@@ -1,6 +1,6 @@
 /**
- * Many spread nodes over a network in memory that delays, loses and cuts. A
- * test of this one protocol; it knows nothing of requests or engines.
+ * Model of many gossip nodes over an in-memory network that delays and loses messages and
+ * may be partitioned. Covers this protocol only, without requests or engines.
  */
 
 import type {
@@ -23,18 +23,18 @@
 	tickSpread,
 } from '../../src/index.ts'
 
-/** Resolution of time, ms. */
+/** Time step of the simulation, ms. */
 const STEP_MS = 5
 const TICK_MS = 1_000
-/** How long a waiting watch waits, ms. */
+/** Timeout of a long-polling watch, ms. */
 const WATCH_MS = 30_000
 
-/** How the network and the platform behave. */
+/** Options of the network and the platform. */
 export interface NetOptions {
 	readonly size: number
 	readonly regions: number
 	readonly seed: number
-	/** Share of messages lost. */
+	/** Fraction of messages that are lost. */
 	readonly loss: number
 	readonly document: string
 }
@@ -43,45 +43,45 @@
 	readonly from: number
 	readonly to: number
 	readonly message: SpreadMessage
-	/** Life of the receiver for which it was sent. */
-	readonly life: number
+	/** Incarnation of the receiver at the time of sending. */
+	readonly incarnation: number
 }
 
-/** A fleet in memory. */
+/** A simulated fleet. */
 export interface SpreadNet {
 	readonly options: NetOptions
 	readonly random: Random
 	readonly members: Member[]
 	readonly indexOf: Map<string, number>
 	readonly nodes: SpreadNode[]
-	/** Restarts of each node so far. */
-	readonly lives: number[]
+	/** Incarnation of each node. */
+	readonly incarnations: number[]
 	readonly up: boolean[]
-	/** Revision in force at each node. */
-	readonly inForce: number[]
-	/** Part of a cut network that each node is in. */
-	readonly part: number[]
+	/** Active revision of each node. */
+	readonly active: number[]
+	/** Partition of the network that each node is in. */
+	readonly partition: number[]
 	readonly queue: Map<number, Envelope[]>
-	/** When each open watch ends, ms, by node. */
+	/** When each open watch times out, ms, by node. */
 	readonly watchUntil: Map<number, number>
 	now: number
-	/** What the platform answers; `undefined` while it is down. */
+	/** The published value; `undefined` while the platform is down. */
 	published: { revision: number; text: string } | undefined
 	calls: number
 	messages: number
 	bytes: number
-	/** Times that a node went back to a lower revision. */
+	/** Number of times that a node went back to a lower revision. */
 	reversals: number
-	/** Takes the "never backwards" guard out. */
+	/** Removes the guard against lower revisions. */
 	readonly unguarded: boolean
 }
 
-/** Makes a fleet that knows its members and nothing else. */
+/** Creates a fleet whose nodes know the members but no values. */
 export function createNet(
 	options: NetOptions,
 	unguarded = false,
-	/** A net of the same size, whose graph is taken over. */
-	like?: SpreadNet,
+	/** A net of the same size, whose topology is copied. */
+	template?: SpreadNet,
 ): SpreadNet {
 	const random = createRandom(options.seed)
 	const members = Array.from({ length: options.size }, (_, n) => ({
@@ -94,10 +94,10 @@
 		members,
 		indexOf: new Map(members.map(({ name }, n) => [name, n])),
 		nodes: [],
-		lives: members.map(() => 0),
+		incarnations: members.map(() => 0),
 		up: members.map(() => true),
-		inForce: members.map(() => 0),
-		part: members.map(() => 0),
+		active: members.map(() => 0),
+		partition: members.map(() => 0),
 		queue: new Map(),
 		watchUntil: new Map(),
 		now: 0,
@@ -110,16 +110,16 @@
 	}
 	for (const { name, region } of members) {
 		const node = createSpreadNode(name, region, 0)
-		const twin = like?.nodes[net.nodes.length]
-		if (twin) copyGraph(twin, node, members)
+		const original = template?.nodes[net.nodes.length]
+		if (original) copyTopology(original, node, members)
 		else setMembers(node, members, 0)
 		net.nodes.push(node)
 	}
 	return net
 }
 
-/** The graph follows from the names alone; working it out anew is slow. */
-function copyGraph(
+/** Copies the topology, which depends on the names alone and is slow to compute. */
+function copyTopology(
 	from: SpreadNode,
 	to: SpreadNode,
 	members: readonly Member[],
@@ -130,7 +130,7 @@
 	for (const reader of from.readers) to.readerSeen.set(reader, 0)
 }
 
-/** Publishes a document, as a change of one line. */
+/** Publishes a document that differs in one line. */
 export function publishChange(net: SpreadNet, revision: number): void {
 	const { document } = net.options
 	const at = Math.floor(document.length / 2)
@@ -138,26 +138,26 @@
 	net.published = { revision, text }
 }
 
-/** Restarts a node: it forgets everything and asks its peers first. */
+/** Restarts a node without state; it first compares revisions with other members. */
 export function restartNode(net: SpreadNet, at: number): void {
 	const { name, region } = net.members[at]!
 	const node = createSpreadNode(name, region, net.now)
 	setMembers(node, net.members, net.now)
 	net.nodes[at] = node
-	net.lives[at]!++
+	net.incarnations[at]!++
 	net.up[at] = true
-	net.inForce[at] = 0
+	net.active[at] = 0
 	net.watchUntil.delete(at)
 	carryOut(net, at, askMembers(node, 3, net.random))
 }
 
-/** Ends a node. */
+/** Stops a node. */
 export function killNode(net: SpreadNet, at: number): void {
 	net.up[at] = false
-	net.lives[at]!++
+	net.incarnations[at]!++
 }
 
-/** Lets time pass. */
+/** Advances the simulation by `ms`. */
 export function runNet(net: SpreadNet, ms: number): void {
 	const end = net.now + ms
 	while (net.now < end) {
@@ -167,7 +167,7 @@
 	}
 }
 
-/** Runs until every live node has `revision`; gives when each had it, ms. */
+/** Runs until every live node has `revision`; returns how long each took, ms. */
 export function measureSpread(
 	net: SpreadNet,
 	revision: number,
@@ -175,11 +175,11 @@
 ): number[] {
 	const start = net.now
 	const took: number[] = new Array(net.nodes.length).fill(-1)
-	let waiting = [...net.nodes.keys()]
-	while (net.now < start + limitMs && waiting.length > 0) {
+	let pending = [...net.nodes.keys()]
+	while (net.now < start + limitMs && pending.length > 0) {
 		runNet(net, STEP_MS)
-		waiting = waiting.filter(at => {
-			if (net.inForce[at]! < revision) return net.up[at]
+		pending = pending.filter(at => {
+			if (net.active[at]! < revision) return net.up[at]
 			took[at] = net.now - start
 			return false
 		})
@@ -187,7 +187,7 @@
 	return took.filter((_, at) => net.up[at])
 }
 
-/** Index of a live node of the list, at random. */
+/** Returns the index of a random live node. */
 export function pickLive(net: SpreadNet): number {
 	for (;;) {
 		const at = drawIndex(net.random, net.nodes.length)
@@ -198,16 +198,17 @@
 function deliverDue(net: SpreadNet): void {
 	const due = net.queue.get(net.now) ?? []
 	net.queue.delete(net.now)
-	for (const { from, to, message, life } of due) {
-		const reachable = net.part[from] === net.part[to]
-		if (!net.up[to] || net.lives[to] !== life || !reachable) continue
+	for (const { from, to, message, incarnation } of due) {
+		const reachable = net.partition[from] === net.partition[to]
+		if (!net.up[to] || net.incarnations[to] !== incarnation || !reachable)
+			continue
 		const { name } = net.members[from]!
 		const node = net.nodes[to]!
 		carryOut(net, to, takeSpreadMessage(node, name, message, net.now))
 	}
 }
 
-/** Each node ticks once a second, at its own part of the second. */
+/** Ticks each node once a second, at its own offset. */
 function tickDue(net: SpreadNet): void {
 	const slots = TICK_MS / STEP_MS
 	const slot = (net.now / STEP_MS) % slots
@@ -217,15 +218,15 @@
 		carryOut(net, at, tickSpread(node, net.now, net.random))
 		watch(net, at)
 	}
-	// A waiting watch is answered when there is news, or when its time is over.
+	// A watch is answered when there is a new revision or when it times out.
 	for (const [at, until] of net.watchUntil) {
 		if (!net.up[at]) continue
 		const held = net.nodes[at]!.held.config.revision
-		const news = net.published && net.published.revision !== held
-		if (!news && net.now < until) continue
+		const isNew = net.published && net.published.revision !== held
+		if (!isNew && net.now < until) continue
 		net.watchUntil.delete(at)
 		if (!net.published) continue
-		const value = news ? net.published : undefined
+		const value = isNew ? net.published : undefined
 		carryOut(net, at, takePublished(net.nodes[at]!, 'config', value, net.now))
 	}
 }
@@ -261,9 +262,9 @@
 	revision: number,
 ): void {
 	if (topic !== 'config') return
-	if (revision < net.inForce[at]!) net.reversals++
-	net.inForce[at] = revision
-	// The mutant lets any later offer in, also an older one.
+	if (revision < net.active[at]!) net.reversals++
+	net.active[at] = revision
+	// Without the guard, any later offer is accepted, even of a lower revision.
 	if (net.unguarded) net.nodes[at]!.held.config.revision = 0
 }
 
@@ -281,6 +282,6 @@
 	const delay = 1 + drawIndex(net.random, 40)
 	const at = Math.ceil((net.now + delay) / STEP_MS) * STEP_MS
 	const due = net.queue.get(at) ?? []
-	due.push({ from, to, message, life: net.lives[to]! })
+	due.push({ from, to, message, incarnation: net.incarnations[to]! })
 	net.queue.set(at, due)
 }
--- a/packages/core/test/spread.test.ts
+++ b/packages/core/test/spread.test.ts
@@ -1,4 +1,4 @@
-/** Spreading of published values: convergence, no reversal, bounded calls. */
+/** Gossip of published values: convergence, no reversal, bounded calls. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -25,10 +25,10 @@
 
 const DOCUMENT = 'line = 1\n'.repeat(200)
 const TICK_MS = 100
-/** A whole document at 20 KB/s. */
+/** Transfer time of a full document at 20 KB/s. */
 const TRANSFER_MS = 30_000
 
-test('spread: a document that takes long is not asked for every second', () => {
+test('gossip: fetches of a slowly transferred document back off', () => {
 	const node = createSpreadNode('self', 'north', 0)
 	const members = ['a', 'b', 'c', 'self'].map(name => ({
 		name,
@@ -55,47 +55,48 @@
 })
 
 const BASE = { size: 60, regions: 3, seed: 7, loss: 0, document: DOCUMENT }
-const IN_FORCE_MS = 5_000
+/** Time within which a revision must be active at all nodes without failures. */
+const ACTIVE_MS = 5_000
 
 const CASES: {
 	name: string
 	loss: number
 	fail(net: SpreadNet): void
-	/** Time within which all live nodes must have the revision, ms. */
+	/** Time within which the revision must be active at all live nodes, ms. */
 	withinMs: number
 }[] = [
-	{ name: 'nothing fails', loss: 0, fail: () => {}, withinMs: IN_FORCE_MS },
+	{ name: 'nothing fails', loss: 0, fail: () => {}, withinMs: ACTIVE_MS },
 	{
-		name: 'a tenth of all messages is lost',
+		name: '10% of messages are lost',
 		loss: 0.1,
 		fail: () => {},
-		withinMs: 4 * IN_FORCE_MS,
+		withinMs: 4 * ACTIVE_MS,
 	},
 	{
-		name: 'every reader dies',
+		name: 'every reader stops',
 		loss: 0,
 		fail(net) {
 			for (const node of [...net.nodes])
 				for (const reader of node.readers.slice(0, 2))
 					if (net.up[net.indexOf.get(reader)!])
 						killNode(net, net.indexOf.get(reader)!)
-			// Standbys need a while to miss them.
+			// Standbys detect the failure of the readers only after a while.
 			runNet(net, 20_000)
 		},
-		withinMs: 4 * IN_FORCE_MS,
+		withinMs: 4 * ACTIVE_MS,
 	},
 	{
-		name: 'a third of the nodes restarts',
+		name: 'a third of the nodes restart',
 		loss: 0,
 		fail(net) {
 			for (let n = 0; n < 20; n++) restartNode(net, pickLive(net))
 		},
-		withinMs: IN_FORCE_MS,
+		withinMs: ACTIVE_MS,
 	},
 ]
 
 for (const { name, loss, fail, withinMs } of CASES)
-	test(`spread: a revision reaches everyone when ${name}`, () => {
+	test(`gossip: a revision reaches every node when ${name}`, () => {
 		const net = createNet({ ...BASE, loss })
 		measureSpread(net, 1, 30_000)
 		fail(net)
@@ -105,7 +106,7 @@
 		assert.is(net.reversals, 0)
 	})
 
-test('spread: a service that goes back takes nobody back', () => {
+test('gossip: a platform that goes back to a lower revision does not revert any node', () => {
 	const net = createNet(BASE)
 	publishChange(net, 5)
 	measureSpread(net, 5, 30_000)
@@ -113,11 +114,11 @@
 	runNet(net, 5_000)
 	for (let n = 0; n < 10; n++) restartNode(net, pickLive(net))
 	runNet(net, 20_000)
-	assert.ok(net.inForce.every(revision => revision === 5))
+	assert.ok(net.active.every(revision => revision === 5))
 	assert.is(net.reversals, 0)
 })
 
-test('spread: without the guard a stale service takes the fleet back', () => {
+test('gossip: without the guard, a lower revision on the platform reverts nodes', () => {
 	const net = createNet(BASE, true)
 	publishChange(net, 5)
 	runNet(net, 10_000)
@@ -126,33 +127,36 @@
 	assert.ok(net.reversals > 0)
 })
 
-test('spread: the service goes down right after one reader saw it', () => {
+test('gossip: a revision spreads when the platform fails after one reader has read it', () => {
 	const net = createNet(BASE)
 	measureSpread(net, 1, 30_000)
 	publishChange(net, 2)
-	while (!net.inForce.includes(2)) runNet(net, 5)
+	while (!net.active.includes(2)) runNet(net, 5)
 	net.published = undefined
-	const took = measureSpread(net, 2, IN_FORCE_MS)
+	const took = measureSpread(net, 2, ACTIVE_MS)
 	assert.ok(took.every(ms => ms >= 0))
 })
 
-test('spread: two halves with two revisions heal to the higher', () => {
+test('gossip: two partitions with different revisions converge on the higher', () => {
 	const net = createNet(BASE)
 	measureSpread(net, 1, 30_000)
-	for (const at of net.part.keys()) net.part[at] = at % 2
+	for (const at of net.partition.keys()) net.partition[at] = at % 2
 	publishChange(net, 2)
 	runNet(net, 3_000)
 	net.published = undefined
 	const before = net.messages
-	for (const at of net.part.keys()) net.part[at] = 0
+	for (const at of net.partition.keys()) net.partition[at] = 0
 	restartNode(net, 0)
 	const took = measureSpread(net, 2, 40_000)
 	assert.ok(took.every(ms => ms >= 0))
-	assert.ok(net.messages - before < 60 * net.nodes.length, 'no storm')
+	assert.ok(
+		net.messages - before < 60 * net.nodes.length,
+		'too many messages after the partition healed',
+	)
 	assert.is(net.reversals, 0)
 })
 
-test('spread: calls to the service do not grow with the fleet', () => {
+test('gossip: the number of calls to the platform does not grow with the fleet', () => {
 	const calls = [30, 120].map(size => {
 		const net = createNet({ ...BASE, size })
 		runNet(net, 10_000)
@@ -163,20 +167,21 @@
 	assert.is(calls[0], calls[1])
 })
 
-test('spread, random failures: never back, always together in the end', () => {
+test('gossip, random failures: no reversal, and all nodes converge', () => {
 	for (const seed of [1, 2, 3, 4, 5, 6]) {
 		const net = createNet({ ...BASE, seed, loss: 0.05 })
 		let revision = 1
 		for (let round = 0; round < 20; round++) {
-			const what = drawIndex(net.random, 5)
-			if (what === 0) publishChange(net, ++revision)
-			if (what === 1) restartNode(net, pickLive(net))
-			if (what === 2) for (const at of net.part.keys()) net.part[at] = at % 2
-			if (what === 3) net.part.fill(0)
-			if (what === 4 && revision > 2) publishChange(net, revision - 1)
+			const action = drawIndex(net.random, 5)
+			if (action === 0) publishChange(net, ++revision)
+			if (action === 1) restartNode(net, pickLive(net))
+			if (action === 2)
+				for (const at of net.partition.keys()) net.partition[at] = at % 2
+			if (action === 3) net.partition.fill(0)
+			if (action === 4 && revision > 2) publishChange(net, revision - 1)
 			runNet(net, 1_000)
 		}
-		net.part.fill(0)
+		net.partition.fill(0)
 		publishChange(net, ++revision)
 		const took = measureSpread(net, revision, 60_000)
 		assert.ok(
@@ -200,7 +205,7 @@
 	test(`patch: "${from}" to "${to}"`, () => {
 		const patch = makePatch(from, to)
 		assert.is(applyPatch(from, patch), to)
-		// On another base: the right text or none, never a wrong one.
+		// On another base, the result is the right text or undefined.
 		for (const base of [`${from}x`, `x${from}`, 'q'])
 			assert.ok([to, undefined].includes(applyPatch(base, patch)))
 	})
