--- a/packages/core/src/core/admission.ts
+++ b/packages/core/src/core/admission.ts
@@ -145,7 +145,7 @@
 	const { lastSeen } = state
 	state.lastSeen = at
 	// The monotonic clock stops while the VM is suspended, so the wall clock is compared
-	// too. A wall clock that is set ahead cannot be told apart from a suspension.
+	// too. A wall clock that is set ahead cannot be distinguished from a suspension.
 	const gap = Math.max(at.now - lastSeen.now, at.wall - lastSeen.wall)
 	if (gap <= PAUSE_MS) return []
 	state.wokeAt = at.now
@@ -177,8 +177,8 @@
 	const id = attemptKey(offer)
 	// A duplicate message: the first copy has already been applied.
 	if (state.attempts.has(id)) return []
-	const known = offer.claim && state.keys.get(offer.claim.key)
-	if (known) return [attach(state, offer, known)]
+	const earlier = offer.claim && state.keys.get(offer.claim.key)
+	if (earlier) return [attach(state, offer, earlier)]
 	const outcome = findRefusal(state, offer, at)
 	if (outcome) return [{ do: 'refuse', name: nameOf(offer), outcome }]
 	const row: AttemptRow = {
@@ -200,15 +200,15 @@
 function attach(
 	state: AdmissionState,
 	offer: Offer,
-	known: KeyRow,
+	earlier: KeyRow,
 ): AdmissionEffect {
 	const name = nameOf(offer)
-	const phase = state.attempts.get(attemptKey(known.first))?.phase
+	const phase = state.attempts.get(attemptKey(earlier.first))?.phase
 	switch (phase) {
 		case 'waiting':
 		case 'running':
 		case 'whole':
-			return { do: 'attach', name, first: known.first }
+			return { do: 'attach', name, first: earlier.first }
 		case 'broken':
 		case 'refused':
 		case undefined:
--- a/packages/core/src/core/entryRoster.ts
+++ b/packages/core/src/core/entryRoster.ts
@@ -68,12 +68,12 @@
 		const { contactAt } = roster.others.get(address)!
 		return now - contactAt <= PEER_SILENT_MS || !isLinked(address)
 	})
-	const before = roster.heard
+	const previous = roster.heard
 	roster.heard = [own, ...reachable].sort()
 	roster.count = {
 		heard: roster.heard.length,
 		known: known.length + 1,
 		place: known.filter(address => address < own).length,
 	}
-	return before.join() !== roster.heard.join()
+	return previous.join() !== roster.heard.join()
 }
--- a/packages/core/src/core/entryShare.ts
+++ b/packages/core/src/core/entryShare.ts
@@ -75,13 +75,13 @@
 			compare(servers[a]!.id, servers[b]!.id),
 	)
 	const total = entries.reduce((sum, entry) => sum + weightOf(entry), 0)
-	let before = 0
+	let preceding = 0
 	for (const entry of entries) {
 		if (entry === own) break
-		before += weightOf(entry)
+		preceding += weightOf(entry)
 	}
-	const from = (before / total) * servers.length
-	const to = ((before + weightOf(own)) / total) * servers.length
+	const from = (preceding / total) * servers.length
+	const to = ((preceding + weightOf(own)) / total) * servers.length
 	// A server belongs to the entry whose range contains its midpoint.
 	return order.filter((_, index) => index + 0.5 >= from && index + 0.5 < to)
 }
--- a/packages/core/src/core/spell.ts
+++ b/packages/core/src/core/spell.ts
@@ -20,15 +20,15 @@
 }
 
 /** Marks the start of an outage, unless one is already in progress. */
-export function beginSpell(spell: Spell, now: number): void {
-	spell.since ??= now
+export function beginSpell(tracker: Spell, now: number): void {
+	tracker.since ??= now
 }
 
 /** Marks the end of the current outage, if any. */
-export function endSpell(spell: Spell, now: number): void {
-	if (spell.since === undefined) return
-	spell.usualMs += SMOOTHING_FACTOR * (now - spell.since - spell.usualMs)
-	spell.since = undefined
+export function endSpell(tracker: Spell, now: number): void {
+	if (tracker.since === undefined) return
+	tracker.usualMs += SMOOTHING_FACTOR * (now - tracker.since - tracker.usualMs)
+	tracker.since = undefined
 }
 
 /**
--- a/packages/core/src/core/spreadValues.ts
+++ b/packages/core/src/core/spreadValues.ts
@@ -17,7 +17,7 @@
 export type Topic = (typeof TOPICS)[number]
 
 /** Number of recent patches retained for other nodes. */
-const KEPT_PATCHES = 32
+const MAX_PATCHES = 32
 /** Timeout of the first fetch, after which another node is tried, ms. */
 export const FETCH_MS = 1_000
 /**
@@ -35,18 +35,18 @@
 	text: string,
 	from: string,
 ): SpreadEffect[] {
-	const held = node.held[topic]
+	const state = node.held[topic]
 	// Never go back to a lower revision, whatever its source.
-	if (revision <= held.revision) return []
-	if (held.revision > 0) {
-		const patch = makePatch(held.text, text)
-		held.patches.push({ from: held.revision, to: revision, patch })
-		if (held.patches.length > KEPT_PATCHES) held.patches.shift()
+	if (revision <= state.revision) return []
+	if (state.revision > 0) {
+		const patch = makePatch(state.text, text)
+		state.patches.push({ from: state.revision, to: revision, patch })
+		if (state.patches.length > MAX_PATCHES) state.patches.shift()
 	}
-	held.revision = revision
-	held.text = text
-	held.heard = Math.max(held.heard, revision)
-	held.fetching = undefined
+	state.revision = revision
+	state.text = text
+	state.heard = Math.max(state.heard, revision)
+	state.fetching = undefined
 	const notices = node.neighbours
 		.filter(name => name !== from)
 		.map(name => send(name, { type: 'notice', topic, revision }))
@@ -61,10 +61,10 @@
 	from: string,
 	now: number,
 ): SpreadEffect[] {
-	const held = node.held[topic]
-	if (revision <= held.revision) return []
-	held.heard = Math.max(held.heard, revision)
-	if (held.fetching && now < held.fetching.until) return []
+	const state = node.held[topic]
+	if (revision <= state.revision) return []
+	state.heard = Math.max(state.heard, revision)
+	if (state.fetching && now < state.fetching.until) return []
 	return startFetch(node, topic, from, now)
 }
 
@@ -74,11 +74,11 @@
 	from: string,
 	now: number,
 ): SpreadEffect[] {
-	const held = node.held[topic]
-	const tries = held.fetching ? held.fetching.tries + 1 : 0
+	const state = node.held[topic]
+	const tries = state.fetching ? state.fetching.tries + 1 : 0
 	const waitMs = FETCH_MS * 2 ** Math.min(tries, MAX_BACKOFF_EXPONENT)
-	held.fetching = { from, until: now + waitMs, tries }
-	return [send(from, { type: 'fetch', topic, have: held.revision })]
+	state.fetching = { from, until: now + waitMs, tries }
+	return [send(from, { type: 'fetch', topic, have: state.revision })]
 }
 
 /** Retries a fetch that has timed out, at a neighbour or a random member. */
@@ -88,9 +88,9 @@
 	now: number,
 	random: Random,
 ): SpreadEffect[] {
-	const held = node.held[topic]
-	if (held.heard <= held.revision) return []
-	if (!held.fetching || now < held.fetching.until) return []
+	const state = node.held[topic]
+	if (state.heard <= state.revision) return []
+	if (!state.fetching || now < state.fetching.until) return []
 	const names =
 		random() < 0.5 ? node.neighbours : node.members.map(member => member.name)
 	const name = names[drawIndex(random, names.length)]
@@ -121,11 +121,11 @@
 	message: Extract<SpreadMessage, { type: 'patches' }>,
 ): SpreadEffect[] {
 	const { topic, revision, base, patches } = message
-	const held = node.held[topic]
-	if (revision <= held.revision) return []
+	const state = node.held[topic]
+	if (revision <= state.revision) return []
 	const fetchFull: SpreadMessage = { type: 'fetch', topic, have: -1 }
-	if (held.revision !== base) return [send(from, fetchFull)]
-	let text: string | undefined = held.text
+	if (state.revision !== base) return [send(from, fetchFull)]
+	let text: string | undefined = state.text
 	for (const patch of patches)
 		text = text === undefined ? undefined : applyPatch(text, patch)
 	// The revision matches but the text does not.
--- a/packages/core/test/models/fateModel.ts
+++ b/packages/core/test/models/fateModel.ts
@@ -196,9 +196,9 @@
 		case 'void': {
 			const { entry, name } = message
 			const { attempt } = name
-			const known = message.incarnation === state.incarnation
-			if (known) stepAgent(draft, { type: 'void', name })
-			const answer = known ? answerVoid(draft.state.agent, name) : 'unknown'
+			const isCurrent = message.incarnation === state.incarnation
+			if (isCurrent) stepAgent(draft, { type: 'void', name })
+			const answer = isCurrent ? answerVoid(draft.state.agent, name) : 'unknown'
 			if (draft.mutant === 'noTombstone') draft.state.agent.voided.clear()
 			const frame = { t: 'voidAnswer', answer } as const
 			send(draft.state, { kind: 'frame', entry, attempt, frame })
@@ -383,12 +383,12 @@
 ): void {
 	const { state } = draft
 	const id = attemptKey(name)
-	const known = state.knownIncarnation[entry] === state.incarnation
+	const isCurrent = state.knownIncarnation[entry] === state.incarnation
 	const first = Object.keys(state.attached).find(other =>
 		state.attached[other]?.includes(id),
 	)
 	const attempt = first ?? id
-	const phase = known ? state.agent.attempts.get(attempt)?.phase : undefined
+	const phase = isCurrent ? state.agent.attempts.get(attempt)?.phase : undefined
 	switch (phase) {
 		case 'whole':
 			sendAnswer(state, id, from)
--- a/packages/core/test/rewindNet.test.ts
+++ b/packages/core/test/rewindNet.test.ts
@@ -7,7 +7,7 @@
 
 /** Number of histories; set `RUNS` for longer runs. */
 const RUNS = Number(process.env.RUNS ?? 150)
-/** Maximum time in contact from a departure's being readable to its being known, ms. */
+/** Maximum time in contact between a departure becoming readable and its detection, ms. */
 const CONTACT_MS = 3_000
 /** Maximum time for which removals after a rollback stay pending, ms. */
 const PENDING_MS = 1_900
--- a/packages/core/test/subset.test.ts
+++ b/packages/core/test/subset.test.ts
@@ -3,7 +3,7 @@
 import type { Placed } from '../src/index.ts'
 import { MIN_ENTRIES, pickSubset } from '../src/index.ts'
 
-function place(kind: string, count: number, centres: number): Placed[] {
+function createNodes(kind: string, count: number, centres: number): Placed[] {
 	return Array.from({ length: count }, (_, n) => ({
 		name: `${kind}-${n}`,
 		dataCentre: `dc-${n % centres}`,
@@ -50,8 +50,8 @@
 
 for (const { name, entries, servers, centres, maxServers } of CASES)
 	test(`subset, ${name}: every server is linked, no entry has too many links`, () => {
-		const fleet = place('entry', entries, centres)
-		const pool = place('server', servers, centres)
+		const fleet = createNodes('entry', entries, centres)
+		const pool = createNodes('server', servers, centres)
 		const links = new Map<string, number>()
 		for (const entry of fleet) {
 			const subset = pickSubset(entry.name, fleet, pool)
@@ -69,8 +69,8 @@
 	})
 
 test('subset: an entry that is not listed is linked to all servers', () => {
-	const pool = place('server', 100, 2)
-	assert.is(pickSubset('new', place('entry', 5, 2), pool).length, 100)
+	const pool = createNodes('server', 100, 2)
+	assert.is(pickSubset('new', createNodes('entry', 5, 2), pool).length, 100)
 })
 
 test.run()
