--- a/packages/core/src/core/termRevision.ts
+++ b/packages/core/src/core/termRevision.ts
@@ -13,7 +13,7 @@
 /** Precedes all published revisions. */
 export const NO_REVISION: TermRevision = { term: 0, revision: 0 }
 
-/** Returns a negative number, 0 or a positive one if `a` is before, equal to or after `b`. */
+/** Returns a number below, equal to or above 0 if `a` is before, at or after `b`. */
 export function compareRevisions(a: TermRevision, b: TermRevision): number {
 	return a.term - b.term || a.revision - b.revision
 }
