--- a/packages/core/src/core/admission.ts
+++ b/packages/core/src/core/admission.ts
@@ -12,10 +12,10 @@
 	AdmissionEvent,
 	AdmissionState,
 	AttemptName,
-	AttemptRow,
+	AttemptRecord,
+	CompletionKind,
 	ErrorKind,
-	FinishHow,
-	KeyRow,
+	KeyRecord,
 	Moment,
 	NotRun,
 	Offer,
@@ -23,32 +23,32 @@
 	VoidAnswer,
 } from '../internal.ts'
 import {
-	ATTEMPT_MEMORY_MS,
+	ATTEMPT_RETENTION_MS,
+	applyBackoff,
+	applyStartLimit,
 	attemptKey,
+	attemptNameOf,
+	checkKeyAge,
+	checkKeyClaim,
 	createFairQueue,
 	enqueue,
 	estimateWait,
-	findHold,
-	judgeAge,
-	judgeClaim,
-	nameOf,
-	noteRestAsked,
-	noteStartLimit,
+	findStartDelay,
 	notRun,
+	recordKey,
 	refuseWaiting,
-	rememberKey,
-	shedHopeless,
+	shedUnstartable,
 	startNext,
 	unknown,
 } from '../internal.ts'
 
 /** Gap between two events after which the process counts as having been paused, ms. */
-export const PAUSE_MS = 1_000
+export const PAUSE_THRESHOLD_MS = 1_000
 /**
  * Time after a pause during which offers are refused, ms: they may have been waiting
  * in a socket buffer during the pause.
  */
-export const WAKE_GRACE_MS = 100
+export const PAUSE_GRACE_MS = 100
 /** Maximum number of requests in an agent's queue. */
 export const MAX_WAITING = 4_096
 /** Smoothing factor of the moving average of service times. */
@@ -57,13 +57,13 @@
 /** Creates the state of an agent that has just started. */
 export function createAdmission(at: Moment, slots: number): AdmissionState {
 	return {
-		bornWall: at.wall,
+		startedWall: at.wall,
 		slots,
 		mode: 'serving',
 		lastSeen: at,
-		wokeAt: Number.NEGATIVE_INFINITY,
-		restsUntil: Number.NEGATIVE_INFINITY,
-		nextTryAt: undefined,
+		pauseEndedAt: Number.NEGATIVE_INFINITY,
+		backoffUntil: Number.NEGATIVE_INFINITY,
+		nextProbeAt: undefined,
 		limit: undefined,
 		serverLeaves: false,
 		running: 0,
@@ -102,14 +102,14 @@
 			if (state.mode === 'serving') state.mode = 'suspect'
 			break
 		case 'rest':
-			noteRestAsked(state, event.forMs, at.now)
+			applyBackoff(state, event.forMs, at.now)
 			break
 		case 'taken':
 			// A request that was started before the backoff does not show that it is over.
-			if (event.startedAt >= state.restsUntil) state.nextTryAt = undefined
+			if (event.startedAt >= state.backoffUntil) state.nextProbeAt = undefined
 			break
 		case 'limit':
-			noteStartLimit(state, event.perSecond, event.startedAt, at.now)
+			applyStartLimit(state, event.perSecond, event.startedAt, at.now)
 			break
 		case 'serverLeaves':
 			state.serverLeaves = true
@@ -124,7 +124,7 @@
 		default:
 			event satisfies never
 	}
-	effects.push(...shedHopeless(state, at))
+	effects.push(...shedUnstartable(state, at))
 	effects.push(...startNext(state, at))
 	return effects
 }
@@ -147,8 +147,8 @@
 	// The monotonic clock stops while the VM is suspended, so the wall clock is compared
 	// too. A wall clock that is set ahead cannot be distinguished from a suspension.
 	const gap = Math.max(at.now - lastSeen.now, at.wall - lastSeen.wall)
-	if (gap <= PAUSE_MS) return []
-	state.wokeAt = at.now
+	if (gap <= PAUSE_THRESHOLD_MS) return []
+	state.pauseEndedAt = at.now
 	return refuseAll(state, 'paused', at)
 }
 
@@ -165,8 +165,8 @@
 function resetServerSignals(state: AdmissionState): void {
 	state.serverLeaves = false
 	state.limit = undefined
-	state.restsUntil = Number.NEGATIVE_INFINITY
-	state.nextTryAt = undefined
+	state.backoffUntil = Number.NEGATIVE_INFINITY
+	state.nextProbeAt = undefined
 }
 
 function admit(
@@ -180,18 +180,18 @@
 	const earlier = offer.claim && state.keys.get(offer.claim.key)
 	if (earlier) return [attach(state, offer, earlier)]
 	const outcome = findRefusal(state, offer, at)
-	if (outcome) return [{ do: 'refuse', name: nameOf(offer), outcome }]
-	const row: AttemptRow = {
+	if (outcome) return [{ do: 'refuse', name: attemptNameOf(offer), outcome }]
+	const row: AttemptRecord = {
 		...offer,
 		phase: 'waiting',
 		startBy: at.now + offer.startBudgetMs,
 		startedAt: 0,
-		forgetAt: Number.POSITIVE_INFINITY,
+		evictAt: Number.POSITIVE_INFINITY,
 		virtualStart: 0,
 		order: 0,
 	}
 	state.attempts.set(id, row)
-	if (offer.claim) rememberKey(state, offer, offer.claim)
+	if (offer.claim) recordKey(state, offer, offer.claim)
 	enqueue(state.queue, row)
 	return []
 }
@@ -200,9 +200,9 @@
 function attach(
 	state: AdmissionState,
 	offer: Offer,
-	earlier: KeyRow,
+	earlier: KeyRecord,
 ): AdmissionEffect {
-	const name = nameOf(offer)
+	const name = attemptNameOf(offer)
 	const phase = state.attempts.get(attemptKey(earlier.first))?.phase
 	switch (phase) {
 		case 'waiting':
@@ -224,16 +224,16 @@
 	at: Moment,
 ): NotRun | Unknown | undefined {
 	// Must come first: a key that may have run before must never be reported as `notRun`.
-	const evicted = offer.claim && judgeAge(state, offer.claim, at)
+	const evicted = offer.claim && checkKeyAge(state, offer.claim, at)
 	if (evicted) return evicted
 	if (state.voided.has(attemptKey(offer))) return notRun('voided')
 	if (state.mode === 'leaving' || state.serverLeaves) return notRun('leaving')
 	if (state.mode === 'suspect') return notRun('groupSplit')
-	if (at.now - state.wokeAt < WAKE_GRACE_MS) return notRun('paused')
+	if (at.now - state.pauseEndedAt < PAUSE_GRACE_MS) return notRun('paused')
 	if (state.queue.waiting.length >= MAX_WAITING) return notRun('overloaded')
-	const rejected = offer.claim && judgeClaim(state, offer.claim, at)
+	const rejected = offer.claim && checkKeyClaim(state, offer.claim, at)
 	if (rejected) return rejected
-	const delay = findHold(state, state.queue.waiting.length, at.now)
+	const delay = findStartDelay(state, state.queue.waiting.length, at.now)
 	const maxDelayMs = offer.mayWait ? offer.startBudgetMs : 0
 	if (delay.forMs > maxDelayMs)
 		return notRun(delay.kind, Math.ceil(delay.forMs))
@@ -250,7 +250,7 @@
 	const id = attemptKey(name)
 	const row = state.attempts.get(id)
 	if (row && row.phase !== 'waiting' && row.phase !== 'refused') return []
-	state.voided.set(id, at.now + ATTEMPT_MEMORY_MS)
+	state.voided.set(id, at.now + ATTEMPT_RETENTION_MS)
 	if (row?.phase !== 'waiting') return []
 	return [refuseWaiting(state, row, 'voided', at)]
 }
@@ -266,19 +266,19 @@
 	// A request that must not be repeated continues: its caller may fetch the answer
 	// later with the same key.
 	if (row?.phase !== 'running' || row.claim) return []
-	return [{ do: 'cancel', name: nameOf(row) }]
+	return [{ do: 'cancel', name: attemptNameOf(row) }]
 }
 
 function finish(
 	state: AdmissionState,
 	name: AttemptName,
-	how: FinishHow,
+	how: CompletionKind,
 	at: Moment,
 ): void {
 	const row = state.attempts.get(attemptKey(name))
 	if (row?.phase !== 'running') return
 	state.running--
-	row.forgetAt = at.now + ATTEMPT_MEMORY_MS
+	row.evictAt = at.now + ATTEMPT_RETENTION_MS
 	row.phase = how === 'unstarted' ? 'refused' : how
 	if (how === 'unstarted') {
 		if (row.claim) state.keys.delete(row.claim.key)
@@ -294,9 +294,9 @@
 	for (const [id, until] of state.voided)
 		if (until <= at.now) state.voided.delete(id)
 	for (const [key, row] of state.keys)
-		if (row.forgetWall <= at.wall) state.keys.delete(key)
+		if (row.evictWall <= at.wall) state.keys.delete(key)
 	for (const [id, row] of state.attempts) {
 		const kept = row.claim && state.keys.has(row.claim.key)
-		if (row.forgetAt <= at.now && !kept) state.attempts.delete(id)
+		if (row.evictAt <= at.now && !kept) state.attempts.delete(id)
 	}
 }
--- a/packages/core/src/core/admissionKeys.ts
+++ b/packages/core/src/core/admissionKeys.ts
@@ -11,44 +11,47 @@
 	Offer,
 	Unknown,
 } from '../internal.ts'
-import { nameOf, notRun, unknown } from '../internal.ts'
+import { attemptNameOf, notRun, unknown } from '../internal.ts'
 
 /** Assumed upper bound on the difference between any two wall clocks, ms. */
-export const CLOCK_BOUND_MS = 5_000
+export const MAX_CLOCK_SKEW_MS = 5_000
 /** Maximum number of keys that an agent retains. */
 export const MAX_KEYS = 20_000
 
 /** Returns `unknown` if the key may have been used before this agent's records begin. */
-export function judgeAge(
+export function checkKeyAge(
 	state: AdmissionState,
 	claim: KeyClaim,
 	at: Moment,
 ): Unknown | undefined {
 	if (claim.fresh || claim.homeSinceWall === undefined) return undefined
 	if (claim.wallTime <= at.wall - claim.windowMs) return unknown('keyForgotten')
-	const safeSince = Math.max(state.bornWall, claim.homeSinceWall)
-	const isRecent = claim.wallTime > safeSince + CLOCK_BOUND_MS
+	const safeSince = Math.max(state.startedWall, claim.homeSinceWall)
+	const isRecent = claim.wallTime > safeSince + MAX_CLOCK_SKEW_MS
 	return isRecent ? undefined : unknown('keyForgotten')
 }
 
 /** Returns the refusal of a key that this agent must not run, if any. */
-export function judgeClaim(
+export function checkKeyClaim(
 	state: AdmissionState,
 	claim: KeyClaim,
 	at: Moment,
 ): NotRun | undefined {
 	if (claim.homeSinceWall === undefined) return notRun('notHome')
-	if (claim.wallTime > at.wall + CLOCK_BOUND_MS) return notRun('keyClock')
+	if (claim.wallTime > at.wall + MAX_CLOCK_SKEW_MS) return notRun('keyClock')
 	if (state.keys.size >= MAX_KEYS) return notRun('keyMemoryFull')
 	return undefined
 }
 
 /** Records the first attempt of a key. */
-export function rememberKey(
+export function recordKey(
 	state: AdmissionState,
 	offer: Offer,
 	claim: KeyClaim,
 ): void {
-	const forgetWall = claim.wallTime + claim.windowMs + 2 * CLOCK_BOUND_MS
-	state.keys.set(claim.key, { first: nameOf(offer), forgetWall })
+	const forgetWall = claim.wallTime + claim.windowMs + 2 * MAX_CLOCK_SKEW_MS
+	state.keys.set(claim.key, {
+		first: attemptNameOf(offer),
+		evictWall: forgetWall,
+	})
 }
--- a/packages/core/src/core/admissionQueue.ts
+++ b/packages/core/src/core/admissionQueue.ts
@@ -7,20 +7,20 @@
 	AdmissionEffect,
 	AdmissionState,
 	AttemptName,
-	AttemptRow,
+	AttemptRecord,
 	ErrorKind,
 	Moment,
 } from '../internal.ts'
 import {
 	dequeue,
-	findHold,
+	findStartDelay,
 	notRun,
-	removeWaiting,
-	takeStart,
+	removeQueued,
+	tryAcquireStart,
 } from '../internal.ts'
 
 /** Retention time of void requests and finished attempts, ms. */
-export const ATTEMPT_MEMORY_MS = 120_000
+export const ATTEMPT_RETENTION_MS = 120_000
 
 /** Returns a string that identifies an attempt, used as a map key. */
 export function attemptKey(name: AttemptName): string {
@@ -28,7 +28,7 @@
 }
 
 /** Returns only the name of an attempt. */
-export function nameOf(name: AttemptName): AttemptName {
+export function attemptNameOf(name: AttemptName): AttemptName {
 	return { reqId: name.reqId, attempt: name.attempt }
 }
 
@@ -42,7 +42,7 @@
 }
 
 /** Refuses queued requests as soon as they can no longer start in time. */
-export function shedHopeless(
+export function shedUnstartable(
 	state: AdmissionState,
 	at: Moment,
 ): AdmissionEffect[] {
@@ -51,7 +51,7 @@
 	for (const row of [...state.queue.waiting]) {
 		const full = state.running + ahead >= state.slots
 		const queueMs = full ? ((ahead + 1) / state.slots) * state.serviceMs : 0
-		const delay = findHold(state, ahead, at.now)
+		const delay = findStartDelay(state, ahead, at.now)
 		const wait = Math.max(queueMs, delay.forMs)
 		const expired = at.now >= row.startBy
 		const willExpire = at.now + wait > row.startBy
@@ -74,13 +74,13 @@
 ): AdmissionEffect[] {
 	const effects: AdmissionEffect[] = []
 	while (state.running < state.slots && state.queue.waiting.length > 0) {
-		if (!takeStart(state, at.now)) break
+		if (!tryAcquireStart(state, at.now)) break
 		const row = dequeue(state.queue)
 		if (!row) break
 		row.phase = 'running'
 		row.startedAt = at.now
 		state.running++
-		effects.push({ do: 'start', name: nameOf(row) })
+		effects.push({ do: 'start', name: attemptNameOf(row) })
 	}
 	return effects
 }
@@ -88,16 +88,16 @@
 /** Removes a request from the queue and refuses it. */
 export function refuseWaiting(
 	state: AdmissionState,
-	row: AttemptRow,
+	row: AttemptRecord,
 	kind: ErrorKind,
 	at: Moment,
 	retryAfterMs = 0,
 ): AdmissionEffect {
-	removeWaiting(state.queue, row)
+	removeQueued(state.queue, row)
 	row.phase = 'refused'
-	row.forgetAt = at.now + ATTEMPT_MEMORY_MS
+	row.evictAt = at.now + ATTEMPT_RETENTION_MS
 	// It never started, so its key may be used by another attempt.
 	if (row.claim) state.keys.delete(row.claim.key)
 	const outcome = notRun(kind, retryAfterMs)
-	return { do: 'refuse', name: nameOf(row), outcome }
+	return { do: 'refuse', name: attemptNameOf(row), outcome }
 }
--- a/packages/core/src/core/affinity.ts
+++ b/packages/core/src/core/affinity.ts
@@ -11,14 +11,14 @@
 const HALF_LIFE_MS = 60_000
 const MAX_RECORDS = 16_384
 
-interface Mark {
+interface PrefixRecord {
 	readonly server: string
 	readonly at: number
 }
 
 /** Records of recently seen prefixes, oldest first. */
 export interface AffinityTable {
-	readonly marks: Map<number, Mark>
+	readonly marks: Map<number, PrefixRecord>
 }
 
 /** Creates an empty table. */
@@ -32,7 +32,7 @@
 }
 
 /** Records that `server` has just processed this prefix. */
-export function notePrefix(
+export function recordPrefix(
 	table: AffinityTable,
 	prefix: number,
 	server: string,
--- a/packages/core/src/core/spell.ts
+++ b/packages/core/src/core/blockage.ts
@@ -4,30 +4,31 @@
  */
 
 /** Outages of one service or group. */
-export interface Spell {
+export interface BlockageTracker {
 	/** Start of the current outage, ms; undefined while there is none. */
 	since: number | undefined
 	/** Smoothed duration of past outages, ms. */
-	usualMs: number
+	typicalMs: number
 }
 
 /** Weight of the latest outage in the smoothed duration. */
 const SMOOTHING_FACTOR = 0.4
 
 /** Creates a tracker without outages; `usualMs` is the initial typical duration, ms. */
-export function createSpell(usualMs: number): Spell {
-	return { since: undefined, usualMs }
+export function createBlockageTracker(usualMs: number): BlockageTracker {
+	return { since: undefined, typicalMs: usualMs }
 }
 
 /** Marks the start of an outage, unless one is already in progress. */
-export function beginSpell(tracker: Spell, now: number): void {
+export function markBlocked(tracker: BlockageTracker, now: number): void {
 	tracker.since ??= now
 }
 
 /** Marks the end of the current outage, if any. */
-export function endSpell(tracker: Spell, now: number): void {
+export function markUnblocked(tracker: BlockageTracker, now: number): void {
 	if (tracker.since === undefined) return
-	tracker.usualMs += SMOOTHING_FACTOR * (now - tracker.since - tracker.usualMs)
+	tracker.typicalMs +=
+		SMOOTHING_FACTOR * (now - tracker.since - tracker.typicalMs)
 	tracker.since = undefined
 }
 
@@ -35,7 +36,10 @@
  * Estimates the remaining duration of the current outage, ms; 0 while there is none.
  * An outage is expected to last at least half as long again as it has lasted so far.
  */
-export function expectSpellEnd({ since, usualMs }: Spell, now: number): number {
+export function estimateBlockageMs(
+	{ since, typicalMs: usualMs }: BlockageTracker,
+	now: number,
+): number {
 	if (since === undefined) return 0
 	const elapsedMs = now - since
 	return Math.max(usualMs - elapsedMs, elapsedMs / 2)
--- a/packages/core/src/core/elapsedClock.ts
+++ b/packages/core/src/core/elapsedClock.ts
@@ -31,7 +31,7 @@
 }
 
 /** Returns the elapsed time, ms; its origin is arbitrary and it never goes back. */
-export function tellElapsed(clock: ElapsedClock, at: Moment): number {
+export function updateElapsedClock(clock: ElapsedClock, at: Moment): number {
 	const { last } = clock
 	const aheadMs = at.wall - last.wall - (at.now - last.now)
 	clock.last = at
--- a/packages/core/src/core/entryRoster.ts
+++ b/packages/core/src/core/entryMembership.ts
@@ -3,7 +3,7 @@
 import type { EntryCount } from '../internal.ts'
 
 /** An entry without contact for this long is not considered reachable, ms. */
-export const PEER_SILENT_MS = 2_000
+export const PEER_TIMEOUT_MS = 2_000
 /** For this long after its last contact, an entry counts as cut off, not as gone, ms. */
 const RETENTION_MS = 60_000
 
@@ -15,25 +15,25 @@
 }
 
 /** The entries, by their control addresses. */
-export interface EntryRoster {
+export interface EntryMembership {
 	readonly others: Map<string, KnownEntry>
 	/** This entry and the reachable others, sorted. */
-	heard: readonly string[]
+	reachable: readonly string[]
 	count: EntryCount
 }
 
 /** Creates the membership of an entry that knows only itself. */
-export function createEntryRoster(own: string): EntryRoster {
+export function createEntryMembership(own: string): EntryMembership {
 	return {
 		others: new Map(),
-		heard: [own],
-		count: { heard: 1, known: 1, place: 0 },
+		reachable: [own],
+		count: { reachable: 1, known: 1, index: 0 },
 	}
 }
 
 /** Records that another entry has been discovered. */
-export function noteEntryNamed(
-	{ others }: EntryRoster,
+export function recordEntryDiscovered(
+	{ others }: EntryMembership,
 	address: string,
 	now: number,
 ): void {
@@ -42,8 +42,8 @@
 }
 
 /** Records contact from another entry. */
-export function noteEntryHeard(
-	{ others }: EntryRoster,
+export function recordEntryContact(
+	{ others }: EntryMembership,
 	address: string,
 	now: number,
 ): void {
@@ -55,8 +55,8 @@
  * have changed. Entries without a link to this one cannot contact it and count as
  * reachable.
  */
-export function lookAtRoster(
-	roster: EntryRoster,
+export function updateEntryMembership(
+	roster: EntryMembership,
 	own: string,
 	isLinked: (address: string) => boolean,
 	now: number,
@@ -66,14 +66,14 @@
 		.map(([address]) => address)
 	const reachable = known.filter(address => {
 		const { contactAt } = roster.others.get(address)!
-		return now - contactAt <= PEER_SILENT_MS || !isLinked(address)
+		return now - contactAt <= PEER_TIMEOUT_MS || !isLinked(address)
 	})
-	const previous = roster.heard
-	roster.heard = [own, ...reachable].sort()
+	const previous = roster.reachable
+	roster.reachable = [own, ...reachable].sort()
 	roster.count = {
-		heard: roster.heard.length,
+		reachable: roster.reachable.length,
 		known: known.length + 1,
-		place: known.filter(address => address < own).length,
+		index: known.filter(address => address < own).length,
 	}
-	return previous.join() !== roster.heard.join()
+	return previous.join() !== roster.reachable.join()
 }
--- a/packages/core/src/core/entryShare.ts
+++ b/packages/core/src/core/entryShare.ts
@@ -25,7 +25,7 @@
 }
 
 /** Arrivals and completions at a group, over all entries. */
-export interface GroupIntake {
+export interface GroupTraffic {
 	/** Requests per second that arrive at all entries. */
 	readonly perSecond: number
 	/** Requests per second that the group completes. */
@@ -41,16 +41,16 @@
  * of their own arrivals, so they refuse callers alike, whichever entry's requests
  * complete.
  */
-export function partTaken(
+export function admittedFraction(
 	room: number,
-	{ perSecond, endedPerSecond, horizonMs }: GroupIntake,
+	{ perSecond, endedPerSecond, horizonMs }: GroupTraffic,
 ): number {
 	const slotsPerSecond = endedPerSecond + (room * SECOND_MS) / horizonMs
 	return slotsPerSecond / Math.max(perSecond, MIN_PER_SECOND)
 }
 
 /** A server to be assigned to an entry. */
-export interface SharedServer {
+export interface AssignableServer {
 	readonly id: string
 	readonly dataCentre: string
 }
@@ -61,10 +61,10 @@
  * so most assignments stay within one. Entries with the same view of the demand assign
  * each server to exactly one of them.
  */
-export function dealServers(
+export function assignServers(
 	own: EntryDemand,
 	others: readonly EntryDemand[],
-	servers: readonly SharedServer[],
+	servers: readonly AssignableServer[],
 ): number[] {
 	const entries = [own, ...others].sort(
 		(a, b) => compare(a.dataCentre, b.dataCentre) || compare(a.name, b.name),
@@ -105,7 +105,7 @@
  * `unreported` is the number of requests it has sent since then, `ownServers` the number
  * of its available servers.
  */
-export function expectElsewhere(
+export function estimateUnreportedLoad(
 	unreported: number,
 	ownServers: number,
 ): number {
--- a/packages/core/src/core/errors.ts
+++ b/packages/core/src/core/errors.ts
@@ -4,14 +4,14 @@
  */
 
 /** Whether the request may have run on a backend server. */
-export type Ran = 'no' | 'maybe' | 'yes'
+export type MayHaveRun = 'no' | 'maybe' | 'yes'
 
 /** The response for an error kind. */
 export interface ErrorAnswer {
 	/** HTTP status sent to the caller. */
 	readonly status: number
 	/** What is known about execution if this kind is the final outcome. */
-	readonly ran: Ran
+	readonly ran: MayHaveRun
 	/** Default retry delay in milliseconds; 0 if the caller should not retry. */
 	readonly retryAfterMs: number
 	/** `type` field of the error body, as clients of model servers expect it. */
@@ -27,7 +27,7 @@
 
 function row(
 	status: number,
-	ran: Ran,
+	ran: MayHaveRun,
 	retryAfterMs: number,
 	type: string,
 	text: string,
--- a/packages/core/src/core/fairQueue.ts
+++ b/packages/core/src/core/fairQueue.ts
@@ -4,7 +4,7 @@
  */
 
 /** The properties of a queued request that determine its position. */
-export interface Waiting {
+export interface QueueItem {
 	readonly team: string
 	/** 0 is the most urgent. */
 	readonly priority: number
@@ -17,39 +17,44 @@
 }
 
 /** The queue of an agent. */
-export interface FairQueue<T extends Waiting> {
+export interface FairQueue<T extends QueueItem> {
 	readonly waiting: T[]
 	/** Virtual finish time of each team's latest request; cleared when the queue is empty. */
-	readonly finishOf: Map<string, number>
+	readonly finishByTeam: Map<string, number>
 	virtualNow: number
 	arrivals: number
 }
 
 /** Creates an empty queue. */
-export function createFairQueue<T extends Waiting>(): FairQueue<T> {
-	return { waiting: [], finishOf: new Map(), virtualNow: 0, arrivals: 0 }
+export function createFairQueue<T extends QueueItem>(): FairQueue<T> {
+	return { waiting: [], finishByTeam: new Map(), virtualNow: 0, arrivals: 0 }
 }
 
 /** Inserts `item` at its position in the queue. */
-export function enqueue<T extends Waiting>(queue: FairQueue<T>, item: T): void {
-	const finish = queue.finishOf.get(item.team) ?? 0
+export function enqueue<T extends QueueItem>(
+	queue: FairQueue<T>,
+	item: T,
+): void {
+	const finish = queue.finishByTeam.get(item.team) ?? 0
 	item.virtualStart = Math.max(queue.virtualNow, finish)
 	item.order = queue.arrivals++
-	queue.finishOf.set(item.team, item.virtualStart + 1 / item.weight)
+	queue.finishByTeam.set(item.team, item.virtualStart + 1 / item.weight)
 	queue.waiting.splice(findInsertIndex(queue.waiting, item), 0, item)
 }
 
 /** Removes and returns the next request to start. */
-export function dequeue<T extends Waiting>(queue: FairQueue<T>): T | undefined {
+export function dequeue<T extends QueueItem>(
+	queue: FairQueue<T>,
+): T | undefined {
 	const next = queue.waiting.shift()
 	if (!next) return undefined
 	queue.virtualNow = Math.max(queue.virtualNow, next.virtualStart)
-	if (queue.waiting.length === 0) queue.finishOf.clear()
+	if (queue.waiting.length === 0) queue.finishByTeam.clear()
 	return next
 }
 
 /** Removes `item` from any position in the queue. */
-export function removeWaiting<T extends Waiting>(
+export function removeQueued<T extends QueueItem>(
 	queue: FairQueue<T>,
 	item: T,
 ): void {
@@ -57,7 +62,7 @@
 	if (at >= 0) queue.waiting.splice(at, 1)
 }
 
-function findInsertIndex<T extends Waiting>(
+function findInsertIndex<T extends QueueItem>(
 	waiting: readonly T[],
 	item: T,
 ): number {
@@ -71,7 +76,7 @@
 	return low
 }
 
-function compareWaiting(a: Waiting, b: Waiting): number {
+function compareWaiting(a: QueueItem, b: QueueItem): number {
 	return (
 		a.priority - b.priority ||
 		a.virtualStart - b.virtualStart ||
--- a/packages/core/src/core/spread.ts
+++ b/packages/core/src/core/gossip.ts
@@ -8,99 +8,106 @@
  */
 
 import type {
-	GoodValue,
-	Held,
+	GossipEffect,
+	GossipMessage,
+	GossipNode,
 	Random,
-	SpreadEffect,
-	SpreadMessage,
-	SpreadNode,
 	Topic,
+	TopicState,
+	ValidValue,
 } from '../internal.ts'
 import {
 	answerFetch,
-	drawIndex,
-	hear,
-	hold,
+	applyFullValue,
+	applyPatches,
+	handleRevisionNotice,
 	READERS,
-	repeatFetch,
-	send,
+	randomIndex,
+	retryFetch,
+	sendTo,
+	storeValue,
 	TOPICS,
-	takePatches,
-	takeValue,
 } from '../internal.ts'
 
 /** Mean interval of the anti-entropy with random members, ms. */
-export const EXCHANGE_MS = 10_000
+export const ANTI_ENTROPY_MS = 10_000
 /** Mean interval of a standby's checks of the readers, ms. */
-export const LOOK_MS = 1_500
+export const READER_CHECK_MS = 1_500
 /**
  * A reader without an answer from the platform for this long is not in contact, ms.
  * A watch waits for up to 30 s.
  */
-export const CONTACT_MS = 40_000
+export const CONTACT_TIMEOUT_MS = 40_000
 
 /** Creates a node without values and members. */
-export function createSpreadNode(
+export function createGossipNode(
 	self: string,
 	region: string,
 	now: number,
-): SpreadNode {
-	const empty = (): Held => ({
+): GossipNode {
+	const empty = (): TopicState => ({
 		revision: 0,
 		text: '',
 		patches: [],
 		fetching: undefined,
-		heard: 0,
-		good: undefined,
+		highestSeen: 0,
+		lastValid: undefined,
 	})
 	return {
 		self,
 		region,
-		held: { config: empty(), vms: empty() },
+		topics: { config: empty(), vms: empty() },
 		members: [],
 		neighbours: [],
 		readers: [],
 		contactAt: now,
-		readerSeen: new Map(),
-		nextExchange: now,
-		nextLook: now,
+		readerContactAt: new Map(),
+		nextAntiEntropy: now,
+		nextReaderCheck: now,
 	}
 }
 
 /** Applies an answer of the platform; `published` is undefined if nothing is newer. */
-export function takePublished(
-	node: SpreadNode,
+export function applyPublished(
+	node: GossipNode,
 	topic: Topic,
 	published: { revision: number; text: string } | undefined,
 	now: number,
-): SpreadEffect[] {
+): GossipEffect[] {
 	node.contactAt = now
 	if (!published) return []
-	return hold(node, topic, published.revision, published.text, '')
+	return storeValue(node, topic, published.revision, published.text, '')
 }
 
 /** Handles a message from another process. */
-export function takeSpreadMessage(
-	node: SpreadNode,
+export function handleGossipMessage(
+	node: GossipNode,
 	from: string,
-	message: SpreadMessage,
+	message: GossipMessage,
 	now: number,
-): SpreadEffect[] {
+): GossipEffect[] {
 	switch (message.type) {
 		case 'notice':
-			return hear(node, message.topic, message.revision, from, now)
+			return handleRevisionNotice(
+				node,
+				message.topic,
+				message.revision,
+				from,
+				now,
+			)
 		case 'fetch':
-			return [send(from, answerFetch(node, message.topic, message.have))]
+			return [sendTo(from, answerFetch(node, message.topic, message.have))]
 		case 'patches':
-			return takePatches(node, from, message)
+			return applyPatches(node, from, message)
 		case 'value':
-			return takeValue(node, from, message)
+			return applyFullValue(node, from, message)
 		case 'compare':
 			return handleCompare(node, from, message, now)
 		case 'look':
-			return [send(from, { type: 'contact', ageMs: now - node.contactAt })]
+			return [sendTo(from, { type: 'contact', ageMs: now - node.contactAt })]
 		case 'contact':
-			if (message.ageMs <= CONTACT_MS) node.readerSeen.set(from, now)
+			if (message.ageMs <= CONTACT_TIMEOUT_MS)
+				node.readerContactAt.set(from, now)
 			return []
 		default:
 			return message satisfies never
@@ -108,85 +115,89 @@
 }
 
 /** Runs the periodic tasks: retries of fetches, anti-entropy and reader checks. */
-export function tickSpread(
-	node: SpreadNode,
+export function tickGossip(
+	node: GossipNode,
 	now: number,
 	random: Random,
-): SpreadEffect[] {
-	const effects = TOPICS.flatMap(topic => repeatFetch(node, topic, now, random))
+): GossipEffect[] {
+	const effects = TOPICS.flatMap(topic => retryFetch(node, topic, now, random))
 	const memberCount = node.members.length
-	if (now >= node.nextExchange && memberCount > 0) {
+	if (now >= node.nextAntiEntropy && memberCount > 0) {
 		// Jitter keeps the fleet from synchronising after a partition has healed.
-		node.nextExchange = now + EXCHANGE_MS * (0.5 + random())
-		const { name } = node.members[drawIndex(random, memberCount)]!
-		if (name !== node.self) effects.push(send(name, compareMessage(node, true)))
+		node.nextAntiEntropy = now + ANTI_ENTROPY_MS * (0.5 + random())
+		const { name } = node.members[randomIndex(random, memberCount)]!
+		if (name !== node.self)
+			effects.push(sendTo(name, compareMessage(node, true)))
 	}
 	const rank = node.readers.indexOf(node.self)
-	if (rank >= READERS && now >= node.nextLook) {
-		node.nextLook = now + LOOK_MS * (0.75 + random() / 2)
+	if (rank >= READERS && now >= node.nextReaderCheck) {
+		node.nextReaderCheck = now + READER_CHECK_MS * (0.75 + random() / 2)
 		for (const reader of node.readers.slice(0, rank))
-			effects.push(send(reader, { type: 'look' }))
+			effects.push(sendTo(reader, { type: 'look' }))
 	}
 	return effects
 }
 
 /** Compares revisions with `count` random members, after a start. */
-export function askMembers(
-	node: SpreadNode,
+export function compareWithRandomMembers(
+	node: GossipNode,
 	count: number,
 	random: Random,
-): SpreadEffect[] {
+): GossipEffect[] {
 	const names = new Set<string>()
 	const others = node.members.filter(member => member.name !== node.self)
 	const target = Math.min(count, others.length)
 	while (names.size < target)
-		names.add(others[drawIndex(random, others.length)]!.name)
-	return [...names].map(name => send(name, compareMessage(node, true)))
+		names.add(others[randomIndex(random, others.length)]!.name)
+	return [...names].map(name => sendTo(name, compareMessage(node, true)))
 }
 
 /**
  * Records the last valid value while the latest one is invalid, so that it can be sent
  * to processes that start in the meantime; `undefined` once the latest is valid.
  */
-export function keepGood(
-	node: SpreadNode,
+export function setLastValid(
+	node: GossipNode,
 	topic: Topic,
-	good: GoodValue | undefined,
+	good: ValidValue | undefined,
 ): void {
-	node.held[topic].good = good
+	node.topics[topic].lastValid = good
 }
 
 /** Fetches the full value from a random member, with its last valid one. */
-export function askWhole(
-	node: SpreadNode,
+export function requestFullValue(
+	node: GossipNode,
 	topic: Topic,
 	random: Random,
-): SpreadEffect[] {
+): GossipEffect[] {
 	const others = node.members.filter(member => member.name !== node.self)
-	const member = others[drawIndex(random, others.length)]
+	const member = others[randomIndex(random, others.length)]
 	if (!member) return []
-	return [send(member.name, { type: 'fetch', topic, have: -1 })]
+	return [sendTo(member.name, { type: 'fetch', topic, have: -1 })]
 }
 
 /** Compares revisions with one member. */
-export function greetMember(node: SpreadNode, name: string): SpreadEffect[] {
-	return [send(name, compareMessage(node, true))]
+export function compareWithMember(
+	node: GossipNode,
+	name: string,
+): GossipEffect[] {
+	return [sendTo(name, compareMessage(node, true))]
 }
 
 function handleCompare(
-	node: SpreadNode,
+	node: GossipNode,
 	from: string,
-	message: Extract<SpreadMessage, { type: 'compare' }>,
+	message: Extract<GossipMessage, { type: 'compare' }>,
 	now: number,
-): SpreadEffect[] {
+): GossipEffect[] {
 	const effects = TOPICS.flatMap((topic, at) =>
-		hear(node, topic, message.revisions[at] ?? 0, from, now),
+		handleRevisionNotice(node, topic, message.revisions[at] ?? 0, from, now),
 	)
-	if (message.answer) effects.push(send(from, compareMessage(node, false)))
+	if (message.answer) effects.push(sendTo(from, compareMessage(node, false)))
 	return effects
 }
 
-function compareMessage(node: SpreadNode, answer: boolean): SpreadMessage {
-	const revisions = TOPICS.map(topic => node.held[topic].revision)
+function compareMessage(node: GossipNode, answer: boolean): GossipMessage {
+	const revisions = TOPICS.map(topic => node.topics[topic].revision)
 	return { type: 'compare', revisions, answer }
 }
--- a/packages/core/src/core/spreadGraph.ts
+++ b/packages/core/src/core/gossipTopology.ts
@@ -3,7 +3,7 @@
  * the readers of each region, which watch the platform.
  */
 
-import type { Member, SpreadNode } from '../internal.ts'
+import type { GossipNode, Member } from '../internal.ts'
 import { topByRendezvous } from '../internal.ts'
 
 /** Number of successors on the ring, which keep the graph connected. */
@@ -15,11 +15,11 @@
 /** Number of processes per region that take over when readers lose contact. */
 export const STANDBYS = 3
 /** A reader that has not answered a check for this long counts as failed, ms. */
-export const SILENT_MS = 3_500
+export const READER_TIMEOUT_MS = 3_500
 
 /** Sets the members, sorted by name, which is the order of the ring. */
 export function setMembers(
-	node: SpreadNode,
+	node: GossipNode,
 	members: readonly Member[],
 	now: number,
 ): void {
@@ -34,27 +34,27 @@
 		READERS + STANDBYS,
 	)
 	for (const reader of node.readers)
-		if (!node.readerSeen.has(reader)) node.readerSeen.set(reader, now)
+		if (!node.readerContactAt.has(reader)) node.readerContactAt.set(reader, now)
 }
 
 /**
  * Whether this process should watch the platform: it is a reader, or a standby with too
  * few readers in contact, or it knows no members at all.
  */
-export function isReader(node: SpreadNode, now: number): boolean {
+export function isReader(node: GossipNode, now: number): boolean {
 	if (node.members.length === 0) return true
 	const rank = node.readers.indexOf(node.self)
 	if (rank < 0) return false
 	if (rank < READERS) return true
 	const preferred = node.readers.slice(0, rank)
 	const failed = preferred.filter(
-		reader => now - (node.readerSeen.get(reader) ?? 0) > SILENT_MS,
+		reader => now - (node.readerContactAt.get(reader) ?? 0) > READER_TIMEOUT_MS,
 	)
 	return preferred.length - failed.length < READERS
 }
 
 function pickNeighbours(
-	node: SpreadNode,
+	node: GossipNode,
 	members: readonly Member[],
 ): string[] {
 	const names = members.map(member => member.name)
--- a/packages/core/src/core/spreadValues.ts
+++ b/packages/core/src/core/gossipValues.ts
@@ -4,12 +4,12 @@
  */
 
 import type {
+	GossipEffect,
+	GossipMessage,
+	GossipNode,
 	Random,
-	SpreadEffect,
-	SpreadMessage,
-	SpreadNode,
 } from '../internal.ts'
-import { applyPatch, drawIndex, makePatch } from '../internal.ts'
+import { applyPatch, makePatch, randomIndex } from '../internal.ts'
 
 /** Topics of the values that the platform publishes. */
 export const TOPICS = ['config', 'vms'] as const
@@ -19,7 +19,7 @@
 /** Number of recent patches retained for other nodes. */
 const MAX_PATCHES = 32
 /** Timeout of the first fetch, after which another node is tried, ms. */
-export const FETCH_MS = 1_000
+export const FETCH_TIMEOUT_MS = 1_000
 /**
  * The timeout doubles with each retry, at most this many times: the answer may be a whole
  * document in transfer over a slow link, and each retry sends it once more over the same
@@ -28,14 +28,14 @@
 const MAX_BACKOFF_EXPONENT = 4
 
 /** Stores a newer value and notifies the neighbours. */
-export function hold(
-	node: SpreadNode,
+export function storeValue(
+	node: GossipNode,
 	topic: Topic,
 	revision: number,
 	text: string,
 	from: string,
-): SpreadEffect[] {
-	const state = node.held[topic]
+): GossipEffect[] {
+	const state = node.topics[topic]
 	// Never go back to a lower revision, whatever its source.
 	if (revision <= state.revision) return []
 	if (state.revision > 0) {
@@ -45,69 +45,69 @@
 	}
 	state.revision = revision
 	state.text = text
-	state.heard = Math.max(state.heard, revision)
+	state.highestSeen = Math.max(state.highestSeen, revision)
 	state.fetching = undefined
 	const notices = node.neighbours
 		.filter(name => name !== from)
-		.map(name => send(name, { type: 'notice', topic, revision }))
+		.map(name => sendTo(name, { type: 'notice', topic, revision }))
 	return [{ do: 'adopt', topic, revision, text }, ...notices]
 }
 
 /** Handles the announcement of a revision by `from`; fetches it if it is newer. */
-export function hear(
-	node: SpreadNode,
+export function handleRevisionNotice(
+	node: GossipNode,
 	topic: Topic,
 	revision: number,
 	from: string,
 	now: number,
-): SpreadEffect[] {
-	const state = node.held[topic]
+): GossipEffect[] {
+	const state = node.topics[topic]
 	if (revision <= state.revision) return []
-	state.heard = Math.max(state.heard, revision)
+	state.highestSeen = Math.max(state.highestSeen, revision)
 	if (state.fetching && now < state.fetching.until) return []
 	return startFetch(node, topic, from, now)
 }
 
 function startFetch(
-	node: SpreadNode,
+	node: GossipNode,
 	topic: Topic,
 	from: string,
 	now: number,
-): SpreadEffect[] {
-	const state = node.held[topic]
+): GossipEffect[] {
+	const state = node.topics[topic]
 	const tries = state.fetching ? state.fetching.tries + 1 : 0
-	const waitMs = FETCH_MS * 2 ** Math.min(tries, MAX_BACKOFF_EXPONENT)
+	const waitMs = FETCH_TIMEOUT_MS * 2 ** Math.min(tries, MAX_BACKOFF_EXPONENT)
 	state.fetching = { from, until: now + waitMs, tries }
-	return [send(from, { type: 'fetch', topic, have: state.revision })]
+	return [sendTo(from, { type: 'fetch', topic, have: state.revision })]
 }
 
 /** Retries a fetch that has timed out, at a neighbour or a random member. */
-export function repeatFetch(
-	node: SpreadNode,
+export function retryFetch(
+	node: GossipNode,
 	topic: Topic,
 	now: number,
 	random: Random,
-): SpreadEffect[] {
-	const state = node.held[topic]
-	if (state.heard <= state.revision) return []
+): GossipEffect[] {
+	const state = node.topics[topic]
+	if (state.highestSeen <= state.revision) return []
 	if (!state.fetching || now < state.fetching.until) return []
 	const names =
 		random() < 0.5 ? node.neighbours : node.members.map(member => member.name)
-	const name = names[drawIndex(random, names.length)]
+	const name = names[randomIndex(random, names.length)]
 	if (name === undefined || name === node.self) return []
 	return startFetch(node, topic, name, now)
 }
 
 /** Returns the message that updates a process from revision `have`. */
 export function answerFetch(
-	node: SpreadNode,
+	node: GossipNode,
 	topic: Topic,
 	have: number,
-): SpreadMessage {
-	const { revision, text, patches } = node.held[topic]
+): GossipMessage {
+	const { revision, text, patches } = node.topics[topic]
 	const start = patches.findIndex(step => step.from === have)
 	if (start < 0) {
-		const { good } = node.held[topic]
+		const { lastValid: good } = node.topics[topic]
 		return { type: 'value', topic, revision, text, ...(good && { good }) }
 	}
 	const steps = patches.slice(start).map(step => step.patch)
@@ -115,36 +115,36 @@
 }
 
 /** Applies patches; fetches the full value if their base does not match. */
-export function takePatches(
-	node: SpreadNode,
+export function applyPatches(
+	node: GossipNode,
 	from: string,
-	message: Extract<SpreadMessage, { type: 'patches' }>,
-): SpreadEffect[] {
+	message: Extract<GossipMessage, { type: 'patches' }>,
+): GossipEffect[] {
 	const { topic, revision, base, patches } = message
-	const state = node.held[topic]
+	const state = node.topics[topic]
 	if (revision <= state.revision) return []
-	const fetchFull: SpreadMessage = { type: 'fetch', topic, have: -1 }
-	if (state.revision !== base) return [send(from, fetchFull)]
+	const fetchFull: GossipMessage = { type: 'fetch', topic, have: -1 }
+	if (state.revision !== base) return [sendTo(from, fetchFull)]
 	let text: string | undefined = state.text
 	for (const patch of patches)
 		text = text === undefined ? undefined : applyPatch(text, patch)
 	// The revision matches but the text does not.
-	if (text === undefined) return [send(from, fetchFull)]
-	return hold(node, topic, revision, text, from)
+	if (text === undefined) return [sendTo(from, fetchFull)]
+	return storeValue(node, topic, revision, text, from)
 }
 
 /** Applies a full value. */
-export function takeValue(
-	node: SpreadNode,
+export function applyFullValue(
+	node: GossipNode,
 	from: string,
-	message: Extract<SpreadMessage, { type: 'value' }>,
-): SpreadEffect[] {
+	message: Extract<GossipMessage, { type: 'value' }>,
+): GossipEffect[] {
 	const { topic, revision, text, good } = message
-	const effects: SpreadEffect[] = good ? [{ do: 'adopt', topic, ...good }] : []
-	return [...effects, ...hold(node, topic, revision, text, from)]
+	const effects: GossipEffect[] = good ? [{ do: 'adopt', topic, ...good }] : []
+	return [...effects, ...storeValue(node, topic, revision, text, from)]
 }
 
 /** Returns the effect that sends a message to another process. */
-export function send(to: string, message: SpreadMessage): SpreadEffect {
+export function sendTo(to: string, message: GossipMessage): GossipEffect {
 	return { do: 'send', to, message }
 }
--- a/packages/core/src/core/revision.ts
+++ b/packages/core/src/core/revision.ts
@@ -7,26 +7,26 @@
 import { readConfig } from '../internal.ts'
 
 /** The active configuration. */
-export interface HeldConfig {
+export interface ActiveConfig {
 	readonly revision: number
 	readonly document: string
 	readonly config: Config
 }
 
 /** A revision that was rejected as a whole. */
-export interface RefusedConfig {
+export interface RejectedConfig {
 	readonly revision: number
 	readonly faults: readonly Fault[]
 }
 
 /** The active and the last rejected configuration of a process. */
 export interface RevisionState {
-	held: HeldConfig | undefined
-	refused: RefusedConfig | undefined
+	held: ActiveConfig | undefined
+	refused: RejectedConfig | undefined
 }
 
 /** Result of offering a document. */
-export type RevisionVerdict = 'adopted' | 'known' | 'stale' | 'invalid'
+export type OfferResult = 'adopted' | 'known' | 'stale' | 'invalid'
 
 /** Creates the state of a process that has no configuration yet. */
 export function createRevisionState(): RevisionState {
@@ -43,7 +43,7 @@
 	state: RevisionState,
 	revision: number,
 	document: string,
-): RevisionVerdict {
+): OfferResult {
 	const active = state.held?.revision ?? 0
 	if (revision < active) return 'stale'
 	if (revision === active || revision === state.refused?.revision)
--- a/packages/core/src/core/routeTable.ts
+++ b/packages/core/src/core/routeTable.ts
@@ -48,7 +48,7 @@
 }
 
 /** Picks a service of a route at random, in proportion to the weights. */
-export function drawService(
+export function pickService(
 	shares: readonly RouteShare[],
 	random: Random,
 ): string {
--- a/packages/core/src/core/startRules.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -6,34 +6,34 @@
 
 import type { AdmissionState, StartLimit } from '../internal.ts'
 import {
+	BACKOFF_PROBE_MS,
 	createPermitPool,
-	MAX_REST_MS,
-	paceOfHome,
-	REST_TRY_MS,
-	takePermits,
+	grantPermits,
+	MAX_BACKOFF_MS,
+	permitScheduleFor,
 } from '../internal.ts'
 
 /** The agent is the only sender, so the whole rate is its share. */
-const ALONE = { heard: 1, known: 1, place: 0 }
+const ALONE = { reachable: 1, known: 1, index: 0 }
 /** Request for one permit, for immediate use. */
 const ONE_NOW = { count: 1, withinMs: 0 }
 
 /** Applies a backoff that the server has requested; a longer one in effect is kept. */
-export function noteRestAsked(
+export function applyBackoff(
 	state: AdmissionState,
 	forMs: number,
 	now: number,
 ): void {
-	const until = now + Math.min(forMs, MAX_REST_MS)
-	state.restsUntil = Math.max(state.restsUntil, until)
-	state.nextTryAt = state.restsUntil
+	const until = now + Math.min(forMs, MAX_BACKOFF_MS)
+	state.backoffUntil = Math.max(state.backoffUntil, until)
+	state.nextProbeAt = state.backoffUntil
 }
 
 /**
  * Applies the rate limit that an answer states, or its absence; `startedAt` is when the
  * answered request was started.
  */
-export function noteStartLimit(
+export function applyStartLimit(
 	state: AdmissionState,
 	perSecond: number | undefined,
 	startedAt: number,
@@ -51,32 +51,32 @@
 }
 
 /** Acquires the right to start a request now; returns whether that was possible. */
-export function takeStart(state: AdmissionState, now: number): boolean {
-	const { limit, nextTryAt } = state
+export function tryAcquireStart(state: AdmissionState, now: number): boolean {
+	const { limit, nextProbeAt: nextTryAt } = state
 	if (nextTryAt !== undefined && now < nextTryAt) return false
 	if (limit && !acquirePermit(limit, now)) return false
-	if (nextTryAt !== undefined) state.nextTryAt = now + REST_TRY_MS
+	if (nextTryAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_MS
 	return true
 }
 
 function acquirePermit(limit: StartLimit, now: number): boolean {
-	const pace = paceOfHome(limit.perSecond, ALONE)
-	return takePermits(limit.pool, pace, ONE_NOW, now).dueMs.length > 0
+	const pace = permitScheduleFor(limit.perSecond, ALONE)
+	return grantPermits(limit.pool, pace, ONE_NOW, now).dueMs.length > 0
 }
 
 /** Delay of a start by a backoff or rate limit, whether or not a slot is free. */
-export interface Hold {
+export interface StartDelay {
 	readonly kind: 'resting' | 'rateLimited'
 	/** Duration, ms; 0 if starts are not delayed. */
 	readonly forMs: number
 }
 
 /** Returns the delay of a request with `ahead` others before it in the queue. */
-export function findHold(
+export function findStartDelay(
 	state: AdmissionState,
 	ahead: number,
 	now: number,
-): Hold {
+): StartDelay {
 	const backoffMs = backoffDelayMs(state, ahead, now)
 	const limitMs = limitDelayMs(state, ahead, now)
 	return backoffMs >= limitMs
@@ -85,12 +85,12 @@
 }
 
 function backoffDelayMs(
-	{ nextTryAt }: AdmissionState,
+	{ nextProbeAt: nextTryAt }: AdmissionState,
 	ahead: number,
 	now: number,
 ): number {
 	if (nextTryAt === undefined) return 0
-	return Math.max(0, nextTryAt + ahead * REST_TRY_MS - now)
+	return Math.max(0, nextTryAt + ahead * BACKOFF_PROBE_MS - now)
 }
 
 function limitDelayMs(
@@ -99,6 +99,6 @@
 	now: number,
 ): number {
 	if (!limit) return 0
-	const { gapMs } = paceOfHome(limit.perSecond, ALONE)
+	const { gapMs } = permitScheduleFor(limit.perSecond, ALONE)
 	return Math.max(0, limit.pool.nextAt + ahead * gapMs - now)
 }
--- a/packages/core/src/core/subset.ts
+++ b/packages/core/src/core/subset.ts
@@ -9,14 +9,14 @@
 import { hashText } from '../internal.ts'
 
 /** In pools up to this size, every entry is linked to all servers. */
-export const WHOLE_POOL = 16
+export const MAX_FULL_POOL = 16
 /** Minimum number of entries linked to a server. */
-export const MIN_ENTRIES = 4
+export const MIN_ENTRIES_PER_SERVER = 4
 /** Minimum number of servers of a pool that an entry is linked to, on average. */
-export const MIN_SERVERS = 8
+export const MIN_SERVERS_PER_ENTRY = 8
 
 /** An entry or a server, with its data centre. */
-export interface Placed {
+export interface LocatedNode {
 	readonly name: string
 	readonly dataCentre: string
 }
@@ -24,14 +24,16 @@
 /** Returns the servers of a pool (a model or a service) that entry `self` links to. */
 export function pickSubset(
 	self: string,
-	entries: readonly Placed[],
-	pool: readonly Placed[],
+	entries: readonly LocatedNode[],
+	pool: readonly LocatedNode[],
 ): string[] {
 	const isListed = entries.some(entry => entry.name === self)
-	if (pool.length <= WHOLE_POOL || !isListed)
+	if (pool.length <= MAX_FULL_POOL || !isListed)
 		return pool.map(server => server.name)
-	const required = Math.ceil((entries.length * MIN_SERVERS) / pool.length)
-	const count = Math.max(MIN_ENTRIES, required)
+	const required = Math.ceil(
+		(entries.length * MIN_SERVERS_PER_ENTRY) / pool.length,
+	)
+	const count = Math.max(MIN_ENTRIES_PER_SERVER, required)
 	const hashed = entries.map(({ name, dataCentre }) => ({
 		name,
 		dataCentre,
@@ -42,13 +44,13 @@
 		.map(server => server.name)
 }
 
-interface Hashed extends Placed {
+interface Hashed extends LocatedNode {
 	readonly hash: number
 }
 
 function isLinkedTo(
 	self: string,
-	server: Placed,
+	server: LocatedNode,
 	entries: readonly Hashed[],
 	count: number,
 ): boolean {
--- a/packages/core/src/core/bucket.ts
+++ b/packages/core/src/core/tokenBucket.ts
@@ -5,20 +5,20 @@
 const MS = 1000
 
 /** State of a token bucket. */
-export interface Bucket {
+export interface TokenBucket {
 	level: number
 	/** When it was last refilled, ms. */
 	filledAt: number
 }
 
 /** Creates a full bucket; `rate` is in tokens per second. */
-export function fullBucket(rate: number, now: number): Bucket {
+export function createTokenBucket(rate: number, now: number): TokenBucket {
 	return { level: capacityOf(rate), filledAt: now }
 }
 
 /** Refills the bucket up to `now`; returns the time until `amount` may be taken, ms. */
-export function waitFor(
-	bucket: Bucket,
+export function refillBucket(
+	bucket: TokenBucket,
 	rate: number,
 	amount: number,
 	now: number,
@@ -34,7 +34,7 @@
 }
 
 /** Takes an amount; the level may become negative. */
-export function takeFrom(bucket: Bucket, amount: number): void {
+export function takeTokens(bucket: TokenBucket, amount: number): void {
 	bucket.level -= amount
 }
 
--- a/packages/core/src/types/admission.ts
+++ b/packages/core/src/types/admission.ts
@@ -40,7 +40,7 @@
 }
 
 /** How a running attempt ended. */
-export type FinishHow =
+export type CompletionKind =
 	/** The answer is complete and retained for later requests with the same key. */
 	| 'whole'
 	/** It may have run; its answer is not available. */
@@ -56,7 +56,7 @@
 	| {
 			readonly type: 'finish'
 			readonly name: AttemptName
-			readonly how: FinishHow
+			readonly how: CompletionKind
 	  }
 	| { readonly type: 'leave' }
 	| { readonly type: 'suspect' }
@@ -99,24 +99,29 @@
 export type VoidAnswer = 'void' | 'started'
 
 /** Phase of an attempt at its agent. */
-export type Phase = 'waiting' | 'running' | 'whole' | 'broken' | 'refused'
+export type AttemptPhase =
+	| 'waiting'
+	| 'running'
+	| 'whole'
+	| 'broken'
+	| 'refused'
 
 /** An agent's record of an attempt. */
-export interface AttemptRow extends Offer {
-	phase: Phase
+export interface AttemptRecord extends Offer {
+	phase: AttemptPhase
 	/** Start deadline, ms. */
 	readonly startBy: number
 	startedAt: number
 	/** When the record may be evicted, ms; `Infinity` while the attempt is open. */
-	forgetAt: number
+	evictAt: number
 	virtualStart: number
 	order: number
 }
 
 /** An agent's record of an idempotency key. */
-export interface KeyRow {
+export interface KeyRecord {
 	readonly first: AttemptName
-	readonly forgetWall: number
+	readonly evictWall: number
 }
 
 /** A rate limit stated by the backend server. */
@@ -131,20 +136,20 @@
 /** State of the admission at an agent. */
 export interface AdmissionState {
 	/** When this process started, Unix ms; part of its incarnation. */
-	readonly bornWall: number
+	readonly startedWall: number
 	/** Maximum number of requests that the backend server runs concurrently. */
 	slots: number
 	/** `suspect`: the ranks of its group have been seen with different expert maps. */
 	mode: 'serving' | 'leaving' | 'suspect'
 	lastSeen: Moment
-	wokeAt: number
+	pauseEndedAt: number
 	/** End of the backoff; no request is started earlier. */
-	restsUntil: number
+	backoffUntil: number
 	/**
 	 * When the next single request may be started as a probe, ms; set from the start of a
 	 * backoff until the server accepts a request started after it.
 	 */
-	nextTryAt: number | undefined
+	nextProbeAt: number | undefined
 	/** Rate limit of the backend server; undefined if it has none. */
 	limit: StartLimit | undefined
 	/** Whether the backend server has announced that it is leaving. */
@@ -152,11 +157,11 @@
 	running: number
 	/** Smoothed time that a request occupies a slot, ms. */
 	serviceMs: number
-	readonly attempts: Map<string, AttemptRow>
+	readonly attempts: Map<string, AttemptRecord>
 	/** Tombstones of voided attempts: when each may be evicted, ms. */
 	readonly voided: Map<string, number>
-	readonly keys: Map<string, KeyRow>
-	readonly queue: FairQueue<AttemptRow>
+	readonly keys: Map<string, KeyRecord>
+	readonly queue: FairQueue<AttemptRecord>
 }
 
 /** A point in time on both clocks. */
--- a/packages/core/src/types/spread.ts
+++ b/packages/core/src/types/gossip.ts
@@ -18,7 +18,7 @@
 }
 
 /** State of one topic at a node. */
-export interface Held {
+export interface TopicState {
 	revision: number
 	text: string
 	/** Patches between successive stored revisions, oldest first. */
@@ -26,19 +26,19 @@
 	/** The fetch in flight, if any. */
 	fetching: Fetch | undefined
 	/** Highest revision announced by any node. */
-	heard: number
+	highestSeen: number
 	/** The last valid value, if the stored one is invalid. */
-	good: GoodValue | undefined
+	lastValid: ValidValue | undefined
 }
 
 /** A value that was found valid. */
-export interface GoodValue {
+export interface ValidValue {
 	readonly revision: number
 	readonly text: string
 }
 
 /** A message between two processes. */
-export type SpreadMessage =
+export type GossipMessage =
 	| {
 			readonly type: 'notice'
 			readonly topic: Topic
@@ -59,7 +59,7 @@
 			readonly revision: number
 			readonly text: string
 			/** The last valid value, if the value itself is invalid. */
-			readonly good?: GoodValue
+			readonly good?: ValidValue
 	  }
 	/** Stored revisions, in the order of {@link TOPICS}; `answer` requests the same back. */
 	| {
@@ -72,11 +72,11 @@
 	| { readonly type: 'contact'; readonly ageMs: number }
 
 /** An effect that the daemon has to carry out. */
-export type SpreadEffect =
+export type GossipEffect =
 	| {
 			readonly do: 'send'
 			readonly to: string
-			readonly message: SpreadMessage
+			readonly message: GossipMessage
 	  }
 	/** Validate and activate a newer value. */
 	| {
@@ -87,10 +87,10 @@
 	  }
 
 /** Gossip state of a process. */
-export interface SpreadNode {
+export interface GossipNode {
 	readonly self: string
 	region: string
-	readonly held: Record<Topic, Held>
+	readonly topics: Record<Topic, TopicState>
 	members: readonly Member[]
 	/** Names of the members that it notifies. */
 	neighbours: string[]
@@ -99,7 +99,7 @@
 	/** When the platform last answered it, ms. */
 	contactAt: number
 	/** When each reader was last known to be in contact with the platform, ms. */
-	readonly readerSeen: Map<string, number>
-	nextExchange: number
-	nextLook: number
+	readonly readerContactAt: Map<string, number>
+	nextAntiEntropy: number
+	nextReaderCheck: number
 }
--- a/packages/core/test/entryShare.test.ts
+++ b/packages/core/test/entryShare.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EntryDemand } from '../src/index.ts'
-import { createRandom, dealServers, partTaken } from '../src/index.ts'
+import { admittedFraction, assignServers, createRandom } from '../src/index.ts'
 
 const LIMIT = 432
 const STREAM_MS = 1_400
@@ -67,7 +67,11 @@
 			})
 			const times = isShared ? (entries - 1) / visible : 1
 			const room = LIMIT - times * sumOf(known) - reported[entry]! - unreported
-			const fraction = isShared ? partTaken(room, intake) : room >= 1 ? 1 : 0
+			const fraction = isShared
+				? admittedFraction(room, intake)
+				: room >= 1
+					? 1
+					: 0
 			const isAdmitted = random() < fraction
 			if (now >= WARM_UP_MS) offered[entry]!++
 			if (isAdmitted)
@@ -170,7 +174,7 @@
 	test(`assigned servers: each to exactly one of ${size} entries`, () => {
 		const entries = Array.from({ length: size }, (_, at) => entryOf(at, at % 7))
 		const assigned = entries.flatMap(own =>
-			dealServers(
+			assignServers(
 				own,
 				entries.filter(one => one !== own),
 				SERVERS,
@@ -185,7 +189,7 @@
 test('assigned servers: in proportion to demand, mostly in the same data centre', () => {
 	const entries = Array.from({ length: 36 }, (_, at) => entryOf(at))
 	const [own, ...others] = entries
-	const assigned = dealServers(own!, others, SERVERS)
+	const assigned = assignServers(own!, others, SERVERS)
 	assert.ok(
 		assigned.length >= 5 && assigned.length <= 6,
 		`${assigned.length} servers`,
--- a/packages/core/test/models/rewindNet.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -12,21 +12,21 @@
 	TermRevision,
 } from '../../src/index.ts'
 import {
-	createNewsBook,
+	applyPeerRecord,
+	applyRecord,
+	applyRestoredRecord,
+	confirmRemovals,
+	confirmReturns,
 	createRandom,
 	createServerList,
-	doubtRemoval,
+	createSharedState,
+	deferRemoval,
 	findMissing,
 	isLater,
-	listServerNews,
+	listServerUpdates,
 	listServing,
-	noteRead,
-	settleRemovals,
-	settleReturns,
-	takeCopied,
-	takeRecord,
-	takeServerNews,
-	takeTold,
+	mergeServerUpdates,
+	recordRead,
 } from '../../src/index.ts'
 
 const STEP_MS = 50
@@ -258,8 +258,8 @@
 
 function stepEntry(net: Net, entry: Entry): void {
 	const { now, store } = net
-	settleRemovals(entry.list, now)
-	settleReturns(entry.list, now)
+	confirmRemovals(entry.list, now)
+	confirmReturns(entry.list, now)
 	const isPartitioned = now < entry.partitionedUntil
 	if (isPartitioned || now < store.downUntil) entry.inContactSince = now
 	if (isPartitioned) return
@@ -288,7 +288,7 @@
 	else
 		for (const record of changesSince(store, position.revision))
 			applyRecord(entry, record, now, false)
-	noteRead(entry.list, revision)
+	recordRead(entry.list, revision)
 	entry.position = revision
 }
 
@@ -350,9 +350,9 @@
 ): void {
 	const { list, pendingUntil } = entry
 	if (!record.server && now < pendingUntil)
-		doubtRemoval(list, record, pendingUntil)
-	else if (isRolledBack) takeCopied(list, record, now)
-	else takeRecord(list, record)
+		deferRemoval(list, record, pendingUntil)
+	else if (isRolledBack) applyRestoredRecord(list, record, now)
+	else applyRecord(list, record)
 }
 
 /** Sends another entry the records it lacks, and the departed incarnations. */
@@ -361,12 +361,12 @@
 	const newer = [...from.list.records.values()].filter(record =>
 		isLater(record.revision, after),
 	)
-	for (const record of newer) takeTold(to.list, record, now)
-	const departed = listServerNews(
-		createNewsBook(from.list.left),
+	for (const record of newer) applyPeerRecord(to.list, record, now)
+	const departed = listServerUpdates(
+		createSharedState(from.list.departed),
 		MAX_DEPARTED_SENT,
 	)
-	takeServerNews(createNewsBook(to.list.left), departed, now)
+	mergeServerUpdates(createSharedState(to.list.departed), departed, now)
 }
 
 function measureUse(net: Net): void {
--- a/packages/core/test/fate.test.ts
+++ b/packages/core/test/requestLifecycle.test.ts
@@ -4,10 +4,13 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { explore } from './models/explore.ts'
-import { createFateModel } from './models/fateModel.ts'
-import type { FateBounds, FateMutant } from './models/fateModelState.ts'
+import { createLifecycleModel } from './models/lifecycleModel.ts'
+import type {
+	LifecycleBounds,
+	LifecycleMutant,
+} from './models/lifecycleModelState.ts'
 
-const NO_FAILURES: FateBounds = {
+const NO_FAILURES: LifecycleBounds = {
 	entries: 1,
 	repeatable: false,
 	keyed: true,
@@ -21,7 +24,7 @@
 }
 const SEED = 20261202
 
-const EXHAUSTIVE: { name: string; bounds: FateBounds }[] = [
+const EXHAUSTIVE: { name: string; bounds: LifecycleBounds }[] = [
 	{
 		name: 'a booking, a restart, a lost link, a time-out',
 		bounds: { ...NO_FAILURES, restarts: 1, losses: 1, silences: 1 },
@@ -74,15 +77,15 @@
 
 for (const { name, bounds } of EXHAUSTIVE)
 	test(`request lifecycle, all orders: ${name}`, () => {
-		const found = explore(createFateModel(bounds))
+		const found = explore(createLifecycleModel(bounds))
 		assert.is(found.fault, undefined, JSON.stringify(found.path, null, 1))
 		assert.ok(found.complete)
 		assert.ok(found.states > 200, `only ${found.states} states`)
 	})
 
 const MUTANTS: {
-	mutant: FateMutant
-	bounds: FateBounds
+	mutant: LifecycleMutant
+	bounds: LifecycleBounds
 	fault: string
 }[] = [
 	{
@@ -109,12 +112,12 @@
 
 for (const { mutant, bounds, fault } of MUTANTS)
 	test(`request lifecycle: mutant "${mutant}" is detected`, () => {
-		const found = explore(createFateModel(bounds, mutant))
+		const found = explore(createLifecycleModel(bounds, mutant))
 		assert.is(found.fault, fault)
 	})
 
 test('request lifecycle, random orders: two entries, all failures', () => {
-	const model = createFateModel({
+	const model = createLifecycleModel({
 		entries: 2,
 		repeatable: false,
 		keyed: true,
--- a/packages/core/test/rewindNet.test.ts
+++ b/packages/core/test/storeRollback.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { simulateRollbacks } from './models/rewindNet.ts'
+import { simulateRollbacks } from './models/storeRollback.ts'
 
 /** Number of histories; set `RUNS` for longer runs. */
 const RUNS = Number(process.env.RUNS ?? 150)
--- a/packages/core/test/subset.test.ts
+++ b/packages/core/test/subset.test.ts
@@ -1,9 +1,13 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { Placed } from '../src/index.ts'
-import { MIN_ENTRIES, pickSubset } from '../src/index.ts'
+import type { LocatedNode } from '../src/index.ts'
+import { MIN_ENTRIES_PER_SERVER, pickSubset } from '../src/index.ts'
 
-function createNodes(kind: string, count: number, centres: number): Placed[] {
+function createNodes(
+	kind: string,
+	count: number,
+	centres: number,
+): LocatedNode[] {
 	return Array.from({ length: count }, (_, n) => ({
 		name: `${kind}-${n}`,
 		dataCentre: `dc-${n % centres}`,
@@ -63,7 +67,7 @@
 			for (const server of subset)
 				links.set(server, (links.get(server) ?? 0) + 1)
 		}
-		const minLinks = Math.min(entries, MIN_ENTRIES / 2)
+		const minLinks = Math.min(entries, MIN_ENTRIES_PER_SERVER / 2)
 		for (const server of pool)
 			assert.ok((links.get(server.name) ?? 0) >= minLinks, server.name)
 	})
