--- a/packages/core/test/models/storeRollback.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -287,7 +287,7 @@
 	if (readsFullList) readFullList(net, entry, revision)
 	else
 		for (const record of changesSince(store, position.revision))
-			applyRecord(entry, record, now, false)
+			receiveRecord(entry, record, now, false)
 	recordRead(entry.list, revision)
 	entry.position = revision
 }
@@ -307,7 +307,7 @@
 	const present = new Set(listed.map(({ name }) => name))
 	const missing = findMissing(entry.list, present, revision)
 	for (const record of [...listed, ...missing])
-		applyRecord(entry, record, now, isRolledBack)
+		receiveRecord(entry, record, now, isRolledBack)
 }
 
 function changesSince(store: Store, after: number): ServerRecord[] {
@@ -342,7 +342,7 @@
 	return { name: id, revision: { term, revision }, server }
 }
 
-function applyRecord(
+function receiveRecord(
 	entry: Entry,
 	record: ServerRecord,
 	now: number,
