--- a/packages/core/src/core/admission.ts
+++ b/packages/core/src/core/admission.ts
@@ -158,7 +158,7 @@
 	at: Moment,
 ): AdmissionEffect[] {
 	const waiting = [...state.queue.waiting]
-	return waiting.map(row => refuseWaiting(state, row, kind, at))
+	return waiting.map(record => refuseWaiting(state, record, kind, at))
 }
 
 /** Discards the signals of the previous incarnation of the backend server. */
@@ -181,7 +181,7 @@
 	if (earlier) return [attach(state, offer, earlier)]
 	const outcome = findRefusal(state, offer, at)
 	if (outcome) return [{ do: 'refuse', name: attemptNameOf(offer), outcome }]
-	const row: AttemptRecord = {
+	const record: AttemptRecord = {
 		...offer,
 		phase: 'waiting',
 		startBy: at.now + offer.startBudgetMs,
@@ -190,9 +190,9 @@
 		virtualStart: 0,
 		order: 0,
 	}
-	state.attempts.set(id, row)
+	state.attempts.set(id, record)
 	if (offer.claim) recordKey(state, offer, offer.claim)
-	enqueue(state.queue, row)
+	enqueue(state.queue, record)
 	return []
 }
 
@@ -248,11 +248,12 @@
 	at: Moment,
 ): AdmissionEffect[] {
 	const id = attemptKey(name)
-	const row = state.attempts.get(id)
-	if (row && row.phase !== 'waiting' && row.phase !== 'refused') return []
+	const record = state.attempts.get(id)
+	if (record && record.phase !== 'waiting' && record.phase !== 'refused')
+		return []
 	state.voided.set(id, at.now + ATTEMPT_RETENTION_MS)
-	if (row?.phase !== 'waiting') return []
-	return [refuseWaiting(state, row, 'voided', at)]
+	if (record?.phase !== 'waiting') return []
+	return [refuseWaiting(state, record, 'voided', at)]
 }
 
 function cancel(
@@ -260,31 +261,31 @@
 	name: AttemptName,
 	at: Moment,
 ): AdmissionEffect[] {
-	const row = state.attempts.get(attemptKey(name))
-	if (row?.phase === 'waiting')
-		return [refuseWaiting(state, row, 'callerGone', at)]
+	const record = state.attempts.get(attemptKey(name))
+	if (record?.phase === 'waiting')
+		return [refuseWaiting(state, record, 'callerGone', at)]
 	// A request that must not be repeated continues: its caller may fetch the answer
 	// later with the same key.
-	if (row?.phase !== 'running' || row.claim) return []
-	return [{ do: 'cancel', name: attemptNameOf(row) }]
+	if (record?.phase !== 'running' || record.claim) return []
+	return [{ do: 'cancel', name: attemptNameOf(record) }]
 }
 
 function finish(
 	state: AdmissionState,
 	name: AttemptName,
-	how: CompletionKind,
+	completion: CompletionKind,
 	at: Moment,
 ): void {
-	const row = state.attempts.get(attemptKey(name))
-	if (row?.phase !== 'running') return
+	const record = state.attempts.get(attemptKey(name))
+	if (record?.phase !== 'running') return
 	state.running--
-	row.evictAt = at.now + ATTEMPT_RETENTION_MS
-	row.phase = how === 'unstarted' ? 'refused' : how
-	if (how === 'unstarted') {
-		if (row.claim) state.keys.delete(row.claim.key)
+	record.evictAt = at.now + ATTEMPT_RETENTION_MS
+	record.phase = completion === 'unstarted' ? 'refused' : completion
+	if (completion === 'unstarted') {
+		if (record.claim) state.keys.delete(record.claim.key)
 		return
 	}
-	const serviceMs = at.now - row.startedAt
+	const serviceMs = at.now - record.startedAt
 	const first = state.serviceMs === 0
 	const decay = first ? 1 : SERVICE_TIME_DECAY
 	state.serviceMs += decay * (serviceMs - state.serviceMs)
@@ -293,10 +294,10 @@
 function evictExpired(state: AdmissionState, at: Moment): void {
 	for (const [id, until] of state.voided)
 		if (until <= at.now) state.voided.delete(id)
-	for (const [key, row] of state.keys)
-		if (row.evictWall <= at.wall) state.keys.delete(key)
-	for (const [id, row] of state.attempts) {
-		const kept = row.claim && state.keys.has(row.claim.key)
-		if (row.evictAt <= at.now && !kept) state.attempts.delete(id)
+	for (const [key, record] of state.keys)
+		if (record.evictWall <= at.wall) state.keys.delete(key)
+	for (const [id, record] of state.attempts) {
+		const isKeyRetained = record.claim && state.keys.has(record.claim.key)
+		if (record.evictAt <= at.now && !isKeyRetained) state.attempts.delete(id)
 	}
 }
--- a/packages/core/src/core/admissionKeys.ts
+++ b/packages/core/src/core/admissionKeys.ts
@@ -18,7 +18,7 @@
 /** Maximum number of keys that an agent retains. */
 export const MAX_KEYS = 20_000
 
-/** Returns `unknown` if the key may have been used before this agent's records begin. */
+/** Returns `unknown` if this agent's records may not reach back to the key's creation. */
 export function checkKeyAge(
 	state: AdmissionState,
 	claim: KeyClaim,
@@ -49,9 +49,9 @@
 	offer: Offer,
 	claim: KeyClaim,
 ): void {
-	const forgetWall = claim.wallTime + claim.windowMs + 2 * MAX_CLOCK_SKEW_MS
+	const evictWall = claim.wallTime + claim.windowMs + 2 * MAX_CLOCK_SKEW_MS
 	state.keys.set(claim.key, {
 		first: attemptNameOf(offer),
-		evictWall: forgetWall,
+		evictWall,
 	})
 }
--- a/packages/core/src/core/admissionQueue.ts
+++ b/packages/core/src/core/admissionQueue.ts
@@ -48,21 +48,21 @@
 ): AdmissionEffect[] {
 	const effects: AdmissionEffect[] = []
 	let ahead = 0
-	for (const row of [...state.queue.waiting]) {
+	for (const record of [...state.queue.waiting]) {
 		const full = state.running + ahead >= state.slots
 		const queueMs = full ? ((ahead + 1) / state.slots) * state.serviceMs : 0
 		const delay = findStartDelay(state, ahead, at.now)
 		const wait = Math.max(queueMs, delay.forMs)
-		const expired = at.now >= row.startBy
-		const willExpire = at.now + wait > row.startBy
-		const goesElsewhere = delay.forMs > 0 && !row.mayWait
+		const expired = at.now >= record.startBy
+		const willExpire = at.now + wait > record.startBy
+		const goesElsewhere = delay.forMs > 0 && !record.mayWait
 		if (!expired && !willExpire && !goesElsewhere) {
 			ahead++
 			continue
 		}
 		const waitKind = delay.forMs > queueMs ? delay.kind : 'overloaded'
 		const kind = expired ? 'startBudget' : waitKind
-		effects.push(refuseWaiting(state, row, kind, at, Math.ceil(wait)))
+		effects.push(refuseWaiting(state, record, kind, at, Math.ceil(wait)))
 	}
 	return effects
 }
@@ -75,12 +75,12 @@
 	const effects: AdmissionEffect[] = []
 	while (state.running < state.slots && state.queue.waiting.length > 0) {
 		if (!tryAcquireStart(state, at.now)) break
-		const row = dequeue(state.queue)
-		if (!row) break
-		row.phase = 'running'
-		row.startedAt = at.now
+		const record = dequeue(state.queue)
+		if (!record) break
+		record.phase = 'running'
+		record.startedAt = at.now
 		state.running++
-		effects.push({ do: 'start', name: attemptNameOf(row) })
+		effects.push({ do: 'start', name: attemptNameOf(record) })
 	}
 	return effects
 }
@@ -88,16 +88,16 @@
 /** Removes a request from the queue and refuses it. */
 export function refuseWaiting(
 	state: AdmissionState,
-	row: AttemptRecord,
+	record: AttemptRecord,
 	kind: ErrorKind,
 	at: Moment,
 	retryAfterMs = 0,
 ): AdmissionEffect {
-	removeQueued(state.queue, row)
-	row.phase = 'refused'
-	row.evictAt = at.now + ATTEMPT_RETENTION_MS
+	removeQueued(state.queue, record)
+	record.phase = 'refused'
+	record.evictAt = at.now + ATTEMPT_RETENTION_MS
 	// It never started, so its key may be used by another attempt.
-	if (row.claim) state.keys.delete(row.claim.key)
+	if (record.claim) state.keys.delete(record.claim.key)
 	const outcome = notRun(kind, retryAfterMs)
-	return { do: 'refuse', name: attemptNameOf(row), outcome }
+	return { do: 'refuse', name: attemptNameOf(record), outcome }
 }
--- a/packages/core/src/core/affinity.ts
+++ b/packages/core/src/core/affinity.ts
@@ -18,12 +18,12 @@
 
 /** Records of recently seen prefixes, oldest first. */
 export interface AffinityTable {
-	readonly marks: Map<number, PrefixRecord>
+	readonly records: Map<number, PrefixRecord>
 }
 
 /** Creates an empty table. */
 export function createAffinity(): AffinityTable {
-	return { marks: new Map() }
+	return { records: new Map() }
 }
 
 /** Returns the table key of a prompt. */
@@ -38,11 +38,11 @@
 	server: string,
 	now: number,
 ): void {
-	table.marks.delete(prefix)
-	table.marks.set(prefix, { server, at: now })
-	if (table.marks.size <= MAX_RECORDS) return
-	const oldest = table.marks.keys().next().value
-	if (oldest !== undefined) table.marks.delete(oldest)
+	table.records.delete(prefix)
+	table.records.set(prefix, { server, at: now })
+	if (table.records.size <= MAX_RECORDS) return
+	const oldest = table.records.keys().next().value
+	if (oldest !== undefined) table.records.delete(oldest)
 }
 
 /** Returns the server that likely has the prefix cached, and the confidence, 0 to 1. */
@@ -51,7 +51,7 @@
 	prefix: number,
 	now: number,
 ): { readonly server: string; readonly credit: number } | undefined {
-	const record = table.marks.get(prefix)
+	const record = table.records.get(prefix)
 	if (!record) return undefined
 	return {
 		server: record.server,
--- a/packages/core/src/core/blockage.ts
+++ b/packages/core/src/core/blockage.ts
@@ -1,30 +1,30 @@
 /**
- * Tracks outages, periods in which a service or group accepts no requests, and estimates
+ * Tracks blockages, periods in which a service or group accepts no requests, and estimates
  * the remaining duration of the current one from the typical duration.
  */
 
-/** Outages of one service or group. */
+/** Blockages of one service or group. */
 export interface BlockageTracker {
-	/** Start of the current outage, ms; undefined while there is none. */
+	/** Start of the current blockage, ms; undefined while there is none. */
 	since: number | undefined
-	/** Smoothed duration of past outages, ms. */
+	/** Smoothed duration of past blockages, ms. */
 	typicalMs: number
 }
 
-/** Weight of the latest outage in the smoothed duration. */
+/** Weight of the latest blockage in the smoothed duration. */
 const SMOOTHING_FACTOR = 0.4
 
-/** Creates a tracker without outages; `usualMs` is the initial typical duration, ms. */
-export function createBlockageTracker(usualMs: number): BlockageTracker {
-	return { since: undefined, typicalMs: usualMs }
+/** Creates a tracker without blockages; `typicalMs` is the initial typical duration, ms. */
+export function createBlockageTracker(typicalMs: number): BlockageTracker {
+	return { since: undefined, typicalMs }
 }
 
-/** Marks the start of an outage, unless one is already in progress. */
+/** Marks the start of a blockage, unless one is already in progress. */
 export function markBlocked(tracker: BlockageTracker, now: number): void {
 	tracker.since ??= now
 }
 
-/** Marks the end of the current outage, if any. */
+/** Marks the end of the current blockage, if any. */
 export function markUnblocked(tracker: BlockageTracker, now: number): void {
 	if (tracker.since === undefined) return
 	tracker.typicalMs +=
@@ -33,14 +33,14 @@
 }
 
 /**
- * Estimates the remaining duration of the current outage, ms; 0 while there is none.
- * An outage is expected to last at least half as long again as it has lasted so far.
+ * Estimates the remaining duration of the current blockage, ms; 0 while there is none.
+ * A blockage is expected to last at least half as long again as it has lasted so far.
  */
 export function estimateBlockageMs(
-	{ since, typicalMs: usualMs }: BlockageTracker,
+	{ since, typicalMs }: BlockageTracker,
 	now: number,
 ): number {
 	if (since === undefined) return 0
 	const elapsedMs = now - since
-	return Math.max(usualMs - elapsedMs, elapsedMs / 2)
+	return Math.max(typicalMs - elapsedMs, elapsedMs / 2)
 }
--- a/packages/core/src/core/entryMembership.ts
+++ b/packages/core/src/core/entryMembership.ts
@@ -56,24 +56,24 @@
  * reachable.
  */
 export function updateEntryMembership(
-	roster: EntryMembership,
+	membership: EntryMembership,
 	own: string,
 	isLinked: (address: string) => boolean,
 	now: number,
 ): boolean {
-	const known = [...roster.others]
+	const known = [...membership.others]
 		.filter(([, { knownAt }]) => now - knownAt <= RETENTION_MS)
 		.map(([address]) => address)
 	const reachable = known.filter(address => {
-		const { contactAt } = roster.others.get(address)!
+		const { contactAt } = membership.others.get(address)!
 		return now - contactAt <= PEER_TIMEOUT_MS || !isLinked(address)
 	})
-	const previous = roster.reachable
-	roster.reachable = [own, ...reachable].sort()
-	roster.count = {
-		reachable: roster.reachable.length,
+	const previous = membership.reachable
+	membership.reachable = [own, ...reachable].sort()
+	membership.count = {
+		reachable: membership.reachable.length,
 		known: known.length + 1,
 		index: known.filter(address => address < own).length,
 	}
-	return previous.join() !== roster.reachable.join()
+	return previous.join() !== membership.reachable.join()
 }
--- a/packages/core/src/core/fairQueue.ts
+++ b/packages/core/src/core/fairQueue.ts
@@ -70,13 +70,13 @@
 	let high = waiting.length
 	while (low < high) {
 		const middle = (low + high) >>> 1
-		if (compareWaiting(waiting[middle]!, item) <= 0) low = middle + 1
+		if (compareItems(waiting[middle]!, item) <= 0) low = middle + 1
 		else high = middle
 	}
 	return low
 }
 
-function compareWaiting(a: QueueItem, b: QueueItem): number {
+function compareItems(a: QueueItem, b: QueueItem): number {
 	return (
 		a.priority - b.priority ||
 		a.virtualStart - b.virtualStart ||
--- a/packages/core/src/core/gossip.ts
+++ b/packages/core/src/core/gossip.ts
@@ -159,9 +159,9 @@
 export function setLastValid(
 	node: GossipNode,
 	topic: Topic,
-	good: ValidValue | undefined,
+	value: ValidValue | undefined,
 ): void {
-	node.topics[topic].lastValid = good
+	node.topics[topic].lastValid = value
 }
 
 /** Fetches the full value from a random member, with its last valid one. */
--- a/packages/core/src/core/gossipTopology.ts
+++ b/packages/core/src/core/gossipTopology.ts
@@ -17,7 +17,7 @@
 /** A reader that has not answered a check for this long counts as failed, ms. */
 export const READER_TIMEOUT_MS = 3_500
 
-/** Sets the members, sorted by name, which is the order of the ring. */
+/** Sets the members. They must be sorted by name, which is the order of the ring. */
 export function setMembers(
 	node: GossipNode,
 	members: readonly Member[],
--- a/packages/core/src/core/gossipValues.ts
+++ b/packages/core/src/core/gossipValues.ts
@@ -75,9 +75,9 @@
 	now: number,
 ): GossipEffect[] {
 	const state = node.topics[topic]
-	const tries = state.fetching ? state.fetching.tries + 1 : 0
-	const waitMs = FETCH_TIMEOUT_MS * 2 ** Math.min(tries, MAX_BACKOFF_EXPONENT)
-	state.fetching = { from, until: now + waitMs, tries }
+	const retries = state.fetching ? state.fetching.retries + 1 : 0
+	const waitMs = FETCH_TIMEOUT_MS * 2 ** Math.min(retries, MAX_BACKOFF_EXPONENT)
+	state.fetching = { from, until: now + waitMs, retries }
 	return [sendTo(from, { type: 'fetch', topic, have: state.revision })]
 }
 
@@ -107,8 +107,14 @@
 	const { revision, text, patches } = node.topics[topic]
 	const start = patches.findIndex(step => step.from === have)
 	if (start < 0) {
-		const { lastValid: good } = node.topics[topic]
-		return { type: 'value', topic, revision, text, ...(good && { good }) }
+		const { lastValid } = node.topics[topic]
+		return {
+			type: 'value',
+			topic,
+			revision,
+			text,
+			...(lastValid && { good: lastValid }),
+		}
 	}
 	const steps = patches.slice(start).map(step => step.patch)
 	return { type: 'patches', topic, revision, base: have, patches: steps }
--- a/packages/core/src/core/requestLifecycle.ts
+++ b/packages/core/src/core/requestLifecycle.ts
@@ -37,7 +37,7 @@
 	mayHaveRun: boolean
 	/**
 	 * Whether `notRun` would hold for all requests that the caller may have sent with the
-	 * same key: the entry created the key, or the key's home has checked it.
+	 * same key: the entry created the key, or the key home has checked it.
 	 */
 	notRunProvable: boolean
 }
@@ -70,7 +70,7 @@
 
 /** An effect that the daemon has to carry out. */
 export type LifecycleEffect =
-	/** Choose a server and offer the request under `fate.attempt`. */
+	/** Choose a server and offer the request under `lifecycle.attempt`. */
 	| { readonly do: 'route'; readonly why?: ErrorKind }
 	| { readonly do: 'sendVoid'; readonly attempt: number }
 	/** Resume the answer from chunk `from`. */
@@ -104,205 +104,214 @@
 
 /** Applies `event`; `mayRetry` is whether the retry budget allows another attempt. */
 export function stepLifecycle(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	event: LifecycleEvent,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	if (fate.state.at === 'settled') return [{ do: 'drop' }]
-	if ('attempt' in event && event.attempt !== fate.attempt)
+	if (lifecycle.state.at === 'settled') return [{ do: 'drop' }]
+	if ('attempt' in event && event.attempt !== lifecycle.attempt)
 		return [{ do: 'drop' }]
 	switch (event.type) {
 		case 'routed':
-			fate.attempt++
-			fate.state = { at: 'offered' }
+			lifecycle.attempt++
+			lifecycle.state = { at: 'offered' }
 			return []
 		case 'noRoute':
-			return settleUnstarted(fate, event.kind, 0)
+			return settleUnstarted(lifecycle, event.kind, 0)
 		case 'notSent':
-			if (fate.state.at === 'answering') return resume(fate, mayRetry)
-			return tryAgain(fate, 'unreachable', 0, mayRetry)
+			if (lifecycle.state.at === 'answering') return resume(lifecycle, mayRetry)
+			return tryAgain(lifecycle, 'unreachable', 0, mayRetry)
 		case 'refused':
-			return onRefused(fate, event.outcome, mayRetry)
+			return onRefused(lifecycle, event.outcome, mayRetry)
 		case 'admitted':
-			return onAdmitted(fate)
+			return onAdmitted(lifecycle)
 		case 'chunk':
-			return onChunk(fate, event.n, mayRetry)
+			return onChunk(lifecycle, event.n, mayRetry)
 		case 'end':
-			return onEnd(fate, event.n, mayRetry)
+			return onEnd(lifecycle, event.n, mayRetry)
 		case 'linkLost':
-			return onLinkLost(fate, mayRetry)
+			return onLinkLost(lifecycle, mayRetry)
 		case 'backendFailed':
-			return giveUpStarted(fate, 'backendFailed', mayRetry)
+			return giveUpStarted(lifecycle, 'backendFailed', mayRetry)
 		case 'silent':
-			if (fate.state.at !== 'offered') return []
-			fate.state = { at: 'voiding', why: 'noAnswer' }
-			return [{ do: 'sendVoid', attempt: fate.attempt }]
+			if (lifecycle.state.at !== 'offered') return []
+			lifecycle.state = { at: 'voiding', why: 'noAnswer' }
+			return [{ do: 'sendVoid', attempt: lifecycle.attempt }]
 		case 'voidAnswer':
-			return onVoidAnswer(fate, event.answer, mayRetry)
+			return onVoidAnswer(lifecycle, event.answer, mayRetry)
 		case 'deadline':
-			return onDeadline(fate)
+			return onDeadline(lifecycle)
 		case 'callerGone':
-			return [cancelOf(fate), ...settleStarted(fate, 'callerGone')]
+			return [cancelOf(lifecycle), ...settleStarted(lifecycle, 'callerGone')]
 		default:
 			return event satisfies never
 	}
 }
 
 function onRefused(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	outcome: Outcome,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
 	if (outcome.outcome === 'answered') return [{ do: 'drop' }]
 	const { kind, retryAfterMs } = outcome
-	// A home that refuses has checked the key; any other server has not.
+	// A key home that refuses has checked the key; any other server has not.
 	if (outcome.outcome === 'notRun' && kind !== 'notHome')
-		fate.notRunProvable = true
+		lifecycle.notRunProvable = true
 	// An attempt that is refused after its admission was shed from the queue.
-	if (outcome.outcome === 'notRun' && !fate.answerStarted)
-		return tryAgain(fate, kind, retryAfterMs, mayRetry)
-	fate.mayHaveRun = true
-	return settle(fate, unknown(kind, retryAfterMs))
+	if (outcome.outcome === 'notRun' && !lifecycle.answerStarted)
+		return tryAgain(lifecycle, kind, retryAfterMs, mayRetry)
+	lifecycle.mayHaveRun = true
+	return settle(lifecycle, unknown(kind, retryAfterMs))
 }
 
-function onAdmitted(fate: RequestLifecycle): LifecycleEffect[] {
-	if (fate.state.at === 'answering') return []
-	fate.state = { at: 'answering', next: 0 }
+function onAdmitted(lifecycle: RequestLifecycle): LifecycleEffect[] {
+	if (lifecycle.state.at === 'answering') return []
+	lifecycle.state = { at: 'answering', next: 0 }
 	return []
 }
 
 function onChunk(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	n: number,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	const next = fate.state.at === 'answering' ? fate.state.next : 0
+	const next = lifecycle.state.at === 'answering' ? lifecycle.state.next : 0
 	// A duplicate chunk after a resume.
 	if (n < next) return [{ do: 'drop' }]
-	if (n > next) return resume(fate, mayRetry)
-	fate.state = { at: 'answering', next: n + 1 }
+	if (n > next) return resume(lifecycle, mayRetry)
+	lifecycle.state = { at: 'answering', next: n + 1 }
 	return [{ do: 'forward' }]
 }
 
 function onEnd(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	n: number,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	const next = fate.state.at === 'answering' ? fate.state.next : 0
-	if (n !== next) return resume(fate, mayRetry)
-	return settle(fate, ANSWERED)
+	const next = lifecycle.state.at === 'answering' ? lifecycle.state.next : 0
+	if (n !== next) return resume(lifecycle, mayRetry)
+	return settle(lifecycle, ANSWERED)
 }
 
 function onLinkLost(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	switch (fate.state.at) {
+	switch (lifecycle.state.at) {
 		case 'offered':
-			fate.state = { at: 'voiding', why: 'linkLost' }
-			return [{ do: 'sendVoid', attempt: fate.attempt }]
+			lifecycle.state = { at: 'voiding', why: 'linkLost' }
+			return [{ do: 'sendVoid', attempt: lifecycle.attempt }]
 		case 'answering':
-			if (!canRepeat(fate, mayRetry)) return resume(fate, mayRetry)
-			return [cancelOf(fate), ...giveUpStarted(fate, 'linkLost', mayRetry)]
+			if (!canRepeat(lifecycle, mayRetry)) return resume(lifecycle, mayRetry)
+			return [
+				cancelOf(lifecycle),
+				...giveUpStarted(lifecycle, 'linkLost', mayRetry),
+			]
 		case 'routing':
 		case 'voiding':
 		case 'settled':
 			return []
 		default:
-			return fate.state satisfies never
+			return lifecycle.state satisfies never
 	}
 }
 
 function onVoidAnswer(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	answer: 'void' | 'started' | 'unknown',
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	if (fate.state.at !== 'voiding') return [{ do: 'drop' }]
-	const why = fate.state.why
+	if (lifecycle.state.at !== 'voiding') return [{ do: 'drop' }]
+	const why = lifecycle.state.why
 	switch (answer) {
 		case 'void':
-			return tryAgain(fate, why, 0, mayRetry)
+			return tryAgain(lifecycle, why, 0, mayRetry)
 		case 'started':
-			fate.state = { at: 'answering', next: 0 }
-			return resume(fate, mayRetry)
+			lifecycle.state = { at: 'answering', next: 0 }
+			return resume(lifecycle, mayRetry)
 		case 'unknown':
-			return giveUpStarted(fate, why, mayRetry)
+			return giveUpStarted(lifecycle, why, mayRetry)
 		default:
 			return answer satisfies never
 	}
 }
 
-function onDeadline(fate: RequestLifecycle): LifecycleEffect[] {
-	const unstarted = fate.state.at === 'routing'
-	if (unstarted) return settleUnstarted(fate, 'startBudget', 0)
-	return [cancelOf(fate), ...settleStarted(fate, 'noAnswer')]
+function onDeadline(lifecycle: RequestLifecycle): LifecycleEffect[] {
+	const unstarted = lifecycle.state.at === 'routing'
+	if (unstarted) return settleUnstarted(lifecycle, 'startBudget', 0)
+	return [cancelOf(lifecycle), ...settleStarted(lifecycle, 'noAnswer')]
 }
 
-function resume(fate: RequestLifecycle, mayRetry: boolean): LifecycleEffect[] {
-	const from = fate.state.at === 'answering' ? fate.state.next : 0
-	fate.state = { at: 'answering', next: from }
-	if (fate.resumes >= MAX_RESUMES)
-		return giveUpStarted(fate, 'truncated', mayRetry)
-	fate.resumes++
-	return [{ do: 'resume', attempt: fate.attempt, from }]
+function resume(
+	lifecycle: RequestLifecycle,
+	mayRetry: boolean,
+): LifecycleEffect[] {
+	const from = lifecycle.state.at === 'answering' ? lifecycle.state.next : 0
+	lifecycle.state = { at: 'answering', next: from }
+	if (lifecycle.resumes >= MAX_RESUMES)
+		return giveUpStarted(lifecycle, 'truncated', mayRetry)
+	lifecycle.resumes++
+	return [{ do: 'resume', attempt: lifecycle.attempt, from }]
 }
 
 /** Starts another attempt; the current one is proved not to have run. */
 function tryAgain(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	why: ErrorKind,
 	retryAfterMs: number,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	if (!mayRetry || fate.attempt >= MAX_ATTEMPTS)
-		return settleUnstarted(fate, why, retryAfterMs)
-	fate.state = { at: 'routing' }
+	if (!mayRetry || lifecycle.attempt >= MAX_ATTEMPTS)
+		return settleUnstarted(lifecycle, why, retryAfterMs)
+	lifecycle.state = { at: 'routing' }
 	return [{ do: 'route', why }]
 }
 
 /** Abandons the current attempt, which may have run. */
 function giveUpStarted(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	why: ErrorKind,
 	mayRetry: boolean,
 ): LifecycleEffect[] {
-	fate.mayHaveRun = true
-	if (!canRepeat(fate, mayRetry)) return settleStarted(fate, why)
-	fate.state = { at: 'routing' }
+	lifecycle.mayHaveRun = true
+	if (!canRepeat(lifecycle, mayRetry)) return settleStarted(lifecycle, why)
+	lifecycle.state = { at: 'routing' }
 	return [{ do: 'route', why }]
 }
 
-function canRepeat(fate: RequestLifecycle, mayRetry: boolean): boolean {
-	const allowed = fate.repeatable && !fate.answerStarted && mayRetry
-	return allowed && fate.attempt < MAX_ATTEMPTS
+function canRepeat(lifecycle: RequestLifecycle, mayRetry: boolean): boolean {
+	const allowed = lifecycle.repeatable && !lifecycle.answerStarted && mayRetry
+	return allowed && lifecycle.attempt < MAX_ATTEMPTS
 }
 
 function settleUnstarted(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	kind: ErrorKind,
 	retryAfterMs: number,
 ): LifecycleEffect[] {
-	if (fate.mayHaveRun || !fate.notRunProvable)
-		return settle(fate, unknown(kind, retryAfterMs))
+	if (lifecycle.mayHaveRun || !lifecycle.notRunProvable)
+		return settle(lifecycle, unknown(kind, retryAfterMs))
 	const after = retryAfterMs || ERRORS[kind].retryAfterMs
-	return settle(fate, notRun(kind, after))
+	return settle(lifecycle, notRun(kind, after))
 }
 
 function settleStarted(
-	fate: RequestLifecycle,
+	lifecycle: RequestLifecycle,
 	kind: ErrorKind,
 ): LifecycleEffect[] {
-	if (fate.attempt === 0) return settleUnstarted(fate, kind, 0)
-	return settle(fate, unknown(kind, ERRORS[kind].retryAfterMs))
+	if (lifecycle.attempt === 0) return settleUnstarted(lifecycle, kind, 0)
+	return settle(lifecycle, unknown(kind, ERRORS[kind].retryAfterMs))
 }
 
-function settle(fate: RequestLifecycle, outcome: Outcome): LifecycleEffect[] {
-	fate.state = { at: 'settled', outcome }
+function settle(
+	lifecycle: RequestLifecycle,
+	outcome: Outcome,
+): LifecycleEffect[] {
+	lifecycle.state = { at: 'settled', outcome }
 	return [{ do: 'settle', outcome }]
 }
 
-function cancelOf(fate: RequestLifecycle): LifecycleEffect {
-	return { do: 'cancel', attempt: fate.attempt }
+function cancelOf(lifecycle: RequestLifecycle): LifecycleEffect {
+	return { do: 'cancel', attempt: lifecycle.attempt }
 }
--- a/packages/core/src/core/startLimits.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -14,7 +14,7 @@
 } from '../internal.ts'
 
 /** The agent is the only sender, so the whole rate is its share. */
-const ALONE = { reachable: 1, known: 1, index: 0 }
+const SINGLE_SENDER = { reachable: 1, known: 1, index: 0 }
 /** Request for one permit, for immediate use. */
 const ONE_NOW = { count: 1, withinMs: 0 }
 
@@ -52,16 +52,16 @@
 
 /** Acquires the right to start a request now; returns whether that was possible. */
 export function tryAcquireStart(state: AdmissionState, now: number): boolean {
-	const { limit, nextProbeAt: nextTryAt } = state
-	if (nextTryAt !== undefined && now < nextTryAt) return false
+	const { limit, nextProbeAt } = state
+	if (nextProbeAt !== undefined && now < nextProbeAt) return false
 	if (limit && !acquirePermit(limit, now)) return false
-	if (nextTryAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_MS
+	if (nextProbeAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_MS
 	return true
 }
 
 function acquirePermit(limit: StartLimit, now: number): boolean {
-	const pace = permitScheduleFor(limit.perSecond, ALONE)
-	return grantPermits(limit.pool, pace, ONE_NOW, now).dueMs.length > 0
+	const schedule = permitScheduleFor(limit.perSecond, SINGLE_SENDER)
+	return grantPermits(limit.pool, schedule, ONE_NOW, now).dueMs.length > 0
 }
 
 /** Delay of a start by a backoff or rate limit, whether or not a slot is free. */
@@ -85,12 +85,12 @@
 }
 
 function backoffDelayMs(
-	{ nextProbeAt: nextTryAt }: AdmissionState,
+	{ nextProbeAt }: AdmissionState,
 	ahead: number,
 	now: number,
 ): number {
-	if (nextTryAt === undefined) return 0
-	return Math.max(0, nextTryAt + ahead * BACKOFF_PROBE_MS - now)
+	if (nextProbeAt === undefined) return 0
+	return Math.max(0, nextProbeAt + ahead * BACKOFF_PROBE_MS - now)
 }
 
 function limitDelayMs(
@@ -99,6 +99,6 @@
 	now: number,
 ): number {
 	if (!limit) return 0
-	const { gapMs } = permitScheduleFor(limit.perSecond, ALONE)
+	const { gapMs } = permitScheduleFor(limit.perSecond, SINGLE_SENDER)
 	return Math.max(0, limit.pool.nextAt + ahead * gapMs - now)
 }
--- a/packages/core/src/core/tokenBucket.ts
+++ b/packages/core/src/core/tokenBucket.ts
@@ -8,12 +8,12 @@
 export interface TokenBucket {
 	level: number
 	/** When it was last refilled, ms. */
-	filledAt: number
+	refilledAt: number
 }
 
 /** Creates a full bucket; `rate` is in tokens per second. */
 export function createTokenBucket(rate: number, now: number): TokenBucket {
-	return { level: capacityOf(rate), filledAt: now }
+	return { level: capacityOf(rate), refilledAt: now }
 }
 
 /** Refills the bucket up to `now`; returns the time until `amount` may be taken, ms. */
@@ -24,9 +24,9 @@
 	now: number,
 ): number {
 	const capacity = capacityOf(rate)
-	const gained = ((now - bucket.filledAt) / MS) * rate
+	const gained = ((now - bucket.refilledAt) / MS) * rate
 	bucket.level = Math.min(capacity, bucket.level + gained)
-	bucket.filledAt = now
+	bucket.refilledAt = now
 	// An amount larger than the capacity may be taken when the bucket is full.
 	const needed = Math.min(amount, capacity)
 	if (bucket.level >= needed) return 0
--- a/packages/core/src/types/admission.ts
+++ b/packages/core/src/types/admission.ts
@@ -16,8 +16,8 @@
 	/** Retention time of the key, from its creation, ms. */
 	readonly windowMs: number
 	/**
-	 * Since when this agent has been the key's home (the agent that its rendezvous hash
-	 * selects) by its configuration, Unix ms; `undefined` if another agent is.
+	 * Since when its configuration has made this agent the key home (the agent selected by
+	 * rendezvous hashing), Unix ms; `undefined` if another agent is.
 	 */
 	readonly homeSinceWall: number | undefined
 	/**
--- a/packages/core/src/types/gossip.ts
+++ b/packages/core/src/types/gossip.ts
@@ -14,7 +14,7 @@
 	/** When it times out, ms. */
 	readonly until: number
 	/** Number of earlier fetches of the same value. */
-	readonly tries: number
+	readonly retries: number
 }
 
 /** State of one topic at a node. */
--- a/packages/core/test/models/lifecycleModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -71,8 +71,8 @@
 ): LifecycleModelEvent[] {
 	const { used } = state
 	const events: LifecycleModelEvent[] = []
-	for (const [entry, asked] of state.asked.entries()) {
-		if (!asked) {
+	for (const [entry, isRequested] of state.requested.entries()) {
+		if (!isRequested) {
 			events.push({ do: 'ask', entry })
 			break
 		}
@@ -85,7 +85,7 @@
 	}
 	for (const message of state.messages) {
 		events.push({ do: 'deliver', message, again: false })
-		if (used.doubles < bounds.doubles)
+		if (used.duplicates < bounds.duplicates)
 			events.push({ do: 'deliver', message, again: true })
 	}
 	for (const [run, row] of state.agent.attempts)
@@ -106,12 +106,12 @@
 	const { state } = draft
 	switch (event.do) {
 		case 'ask':
-			state.asked[event.entry] = true
+			state.requested[event.entry] = true
 			sendOffer(draft, event.entry)
 			break
 		case 'deliver': {
 			const at = state.messages.indexOf(event.message)
-			if (event.again) state.used.doubles++
+			if (event.again) state.used.duplicates++
 			else state.messages.splice(at, 1)
 			deliver(draft, JSON.parse(event.message))
 			break
@@ -322,19 +322,19 @@
 	chunk = '',
 ): void {
 	const { state, mutant } = draft
-	const fate = state.lifecycles[entry]!
-	const wasSettled = fate.state.at === 'settled'
-	const effects = stepLifecycle(fate, event, true)
+	const lifecycle = state.lifecycles[entry]!
+	const wasSettled = lifecycle.state.at === 'settled'
+	const effects = stepLifecycle(lifecycle, event, true)
 	for (const effect of effects) {
 		if (wasSettled && effect.do !== 'drop')
 			draft.state = { ...draft.state, fault: 'effect after settling' }
 		applyEntryEffect(draft, entry, effect, chunk)
 	}
-	const { state: after } = fate
+	const { state: after } = lifecycle
 	const isUnknown =
 		after.at === 'settled' && after.outcome.outcome === 'unknown'
-	if (mutant === 'retryUnknown' && isUnknown && fate.attempt < 2) {
-		fate.state = { at: 'routing' }
+	if (mutant === 'retryUnknown' && isUnknown && lifecycle.attempt < 2) {
+		lifecycle.state = { at: 'routing' }
 		sendOffer(draft, entry)
 	}
 }
@@ -346,8 +346,8 @@
 	chunk: string,
 ): void {
 	const { state } = draft
-	const fate = state.lifecycles[entry]!
-	const name = { reqId: `r${entry}`, attempt: fate.attempt }
+	const lifecycle = state.lifecycles[entry]!
+	const name = { reqId: `r${entry}`, attempt: lifecycle.attempt }
 	const incarnation = state.knownIncarnation[entry]!
 	switch (effect.do) {
 		case 'route':
@@ -363,7 +363,7 @@
 			break
 		case 'forward':
 			state.forwarded[entry]!.push(chunk)
-			fate.answerStarted = true
+			lifecycle.answerStarted = true
 			break
 		case 'cancel':
 		case 'drop':
--- a/packages/core/test/models/lifecycleModelState.ts
+++ b/packages/core/test/models/lifecycleModelState.ts
@@ -25,7 +25,7 @@
 	readonly restarts: number
 	readonly pauses: number
 	readonly losses: number
-	readonly doubles: number
+	readonly duplicates: number
 	readonly leaves: number
 	readonly silences: number
 }
@@ -75,7 +75,7 @@
 /** A state of the model. */
 export interface LifecycleModelState {
 	readonly lifecycles: RequestLifecycle[]
-	readonly asked: boolean[]
+	readonly requested: boolean[]
 	/** The agent's incarnation as known to each entry. */
 	readonly knownIncarnation: number[]
 	readonly agent: AdmissionState
@@ -89,7 +89,7 @@
 	/** Chunks forwarded to each caller. */
 	readonly forwarded: string[][]
 	readonly used: Record<
-		'restarts' | 'pauses' | 'losses' | 'doubles' | 'leaves' | 'silences',
+		'restarts' | 'pauses' | 'losses' | 'duplicates' | 'leaves' | 'silences',
 		number
 	>
 	readonly fault: string | null
@@ -134,7 +134,7 @@
 		lifecycles: each(() =>
 			createLifecycle(bounds.repeatable, !bounds.freshKey),
 		),
-		asked: each(() => false),
+		requested: each(() => false),
 		knownIncarnation: each(() => 0),
 		agent,
 		incarnation: 0,
@@ -147,7 +147,7 @@
 			restarts: 0,
 			pauses: 0,
 			losses: 0,
-			doubles: 0,
+			duplicates: 0,
 			leaves: 0,
 			silences: 0,
 		},
@@ -161,9 +161,9 @@
 	bounds: LifecycleBounds,
 ): string | undefined {
 	if (!bounds.repeatable && state.runs.length > 1) return 'ran twice'
-	for (const [entry, fate] of state.lifecycles.entries()) {
-		if (fate.state.at !== 'settled') continue
-		const { outcome } = fate.state
+	for (const [entry, lifecycle] of state.lifecycles.entries()) {
+		if (lifecycle.state.at !== 'settled') continue
+		const { outcome } = lifecycle.state
 		const hasRun = state.runs.some(run => run.startsWith(`r${entry}/`))
 		if (outcome.outcome === 'notRun' && hasRun) return 'reported notRun but ran'
 		const isComplete = state.forwarded[entry]!.length === CHUNKS
--- a/packages/core/test/requestLifecycle.test.ts
+++ b/packages/core/test/requestLifecycle.test.ts
@@ -18,7 +18,7 @@
 	restarts: 0,
 	pauses: 0,
 	losses: 0,
-	doubles: 0,
+	duplicates: 0,
 	leaves: 0,
 	silences: 0,
 }
@@ -31,7 +31,7 @@
 	},
 	{
 		name: 'a booking, a lost link, a duplicate message',
-		bounds: { ...NO_FAILURES, losses: 1, doubles: 1 },
+		bounds: { ...NO_FAILURES, losses: 1, duplicates: 1 },
 	},
 	{
 		name: "a booking with the entry's key, a pause, a leave, a time-out",
@@ -59,7 +59,7 @@
 			freshKey: true,
 			pauses: 1,
 			silences: 1,
-			doubles: 1,
+			duplicates: 1,
 		},
 	},
 	{
@@ -125,7 +125,7 @@
 		restarts: 3,
 		pauses: 3,
 		losses: 6,
-		doubles: 6,
+		duplicates: 6,
 		leaves: 1,
 		silences: 4,
 	})
