--- a/packages/core/test/entryShare.test.ts
+++ b/packages/core/test/entryShare.test.ts
@@ -12,7 +12,7 @@
 const LIMIT = 432
 const STREAM_MS = 1_400
 /** Interval at which entries report to each other, ms; that of 36 links. */
-const REPORT_MS = 216
+const REPORT_INTERVAL_MS = 216
 const HORIZON_MS = 432
 const STEP_MS = 2
 const DURATION_MS = 14_000
@@ -55,8 +55,8 @@
 			const completed = runningBefore - ends[entry]!.length
 			ended[entry]! += completed - ended[entry]! * (STEP_MS / 1_000)
 			// Each entry reports at its own offset.
-			const offset = Math.floor((entry / entries) * REPORT_MS)
-			if ((now - offset) % REPORT_MS < STEP_MS)
+			const offset = Math.floor((entry / entries) * REPORT_INTERVAL_MS)
+			if ((now - offset) % REPORT_INTERVAL_MS < STEP_MS)
 				reported[entry] = ends[entry]!.length
 			const rate = load(entry, now)
 			arriving[entry]! += (rate - arriving[entry]!) * (STEP_MS / 1_000)
--- a/packages/core/test/models/storeRollback.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -1,7 +1,7 @@
 /**
  * Model of entries that follow a published server list while its store is rolled back to
- * older copies, in virtual time: writes, lost answers, partitions, restarts, and gossip
- * between entries.
+ * older copies, in virtual time: writes, lost answers, partitions, restarts, and server
+ * updates exchanged between entries.
  */
 
 import type {
@@ -31,16 +31,16 @@
 
 const STEP_MS = 50
 /** Mean interval between calls of an entry to the store, ms. */
-const CALL_MS = 250
-/** Interval of the gossip between entries, ms. */
-const GOSSIP_MS = 500
+const CALL_INTERVAL_MS = 250
+/** Interval at which entries send each other updates, ms. */
+const UPDATE_INTERVAL_MS = 500
 /** Removals seen after a rollback stay pending for this long, ms. */
 const PENDING_MS = 1_900
 /** Engines rewrite their records within this time after a rollback, ms. */
 const REWRITE_MS = 1_800
 /** The record of a crashed engine expires after this time, ms. */
 const EXPIRY_MS = 3_600
-/** Maximum number of departed incarnations in a gossip message, the latest ones. */
+/** Maximum number of departed incarnations per message, the latest ones. */
 const MAX_DEPARTED_SENT = 512
 /** Time without failures at the end, for the entries to converge, ms. */
 const SETTLE_MS = 12_000
@@ -106,7 +106,7 @@
 	/** Start of the current period in contact with the store, ms. */
 	inContactSince: number
 	callAt: number
-	gossipAt: number
+	updateAt: number
 }
 
 interface Net {
@@ -159,7 +159,7 @@
 		partitionedUntil: 0,
 		inContactSince: now,
 		callAt: now,
-		gossipAt: now,
+		updateAt: now,
 	}
 }
 
@@ -264,16 +264,16 @@
 	if (isPartitioned || now < store.downUntil) entry.inContactSince = now
 	if (isPartitioned) return
 	if (now >= entry.callAt) {
-		entry.callAt = now + CALL_MS * (0.5 + net.random())
+		entry.callAt = now + CALL_INTERVAL_MS * (0.5 + net.random())
 		const isLost = net.random() < net.scenario.lost
 		if (now >= store.downUntil && !isLost) callStore(net, entry)
 		else if (isLost) entry.inContactSince = now
 	}
-	if (now < entry.gossipAt) return
-	entry.gossipAt = now + GOSSIP_MS
+	if (now < entry.updateAt) return
+	entry.updateAt = now + UPDATE_INTERVAL_MS
 	for (const other of net.entries)
 		if (other !== entry && now >= other.partitionedUntil)
-			sendGossip(net, entry, other)
+			sendUpdates(net, entry, other)
 }
 
 function callStore(net: Net, entry: Entry): void {
@@ -356,7 +356,7 @@
 }
 
 /** Sends another entry the records it lacks, and the departed incarnations. */
-function sendGossip({ now }: Net, from: Entry, to: Entry): void {
+function sendUpdates({ now }: Net, from: Entry, to: Entry): void {
 	const after = to.list.revision
 	const newer = [...from.list.records.values()].filter(record =>
 		isLater(record.revision, after),
