--- a/packages/core/src/core/startLimits.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -6,7 +6,7 @@
 
 import type { AdmissionState, StartLimit } from '../internal.ts'
 import {
-	BACKOFF_PROBE_MS,
+	BACKOFF_PROBE_INTERVAL_MS,
 	createPermitPool,
 	grantPermits,
 	MAX_BACKOFF_MS,
@@ -55,7 +55,7 @@
 	const { limit, nextProbeAt } = state
 	if (nextProbeAt !== undefined && now < nextProbeAt) return false
 	if (limit && !acquirePermit(limit, now)) return false
-	if (nextProbeAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_MS
+	if (nextProbeAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_INTERVAL_MS
 	return true
 }
 
@@ -90,7 +90,7 @@
 	now: number,
 ): number {
 	if (nextProbeAt === undefined) return 0
-	return Math.max(0, nextProbeAt + ahead * BACKOFF_PROBE_MS - now)
+	return Math.max(0, nextProbeAt + ahead * BACKOFF_PROBE_INTERVAL_MS - now)
 }
 
 function limitDelayMs(
