--- a/packages/core/src/core/blockage.ts
+++ b/packages/core/src/core/blockage.ts
@@ -1,45 +1,46 @@
 /**
- * Spells in which a service or a group takes no requests: how long this one has
- * lasted, how long they usually do, and so how long it is likely to go on.
+ * Tracks blockages, periods in which a service or group accepts no requests, and estimates
+ * the remaining duration of the current one from the typical duration.
  */
 
-/** Spells of one service or group. */
+/** Blockages of one service or group. */
 export interface BlockageTracker {
-	/** When the present one began, ms; undefined while there is none. */
+	/** Start of the current blockage, ms; undefined while there is none. */
 	since: number | undefined
-	/** Smoothed length, ms. */
+	/** Smoothed duration of past blockages, ms. */
 	typicalMs: number
 }
 
-/** Weight of a new spell in the usual length. */
-const SPELL_WEIGHT = 0.4
+/** Weight of the latest blockage in the smoothed duration. */
+const SMOOTHING_FACTOR = 0.4
 
-/** Makes a record that knows of no spell; `usualMs` is what is assumed first. */
-export function createBlockageTracker(usualMs: number): BlockageTracker {
-	return { since: undefined, typicalMs: usualMs }
+/** Creates a tracker without blockages; `typicalMs` is the initial typical duration, ms. */
+export function createBlockageTracker(typicalMs: number): BlockageTracker {
+	return { since: undefined, typicalMs }
 }
 
-/** Notes that nothing is taken, if that is new. */
-export function markBlocked(spell: BlockageTracker, now: number): void {
-	spell.since ??= now
+/** Marks the start of a blockage, unless one is already in progress. */
+export function markBlocked(tracker: BlockageTracker, now: number): void {
+	tracker.since ??= now
 }
 
-/** Notes that requests are taken again, if they were not. */
-export function markUnblocked(spell: BlockageTracker, now: number): void {
-	if (spell.since === undefined) return
-	spell.typicalMs += SPELL_WEIGHT * (now - spell.since - spell.typicalMs)
-	spell.since = undefined
+/** Marks the end of the current blockage, if any. */
+export function markUnblocked(tracker: BlockageTracker, now: number): void {
+	if (tracker.since === undefined) return
+	tracker.typicalMs +=
+		SMOOTHING_FACTOR * (now - tracker.since - tracker.typicalMs)
+	tracker.since = undefined
 }
 
 /**
- * How long the present spell is expected to go on, ms; 0 while there is none. One
- * that is longer than usual is expected to go on for half of its time.
+ * Estimates the remaining duration of the current blockage, ms; 0 while there is none.
+ * A blockage is expected to last at least half as long again as it has lasted so far.
  */
 export function estimateBlockageMs(
-	{ since, typicalMs: usualMs }: BlockageTracker,
+	{ since, typicalMs }: BlockageTracker,
 	now: number,
 ): number {
 	if (since === undefined) return 0
 	const elapsedMs = now - since
-	return Math.max(usualMs - elapsedMs, elapsedMs / 2)
+	return Math.max(typicalMs - elapsedMs, elapsedMs / 2)
 }
--- a/packages/core/src/core/gossip.ts
+++ b/packages/core/src/core/gossip.ts
@@ -1,10 +1,10 @@
 /**
- * How published values reach every process: a few readers of the platform in
- * each region, notices along a graph of bounded degree, fetches of short
- * patches from whoever gave notice, and a slow exchange with random members
- * that repairs whatever was lost. The highest revision wins, never backwards.
+ * Gossip of published values to all processes. A few readers in each region watch the
+ * platform. A new revision is announced by notices along a graph of bounded degree, and
+ * fetched as patches from the sender of a notice. Slow anti-entropy with random members
+ * repairs losses. The highest revision wins; a node never goes back to a lower one.
  *
- * Pure: events in, effects out; the daemons carry the effects.
+ * Pure functions: events in, effects out; the daemons carry out the effects.
  */
 
 import type {
@@ -29,14 +29,17 @@
 	TOPICS,
 } from '../internal.ts'
 
-/** Time between exchanges with a random member, ms. */
+/** Mean interval of the anti-entropy with random members, ms. */
 export const ANTI_ENTROPY_MS = 10_000
-/** Time between a standby's looks at the readers, ms. */
+/** Mean interval of a standby's checks of the readers, ms. */
 export const READER_CHECK_MS = 1_500
-/** So is one whose watch, which waits 30 s, has not been answered, ms. */
+/**
+ * A reader without an answer from the platform for this long is not in contact, ms.
+ * A watch waits for up to 30 s.
+ */
 export const CONTACT_TIMEOUT_MS = 40_000
 
-/** Makes a node that knows nothing yet. */
+/** Creates a node without values and members. */
 export function createGossipNode(
 	self: string,
 	region: string,
@@ -64,7 +67,7 @@
 	}
 }
 
-/** The platform answered, with a value or without news. */
+/** Applies an answer of the platform; `published` is undefined if nothing is newer. */
 export function applyPublished(
 	node: GossipNode,
 	topic: Topic,
@@ -76,7 +79,7 @@
 	return storeValue(node, topic, published.revision, published.text, '')
 }
 
-/** Takes a message from another process. */
+/** Handles a message from another process. */
 export function handleGossipMessage(
 	node: GossipNode,
 	from: string,
@@ -99,7 +102,7 @@
 		case 'value':
 			return applyFullValue(node, from, message)
 		case 'compare':
-			return compare(node, from, message, now)
+			return handleCompare(node, from, message, now)
 		case 'look':
 			return [sendTo(from, { type: 'contact', ageMs: now - node.contactAt })]
 		case 'contact':
@@ -111,30 +114,31 @@
 	}
 }
 
-/** Runs the periodic parts. */
+/** Runs the periodic tasks: retries of fetches, anti-entropy and reader checks. */
 export function tickGossip(
 	node: GossipNode,
 	now: number,
 	random: Random,
 ): GossipEffect[] {
 	const effects = TOPICS.flatMap(topic => retryFetch(node, topic, now, random))
-	const others = node.members.length
-	if (now >= node.nextAntiEntropy && others > 0) {
-		// Jitter keeps a healed fleet from speaking all at once.
+	const memberCount = node.members.length
+	if (now >= node.nextAntiEntropy && memberCount > 0) {
+		// Jitter keeps the fleet from synchronising after a partition has healed.
 		node.nextAntiEntropy = now + ANTI_ENTROPY_MS * (0.5 + random())
-		const { name } = node.members[randomIndex(random, others)]!
-		if (name !== node.self) effects.push(sendTo(name, compareOf(node, true)))
+		const { name } = node.members[randomIndex(random, memberCount)]!
+		if (name !== node.self)
+			effects.push(sendTo(name, compareMessage(node, true)))
 	}
-	const place = node.readers.indexOf(node.self)
-	if (place >= READERS && now >= node.nextReaderCheck) {
+	const rank = node.readers.indexOf(node.self)
+	if (rank >= READERS && now >= node.nextReaderCheck) {
 		node.nextReaderCheck = now + READER_CHECK_MS * (0.75 + random() / 2)
-		for (const reader of node.readers.slice(0, place))
+		for (const reader of node.readers.slice(0, rank))
 			effects.push(sendTo(reader, { type: 'look' }))
 	}
 	return effects
 }
 
-/** The first questions of a process that has just started. */
+/** Compares revisions with `count` random members, after a start. */
 export function compareWithRandomMembers(
 	node: GossipNode,
 	count: number,
@@ -142,25 +146,25 @@
 ): GossipEffect[] {
 	const names = new Set<string>()
 	const others = node.members.filter(member => member.name !== node.self)
-	const most = Math.min(count, others.length)
-	while (names.size < most)
+	const target = Math.min(count, others.length)
+	while (names.size < target)
 		names.add(others[randomIndex(random, others.length)]!.name)
-	return [...names].map(name => sendTo(name, compareOf(node, true)))
+	return [...names].map(name => sendTo(name, compareMessage(node, true)))
 }
 
 /**
- * Notes that the value held was judged invalid and `good` stays in force, so
- * that a process that starts now can be given it.
+ * Records the last valid value while the latest one is invalid, so that it can be sent
+ * to processes that start in the meantime; `undefined` once the latest is valid.
  */
 export function setLastValid(
 	node: GossipNode,
 	topic: Topic,
-	good: ValidValue | undefined,
+	value: ValidValue | undefined,
 ): void {
-	node.topics[topic].lastValid = good
+	node.topics[topic].lastValid = value
 }
 
-/** Asks a random member for all it holds, also for what is in force there. */
+/** Fetches the full value from a random member, with its last valid one. */
 export function requestFullValue(
 	node: GossipNode,
 	topic: Topic,
@@ -172,15 +176,15 @@
 	return [sendTo(member.name, { type: 'fetch', topic, have: -1 })]
 }
 
-/** Compares with one member what both hold. */
+/** Compares revisions with one member. */
 export function compareWithMember(
 	node: GossipNode,
 	name: string,
 ): GossipEffect[] {
-	return [sendTo(name, compareOf(node, true))]
+	return [sendTo(name, compareMessage(node, true))]
 }
 
-function compare(
+function handleCompare(
 	node: GossipNode,
 	from: string,
 	message: Extract<GossipMessage, { type: 'compare' }>,
@@ -189,11 +193,11 @@
 	const effects = TOPICS.flatMap((topic, at) =>
 		handleRevisionNotice(node, topic, message.revisions[at] ?? 0, from, now),
 	)
-	if (message.answer) effects.push(sendTo(from, compareOf(node, false)))
+	if (message.answer) effects.push(sendTo(from, compareMessage(node, false)))
 	return effects
 }
 
-function compareOf(node: GossipNode, answer: boolean): GossipMessage {
+function compareMessage(node: GossipNode, answer: boolean): GossipMessage {
 	const revisions = TOPICS.map(topic => node.topics[topic].revision)
 	return { type: 'compare', revisions, answer }
 }
--- a/packages/core/src/core/gossipValues.ts
+++ b/packages/core/src/core/gossipValues.ts
@@ -1,6 +1,6 @@
 /**
- * How a process takes published values from others: it hears of a newer revision,
- * fetches what it lacks, as patches where that will do, and gives notice in turn.
+ * Transfer of published values between processes: on a notice of a newer revision, a
+ * node fetches it, as patches where possible, and notifies its neighbours in turn.
  */
 
 import type {
@@ -11,23 +11,23 @@
 } from '../internal.ts'
 import { applyPatch, makePatch, randomIndex } from '../internal.ts'
 
-/** Values that the platform publishes. */
+/** Topics of the values that the platform publishes. */
 export const TOPICS = ['config', 'vms'] as const
 /** See {@link TOPICS}. */
 export type Topic = (typeof TOPICS)[number]
 
-/** Patches kept to bring others up to date. */
-const KEPT_PATCHES = 32
-/** A fetch without answer is tried elsewhere after this, ms. */
+/** Number of recent patches retained for other nodes. */
+const MAX_PATCHES = 32
+/** Timeout of the first fetch, after which another node is tried, ms. */
 export const FETCH_TIMEOUT_MS = 1_000
 /**
- * Each further try waits twice as long, up to 2 to the power of this: the answer
- * may be a whole document on its way over a slow link, and each try sends it
- * once more over the same link.
+ * The timeout doubles with each retry, at most this many times: the answer may be a whole
+ * document in transfer over a slow link, and each retry sends it once more over the same
+ * link.
  */
-const MAX_DOUBLINGS = 4
+const MAX_BACKOFF_EXPONENT = 4
 
-/** Holds a newer value, and gives notice of it to neighbours. */
+/** Stores a newer value and notifies the neighbours. */
 export function storeValue(
 	node: GossipNode,
 	topic: Topic,
@@ -35,25 +35,25 @@
 	text: string,
 	from: string,
 ): GossipEffect[] {
-	const held = node.topics[topic]
-	// Never backwards, whoever says so.
-	if (revision <= held.revision) return []
-	if (held.revision > 0) {
-		const patch = makePatch(held.text, text)
-		held.patches.push({ from: held.revision, to: revision, patch })
-		if (held.patches.length > KEPT_PATCHES) held.patches.shift()
+	const state = node.topics[topic]
+	// Never go back to a lower revision, whatever its source.
+	if (revision <= state.revision) return []
+	if (state.revision > 0) {
+		const patch = makePatch(state.text, text)
+		state.patches.push({ from: state.revision, to: revision, patch })
+		if (state.patches.length > MAX_PATCHES) state.patches.shift()
 	}
-	held.revision = revision
-	held.text = text
-	held.highestSeen = Math.max(held.highestSeen, revision)
-	held.fetching = undefined
+	state.revision = revision
+	state.text = text
+	state.highestSeen = Math.max(state.highestSeen, revision)
+	state.fetching = undefined
 	const notices = node.neighbours
 		.filter(name => name !== from)
 		.map(name => sendTo(name, { type: 'notice', topic, revision }))
 	return [{ do: 'adopt', topic, revision, text }, ...notices]
 }
 
-/** Hears that somebody has a revision, and fetches it if it is news. */
+/** Handles the announcement of a revision by `from`; fetches it if it is newer. */
 export function handleRevisionNotice(
 	node: GossipNode,
 	topic: Topic,
@@ -61,10 +61,10 @@
 	from: string,
 	now: number,
 ): GossipEffect[] {
-	const held = node.topics[topic]
-	if (revision <= held.revision) return []
-	held.highestSeen = Math.max(held.highestSeen, revision)
-	if (held.fetching && now < held.fetching.until) return []
+	const state = node.topics[topic]
+	if (revision <= state.revision) return []
+	state.highestSeen = Math.max(state.highestSeen, revision)
+	if (state.fetching && now < state.fetching.until) return []
 	return startFetch(node, topic, from, now)
 }
 
@@ -74,23 +74,23 @@
 	from: string,
 	now: number,
 ): GossipEffect[] {
-	const held = node.topics[topic]
-	const tries = held.fetching ? held.fetching.retries + 1 : 0
-	const waitMs = FETCH_TIMEOUT_MS * 2 ** Math.min(tries, MAX_DOUBLINGS)
-	held.fetching = { from, until: now + waitMs, retries: tries }
-	return [sendTo(from, { type: 'fetch', topic, have: held.revision })]
+	const state = node.topics[topic]
+	const retries = state.fetching ? state.fetching.retries + 1 : 0
+	const waitMs = FETCH_TIMEOUT_MS * 2 ** Math.min(retries, MAX_BACKOFF_EXPONENT)
+	state.fetching = { from, until: now + waitMs, retries }
+	return [sendTo(from, { type: 'fetch', topic, have: state.revision })]
 }
 
-/** A fetch that was not answered goes to a neighbour or a random member. */
+/** Retries a fetch that has timed out, at a neighbour or a random member. */
 export function retryFetch(
 	node: GossipNode,
 	topic: Topic,
 	now: number,
 	random: Random,
 ): GossipEffect[] {
-	const held = node.topics[topic]
-	if (held.highestSeen <= held.revision) return []
-	if (!held.fetching || now < held.fetching.until) return []
+	const state = node.topics[topic]
+	if (state.highestSeen <= state.revision) return []
+	if (!state.fetching || now < state.fetching.until) return []
 	const names =
 		random() < 0.5 ? node.neighbours : node.members.map(member => member.name)
 	const name = names[randomIndex(random, names.length)]
@@ -98,7 +98,7 @@
 	return startFetch(node, topic, name, now)
 }
 
-/** What a process that has revision `have` is sent. */
+/** Returns the message that updates a process from revision `have`. */
 export function answerFetch(
 	node: GossipNode,
 	topic: Topic,
@@ -107,33 +107,39 @@
 	const { revision, text, patches } = node.topics[topic]
 	const start = patches.findIndex(step => step.from === have)
 	if (start < 0) {
-		const { lastValid: good } = node.topics[topic]
-		return { type: 'value', topic, revision, text, ...(good && { good }) }
+		const { lastValid } = node.topics[topic]
+		return {
+			type: 'value',
+			topic,
+			revision,
+			text,
+			...(lastValid && { good: lastValid }),
+		}
 	}
 	const steps = patches.slice(start).map(step => step.patch)
 	return { type: 'patches', topic, revision, base: have, patches: steps }
 }
 
-/** Takes patches; asks for the whole where they do not fit. */
+/** Applies patches; fetches the full value if their base does not match. */
 export function applyPatches(
 	node: GossipNode,
 	from: string,
 	message: Extract<GossipMessage, { type: 'patches' }>,
 ): GossipEffect[] {
 	const { topic, revision, base, patches } = message
-	const held = node.topics[topic]
-	if (revision <= held.revision) return []
-	const whole: GossipMessage = { type: 'fetch', topic, have: -1 }
-	if (held.revision !== base) return [sendTo(from, whole)]
-	let text: string | undefined = held.text
+	const state = node.topics[topic]
+	if (revision <= state.revision) return []
+	const fetchFull: GossipMessage = { type: 'fetch', topic, have: -1 }
+	if (state.revision !== base) return [sendTo(from, fetchFull)]
+	let text: string | undefined = state.text
 	for (const patch of patches)
 		text = text === undefined ? undefined : applyPatch(text, patch)
-	// A base that does not fit: ask for the whole.
-	if (text === undefined) return [sendTo(from, whole)]
+	// The revision matches but the text does not.
+	if (text === undefined) return [sendTo(from, fetchFull)]
 	return storeValue(node, topic, revision, text, from)
 }
 
-/** Takes a whole value. */
+/** Applies a full value. */
 export function applyFullValue(
 	node: GossipNode,
 	from: string,
@@ -144,7 +150,7 @@
 	return [...effects, ...storeValue(node, topic, revision, text, from)]
 }
 
-/** A message to another process, as an effect. */
+/** Returns the effect that sends a message to another process. */
 export function sendTo(to: string, message: GossipMessage): GossipEffect {
 	return { do: 'send', to, message }
 }
--- a/packages/core/test/models/lifecycleModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -1,7 +1,7 @@
 /**
- * One booking, asked for at two entries by one key, at one home agent that may
- * pause, restart or be told to leave, over links that lose, double and delay.
- * The functions explored are those of the daemons.
+ * Model of one booking, requested at up to two entries with the same key. Its home agent
+ * may pause, restart or leave; links may lose, duplicate and delay messages. The model
+ * explores the same functions that the daemons run.
  */
 
 import type {
@@ -23,12 +23,12 @@
 } from '../../src/index.ts'
 import type { Model } from './explore.ts'
 import {
-	answerOne,
-	answerReaders,
+	answerAll,
 	dropFrames,
 	nameOf,
 	send,
 	sendAnswer,
+	sendFrame,
 } from './lifecycleModelLinks.ts'
 import type {
 	Draft,
@@ -40,15 +40,15 @@
 	Message,
 } from './lifecycleModelState.ts'
 import {
+	AMPLE_MS,
 	BORN_WALL,
 	createInitial,
-	findBrokenPromise,
+	findViolation,
 	KEY,
 	KEY_WALL,
-	ROOMY_MS,
 } from './lifecycleModelState.ts'
 
-/** The model for given bounds. */
+/** Creates the model with the given bounds. */
 export function createLifecycleModel(
 	bounds: LifecycleBounds,
 	mutant: LifecycleMutant = 'none',
@@ -57,7 +57,7 @@
 		initial: createInitial(bounds),
 		list: state => listEvents(state, bounds),
 		apply: (state, event) => apply(state, event, bounds, mutant),
-		findFault: state => state.fault ?? findBrokenPromise(state, bounds),
+		findFault: state => state.fault ?? findViolation(state, bounds),
 		keyOf: state =>
 			JSON.stringify(state, (_, value) =>
 				value instanceof Map ? [...value] : value,
@@ -71,8 +71,8 @@
 ): LifecycleModelEvent[] {
 	const { used } = state
 	const events: LifecycleModelEvent[] = []
-	for (const [entry, asked] of state.requested.entries()) {
-		if (!asked) {
+	for (const [entry, isRequested] of state.requested.entries()) {
+		if (!isRequested) {
 			events.push({ do: 'ask', entry })
 			break
 		}
@@ -85,7 +85,7 @@
 	}
 	for (const message of state.messages) {
 		events.push({ do: 'deliver', message, again: false })
-		if (used.doubles < bounds.duplicates)
+		if (used.duplicates < bounds.duplicates)
 			events.push({ do: 'deliver', message, again: true })
 	}
 	for (const [run, row] of state.agent.attempts)
@@ -107,11 +107,11 @@
 	switch (event.do) {
 		case 'ask':
 			state.requested[event.entry] = true
-			offer(draft, event.entry)
+			sendOffer(draft, event.entry)
 			break
 		case 'deliver': {
 			const at = state.messages.indexOf(event.message)
-			if (event.again) state.used.doubles++
+			if (event.again) state.used.duplicates++
 			else state.messages.splice(at, 1)
 			deliver(draft, JSON.parse(event.message))
 			break
@@ -120,20 +120,20 @@
 			state.used.losses++
 			const { attempt } = state.lifecycles[event.entry]!
 			dropFrames(state, event.entry)
-			tell(draft, event.entry, { type: 'linkLost', attempt })
+			stepEntry(draft, event.entry, { type: 'linkLost', attempt })
 			break
 		}
 		case 'silent': {
 			state.used.silences++
 			const { attempt } = state.lifecycles[event.entry]!
 			dropFrames(state, event.entry)
-			tell(draft, event.entry, { type: 'silent', attempt })
+			stepEntry(draft, event.entry, { type: 'silent', attempt })
 			break
 		}
 		case 'finish': {
 			const name = nameOf(event.run)
 			stepAgent(draft, { type: 'finish', name, how: 'whole' })
-			answerReaders(draft, event.run)
+			answerAll(draft, event.run)
 			break
 		}
 		case 'restart':
@@ -165,23 +165,23 @@
 	const { state } = draft
 	state.used.restarts++
 	const agent = createAdmission(state.at, 1)
-	if (draft.mutant === 'forgetAge')
+	if (draft.mutant === 'ignoreKeyAge')
 		Object.assign(agent, { bornWall: BORN_WALL })
 	draft.state = {
 		...state,
 		agent,
 		incarnation: state.incarnation + 1,
 		attached: {},
-		// Its connections died with it; only entries' tries in flight notice.
+		// Its connections are closed; only entries with an attempt in flight notice.
 		messages: state.messages.filter(text => !text.includes('"kind":"offer"')),
 	}
 }
 
-function offer(draft: Draft, entry: number): void {
+function sendOffer(draft: Draft, entry: number): void {
 	const { state } = draft
 	const { incarnation } = state
-	state.believes[entry] = incarnation
-	tell(draft, entry, { type: 'routed' })
+	state.knownIncarnation[entry] = incarnation
+	stepEntry(draft, entry, { type: 'routed' })
 	const { attempt } = state.lifecycles[entry]!
 	const name = { reqId: `r${entry}`, attempt }
 	send(state, { kind: 'offer', entry, name, incarnation })
@@ -191,28 +191,28 @@
 	const { state } = draft
 	switch (message.kind) {
 		case 'offer':
-			takeOffer(draft, message)
+			handleOffer(draft, message)
 			break
 		case 'void': {
 			const { entry, name } = message
 			const { attempt } = name
-			const known = message.incarnation === state.incarnation
-			if (known) stepAgent(draft, { type: 'void', name })
-			const answer = known ? answerVoid(draft.state.agent, name) : 'unknown'
+			const isCurrent = message.incarnation === state.incarnation
+			if (isCurrent) stepAgent(draft, { type: 'void', name })
+			const answer = isCurrent ? answerVoid(draft.state.agent, name) : 'unknown'
 			if (draft.mutant === 'noTombstone') draft.state.agent.voided.clear()
 			const frame = { t: 'voidAnswer', answer } as const
 			send(draft.state, { kind: 'frame', entry, attempt, frame })
 			break
 		}
 		case 'frame':
-			takeFrame(draft, message.entry, message.attempt, message.frame)
+			handleFrame(draft, message.entry, message.attempt, message.frame)
 			break
 		default:
 			message satisfies never
 	}
 }
 
-function takeOffer(
+function handleOffer(
 	draft: Draft,
 	message: Extract<Message, { kind: 'offer' }>,
 ): void {
@@ -221,7 +221,7 @@
 	const claim = {
 		key: KEY,
 		wallTime: KEY_WALL,
-		windowMs: ROOMY_MS,
+		windowMs: AMPLE_MS,
 		homeSinceWall: BORN_WALL,
 		fresh: freshKey,
 	}
@@ -238,7 +238,7 @@
 			team: 'team',
 			weight: 1,
 			priority: 0,
-			startBudgetMs: ROOMY_MS,
+			startBudgetMs: AMPLE_MS,
 			mayWait: true,
 			...(keyed && { claim }),
 		},
@@ -248,10 +248,10 @@
 function stepAgent(draft: Draft, event: AdmissionEvent): void {
 	const { agent, at } = draft.state
 	const effects = stepAdmission(agent, event, at)
-	for (const effect of effects) carryOut(draft, effect)
+	for (const effect of effects) applyAgentEffect(draft, effect)
 }
 
-function carryOut(draft: Draft, effect: AdmissionEffect): void {
+function applyAgentEffect(draft: Draft, effect: AdmissionEffect): void {
 	const { state } = draft
 	const id = attemptKey(effect.name)
 	switch (effect.do) {
@@ -260,7 +260,7 @@
 			break
 		case 'refuse':
 			for (const reader of [id, ...(state.attached[id] ?? [])])
-				answerOne(state, reader, { t: 'refused', outcome: effect.outcome })
+				sendFrame(state, reader, { t: 'refused', outcome: effect.outcome })
 			break
 		case 'attach': {
 			const first = attemptKey(effect.first)
@@ -276,7 +276,7 @@
 	}
 }
 
-function takeFrame(
+function handleFrame(
 	draft: Draft,
 	entry: number,
 	attempt: number,
@@ -284,66 +284,75 @@
 ): void {
 	switch (frame.t) {
 		case 'admitted':
-			tell(draft, entry, { type: 'admitted', attempt })
+			stepEntry(draft, entry, { type: 'admitted', attempt })
 			break
 		case 'chunk':
-			tell(draft, entry, { type: 'chunk', attempt, n: frame.n }, frame.of)
+			stepEntry(draft, entry, { type: 'chunk', attempt, n: frame.n }, frame.of)
 			break
 		case 'end': {
 			const { state } = draft.state.lifecycles[entry]!
 			const next = state.at === 'answering' ? state.next : 0
-			const n = draft.mutant === 'noEndMark' ? next : frame.n
-			tell(draft, entry, { type: 'end', attempt, n })
+			const n = draft.mutant === 'noEndMarker' ? next : frame.n
+			stepEntry(draft, entry, { type: 'end', attempt, n })
 			break
 		}
 		case 'refused':
-			tell(draft, entry, { type: 'refused', attempt, outcome: frame.outcome })
+			stepEntry(draft, entry, {
+				type: 'refused',
+				attempt,
+				outcome: frame.outcome,
+			})
 			break
 		case 'voidAnswer':
-			tell(draft, entry, { type: 'voidAnswer', attempt, answer: frame.answer })
+			stepEntry(draft, entry, {
+				type: 'voidAnswer',
+				attempt,
+				answer: frame.answer,
+			})
 			break
 		default:
 			frame satisfies never
 	}
 }
 
-function tell(
+function stepEntry(
 	draft: Draft,
 	entry: number,
 	event: LifecycleEvent,
 	chunk = '',
 ): void {
 	const { state, mutant } = draft
-	const fate = state.lifecycles[entry]!
-	const settled = fate.state.at === 'settled'
-	const effects = stepLifecycle(fate, event, true)
+	const lifecycle = state.lifecycles[entry]!
+	const wasSettled = lifecycle.state.at === 'settled'
+	const effects = stepLifecycle(lifecycle, event, true)
 	for (const effect of effects) {
-		if (settled && effect.do !== 'drop')
-			draft.state = { ...draft.state, fault: 'a settled request went on' }
-		carryOutEntry(draft, entry, effect, chunk)
+		if (wasSettled && effect.do !== 'drop')
+			draft.state = { ...draft.state, fault: 'effect after settling' }
+		applyEntryEffect(draft, entry, effect, chunk)
 	}
-	const { state: now } = fate
-	const gaveUp = now.at === 'settled' && now.outcome.outcome === 'unknown'
-	if (mutant === 'retryUnknown' && gaveUp && fate.attempt < 2) {
-		fate.state = { at: 'routing' }
-		offer(draft, entry)
+	const { state: after } = lifecycle
+	const isUnknown =
+		after.at === 'settled' && after.outcome.outcome === 'unknown'
+	if (mutant === 'retryUnknown' && isUnknown && lifecycle.attempt < 2) {
+		lifecycle.state = { at: 'routing' }
+		sendOffer(draft, entry)
 	}
 }
 
-function carryOutEntry(
+function applyEntryEffect(
 	draft: Draft,
 	entry: number,
 	effect: LifecycleEffect,
 	chunk: string,
 ): void {
 	const { state } = draft
-	const fate = state.lifecycles[entry]!
-	const name = { reqId: `r${entry}`, attempt: fate.attempt }
-	const incarnation = state.believes[entry]!
+	const lifecycle = state.lifecycles[entry]!
+	const name = { reqId: `r${entry}`, attempt: lifecycle.attempt }
+	const incarnation = state.knownIncarnation[entry]!
 	switch (effect.do) {
 		case 'route':
 			dropFrames(state, entry)
-			offer(draft, entry)
+			sendOffer(draft, entry)
 			break
 		case 'sendVoid':
 			send(state, { kind: 'void', entry, name, incarnation })
@@ -353,8 +362,8 @@
 			resume(draft, entry, name, effect.from)
 			break
 		case 'forward':
-			state.told[entry]!.push(chunk)
-			fate.answerStarted = true
+			state.forwarded[entry]!.push(chunk)
+			lifecycle.answerStarted = true
 			break
 		case 'cancel':
 		case 'drop':
@@ -365,7 +374,7 @@
 	}
 }
 
-/** The agent answers a resume at once; a lost answer is a lost link again. */
+/** Resumes an answer. The agent responds at once; losing that is another lost link. */
 function resume(
 	draft: Draft,
 	entry: number,
@@ -374,12 +383,12 @@
 ): void {
 	const { state } = draft
 	const id = attemptKey(name)
-	const known = state.believes[entry] === state.incarnation
+	const isCurrent = state.knownIncarnation[entry] === state.incarnation
 	const first = Object.keys(state.attached).find(other =>
 		state.attached[other]?.includes(id),
 	)
-	const source = first ?? id
-	const phase = known ? state.agent.attempts.get(source)?.phase : undefined
+	const attempt = first ?? id
+	const phase = isCurrent ? state.agent.attempts.get(attempt)?.phase : undefined
 	switch (phase) {
 		case 'whole':
 			sendAnswer(state, id, from)
@@ -391,7 +400,7 @@
 		case 'broken':
 		case undefined: {
 			const outcome = unknown('truncated')
-			answerOne(state, id, { t: 'refused', outcome })
+			sendFrame(state, id, { t: 'refused', outcome })
 			break
 		}
 		default:
