--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt: a server with room, a call to it, and what its head proves. */
+/** One attempt: acquires a server with a free slot and sends the request to it. */
 
 import { readElapsed } from '@juniperhook/runtime'
 import { closedWaitMs, isServiceClosed } from './closedGroups.ts'
@@ -9,17 +9,16 @@
 import type { Grant } from './waiter.ts'
 import { awaitServer } from './waiting.ts'
 
-/** A request that was sent before may wait for this part of its target time. */
-const AGAIN_WAIT_SHARE = 0.2
+/** Minimum wait of a retried request, as a share of the route's target time. */
+const RETRY_WAIT_SHARE = 0.2
 
-/** Makes one attempt. */
 export async function makeAttempt(
 	ctx: GatewayContext,
 	job: Job,
 ): Promise<AttemptResult> {
-	const askedAt = readElapsed()
-	const grant = await askForServer(ctx, job, askedAt)
-	ctx.metrics.waiting.observe((readElapsed() - askedAt) / 1_000)
+	const requestedAt = readElapsed()
+	const grant = await requestServer(ctx, job, requestedAt)
+	ctx.metrics.waiting.observe((readElapsed() - requestedAt) / 1_000)
 	switch (grant.kind) {
 		case 'full':
 			return { kind: 'refused', error: 'overloaded' }
@@ -36,7 +35,7 @@
 	}
 }
 
-function askForServer(
+function requestServer(
 	ctx: GatewayContext,
 	job: Job,
 	now: number,
@@ -45,13 +44,13 @@
 	const isClosed = isServiceClosed(ctx, service)
 	const waitMs = isClosed
 		? closedWaitMs(ctx, service, request)
-		: waitFor(ctx, job, now)
+		: maxWaitMs(ctx, job, now)
 	return awaitServer(ctx, {
 		service,
 		team: request.team?.name ?? '',
 		priority: request.priority,
 		tried: job.tried,
-		// What was begun goes before what was not.
+		// A retried request is admitted before requests that were never sent.
 		luck: job.sends > 0 ? 0 : job.luck,
 		waitMs: Math.min(waitMs, request.givenUpAt - now),
 		inTurn: !isClosed,
@@ -59,15 +58,15 @@
 	})
 }
 
-/** How long a request may wait for a server with room, ms. */
-function waitFor(ctx: GatewayContext, job: Job, now: number): number {
+/** Returns how long a request may wait for a server with a free slot, ms. */
+function maxWaitMs(ctx: GatewayContext, job: Job, now: number): number {
 	const { targetMs } = job.request.route
 	const elapsedMs = now - job.request.arrivedAt
-	const spare = spareMs(
+	const budget = spareMs(
 		pressureOf(ctx.pressures, job.service),
 		targetMs,
 		elapsedMs,
 	)
-	// What was begun, and is late already, is not given up for want of a moment.
-	return job.sends > 0 ? Math.max(spare, targetMs * AGAIN_WAIT_SHARE) : spare
+	// A retried request that is late already is still worth a short wait.
+	return job.sends > 0 ? Math.max(budget, targetMs * RETRY_WAIT_SHARE) : budget
 }
--- a/packages/gateway/src/attemptLog.ts
+++ b/packages/gateway/src/attemptLog.ts
@@ -1,4 +1,4 @@
-/** What is written and counted of each attempt. */
+/** Log events and metrics of attempts. */
 
 import { perSecondOf, restLeftMs } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
@@ -6,7 +6,7 @@
 import type { Job } from './job.ts'
 import { judgeTimes } from './timeliness.ts'
 
-/** Writes how an attempt went. */
+/** Logs the outcome of an attempt. */
 export function logAttempt(
 	ctx: GatewayContext,
 	job: Job,
@@ -34,7 +34,7 @@
 	})
 }
 
-/** Writes and counts that a request was answered, and whether in time. */
+/** Logs and counts a served request, with the timeliness of its response. */
 export function logAnswer(
 	ctx: GatewayContext,
 	job: Job,
--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request: which route and team, and how long there is. */
+/** Reads and validates a caller's request: route, team, deadline and body. */
 
 import type { IncomingMessage } from 'node:http'
 import type {
@@ -12,14 +12,14 @@
 import type { GatewayContext } from './context.ts'
 import type { CallerRequest } from './job.ts'
 
-/** A request, or why it is refused before it reaches a server. */
+/** A request, or the error with which it is refused before it reaches a server. */
 export type Intake =
 	| { readonly kind: 'request'; readonly request: CallerRequest }
 	| { readonly kind: 'refused'; readonly error: ErrorKind }
-	/** The caller's connection ended before the request was whole. */
+	/** The caller's connection closed before the request was complete. */
 	| { readonly kind: 'gone' }
 
-/** Judges the head of a request and reads its body. */
+/** Validates the head of a request and reads its body. */
 export async function readCallerRequest(
 	ctx: GatewayContext,
 	req: IncomingMessage,
@@ -35,10 +35,10 @@
 		return { kind: 'refused', error: 'badRequest' }
 	const path = req.url ?? '/'
 	const route = findRoute(routes, req.headers.host ?? '', path)
-	if (!route) return refuseUnknown(ctx, routes, 'notFound')
+	if (!route) return refuseUnmatched(ctx, routes, 'notFound')
 	const team = findTeam(routes, req, wire.keyScheme)
 	const needsKey = routes.config.teams.length > 0 && !route.anonymous
-	if (!team && needsKey) return refuseUnknown(ctx, routes, 'unauthorized')
+	if (!team && needsKey) return refuseUnmatched(ctx, routes, 'unauthorized')
 	const deadline = readDeadline(req, wire.deadlineMs, route.timeoutMs)
 	if (deadline === undefined) return { kind: 'refused', error: 'badRequest' }
 	const body = await readBody(req, limits.maxBodyBytes)
@@ -68,11 +68,12 @@
 }
 
 /**
- * Refuses what this configuration does not know. While a newer one is known to
- * be in force elsewhere, the caller is told to come back: it takes 401 and 404
- * for final, and the newer one may know its route or key.
+ * Refuses a route or key that is missing from this entry's configuration. While a
+ * peer has announced a newer version, the caller gets a retryable error instead:
+ * callers treat 401 and 404 as final, and the newer configuration may contain the
+ * route or the key.
  */
-function refuseUnknown(
+function refuseUnmatched(
 	{ toldVersion }: GatewayContext,
 	{ config }: RouteTable,
 	error: ErrorKind,
@@ -104,21 +105,21 @@
 	return routes.teamOfKey.get(key)
 }
 
-/** The caller's deadline in ms; `usual` when it names none. */
+/** Parses the caller's deadline, ms; `defaultMs` without a header, undefined if invalid. */
 function readDeadline(
 	req: IncomingMessage,
 	header: string,
-	usual: number,
+	defaultMs: number,
 ): number | undefined {
 	const text = req.headers[header]
-	if (text === undefined) return usual
+	if (text === undefined) return defaultMs
 	const value = Number(text)
 	return value > 0 && Number.isFinite(value) ? value : undefined
 }
 
 function countHeaderBytes(rawHeaders: readonly string[]): number {
 	let bytes = 0
-	// Two more for `: ` or the end of the line.
+	// Two more bytes for `: ` after a name or the line break after a value.
 	for (const part of rawHeaders) bytes += part.length + 2
 	return bytes
 }
--- a/packages/gateway/src/comeBack.ts
+++ b/packages/gateway/src/comeBack.ts
@@ -1,4 +1,4 @@
-/** When a caller that is turned away is to come back. */
+/** Chooses the `Retry-After` time of refused requests. */
 
 import { bookReturn, expectSpellEnd, gapNow } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
@@ -7,10 +7,13 @@
 import { outlookOf } from './outlook.ts'
 import { pressureOf } from './pressure.ts'
 
-/** For a refusal to reach its caller, who reckons from then on, ms. */
-const WAY_MS = 50
+/** Time for a refusal to reach its caller, whose own clock starts on arrival, ms. */
+const RESPONSE_TRIP_MS = 50
 
-/** Time to tell a refused caller that has `leftMs` until its deadline, ms. */
+/**
+ * Returns the `Retry-After` time for a refused caller that has `leftMs` until its
+ * deadline, ms.
+ */
 export function chooseComeBack(
 	ctx: GatewayContext,
 	service: string,
@@ -18,18 +21,18 @@
 ): number {
 	const now = readNow()
 	const { flow, full, returns } = pressureOf(ctx.pressures, service)
-	const closedMs = expectOpenMs(ctx, service, now)
-	const outlook = outlookOf(ctx, service)
-	const heededMs = leftMs * ctx.settings.heededShare - WAY_MS
-	if (outlook?.kind === 'resting') {
-		const { moreMs } = outlook
-		const forecast = { openInMs: closedMs, notBeforeMs: moreMs, heededMs }
-		// While nothing is sent, the gaps seen tell nothing of the server.
-		const gapMs = Math.max(flow.gapMs, outlook.gapMs)
+	const reopenMs = expectOpenMs(ctx, service, now)
+	const availability = outlookOf(ctx, service)
+	const heededMs = leftMs * ctx.settings.heededShare - RESPONSE_TRIP_MS
+	if (availability?.kind === 'resting') {
+		const { moreMs } = availability
+		const forecast = { openInMs: reopenMs, notBeforeMs: moreMs, heededMs }
+		// While nothing is sent, the observed gaps say nothing about the server's rate.
+		const gapMs = Math.max(flow.gapMs, availability.gapMs)
 		return bookReturn(returns, { ...forecast, gapMs }, now, ctx.random)
 	}
-	const permitMs = outlook?.moreMs ?? 0
-	const openInMs = Math.max(closedMs, expectSpellEnd(full, now), permitMs)
+	const permitMs = availability?.moreMs ?? 0
+	const openInMs = Math.max(reopenMs, expectSpellEnd(full, now), permitMs)
 	const gapMs = gapNow(flow, now)
 	const forecast = { openInMs, notBeforeMs: 0, gapMs, heededMs }
 	return bookReturn(returns, forecast, now, ctx.random)
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,4 +1,4 @@
-/** What all parts of a gateway share. */
+/** Settings and shared state of a gateway. */
 
 import type {
 	Closures,
@@ -33,37 +33,37 @@
 import type { ServerPool } from './serverPool.ts'
 import type { SuspensionWatch } from './suspensionWatch.ts'
 
-/** What a gateway is told of its VM. */
+/** Settings of a gateway on its VM. */
 export interface GatewaySettings {
 	readonly name: string
 	readonly ip: string
 	readonly dataCentre: string
-	/** Where callers connect. */
+	/** Address that callers connect to. */
 	readonly callers: string
-	/** Where the platform's balancer asks for readiness. */
+	/** Address of the readiness endpoint for the platform's load balancer. */
 	readonly readiness: string
-	/** Where other entries connect. */
+	/** Address that other entries connect to. */
 	readonly control: string
-	/** Where metrics are served; absent for none. */
+	/** Address of the metrics endpoint; undefined to serve no metrics. */
 	readonly metrics: string | undefined
-	/** Control addresses of some entries; may be stale. */
+	/** Control addresses of some entries, for discovery; may be stale. */
 	readonly seeds: readonly string[]
-	/** From SIGTERM to SIGKILL, ms. */
+	/** Time from SIGTERM to SIGKILL, ms. */
 	readonly stopMs: number
-	/** After trouble, a VM must be up to date again after this time, ms. */
+	/** Time within which a VM must be up to date again after a failure, ms. */
 	readonly contactMs: number
 	readonly retries: RetryAllowance
 	/**
-	 * Part of the time that a caller has left within which it comes back when it is
-	 * told to; later, it gives the request up.
+	 * Share of its remaining time within which a caller honours `Retry-After`; with a
+	 * later time it abandons the request.
 	 */
 	readonly heededShare: number
 	readonly patience: CallerPatience
 }
 
-/** A running gateway's state. */
+/** State of a running gateway. */
 export interface GatewayContext {
-	/** Changed when the settings file does. */
+	/** Replaced when the settings file changes. */
 	settings: GatewaySettings
 	readonly wire: WireNames
 	readonly readStatement: ServerWire['readStatement']
@@ -74,56 +74,59 @@
 	readonly fleet: Fleet
 	readonly pool: ServerPool
 	readonly list: ServerList
-	/** When this entry started, ms; whether a peer has told it its state since. */
+	/** When this entry started, ms of elapsed time. */
 	readonly startedAt: number
+	/** Whether a peer has sent its state since this entry started. */
 	isTold: boolean
-	/** Removals that were doubted, for peers without the source. */
+	/** Removals that were confirmed after doubt, for peers that cannot reach the source. */
 	readonly settledRemovals: ServerRecord[]
-	/** Whether the source does not answer this entry. */
+	/** Whether calls of this entry to the source fail. */
 	sourceAway: boolean
-	/** The configuration in force, indexed. */
+	/** Configuration in force, indexed. */
 	routes: RouteTable | undefined
 	published: PublishedConfig | undefined
-	/** Highest version of a configuration that a peer has told of; -1 for none. */
+	/** Highest configuration version that a peer has announced; -1 for none. */
 	toldVersion: number
 	/** When the configuration came into force, ms. */
 	configSince: number
-	/** Lock-step groups that refuse at every rank. */
+	/** Circuit breakers of lock-step groups that refuse at every rank. */
 	readonly closures: Closures
 	/**
-	 * Until when a group that refused before it ever served this process is
-	 * expected to open, ms; 0 once it has served.
+	 * When a group that refused before it ever served this process is expected to
+	 * open, ms, by group; 0 once it has served.
 	 */
 	readonly openUntil: Map<string, number>
 	/** Outages of lock-step groups, by group. */
 	readonly outages: Map<string, Spell>
-	/** What is observed of each service that may be full. */
+	/** Load observations, by service. */
 	readonly pressures: Map<string, Pressure>
-	/** Retries to each service. */
+	/** Retry budget windows, by service. */
 	readonly retries: Map<string, RetryWindow>
-	/** Entries that are believed to live, with this one. */
+	/** Entries considered alive, including this one. */
 	entries: number
-	/** What servers run for this entry. */
+	/** Requests that servers run for this entry. */
 	readonly runs: Runs
-	/** Servers that may have ended. */
+	/** Servers suspected to have ended. */
 	readonly ends: EndWatch
-	/** What is known of servers and shared with other entries; what they are to be told. */
+	/** Facts about servers that are shared with other entries. */
 	readonly book: NewsBook
+	/** Facts that are still to be sent to other entries. */
 	readonly outbox: Outbox
-	/** What servers say of how many requests a second they take. */
+	/** Rate limits that servers report, over all entries. */
 	readonly rateLimits: RateLimits
-	/** Servers that want nothing from this entry for a while. */
+	/** Pauses that servers have requested of this entry. */
 	readonly rests: Rests
-	/** Permits that this entry has, and those that it gives to others. */
+	/** Permits of rate-limited servers that this entry holds. */
 	readonly permits: PermitGate
+	/** Permits that this entry grants to others, as home of a server. */
 	readonly permitHomes: PermitHomes
-	/** Requests under which servers ended. */
+	/** Requests suspected to end the servers that run them. */
 	readonly gate: QuarantineGate
-	/** Whether the VM was suspended. */
+	/** Detects suspensions of the VM. */
 	readonly suspension: SuspensionWatch
-	/** Requests being served. */
+	/** Number of requests being served. */
 	open: number
-	/** Gives each request that has no final answer one at once. */
+	/** Ends a request without a server's response, for each open request. */
 	readonly giveUps: Map<CallerRequest, GiveUp>
 	stopping: boolean
 }
--- a/packages/gateway/src/eventSplitter.ts
+++ b/packages/gateway/src/eventSplitter.ts
@@ -1,30 +1,30 @@
 /**
- * Cuts a stream of server-sent events at their borders, bytes unchanged, so
- * that no part of an event is passed on without the rest.
+ * Splits a stream of server-sent events at the event boundaries. The bytes are
+ * unchanged, and an incomplete event is never passed on.
  */
 
 const NEWLINE = 10
 const RETURN = 13
 const ID_FIELD = /^id: ?(.*)$/m
 
-/** One event with the bytes it came in. */
+/** One event, with its bytes as received. */
 export interface StreamEvent {
 	readonly bytes: Buffer
-	/** Its id; undefined when it has none. */
+	/** The `id` field; undefined when the event has none. */
 	readonly id: string | undefined
 }
 
-/** Bytes that are no whole event yet. */
+/** Buffers the bytes of an incomplete event. */
 export interface EventSplitter {
 	held: Buffer
 }
 
-/** Makes a splitter that holds nothing. */
+/** Creates a splitter with an empty buffer. */
 export function createEventSplitter(): EventSplitter {
 	return { held: Buffer.alloc(0) }
 }
 
-/** Takes bytes and gives the events that are whole now. */
+/** Appends bytes and returns the events that are now complete. */
 export function splitEvents(
 	splitter: EventSplitter,
 	data: Buffer,
@@ -34,7 +34,7 @@
 	const events: StreamEvent[] = []
 	let start = 0
 	for (;;) {
-		const end = findBorder(bytes, start)
+		const end = findEventEnd(bytes, start)
 		if (end < 0) break
 		const event = bytes.subarray(start, end)
 		events.push({ bytes: event, id: readId(event) })
@@ -44,8 +44,8 @@
 	return events
 }
 
-/** The place after the blank line that ends an event, or -1. */
-function findBorder(bytes: Buffer, start: number): number {
+/** Returns the offset after the blank line that ends an event, or -1. */
+function findEventEnd(bytes: Buffer, start: number): number {
 	let at = bytes.indexOf(NEWLINE, start)
 	while (at >= 0) {
 		const next = bytes[at + 1]
--- a/packages/gateway/src/fingerprint.ts
+++ b/packages/gateway/src/fingerprint.ts
@@ -1,23 +1,24 @@
-/** Tells a request that comes again, by whatever entry, from all others. */
+/** Fingerprints that identify a repeated request at every entry. */
 
 import { createHash } from 'node:crypto'
 import type { CallerRequest } from './job.ts'
 
-/** Of the digest; two of 2^40 requests share one by chance. */
+/** Length of the truncated digest; 2^40 requests collide with a probability of 2^-17. */
 const DIGEST_BYTES = 12
 const LENGTH_BASE = 36
 
 /**
- * Method, path, team and body, in a short text: the body's length, so that requests
- * of other lengths need no digest to be told apart, and a digest of all. Where a
- * stream is to go on and how the body was framed make no other request of it.
+ * Returns the fingerprint of a request's method, path, team and body, cached in the
+ * request. It starts with the body's length, so that requests with bodies of another
+ * length are ruled out without a digest. The event id at which a stream resumes and
+ * the framing of the body are not part of it.
  */
 export function fingerprintOf(request: CallerRequest): string {
 	request.fingerprint ??= computeFingerprint(request)
 	return request.fingerprint
 }
 
-/** What makes a request the same when it comes again. */
+/** The parts of a request that its fingerprint covers. */
 export interface SameRequest {
 	readonly method: string
 	readonly path: string
@@ -25,7 +26,7 @@
 	readonly body: Buffer
 }
 
-/** The fingerprint of a request, computed anew. */
+/** Computes the fingerprint of a request, without the cache. */
 export function computeFingerprint(request: SameRequest): string {
 	const { method, path, team, body } = request
 	const hash = createHash('sha256')
@@ -35,7 +36,7 @@
 	return `${body.length.toString(LENGTH_BASE)}.${digest}`
 }
 
-/** Length of the body that a fingerprint was made of. */
+/** Returns the body length that a fingerprint contains. */
 export function bodyLengthOf(fingerprint: string): number {
 	return Number.parseInt(fingerprint, LENGTH_BASE)
 }
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The gateway's table of servers: who serves what, and who holds how much. */
+/** The gateway's server table: services, load of the servers, and request queues. */
 
 import type {
 	FairQueue,
@@ -17,82 +17,84 @@
 import type { ServerLoad } from './ports.ts'
 import type { Waiter } from './waiter.ts'
 
-/** Slow ranks and limit of a lock-step group, as its coordinator told them. */
+/** State of a lock-step group as reported by its coordinator. */
 export interface ToldGroup {
-	/** How slow its slow ranks are, by address. */
+	/** Slowdown factors of its slow ranks, by address. */
 	readonly slow: Readonly<Record<string, number>>
-	/** Requests that each rank may hold; undefined for as many as fit. */
+	/** Limit of requests in flight per rank; undefined for no limit but the slots. */
 	readonly limit: number | undefined
-	/** Whether it refuses at every rank. */
+	/** Whether the group refuses requests at every rank. */
 	readonly broken: boolean
-	/** When it was told, ms. */
+	/** When it was reported, ms of elapsed time. */
 	readonly at: number
 }
 
-/** The last news of a group that a coordinator told, on whatever way. */
+/** Number and time of the latest report of a coordinator, direct or relayed. */
 export interface HeardNews {
 	readonly number: number
 	readonly at: number
 }
 
-/** What a peer has told of its callers. */
+/** Demand of a peer's callers, as the peer reported it. */
 export interface PeerDemand {
 	readonly dataCentre: string
-	/** By service. */
+	/** Request rates, by service. */
 	readonly flows: Readonly<Record<string, RequestFlow>>
 }
 
-/** Requests of a service by way of one entry, a second, smoothed. */
+/** Request rates of a service at one entry, per second, smoothed. */
 export interface RequestFlow {
+	/** Requests that arrive. */
 	readonly come: number
-	/** That end at a server. */
+	/** Requests that end at a server. */
 	readonly end: number
 }
 
-/** What comes to this entry for a service, and what ends there. */
+/** Counts the requests of a service at this entry. */
 export interface FlowMeter {
-	/** Requests since the last turn. */
+	/** Arrivals and ends since the rates were last updated. */
 	come: number
 	end: number
-	/** Sends since entries told each other what they hold. */
+	/** Sends since entries last exchanged their requests in flight. */
 	untold: number
 	flow: RequestFlow
-	/** All entries together. */
+	/** Rates over all entries; undefined without peers. */
 	intake: GroupIntake | undefined
-	/** Least part of the requests that one of its groups took since the last turn. */
+	/** Least share of requests that one of its groups accepted since the last update. */
 	taken: number
 }
 
-/** Servers as rows, and requests that wait for one. */
+/** Servers by row, their load, and the queues of waiting requests. */
 export interface Fleet {
 	table: ServerTable
 	servers: ListedServer[]
-	/** Rows of each service. */
+	/** Rows, by service. */
 	rowsOf: Map<string, number[]>
-	/** Rows in this entry's data centre. */
+	/** Rows of servers in this entry's data centre. */
 	near: Set<number>
-	/** Requests that this entry has at each server id. */
+	/** Requests of this entry in flight, by server id. */
 	readonly held: Map<string, number>
-	/** Requests that each peer has at each server id. */
+	/** Requests in flight of each peer, by server id. */
 	readonly heldByPeer: Map<string, ReadonlyMap<string, number>>
-	/** Their sum, by server id. */
+	/** Requests in flight of all peers, by server id. */
 	readonly heldByOthers: Map<string, number>
-	/** What comes to this entry, and to each peer. */
+	/** Request counts of this entry, by service. */
 	readonly meters: Map<string, FlowMeter>
+	/** Demand of each peer, by control address. */
 	readonly peerDemand: Map<string, PeerDemand>
-	/** What peers tell stands for so many times that, for those not heard of. */
+	/** Factor that scales the sum over reporting peers to all peers. */
 	othersTimes: number
-	/** Names of lock-step groups; a group's number is its place here. */
+	/** Names of lock-step groups; a group's number is its index here. */
 	groups: string[]
-	/** Groups that have slow ranks or a limit, by name. */
+	/** Reports of groups with slow ranks, a limit or an outage, by group name. */
 	readonly toldGroups: Map<string, ToldGroup>
-	/** By group and by the coordinator that told it. */
+	/** Latest reports, by group and coordinator. */
 	readonly heardNews: Map<string, HeardNews>
-	/** Requests that wait, by service. */
+	/** Waiting requests, by service. */
 	readonly queues: Map<string, FairQueue<Waiter>>
 }
 
-/** Makes a fleet without servers. */
+/** Creates a fleet without servers. */
 export function createFleet(): Fleet {
 	return {
 		table: createServerTable([]),
@@ -112,7 +114,7 @@
 	}
 }
 
-/** Fits the table to the list; what is known of servers that stay stays. */
+/** Rebuilds the table from the server list, keeping the state of remaining servers. */
 export function applyServerList(
 	fleet: Fleet,
 	list: ServerList,
@@ -132,7 +134,8 @@
 		const engine = routes?.services.get(server.service)?.engine
 		table.slots[row] = engine ? engine.slots : server.slots
 		table.open[row] = 1
-		if (engine?.experts) table.group[row] = numberOf(fleet, groupOf(server))
+		if (engine?.experts)
+			table.group[row] = groupNumberOf(fleet, groupOf(server))
 		const rows = fleet.rowsOf.get(server.service) ?? []
 		rows.push(row)
 		fleet.rowsOf.set(server.service, rows)
@@ -142,27 +145,27 @@
 	fleet.servers = servers
 }
 
-/** Name of a rank's group; groups of two services never share one. */
+/** Returns the name of a rank's group, qualified by the service to be unique. */
 export function groupOf({ service, group }: ListedServer): string {
 	return `${service}/${group ?? ''}`
 }
 
-/** The service of a group, by its name. */
+/** Returns the service of a group by the group's name. */
 export function serviceOf(group: string): string {
 	return group.slice(0, group.lastIndexOf('/'))
 }
 
-/** The service of a group, by the group's number. */
+/** Returns the service of a group by the group's number. */
 export function serviceOfGroup({ groups }: Fleet, group: number): string {
 	return serviceOf(groups[group] ?? '')
 }
 
-function numberOf(fleet: Fleet, group: string): number {
+function groupNumberOf(fleet: Fleet, group: string): number {
 	const known = fleet.groups.indexOf(group)
 	return known >= 0 ? known : fleet.groups.push(group) - 1
 }
 
-/** Notes a request sent to a server (`1`) or ended there (`-1`). */
+/** Records that a request was assigned to a server (`1`) or ended there (`-1`). */
 export function noteHeld(fleet: Fleet, id: string, change: 1 | -1): void {
 	const held = (fleet.held.get(id) ?? 0) + change
 	if (held > 0) fleet.held.set(id, held)
@@ -175,7 +178,7 @@
 	else meter.untold++
 }
 
-/** The meter of a service. */
+/** Returns the request counts of a service, creating them on first use. */
 export function meterOf(fleet: Fleet, service: string): FlowMeter {
 	const known = fleet.meters.get(service)
 	if (known) return known
@@ -192,7 +195,7 @@
 	return meter
 }
 
-/** Takes the load that a server told in an answer. */
+/** Records the load that a server reported in a response. */
 export function noteToldLoad(
 	fleet: Fleet,
 	id: string,
@@ -206,7 +209,7 @@
 	fleet.table.reportedAt[row] = now
 }
 
-/** Puts in force what is told of groups; all others have neither. */
+/** Applies the reported slowdowns and limits to the table; other groups have none. */
 export function applyToldGroups(fleet: Fleet): void {
 	for (const [row, server] of fleet.servers.entries()) {
 		const told = fleet.toldGroups.get(groupOf(server))
@@ -218,7 +221,7 @@
 	}
 }
 
-/** Takes what a peer holds at each server. */
+/** Replaces a peer's requests in flight, by server id. */
 export function notePeerLoad(
 	fleet: Fleet,
 	peer: string,
@@ -231,7 +234,7 @@
 	addPeerLoad(fleet, held, 1, now)
 }
 
-/** Forgets a peer that is gone. */
+/** Removes the demand and the requests in flight of a peer that has left. */
 export function dropPeerLoad(fleet: Fleet, peer: string, now: number): void {
 	fleet.peerDemand.delete(peer)
 	const held = fleet.heldByPeer.get(peer)
@@ -259,8 +262,9 @@
 }
 
 /**
- * Takes what peers hold for what servers hold besides: what a server told in an
- * answer is not true for long, and one that peers left says nothing of it.
+ * Resets the reported load of all servers to the requests in flight of the peers. Load
+ * that a server reported in a response is outdated soon, and a server that no peer
+ * uses any more sends no response that would correct it.
  */
 export function settlePeerLoads(fleet: Fleet, now: number): void {
 	if (fleet.heldByPeer.size === 0) return
@@ -270,7 +274,7 @@
 	}
 }
 
-/** The queue of a service. */
+/** Returns the queue of a service, creating it on first use. */
 export function queueOf(fleet: Fleet, service: string): FairQueue<Waiter> {
 	const known = fleet.queues.get(service)
 	if (known) return known
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -1,4 +1,4 @@
-/** A request from its reading to its last byte: attempts until one is final. */
+/** Serves a caller's request: reads it, makes attempts and writes the response. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ErrorKind } from '@juniperhook/core'
@@ -31,8 +31,8 @@
 import { relayStream } from './streamRelay.ts'
 
 const SERVER_ERROR = 500
-/** What a request that is given up gets if it may have run, and if it has not. */
-const GIVEN_UP = {
+/** Errors of a cancelled request: if a server may have run it, and if none has. */
+const CANCEL_ERRORS = {
 	timeOver: ['noAnswer', 'startBudget'],
 	quarantined: ['linkLost', 'quarantined'],
 } as const
@@ -50,7 +50,7 @@
 			case 'gone':
 				break
 			case 'refused':
-				refuseIntake(ctx, req, res, intake.error)
+				refuseRequest(ctx, req, res, intake.error)
 				break
 			case 'request':
 				await serveRequest(ctx, intake.request, res)
@@ -63,7 +63,7 @@
 	}
 }
 
-function refuseIntake(
+function refuseRequest(
 	ctx: GatewayContext,
 	req: IncomingMessage,
 	res: ServerResponse,
@@ -76,7 +76,7 @@
 		host: req.headers.host,
 		config: ctx.routes?.config.version,
 	})
-	// The rest of a body is not read: the connection cannot be used again.
+	// The rest of the body is not read, so the connection cannot be reused.
 	if (!req.complete) res.shouldKeepAlive = false
 	writeFailure(ctx, res, error, id || undefined)
 }
@@ -101,21 +101,21 @@
 		lastEventId: request.lastEventId,
 		times: { startMs: 0, longestPauseMs: 0 },
 	}
-	const giveUp: GiveUp = why => {
-		const [ran, notRun] = GIVEN_UP[why]
-		finish(ctx, job, res, job.mayHaveRun ? ran : notRun)
+	const cancel: GiveUp = why => {
+		const [ran, notRun] = CANCEL_ERRORS[why]
+		failRequest(ctx, job, res, job.mayHaveRun ? ran : notRun)
 		control.abort()
 	}
 	if (isQuarantined(ctx, request)) {
-		giveUp('quarantined')
+		cancel('quarantined')
 		return
 	}
-	// What is sent to no server is no demand, and earns no second sends.
+	// Quarantined requests count neither as demand nor towards the retry budget.
 	noteRequest(retriesOf(ctx, service), ctx.settings.retries, readNow())
 	countRequest(ctx.fleet, service)
 	const left = request.givenUpAt - readElapsed()
-	const timer = setTimeout(() => giveUp('timeOver'), left)
-	ctx.giveUps.set(request, giveUp)
+	const timer = setTimeout(() => cancel('timeOver'), left)
+	ctx.giveUps.set(request, cancel)
 	res.on('close', () => {
 		ctx.giveUps.delete(request)
 		clearTimeout(timer)
@@ -124,8 +124,8 @@
 	await runAttempts(ctx, job, res)
 }
 
-/** Ends a request that gets no server's answer. */
-function finish(
+/** Ends a request with an error, without a server's response. */
+function failRequest(
 	ctx: GatewayContext,
 	job: Job,
 	res: ServerResponse,
@@ -146,11 +146,11 @@
 		config: request.routes.config.version,
 		fingerprint: request.fingerprint,
 	})
-	const retryAfterMs = chooseRetryAfter(ctx, job, error, leftMs)
+	const retryAfterMs = retryAfterOf(ctx, job, error, leftMs)
 	writeFailure(ctx, res, error, request.id, retryAfterMs)
 }
 
-function chooseRetryAfter(
+function retryAfterOf(
 	ctx: GatewayContext,
 	job: Job,
 	error: ErrorKind,
@@ -174,32 +174,32 @@
 			if (result.kind === 'answer') result.release('left')
 			return
 		}
-		const next = await settle(ctx, job, res, result)
+		const next = await handleResult(ctx, job, res, result)
 		if (next.kind === 'done') return
 		if (next.kind === 'again') {
-			await awaitVerdict(ctx, job)
+			await awaitServerState(ctx, job)
 			if (job.signal.aborted) return
 			ctx.metrics.retries.inc({ reason: next.reason })
 			continue
 		}
-		finish(ctx, job, res, next.error)
+		failRequest(ctx, job, res, next.error)
 		return
 	}
 }
 
 /**
- * Where a server's end says more than that: a request under which others ended before
- * is not sent on in doubt, and what a rank of a group broke off waits to know whether
- * the whole group stands still. A round trip, mostly.
+ * Waits until it is known whether the last server has ended, where a retry depends on
+ * it: a suspected request could end the next server too, and the end of a rank closes
+ * its whole group. Usually this takes one round trip.
  */
-async function awaitVerdict(ctx: GatewayContext, job: Job): Promise<void> {
+async function awaitServerState(ctx: GatewayContext, job: Job): Promise<void> {
 	const server = [...job.tried].at(-1)
 	if (server === undefined) return
 	if (isSuspected(ctx, job.request) || isGrouped(ctx, job.service))
 		await awaitDoubt(ctx, server)
 }
 
-async function settle(
+async function handleResult(
 	ctx: GatewayContext,
 	job: Job,
 	res: ServerResponse,
@@ -221,13 +221,13 @@
 			if (mayTryAgain(ctx, job)) return { kind: 'again', reason: 'lost' }
 			return { kind: 'failed', error: 'linkLost' }
 		case 'answer':
-			return await takeAnswer(ctx, job, res, result)
+			return await handleAnswer(ctx, job, res, result)
 		default:
 			return result satisfies never
 	}
 }
 
-async function takeAnswer(
+async function handleAnswer(
 	ctx: GatewayContext,
 	job: Job,
 	res: ServerResponse,
@@ -242,7 +242,7 @@
 	const sealed = message.headers[ctx.wire.seal] !== undefined
 	const usable = body.kind === 'whole' && (sealed || status >= 300)
 	const good = usable && status < SERVER_ERROR
-	result.release(judgeEnd(job, good, body.kind === 'whole'))
+	result.release(classifyEnd(job, good, body.kind === 'whole'))
 	if (job.signal.aborted) return { kind: 'done' }
 	if (!good) {
 		const reason = body.kind === 'broken' ? body.reason : `status ${status}`
@@ -258,7 +258,7 @@
 	return { kind: 'done' }
 }
 
-function judgeEnd(job: Job, isGood: boolean, isWhole: boolean): AnswerEnd {
+function classifyEnd(job: Job, isGood: boolean, isWhole: boolean): AnswerEnd {
 	if (job.signal.aborted) return 'left'
 	if (isGood) return 'good'
 	return isWhole ? 'failed' : 'broken'
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** An entry that serves callers straight from backend servers. */
+/** An entry that serves callers directly from backend servers. */
 
 import { randomBytes } from 'node:crypto'
 import type { Server } from 'node:http'
@@ -39,26 +39,26 @@
 import { createSuspensionWatch } from './suspensionWatch.ts'
 import { serveWaiting } from './waiting.ts'
 
-/** Largest headers that Node reads; the configuration's bound is lower. */
+/** Limit of the HTTP parser; the configuration's limit is lower. */
 const MAX_HEADER_BYTES = 65_536
-/** Until a configuration is known, ms. */
-const FIRST_HEADER_MS = 10_000
-const FIRST_IDLE_MS = 15_000
-/** Kept connections outlive the published idle time by this, ms. */
-const IDLE_SLACK_MS = 2_000
-/** An entry that starts waits so long at most for what its peers know, ms. */
-const INFORM_MS = 1_000
-/** Between looks at queues, removals and limits, ms. */
+/** Timeouts until a configuration is known, ms. */
+const INITIAL_HEADER_MS = 10_000
+const INITIAL_IDLE_MS = 15_000
+/** Kept-alive connections outlive the published idle timeout by this, ms. */
+const IDLE_MARGIN_MS = 2_000
+/** Maximum time for which a starting entry waits for its peers' state, ms. */
+const PEER_STATE_MS = 1_000
+/** Interval of the periodic work on queues, removals and limits, ms. */
 const TICK_MS = 50
-/** After SIGTERM, the balancer needs two looks, a second apart, to notice. */
+/** The load balancer needs two failed health checks, 1 s apart, to stop sending. */
 const BALANCER_MS = 2_500
-/** Before SIGKILL, connections that are still open are cut, ms. */
-const CUT_BEFORE_KILL_MS = 300
+/** Requests still open this long before SIGKILL are ended, ms. */
+const END_BEFORE_KILL_MS = 300
 const STOP_CHECK_MS = 50
-/** For the last answers to leave this process, ms; part of the time above. */
-const LAST_ANSWERS_MS = 150
+/** Time for the last responses to be flushed, ms; part of the time above. */
+const FLUSH_MS = 150
 
-/** Starts a gateway; resolves when it listens. */
+/** Starts a gateway; resolves once it listens. */
 export async function startGateway(
 	settings: GatewaySettings,
 	{ names, readStatement }: ServerWire,
@@ -108,11 +108,12 @@
 	}
 	const callers = listenForCallers(ctx)
 	await listenOn(callers, settings.callers)
-	await listenOn(createReadiness(ctx), settings.readiness)
-	if (settings.metrics) await listenOn(createMetrics(ctx), settings.metrics)
+	await listenOn(createReadinessServer(ctx), settings.readiness)
+	if (settings.metrics)
+		await listenOn(createMetricsServer(ctx), settings.metrics)
 	await startPeers(ctx, source)
 	void followCatalog(ctx, source).catch(err => {
-		// Without news of the source an entry is better started anew.
+		// An entry that no longer follows the source serves stale state; it is restarted.
 		log.write('internal fault', { detail: messageOf(err) })
 		log.flush()
 		process.exit(1)
@@ -137,16 +138,16 @@
 	fitIdle(ctx.pool, config.services, ctx.entries)
 	const { limits } = config
 	callers.headersTimeout = limits.headerTimeoutMs
-	callers.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS
+	callers.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
 }
 
 function listenForCallers(ctx: GatewayContext): Server {
 	const server = createServer(
 		{
 			maxHeaderSize: MAX_HEADER_BYTES,
-			headersTimeout: FIRST_HEADER_MS,
+			headersTimeout: INITIAL_HEADER_MS,
 			requestTimeout: 0,
-			keepAliveTimeout: FIRST_IDLE_MS + IDLE_SLACK_MS,
+			keepAliveTimeout: INITIAL_IDLE_MS + IDLE_MARGIN_MS,
 			connectionsCheckingInterval: 500,
 			noDelay: true,
 		},
@@ -185,21 +186,26 @@
 	socket.end(`${head.join('\r\n')}\r\n\r\n${body}`)
 }
 
-function createReadiness(ctx: GatewayContext): Server {
+function createReadinessServer(ctx: GatewayContext): Server {
 	return createServer((_req, res) => {
-		const ready = ctx.routes !== undefined && !ctx.stopping && isInformed(ctx)
+		const ready =
+			ctx.routes !== undefined && !ctx.stopping && isPeerStateSettled(ctx)
 		res.writeHead(ready ? 200 : 503, { 'Content-Length': 0 })
 		res.end()
 	})
 }
 
-/** Whether peers have told what they know of servers, as far as there are any. */
-function isInformed({ settings, isTold, startedAt }: GatewayContext): boolean {
+/** Returns whether a peer has sent its state, there are no peers, or the wait is over. */
+function isPeerStateSettled({
+	settings,
+	isTold,
+	startedAt,
+}: GatewayContext): boolean {
 	const hasPeers = settings.seeds.some(seed => seed !== settings.control)
-	return isTold || !hasPeers || readElapsed() - startedAt >= INFORM_MS
+	return isTold || !hasPeers || readElapsed() - startedAt >= PEER_STATE_MS
 }
 
-function createMetrics(ctx: GatewayContext): Server {
+function createMetricsServer(ctx: GatewayContext): Server {
 	return createServer(async (_req, res) => {
 		const { registry } = ctx.metrics
 		const text = await registry.metrics()
@@ -217,8 +223,8 @@
 }
 
 /**
- * Readiness goes first. Once the balancer has noticed, idle connections are
- * closed as they fall idle, and the process ends with the last request.
+ * Stops gracefully. Readiness fails first; once the load balancer has noticed, idle
+ * connections are closed, and the process exits after the last request.
  */
 async function stopGateway(
 	ctx: GatewayContext,
@@ -228,12 +234,12 @@
 	const { stopMs } = ctx.settings
 	ctx.stopping = true
 	ctx.log.write('stop begun', { open: ctx.open })
-	const endAt = startedAt + stopMs - CUT_BEFORE_KILL_MS
-	await sleepHeld(Math.min(BALANCER_MS, stopMs / 2))
+	const endAt = startedAt + stopMs - END_BEFORE_KILL_MS
+	await sleep(Math.min(BALANCER_MS, stopMs / 2))
 	callers.close()
 	do {
 		callers.closeIdleConnections()
-		await sleepHeld(STOP_CHECK_MS)
+		await sleep(STOP_CHECK_MS)
 	} while (ctx.open > 0 && readNow() < endAt)
 	if (ctx.open > 0) await endOpenRequests(ctx)
 	ctx.log.write('stopped', {
@@ -244,14 +250,14 @@
 	process.exit(0)
 }
 
-/** Gives a final answer to all that are open, while there is time to send it. */
+/** Ends all open requests with a response, while there is time to send it. */
 export async function endOpenRequests(ctx: GatewayContext): Promise<void> {
 	ctx.log.write('open requests ended', { open: ctx.open })
-	for (const giveUp of [...ctx.giveUps.values()]) giveUp('timeOver')
-	await sleepHeld(LAST_ANSWERS_MS)
+	for (const cancel of [...ctx.giveUps.values()]) cancel('timeOver')
+	await sleep(FLUSH_MS)
 }
 
-/** Waits and keeps the process alive meanwhile. */
-function sleepHeld(ms: number): Promise<void> {
+/** Waits with a referenced timer, which keeps the process alive. */
+function sleep(ms: number): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Serves callers straight from backend servers, by published routes. */
+/** Serves callers directly from backend servers, by published routes. */
 
 export type { GatewayContext, GatewaySettings } from './context.ts'
 export * from './eventSplitter.ts'
--- a/packages/gateway/src/job.ts
+++ b/packages/gateway/src/job.ts
@@ -1,4 +1,4 @@
-/** A caller's request, and where it stands on its way through attempts. */
+/** A caller's request and the state of its attempts. */
 
 import type {
 	ErrorKind,
@@ -10,93 +10,93 @@
 import type { AnswerTimes } from './timeliness.ts'
 import type { ServerWish } from './waiter.ts'
 
-/** A request that has been read whole and checked. */
+/** A request that has been read completely and validated. */
 export interface CallerRequest {
-	/** The caller's id of this try. */
+	/** Request id, set by the caller for each try. */
 	readonly id: string
 	readonly route: TrafficRoute
 	readonly team: TrafficTeam | undefined
-	/** Configuration that it was judged by. */
+	/** Configuration by which it was validated. */
 	readonly routes: RouteTable
 	readonly method: string
 	readonly path: string
-	/** Names and values in turn, as the caller sent them. */
+	/** Alternating names and values, as the caller sent them. */
 	readonly rawHeaders: readonly string[]
 	readonly body: Buffer
 	/** When its head was read, ms. */
 	readonly arrivedAt: number
-	/** When it is given up, ms. */
+	/** When it times out, by its deadline and its route, ms. */
 	readonly givenUpAt: number
 	/** When its caller stops waiting, ms. */
 	readonly deadlineAt: number
 	/** 0 is the most urgent. */
 	readonly priority: number
-	/** Whether it may run more than once. */
+	/** Whether servers may run it more than once. */
 	readonly repeatable: boolean
-	/** Last event that the caller has; undefined at the start of a stream. */
+	/** Last event that the caller received; undefined at the start of a stream. */
 	readonly lastEventId: string | undefined
-	/** Of method, path, team and body; once it was asked for. */
+	/** Cached fingerprint of method, path, team and body; undefined until first used. */
 	fingerprint: string | undefined
 }
 
-/** A request on its way through attempts. */
+/** A request being served, and the state of its attempts. */
 export interface Job {
 	readonly request: CallerRequest
 	readonly service: string
-	/** Aborted when the caller leaves or the time is over. */
+	/** Aborted when the caller disconnects or the request is cancelled. */
 	readonly signal: AbortSignal
-	/** Ids of servers it has been sent to. */
+	/** Ids of servers that it has been sent to. */
 	readonly tried: Set<string>
 	/** See {@link ServerWish}. */
 	readonly luck: ServerWish['luck']
 	/** Sends so far. */
 	sends: number
-	/** Sends that a server is proved not to have run. */
+	/** Sends that provably were not run. */
 	refusedSends: number
-	/** Those of them that were refused for a whole group. */
+	/** Refused sends whose refusal concerned a whole group. */
 	groupRefusals: number
-	/** Whether a server may have run it. */
+	/** Whether a server may have run the request. */
 	mayHaveRun: boolean
-	/** Where a stream goes on; the caller's own value at first. */
+	/** Last event id passed on, at which a stream resumes; first the caller's value. */
 	lastEventId: string | undefined
-	/** Of the answer that its caller is given. */
+	/** Timing of the response to the caller. */
 	readonly times: AnswerTimes
 }
 
-/** How the answer of a server ended. */
+/** How a server's response ended. */
 export type AnswerEnd =
-	/** Whole, and the server did its work. */
+	/** Complete and successful. */
 	| 'good'
-	/** Whole, and says that the server failed. */
+	/** Complete, but reports a failure or is unusable. */
 	| 'failed'
-	/** The server broke it off or spoilt it. */
+	/** Truncated by the server. */
 	| 'broken'
 	/** This entry closed the connection. */
 	| 'left'
 
-/** What an attempt came to. */
+/** Result of an attempt. */
 export type AttemptResult =
 	| {
 			readonly kind: 'answer'
 			readonly answer: ServerAnswer
 			readonly serverId: string
-			/** Ends the attempt; to be called once. */
+			/** Ends the attempt and frees its slot; must be called exactly once. */
 			release(end: AnswerEnd): void
 	  }
-	/** The server says, or it is proved, that it did not run. */
+	/** The request provably did not run. */
 	| { readonly kind: 'notRun'; readonly reason: string }
-	/** It may have run. */
+	/** The request may have run. */
 	| { readonly kind: 'lost'; readonly reason: string }
-	/** No server was asked. */
+	/** No server was called. */
 	| { readonly kind: 'refused'; readonly error: ErrorKind }
 
 /**
- * Ends a request without a server's answer: as one whose time is over, or as one that
- * is sent to no server any more.
+ * Ends a request without a server's response, because it timed out or because it was
+ * quarantined.
  */
 export type GiveUp = (why: 'timeOver' | 'quarantined') => void
 
-/** What follows an attempt. */
+/** What follows an attempt: nothing, a retry or a failure. */
 export type Next =
 	| { readonly kind: 'done' }
 	| { readonly kind: 'again'; readonly reason: string }
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and histograms of a gateway, by prom-client. */
+/** Prometheus metrics of a gateway. */
 
 import { ERROR_KINDS } from '@juniperhook/core'
 import { registerControlTraffic } from '@juniperhook/runtime'
@@ -9,56 +9,57 @@
 ]
 const PAUSE_BUCKETS = [0.02, 0.04, 0.06, 0.08, 0.1, 0.12, 0.2, 0.5, 1, 2]
 
-/** What a gateway counts. */
+/** Metrics of a gateway. */
 export interface GatewayMetrics {
 	readonly registry: Registry
 	readonly answers: Counter<'status'>
-	/** Requests that a server answered, and whether in time. */
+	/** Requests that a server answered, by route kind and timeliness. */
 	readonly served: Counter<'kind' | 'timeliness'>
-	/** Requests refused or given up, by error kind. */
+	/** Requests refused or failed, by error kind. */
 	readonly refusals: Counter<'kind'>
-	/** Sends after the first, by the reason of the one before. */
+	/** Sends after the first, by the outcome of the previous one. */
 	readonly retries: Counter<'reason'>
-	/** Streams that went on at another server. */
+	/** Streams resumed at another server. */
 	readonly resumes: Counter
-	/** Servers that ended while they ran something, by how that is known. */
+	/** Servers that ended while they ran requests, by the source of that knowledge. */
 	readonly serverEnds: Counter<'witness'>
-	/** Requests that are sent to no server, for servers ended under them. */
+	/** Requests in quarantine because servers ended while they ran them. */
 	readonly quarantined: Gauge
-	/** Servers that take only so many requests a second. */
+	/** Servers with a rate limit. */
 	readonly limitedServers: Gauge
-	/** Servers that have asked this entry for rest. */
+	/** Servers that have requested a pause of this entry. */
 	readonly restingServers: Gauge
-	/** What servers said of themselves that could not be read, by signal. */
+	/** Server signals that could not be parsed, by signal. */
 	readonly unreadableSignals: Counter<'signal'>
-	/** Headers of servers' answers that nobody knows, by name. */
+	/** Unknown headers in servers' responses, by name. */
 	readonly unknownHeaders: Counter<'header'>
-	/** Questions for permits of servers with a limit. */
+	/** Permit requests for rate-limited servers, by outcome. */
 	readonly permits: Counter<'outcome'>
 	readonly firstByte: Histogram
 	readonly pauses: Histogram
 	readonly waiting: Histogram
 	readonly configVersion: Gauge
 	readonly sourceCalls: Counter<'outcome'>
-	/** Bytes that came from the source, those of failed calls too. */
+	/** Bytes received from the source, including those of failed calls. */
 	readonly sourceBytes: Counter
-	/** Term of the source, and how often it went back to an older copy. */
+	/** Term of the source. */
 	readonly sourceTerm: Gauge
+	/** How often the source was restored from an older copy. */
 	readonly sourceTerms: Counter
-	/** Entries of the list that named no server. */
+	/** Entries of the server list that could not be parsed. */
 	readonly unreadableEntries: Counter
-	/** Questions to peers for what they have and this entry lacks. */
+	/** Requests to peers for configurations and records that this entry lacks. */
 	readonly pulls: Counter<'kind' | 'outcome'>
-	/** Packed bytes of configurations that peers handed over. */
+	/** Compressed bytes of configurations received from peers. */
 	readonly pulledBytes: Counter
 }
 
-/** Makes the metrics, all known labels at zero. */
+/** Creates the metrics, with all known error kinds at zero. */
 export function createGatewayMetrics(): GatewayMetrics {
 	const registry = new Registry()
 	const registers = [registry]
-	// First on the page: collectors that keep only its head still have them.
-	const following = createFollowingMetrics(registry)
+	// First in the output, so that collectors that truncate it still get them.
+	const source = createSourceMetrics(registry)
 	registerControlTraffic(registry)
 	const refusals = new Counter({
 		name: 'juniperhook_refusals_total',
@@ -69,7 +70,7 @@
 	for (const kind of ERROR_KINDS) refusals.inc({ kind }, 0)
 	return {
 		registry,
-		...following,
+		...source,
 		refusals,
 		answers: new Counter({
 			name: 'juniperhook_answers_total',
@@ -139,8 +140,8 @@
 	}
 }
 
-/** Metrics of how the published configuration and list reach this entry. */
-function createFollowingMetrics(registry: Registry) {
+/** Creates the metrics of how published configuration and servers reach this entry. */
+function createSourceMetrics(registry: Registry) {
 	const registers = [registry]
 	return {
 		configVersion: new Gauge({
--- a/packages/gateway/src/oddSignals.ts
+++ b/packages/gateway/src/oddSignals.ts
@@ -1,12 +1,14 @@
-/** What servers said that nobody could read. */
+/** Server signals and headers that were not recognized. */
 
-/** Signals that could not be read and headers that nobody knows, as far as they are kept. */
+/** Unreadable signals and unknown headers seen so far, up to a limit. */
 export interface OddSignals {
+	/** Server, signal and text of each unreadable signal that was logged. */
 	readonly unreadable: Set<string>
+	/** Names of unknown headers that are counted by name. */
 	readonly unknown: Set<string>
 }
 
-/** Makes a record of nothing odd. */
+/** Creates an empty record. */
 export function createOddSignals(): OddSignals {
 	return { unreadable: new Set(), unknown: new Set() }
 }
--- a/packages/gateway/src/outlook.ts
+++ b/packages/gateway/src/outlook.ts
@@ -1,6 +1,6 @@
 /**
- * What the callers of a service may expect while none of its servers may be sent a
- * request freely: each has a limit, or has asked for rest.
+ * Forecasts when a service can take requests while all of its servers are
+ * restricted, by a rate limit or by a pause that they requested.
  */
 
 import {
@@ -13,22 +13,22 @@
 import type { GatewayContext } from './context.ts'
 import { heldOf } from './permitGate.ts'
 
-/** When a service's servers may be sent requests. */
+/** When the servers of a service may be sent requests. */
 export interface Outlook {
-	/** What keeps the one that may be sent the next. */
+	/** Restriction of the server that is available first. */
 	readonly kind: 'limited' | 'resting'
-	/** When held permits may be used, from now, the soonest first, ms. */
+	/** Times from now at which held permits become valid, ascending, ms. */
 	readonly dueMs: readonly number[]
-	/** From now until more may be sent, ms. */
+	/** Time from now until requests beyond the held permits may be sent, ms. */
 	readonly moreMs: number
-	/** Between two of those, ms. */
+	/** Interval between those further requests, ms. */
 	readonly gapMs: number
 }
 
-/** One server's part of it. */
+/** The forecast for one server. */
 type ServerOutlook = Pick<Outlook, 'kind' | 'dueMs' | 'moreMs'>
 
-/** What a service's callers may expect; undefined while a server is free to be sent to. */
+/** Returns the forecast for a service; undefined while a server is unrestricted. */
 export function outlookOf(
 	ctx: GatewayContext,
 	service: string,
@@ -37,20 +37,22 @@
 	if (rateLimits.size + rests.size === 0) return undefined
 	const rows = fleet.rowsOf.get(service) ?? []
 	const now = readElapsed()
-	const all: ServerOutlook[] = []
+	const forecasts: ServerOutlook[] = []
 	for (const row of rows) {
-		const one = outlookOfServer(ctx, fleet.servers[row]!.id, now)
-		if (!one) return undefined
-		all.push(one)
+		const forecast = forecastServer(ctx, fleet.servers[row]!.id, now)
+		if (!forecast) return undefined
+		forecasts.push(forecast)
 	}
-	const [first] = all.sort((a, b) => a.moreMs - b.moreMs)
+	const [first] = forecasts.sort((a, b) => a.moreMs - b.moreMs)
 	if (!first) return undefined
 	const { kind, moreMs } = first
-	const dueMs = all.flatMap(one => one.dueMs).sort((a, b) => a - b)
+	const dueMs = forecasts
+		.flatMap(forecast => forecast.dueMs)
+		.sort((a, b) => a - b)
 	return { kind, dueMs, moreMs, gapMs: kind === 'resting' ? REST_TRY_MS : 0 }
 }
 
-function outlookOfServer(
+function forecastServer(
 	ctx: GatewayContext,
 	server: string,
 	now: number,
@@ -70,7 +72,7 @@
 	}
 }
 
-/** How long the request after `before` others will wait, ms. */
+/** Returns the expected wait of a request with `before` others ahead of it, ms. */
 export function outlookWaitMs(
 	{ dueMs, moreMs, gapMs }: Outlook,
 	before: number,
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -1,4 +1,4 @@
-/** What a gateway needs from the platform that it runs on. */
+/** Interfaces that the platform implements for a gateway. */
 
 import type { IncomingHttpHeaders } from 'node:http'
 import type {
@@ -8,43 +8,43 @@
 	TrafficConfig,
 } from '@juniperhook/core'
 
-/** A published configuration, with the text it was decoded from. */
+/** A published configuration, with the text from which it was decoded. */
 export interface PublishedConfig {
 	readonly config: TrafficConfig
-	/** The text as published, for peers. */
+	/** The published text, passed on to peers unchanged. */
 	readonly text: string
 }
 
-/** Everything published, as of a revision. */
+/** Everything that is published, as of a revision. */
 export interface CatalogSnapshot {
 	readonly revision: TermRevision
 	readonly config: PublishedConfig | undefined
 	readonly servers: readonly ServerRecord[]
-	/** Values that could not be decoded, and why. */
+	/** Values that could not be decoded, with the reasons. */
 	readonly faults: readonly string[]
 }
 
-/** What a call to a source gave, and how many bytes came for it. */
+/** Result of a call to a source, with the bytes received for it. */
 export type SourceResult<T> = { readonly bytes: number } & (
 	| { readonly ok: true; readonly value: T }
-	/** The changes asked for are no longer known: read everything again. */
+	/** The requested changes are no longer available: everything must be read again. */
 	| { readonly ok: false; readonly lostHistory: true; readonly reason: string }
 	| { readonly ok: false; readonly lostHistory: false; readonly reason: string }
 )
 
-/** Where configuration and servers are published. */
+/** Source of published configuration and servers. */
 export interface CatalogSource {
 	/** Reads everything. */
 	read(): Promise<SourceResult<CatalogSnapshot>>
 	/**
-	 * Waits for changes after a revision; none when the time is over. Where a later term
-	 * has begun, history is lost.
+	 * Waits for changes after a revision and returns none after `waitMs`. History is
+	 * lost when a later term has begun.
 	 */
 	watch(
 		revision: TermRevision,
 		waitMs: number,
 	): Promise<SourceResult<CatalogSnapshot>>
-	/** Decodes a configuration's text that a peer passed on. */
+	/** Decodes the text of a configuration that a peer passed on. */
 	decode(text: string): PublishedConfig | undefined
 }
 
@@ -52,77 +52,78 @@
 export interface WireNames {
 	readonly requestId: string
 	readonly deadlineMs: string
-	/** Scheme of `authorization` before the key. */
+	/** Authentication scheme that precedes the key in `authorization`. */
 	readonly keyScheme: string
 	readonly team: string
 	/** Id of the only server that may run the request. */
 	readonly expectServer: string
-	/** Marks an answer that says that the request was not run. */
+	/** Marks a response to a request that was not run. */
 	readonly notRun: string
-	/** Names the server at fault in an answer that was not run. */
+	/** Names the failed server in a response to a request that was not run. */
 	readonly atFault: string
-	/** Present on every genuine answer of a server. */
+	/** Present in every genuine response of a server. */
 	readonly seal: string
 	readonly lastEventId: string
 	readonly priority: string
-	/** Tokens of the prompt and the most that are generated. */
+	/** Prompt tokens and the maximum of generated tokens. */
 	readonly tokens: string
 	/** Parts of the prompt, in order. */
 	readonly promptParts: string
 }
 
-/** How an entry and the servers speak. */
+/** Protocol between an entry and the servers. */
 export interface ServerWire {
 	readonly names: WireNames
-	/** Reads what an answer says of its server. */
+	/** Parses the signals that a response carries about its server. */
 	readStatement(status: number, headers: IncomingHttpHeaders): ServerStatement
 }
 
-/** Requests that a server runs, and that wait there. */
+/** Numbers of requests that run and that wait at a server. */
 export interface ServerLoad {
 	readonly running: number
 	readonly waiting: number
 }
 
-/** What a server may say of itself in an answer. */
+/** Values that a server may report about itself in a response. */
 export interface SignalValues {
 	readonly load: ServerLoad
-	/** Requests a second that it takes from all entries together. */
+	/** Rate limit over all entries, requests per second. */
 	readonly perSecond: number
-	/** For how long it wants nothing more from this entry, ms. */
+	/** Pause that it requests of this entry, ms. */
 	readonly restMs: number
-	/** It is about to leave. */
+	/** Set when the server is about to leave. */
 	readonly leaving: true
 }
 
-/** One of these, as far as an answer has it. */
+/** One signal as parsed from a response: present, absent or unreadable. */
 export type Signal<T> =
 	| { readonly kind: 'told'; readonly value: T }
 	| { readonly kind: 'untold' }
 	| { readonly kind: 'unreadable'; readonly text: string }
 
-/** What an answer says of the server that gave it. */
+/** All signals of a response about its server. */
 export interface ServerStatement {
 	readonly signals: {
 		readonly [K in keyof SignalValues]: Signal<SignalValues[K]>
 	}
-	/** Names of its headers that are neither standard nor known. */
+	/** Names of response headers that are neither standard nor known. */
 	readonly unknown: readonly string[]
 }
 
-/** An answer that says something of its server. */
+/** The response that a statement comes from. */
 export interface Heard {
 	/** Id of the server that the request was sent to. */
 	readonly server: string
 	/** When the request was sent, ms. */
 	readonly sentAt: number
-	/** Whether the server ran it. */
+	/** Whether the server ran the request. */
 	readonly ran: boolean
 }
 
 /**
- * How long a caller waits for a stream's next event, the first one too: the longest
- * of a time, a multiple of the target time and one of the longest pause in time.
+ * How long a caller waits for the next event of a stream, including the first: the
+ * maximum of a fixed time, a multiple of the route's target time and a multiple of its
+ * maximum pause.
  */
 export interface CallerPatience {
 	readonly leastMs: number
@@ -130,5 +131,4 @@
 	readonly pauseTimes: number
 }
 
-/** A listed server and how much this entry has sent it. */
 export type { ListedServer }
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -1,29 +1,29 @@
 /**
- * What an entry observes of a service that may be full: how fast places come
- * free, how long full spells last, and how soon answers begin. By it refusals are
- * given at once.
+ * Load observations of a service: how fast slots become free, how long the service
+ * stays full and how long responses take to start. With them, a request that cannot be
+ * served in time is refused at once.
  */
 
 import type { PlaceFlow, Returns, Spell } from '@juniperhook/core'
 import { createPlaceFlow, createReturns, createSpell } from '@juniperhook/core'
 
-/** How long a service is assumed to stay full before a spell was seen, ms. */
-const FIRST_FULL_MS = 1_000
-/** Weight of a new answer in the usual time to its beginning. */
-const FIRST_WEIGHT = 0.1
-/** Answers begin later than usual by this factor often enough to count on it. */
-const SLOW_BEGINNING = 1.25
+/** Assumed length of a full spell before one has been observed, ms. */
+const INITIAL_FULL_MS = 1_000
+/** Smoothing weight of a new sample of the time to first byte. */
+const FIRST_BYTE_WEIGHT = 0.1
+/** Safety factor: responses often take longer to start than the smoothed time. */
+const FIRST_BYTE_MARGIN = 1.25
 
-/** Observations of one service. */
+/** Load observations of one service. */
 export interface Pressure {
 	readonly flow: PlaceFlow
 	readonly full: Spell
 	readonly returns: Returns
-	/** From the sending to the beginning of an answer, smoothed, ms. */
+	/** Time from sending a request to the first byte of its response, smoothed, ms. */
 	firstMs: number
 }
 
-/** The observations of a service. */
+/** Returns the observations of a service, creating them on first use. */
 export function pressureOf(
 	pressures: Map<string, Pressure>,
 	service: string,
@@ -32,7 +32,7 @@
 	if (known) return known
 	const pressure = {
 		flow: createPlaceFlow(),
-		full: createSpell(FIRST_FULL_MS),
+		full: createSpell(INITIAL_FULL_MS),
 		returns: createReturns(),
 		firstMs: 0,
 	}
@@ -40,18 +40,18 @@
 	return pressure
 }
 
-/** Notes how long an answer took to begin, from its sending. */
+/** Records the time to first byte of a response, ms. */
 export function noteFirst(pressure: Pressure, tookMs: number): void {
 	const { firstMs } = pressure
 	pressure.firstMs =
-		firstMs === 0 ? tookMs : firstMs + FIRST_WEIGHT * (tookMs - firstMs)
+		firstMs === 0 ? tookMs : firstMs + FIRST_BYTE_WEIGHT * (tookMs - firstMs)
 }
 
-/** How long a request may wait and still be answered in time, ms. */
+/** Returns how long a request may wait and still be answered in time, ms. */
 export function spareMs(
 	{ firstMs }: Pressure,
 	targetMs: number,
 	elapsedMs: number,
 ): number {
-	return targetMs - elapsedMs - SLOW_BEGINNING * firstMs
+	return targetMs - elapsedMs - FIRST_BYTE_MARGIN * firstMs
 }
--- a/packages/gateway/src/reply.ts
+++ b/packages/gateway/src/reply.ts
@@ -1,14 +1,14 @@
-/** Answers towards a caller: a server's own, or a refusal. */
+/** Writes responses to callers: those of servers, and errors of the entry. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ErrorKind } from '@juniperhook/core'
 import { ERRORS } from '@juniperhook/core'
 import type { GatewayContext } from './context.ts'
 
-/** Unit in which times are told, and how many there are in a second. */
+/** `Retry-After` is sent in hundredths of a second. */
 const CENTISECOND_MS = 10
-const CENTISECONDS = 100
-/** Headers that concern one connection only. */
+const CENTISECONDS_PER_SECOND = 100
+/** Hop-by-hop headers, and `content-length`, which is set anew. */
 const HOP_HEADERS = new Set([
 	'connection',
 	'keep-alive',
@@ -21,33 +21,41 @@
 	'upgrade',
 	'content-length',
 ])
-const NO_BODY = new Set([204, 304])
+const NO_BODY_STATUSES = new Set([204, 304])
 
-/** Headers of a message without those of one connection, in turn. */
+/**
+ * Returns the alternating names and values of a message's end-to-end headers, without
+ * those in `excluded`.
+ */
 export function listEndToEndHeaders(
 	rawHeaders: readonly string[],
-	leaveOut: ReadonlySet<string> = new Set(),
+	excluded: ReadonlySet<string> = new Set(),
 ): string[] {
-	const named = namedByConnection(rawHeaders)
-	const kept: string[] = []
+	const connectionNames = listConnectionNames(rawHeaders)
+	const endToEnd: string[] = []
 	for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
 		const name = rawHeaders[at]!.toLowerCase()
-		if (HOP_HEADERS.has(name) || named.has(name) || leaveOut.has(name)) continue
-		kept.push(rawHeaders[at]!, rawHeaders[at + 1]!)
+		if (
+			HOP_HEADERS.has(name) ||
+			connectionNames.has(name) ||
+			excluded.has(name)
+		)
+			continue
+		endToEnd.push(rawHeaders[at]!, rawHeaders[at + 1]!)
 	}
-	return kept
+	return endToEnd
 }
 
-function namedByConnection(rawHeaders: readonly string[]): Set<string> {
-	const named = new Set<string>()
+function listConnectionNames(rawHeaders: readonly string[]): Set<string> {
+	const connectionNames = new Set<string>()
 	for (let at = 0; at + 1 < rawHeaders.length; at += 2)
 		if (rawHeaders[at]!.toLowerCase() === 'connection')
 			for (const name of rawHeaders[at + 1]!.toLowerCase().split(/[\s,]+/))
-				named.add(name)
-	return named
+				connectionNames.add(name)
+	return connectionNames
 }
 
-/** Writes a server's whole answer. */
+/** Writes a server's response with its complete body. */
 export function writeWhole(
 	ctx: GatewayContext,
 	res: ServerResponse,
@@ -57,18 +65,19 @@
 ): void {
 	const status = message.statusCode ?? 0
 	const headers = listEndToEndHeaders(message.rawHeaders)
-	const told = message.headers['content-length']
+	const contentLength = message.headers['content-length']
 	if (method === 'HEAD') {
-		if (told !== undefined) headers.push('Content-Length', told)
-	} else if (!NO_BODY.has(status))
+		if (contentLength !== undefined)
+			headers.push('Content-Length', contentLength)
+	} else if (!NO_BODY_STATUSES.has(status))
 		headers.push('Content-Length', String(body.length))
-	addClose(ctx, headers)
+	addConnectionClose(ctx, headers)
 	ctx.metrics.answers.inc({ status })
 	res.writeHead(status, headers)
 	res.end(method === 'HEAD' ? undefined : body)
 }
 
-/** Writes the head of a stream, whose events follow. */
+/** Writes the response head of a stream, without events. */
 export function writeStreamHead(
 	ctx: GatewayContext,
 	res: ServerResponse,
@@ -76,12 +85,15 @@
 ): void {
 	const status = message.statusCode ?? 0
 	const headers = listEndToEndHeaders(message.rawHeaders)
-	addClose(ctx, headers)
+	addConnectionClose(ctx, headers)
 	ctx.metrics.answers.inc({ status })
 	res.writeHead(status, headers)
 }
 
-/** Writes a refusal or a failure of juniperhook's own. */
+/**
+ * Writes an error response of the entry. A response that has already begun is cut off
+ * instead.
+ */
 export function writeFailure(
 	ctx: GatewayContext,
 	res: ServerResponse,
@@ -91,7 +103,7 @@
 ): void {
 	ctx.metrics.refusals.inc({ kind })
 	if (res.headersSent || res.destroyed) {
-		// Without its last chunk, no client takes the answer for whole.
+		// Without the last chunk, clients recognize that the response is incomplete.
 		res.destroy()
 		return
 	}
@@ -101,17 +113,17 @@
 	headers.push('Content-Length', String(Buffer.byteLength(body)))
 	if (id) headers.push(ctx.wire.requestId, id)
 	if (retryAfterMs > 0) headers.push('Retry-After', formatSeconds(retryAfterMs))
-	addClose(ctx, headers)
+	addConnectionClose(ctx, headers)
 	ctx.metrics.answers.inc({ status })
 	res.writeHead(status, headers)
 	res.end(body)
 }
 
-/** Rounded up: who comes back sooner comes in vain. */
+/** Formats a time in seconds, rounded up: an earlier retry would be refused again. */
 function formatSeconds(ms: number): string {
-	return (Math.ceil(ms / CENTISECOND_MS) / CENTISECONDS).toFixed(2)
+	return (Math.ceil(ms / CENTISECOND_MS) / CENTISECONDS_PER_SECOND).toFixed(2)
 }
 
-function addClose(ctx: GatewayContext, headers: string[]): void {
+function addConnectionClose(ctx: GatewayContext, headers: string[]): void {
 	if (ctx.stopping) headers.push('Connection', 'close')
 }
--- a/packages/gateway/src/retryDecision.ts
+++ b/packages/gateway/src/retryDecision.ts
@@ -1,23 +1,27 @@
-/** Whether a request may be sent once more. */
+/** Decides whether a request may be retried. */
 
 import { createRetryWindow, takeRetry } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
 
-/** Sends that a server is proved not to have run, besides those that count. */
+/** Refused sends after which a request is still retried; they do not count as attempts. */
 const MAX_REFUSED_SENDS = 3
 
-/** Whether another attempt may be made, by count, proof and budget. */
+/**
+ * Returns whether another attempt may be made: the request is safe to repeat or
+ * provably did not run, attempts are left, and the retry budget allows it. Consumes
+ * from that budget.
+ */
 export function mayTryAgain(ctx: GatewayContext, job: Job): boolean {
 	const { request } = job
 	if (job.signal.aborted) return false
 	if (job.mayHaveRun && !request.repeatable) return false
-	const runs = job.sends - job.refusedSends
-	if (runs >= request.route.maxAttempts) return false
-	// To try a group that forms is to wait for it, and that has its own limit.
-	const refused = job.refusedSends - job.groupRefusals
-	if (refused > MAX_REFUSED_SENDS) return false
+	const attempts = job.sends - job.refusedSends
+	if (attempts >= request.route.maxAttempts) return false
+	// Refusals of a forming group count as waiting for it, which has its own limit.
+	const refusals = job.refusedSends - job.groupRefusals
+	if (refusals > MAX_REFUSED_SENDS) return false
 	return takeRetry(
 		retriesOf(ctx, job.service),
 		ctx.settings.retries,
@@ -26,7 +30,7 @@
 	)
 }
 
-/** The retry window of a service. */
+/** Returns the retry budget window of a service, creating it on first use. */
 export function retriesOf(ctx: GatewayContext, service: string) {
 	const known = ctx.retries.get(service)
 	if (known) return known
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,19 +1,20 @@
-/** A request on its way to a server. */
+/** A request sent to a server. */
 
 import type { ListedServer } from '@juniperhook/core'
 import type { Job } from './job.ts'
 import type { Run } from './runs.ts'
 
-/** One sending of a request to a server. */
+/** One send of a request to a server. */
 export interface Send {
 	readonly job: Job
 	readonly server: ListedServer
 	readonly run: Run
-	/** When it was sent, ms; on the steady clock, and by elapsed time. */
+	/** When it was sent, ms of the steady clock, which stands while the VM is suspended. */
 	readonly sentAt: number
+	/** When it was sent, ms of elapsed time, which includes suspensions. */
 	readonly sentAtElapsed: number
-	/** Whether a server may have run it before. */
+	/** Whether a server may have run the request before this send. */
 	readonly mayHaveRunBefore: boolean
-	/** Gives the place at the server back. */
+	/** Frees the slot at the server. */
 	free(): void
 }
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -1,4 +1,4 @@
-/** What the outcome of a send proves, and what it changes for those that follow. */
+/** Evaluates the outcome of a send and updates the state of servers and groups. */
 
 import type { TryResult } from '@juniperhook/core'
 import { noteTry } from '@juniperhook/core'
@@ -21,18 +21,17 @@
 import { noteAlive, noteBroken, watchLeft } from './serverEnds.ts'
 import { dropDisplaced } from './serverRecords.ts'
 import { noteTaken } from './serverRests.ts'
-
 import { takeStatement } from './serverStatement.ts'
 import { serveWaiting } from './waiting.ts'
 
-/** The address belongs to another server now. */
+/** Status with which another server at the same address refuses a request. */
 const MISDIRECTED = 421
-/** How a call fails when no process listens at the address. */
-const REFUSED = 'ECONNREFUSED'
-/** How a call fails when the server closes its connection. */
-const CLOSED_THERE: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE'])
+/** Error code when no process listens at the address. */
+const CONNECTION_REFUSED = 'ECONNREFUSED'
+/** Error codes when the server closes the connection. */
+const CLOSED_BY_SERVER: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE'])
 
-/** Notes a send to which no answer came. */
+/** Records a send without a response. */
 export function noteUnanswered(
 	ctx: GatewayContext,
 	send: Send,
@@ -46,14 +45,14 @@
 	if (!job.signal.aborted)
 		noteResult(ctx, send, { kind: isSent ? 'failed' : 'unreached' })
 	if (!isSent) noteNotRun(send)
-	// A rank without a process: its group stands still and will refuse.
-	if (reason === REFUSED && isGrouped(ctx, job.service))
+	// A rank without a process stops its whole group, which will refuse requests.
+	if (reason === CONNECTION_REFUSED && isGrouped(ctx, job.service))
 		closeGroup(ctx, groupOf(server))
 	logAttempt(ctx, job, server.id, result.kind, reason)
 	return isSent ? result : { kind: 'notRun', reason }
 }
 
-/** Judges the head of an answer; its body is still to come. */
+/** Evaluates the head of a response, before its body is read. */
 export function judgeAnswer(
 	ctx: GatewayContext,
 	send: Send,
@@ -62,7 +61,7 @@
 	const { status, message } = answer
 	const saysNotRun = message.headers[ctx.wire.notRun] !== undefined
 	const isMisdirected = status === MISDIRECTED
-	// What another server says is not said of the one that was asked.
+	// A misdirected response comes from another server than the one addressed.
 	if (!isMisdirected)
 		takeStatement(
 			ctx,
@@ -91,7 +90,7 @@
 		job.groupRefusals++
 		closeGroup(ctx, groupOf(server))
 	}
-	// A full server is told by its load; it has not failed.
+	// A refusal is not a failure: a full server is recognized by its reported load.
 	const fault = message.headers[ctx.wire.atFault]?.toString() ?? ''
 	logAttempt(ctx, job, server.id, 'notRun', `${status} ${fault}`)
 	return { kind: 'notRun', reason: `status ${status}` }
@@ -126,7 +125,7 @@
 			noteBroken(ctx, server)
 			break
 		case 'left':
-			leave(ctx, send)
+			noteAbandoned(ctx, send)
 			break
 		case 'failed':
 			break
@@ -136,8 +135,8 @@
 	send.free()
 	const isPlain = request.route.kind !== 'stream'
 	const tookMs = isPlain ? readNow() - sentAt : undefined
-	const isSound = end === 'good' || end === 'left'
-	noteResult(ctx, send, isSound ? { kind: 'good', tookMs } : { kind: 'failed' })
+	const isGood = end === 'good' || end === 'left'
+	noteResult(ctx, send, isGood ? { kind: 'good', tookMs } : { kind: 'failed' })
 }
 
 function noteResult(
@@ -149,13 +148,13 @@
 	if (row !== undefined) noteTry(fleet.table, row, result, readNow())
 }
 
-/** A connection that the server closed, or that this entry did. */
+/** Records a connection that was closed by the server or by this entry. */
 function noteLost(ctx: GatewayContext, send: Send, reason: string): void {
-	if (CLOSED_THERE.has(reason)) noteBroken(ctx, send.server)
-	else leave(ctx, send)
+	if (CLOSED_BY_SERVER.has(reason)) noteBroken(ctx, send.server)
+	else noteAbandoned(ctx, send)
 }
 
-function leave(ctx: GatewayContext, { server, run }: Send): void {
+function noteAbandoned(ctx: GatewayContext, { server, run }: Send): void {
 	leaveRun(ctx.runs, server.id, run)
 	if (isSuspected(ctx, run.request)) watchLeft(ctx, server)
 }
--- a/packages/gateway/src/serverCall.ts
+++ b/packages/gateway/src/serverCall.ts
@@ -1,49 +1,49 @@
-/** One call to a server, up to the head of its answer. */
+/** One HTTP call to a server, up to the head of its response. */
 
 import type { Agent, ClientRequest, IncomingMessage } from 'node:http'
 import { request } from 'node:http'
 import type { Socket } from 'node:net'
 
-/** A connection that takes longer than this to come up counts as dead, ms. */
-const CONNECT_MS = 200
+/** Connect timeout, ms. */
+const CONNECT_TIMEOUT_MS = 200
 
-/** What is sent. */
+/** A request to a server. */
 export interface ServerRequest {
 	/** `IP:port` of the server. */
 	readonly address: string
 	readonly method: string
 	readonly path: string
-	/** Names and values in turn. */
+	/** Alternating names and values. */
 	readonly headers: readonly string[]
 	readonly body: Buffer
-	/** Id that the answer must carry, and the header it carries it in. */
+	/** Request id, which the response must repeat. */
 	readonly id: string
+	/** Header that carries the id in the response. */
 	readonly idHeader: string
 	readonly agent: Agent
-	/** Time to the first byte of the answer, ms. */
+	/** Timeout for the response head, ms. */
 	readonly headMs: number
 	readonly signal: AbortSignal
 }
 
-/** How a call went, up to the head of an answer. */
+/** Result of a call, up to the head of the response. */
 export type CallResult =
 	| { readonly kind: 'answer'; readonly answer: ServerAnswer }
-	/** Proved: not a byte of the request went out. */
+	/** No byte of the request was sent. */
 	| { readonly kind: 'notSent'; readonly reason: string }
-	/** The request may have been read. */
+	/** The server may have received the request. */
 	| { readonly kind: 'lost'; readonly reason: string }
 
-/** The head of an answer, its body still to come. */
+/** A response whose body has not been read yet. */
 export interface ServerAnswer {
 	readonly status: number
 	readonly message: IncomingMessage
-	/** Whether the body came to its end; to be asked once it is closed. */
+	/** Returns whether the body is complete; valid once `message` is closed. */
 	isWhole(): boolean
-	/** Cuts the connection, so that the server stops its work. */
+	/** Closes the connection, so that the server stops its work. */
 	cut(): void
 }
 
-/** Calls a server. */
 export function callServer(call: ServerRequest): Promise<CallResult> {
 	const [host, port] = call.address.split(':')
 	return new Promise(resolve => {
@@ -57,10 +57,10 @@
 			setHost: false,
 		})
 		let connected = false
-		let over = false
+		let settled = false
 		const settle = (result: CallResult) => {
-			if (over) return
-			over = true
+			if (settled) return
+			settled = true
 			clearTimeout(headTimer)
 			clearTimeout(connectTimer)
 			resolve(result)
@@ -76,21 +76,21 @@
 				connected = true
 				return
 			}
-			connectTimer = setTimeout(() => fail('no connection'), CONNECT_MS)
+			connectTimer = setTimeout(() => fail('no connection'), CONNECT_TIMEOUT_MS)
 			socket.once('connect', () => {
 				connected = true
 				clearTimeout(connectTimer)
 			})
 		})
 		const abort = () => {
-			fail('the caller left')
+			fail('request aborted')
 			req.destroy()
 		}
 		call.signal.addEventListener('abort', abort, { once: true })
 		req.on('close', () => call.signal.removeEventListener('abort', abort))
-		req.on('error', err => fail(describe(err)))
+		req.on('error', err => fail(codeOf(err)))
 		req.on('response', message => {
-			const answer = takeHead(call, req, message)
+			const answer = readHead(call, req, message)
 			if (typeof answer === 'string') fail(answer)
 			else settle({ kind: 'answer', answer })
 		})
@@ -98,25 +98,26 @@
 	})
 }
 
-/** The answer, or why its bytes are not the answer to this request. */
-function takeHead(
+/** Returns the response, or the reason why it does not belong to this request. */
+function readHead(
 	call: ServerRequest,
 	req: ClientRequest,
 	message: IncomingMessage,
 ): ServerAnswer | string {
 	const id = message.headers[call.idHeader]
-	if (id !== undefined && id !== call.id) return 'an answer to another request'
-	// What is left of a body must not be followed by another request.
-	const early = !req.writableFinished
-	if (early) message.once('end', () => req.destroy())
+	if (id !== undefined && id !== call.id)
+		return 'response has another request id'
+	// After a partly written body, the connection must not be reused.
+	const answeredEarly = !req.writableFinished
+	if (answeredEarly) message.once('end', () => req.destroy())
 	message.on('error', () => {})
-	// Node takes an answer without a length for whole when it is reset.
+	// Node reports a response without a length as complete when the connection is reset.
 	let isReset = false
 	const noteReset = () => {
 		isReset = true
 	}
 	const { socket } = message
-	// A reset may also be read as a plain end; then the peer has no name left.
+	// A reset may also appear as a regular end; then the socket has no remote address.
 	const noteEnd = () => {
 		if (socket.remoteAddress === undefined) isReset = true
 	}
@@ -134,16 +135,16 @@
 	}
 }
 
-function describe(err: NodeJS.ErrnoException): string {
+function codeOf(err: NodeJS.ErrnoException): string {
 	return err.code ?? err.message
 }
 
-/** How an answer's body ended. */
+/** A response body, or how it failed. */
 export type BodyResult =
 	| { readonly kind: 'whole'; readonly body: Buffer }
 	| { readonly kind: 'broken'; readonly reason: string }
 
-/** Reads a body to its end. */
+/** Reads the body of a response to its end. */
 export function readAnswerBody(answer: ServerAnswer): Promise<BodyResult> {
 	const { message } = answer
 	return new Promise(resolve => {
@@ -152,7 +153,7 @@
 		message.on('close', () => {
 			if (answer.isWhole())
 				resolve({ kind: 'whole', body: Buffer.concat(parts) })
-			else resolve({ kind: 'broken', reason: 'the answer broke off' })
+			else resolve({ kind: 'broken', reason: 'response body truncated' })
 		})
 	})
 }
--- a/packages/gateway/src/serverHeaders.ts
+++ b/packages/gateway/src/serverHeaders.ts
@@ -1,15 +1,16 @@
-/** The headers that a server is sent. */
+/** Request headers for servers. */
 
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
 import { listEndToEndHeaders } from './reply.ts'
 
-/** Least urgent priority that servers know. */
-const LAST_PRIORITY = 9
+/** Least urgent priority that servers accept. */
+const LOWEST_PRIORITY = 9
 
 /**
- * The caller's end-to-end headers, in turn, with those that an entry sets: what
- * is left of the time, the team, and the only server that may run it.
+ * Builds the headers of a request to a server, as alternating names and values: the
+ * caller's end-to-end headers and those that the entry sets, such as the remaining
+ * time, the team and the only server that may run the request.
  */
 export function buildServerHeaders(
 	ctx: GatewayContext,
@@ -19,7 +20,7 @@
 ): string[] {
 	const { wire } = ctx
 	const { request } = job
-	const own = new Set([
+	const entryHeaders = new Set([
 		'authorization',
 		'expect',
 		wire.team,
@@ -28,10 +29,13 @@
 		wire.lastEventId,
 		wire.priority,
 	])
-	const headers = listEndToEndHeaders(request.rawHeaders, own)
+	const headers = listEndToEndHeaders(request.rawHeaders, entryHeaders)
 	headers.push(wire.deadlineMs, String(leftMs))
 	headers.push(wire.expectServer, serverName)
-	headers.push(wire.priority, String(Math.min(LAST_PRIORITY, request.priority)))
+	headers.push(
+		wire.priority,
+		String(Math.min(LOWEST_PRIORITY, request.priority)),
+	)
 	if (request.team) headers.push(wire.team, request.team.name)
 	if (job.lastEventId !== undefined)
 		headers.push(wire.lastEventId, job.lastEventId)
--- a/packages/gateway/src/serverPool.ts
+++ b/packages/gateway/src/serverPool.ts
@@ -1,32 +1,35 @@
-/** Connections to backend servers, kept open between repeatable requests. */
+/** Connection pool for backend servers. */
 
 import { Agent } from 'node:http'
 import type { TrafficService } from '@juniperhook/core'
 
-/** Idle connections kept to one server, at most. */
-const MAX_IDLE = 12
+/** Maximum of idle connections to one server. */
+const MAX_IDLE_CONNECTIONS = 12
 /**
- * Part of a server's connections that all entries together may keep idle: it resets what
- * goes beyond the whole.
+ * Share of a server's connections that all entries together may keep idle. A server
+ * resets connections beyond its maximum.
  */
 const IDLE_SHARE = 0.5
-/** An idle connection is closed after this time, ms; servers keep theirs longer. */
+/** Idle timeout of connections, ms; shorter than that of servers. */
 const IDLE_MS = 8_000
 
-/** The connections of a process to all servers. */
+/** HTTP agents for calls to all servers. */
 export interface ServerPool {
-	/** Keeps connections; a request on one may meet its close. */
+	/** Reuses connections; a server may close one while a request is being sent on it. */
 	readonly kept: Agent
-	/** A connection for each request, so that nothing of another is on it. */
+	/**
+	 * Opens a connection for each request, so that no bytes of another request are on it.
+	 * Used for requests that must not run twice.
+	 */
 	readonly single: Agent
 }
 
-/** Makes a pool without connections. */
+/** Creates a pool without connections. */
 export function createServerPool(): ServerPool {
 	return {
 		kept: new Agent({
 			keepAlive: true,
-			maxFreeSockets: MAX_IDLE,
+			maxFreeSockets: MAX_IDLE_CONNECTIONS,
 			timeout: IDLE_MS,
 			scheduling: 'lifo',
 		}),
@@ -34,7 +37,7 @@
 	}
 }
 
-/** Closes the idle connections to a server that has ended, by its `IP:port`. */
+/** Closes the idle connections to a server that has ended; `address` is its `IP:port`. */
 export function closeIdle({ kept }: ServerPool, address: string): void {
 	const [host, port] = address.split(':')
 	const idle = kept.freeSockets[kept.getName({ host, port: Number(port) })]
@@ -42,19 +45,27 @@
 }
 
 /**
- * Idle connections that one of `entries` entries keeps to a server; `most` is what the
- * server takes from all callers together.
+ * Returns how many idle connections one of `entries` entries may keep to a server that
+ * accepts `maxConnections` in total.
  */
-export function idleShare(most: number, entries: number): number {
-	return Math.min(MAX_IDLE, Math.floor((IDLE_SHARE * most) / entries))
+export function idleShare(maxConnections: number, entries: number): number {
+	return Math.min(
+		MAX_IDLE_CONNECTIONS,
+		Math.floor((IDLE_SHARE * maxConnections) / entries),
+	)
 }
 
-/** Fits the idle connections to what servers take and to how many entries there are. */
+/**
+ * Adjusts the maximum of idle connections to the connection limits of services and the
+ * number of entries.
+ */
 export function fitIdle(
 	{ kept }: ServerPool,
 	services: Iterable<TrafficService>,
 	entries: number,
 ): void {
-	const most = Math.min(...[...services].map(one => one.maxConnections))
-	kept.maxFreeSockets = idleShare(most, entries)
+	const maxConnections = Math.min(
+		...[...services].map(service => service.maxConnections),
+	)
+	kept.maxFreeSockets = idleShare(maxConnections, entries)
 }
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -1,4 +1,4 @@
-/** Sends a request to a server that was granted, and judges the head of its answer. */
+/** Sends a request to an acquired server and evaluates the head of its response. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
@@ -13,16 +13,16 @@
 import { buildServerHeaders } from './serverHeaders.ts'
 import { serveWaiting } from './waiting.ts'
 
-/** An attempt with less time left than this is not made, ms. */
+/** No attempt is made with less time left than this, ms. */
 const MIN_LEFT_MS = 5
-/** The request's own end comes first, with the right answer, ms. */
-const AFTER_GIVEN_UP_MS = 500
-/** A repeatable request is tried elsewhere after this part of its target. */
-const PATIENCE_SHARE = 0.5
-/** Or after so many times what its server usually takes, if that is longer. */
-const PATIENCE_TIMES = 4
+/** Added to the head timeout, so that the request times out first, with the right error, ms. */
+const HEAD_TIMEOUT_MARGIN_MS = 500
+/** Head timeout of a repeatable request before a retry, as a share of its target. */
+const HEAD_TIMEOUT_SHARE = 0.5
+/** The same as a multiple of the server's usual service time; the longer one counts. */
+const HEAD_TIMEOUT_TIMES = 4
 
-/** Sends a request to a server that was granted. */
+/** Sends a request to an acquired server. */
 export async function sendToServer(
 	ctx: GatewayContext,
 	job: Job,
@@ -32,22 +32,22 @@
 	const row = fleet.table.rowOf.get(serverId)
 	const server = row === undefined ? undefined : fleet.servers[row]
 	if (!server) {
-		// It was granted in the turn in which news took the server out.
-		giveBack(ctx, serverId)
-		return { kind: 'notRun', reason: 'server gone' }
+		// The server was removed in the event-loop turn in which it was granted.
+		releaseServer(ctx, serverId)
+		return { kind: 'notRun', reason: 'server no longer listed' }
 	}
-	const untilGivenUp = job.request.givenUpAt - readElapsed()
-	if (untilGivenUp < MIN_LEFT_MS || job.signal.aborted) {
-		giveBack(ctx, serverId)
+	const untilTimeoutMs = job.request.givenUpAt - readElapsed()
+	if (untilTimeoutMs < MIN_LEFT_MS || job.signal.aborted) {
+		releaseServer(ctx, serverId)
 		return { kind: 'refused', error: 'startBudget' }
 	}
 	const send = beginSend(ctx, job, server)
-	const result = await call(ctx, send, untilGivenUp)
+	const result = await call(ctx, send, untilTimeoutMs)
 	if (result.kind === 'answer') return judgeAnswer(ctx, send, result.answer)
 	return noteUnanswered(ctx, send, result)
 }
 
-function giveBack(ctx: GatewayContext, serverId: string): void {
+function releaseServer(ctx: GatewayContext, serverId: string): void {
 	noteHeld(ctx.fleet, serverId, -1)
 	serveWaiting(ctx)
 }
@@ -56,7 +56,7 @@
 	job.tried.add(server.id)
 	job.sends++
 	const mayHaveRunBefore = job.mayHaveRun
-	// Until the opposite is proved: the time may run out before.
+	// Assumed until disproved, since the request may time out before that.
 	job.mayHaveRun = true
 	const run = beginRun(ctx.runs, server.id, job.request)
 	return {
@@ -68,7 +68,7 @@
 		mayHaveRunBefore,
 		free: () => {
 			endRun(ctx.runs, server.id, run)
-			giveBack(ctx, server.id)
+			releaseServer(ctx, server.id)
 		},
 	}
 }
@@ -76,33 +76,40 @@
 function call(
 	ctx: GatewayContext,
 	{ job, server }: Send,
-	untilGivenUp: number,
+	untilTimeoutMs: number,
 ): Promise<CallResult> {
 	const { request } = job
-	const left = Math.floor(request.deadlineAt - readElapsed())
+	const leftMs = Math.floor(request.deadlineAt - readElapsed())
 	return callServer({
 		address: server.address,
 		method: request.method,
 		path: request.path,
-		headers: buildServerHeaders(ctx, job, server.name, left),
+		headers: buildServerHeaders(ctx, job, server.name, leftMs),
 		body: request.body,
 		id: request.id,
 		idHeader: ctx.wire.requestId,
 		agent: request.repeatable ? ctx.pool.kept : ctx.pool.single,
-		headMs: Math.min(untilGivenUp + AFTER_GIVEN_UP_MS, patienceFor(ctx, job)),
+		headMs: Math.min(
+			untilTimeoutMs + HEAD_TIMEOUT_MARGIN_MS,
+			headTimeoutMs(ctx, job),
+		),
 		signal: job.signal,
 	})
 }
 
 /**
- * How long a server may take to begin its answer before another is tried, ms:
- * only where there is another try, and the whole answer comes at once.
+ * Returns how long a server may take to start its response before another server is
+ * tried, ms. Unlimited for the last attempt, for streams and for requests that must not
+ * be repeated.
  */
-function patienceFor(ctx: GatewayContext, job: Job): number {
+function headTimeoutMs(ctx: GatewayContext, job: Job): number {
 	const { route } = job.request
 	const isLast = job.sends - job.refusedSends >= route.maxAttempts
 	if (route.kind !== 'repeatable' || isLast) return Number.POSITIVE_INFINITY
 	const row = ctx.fleet.table.rowOf.get([...job.tried].at(-1) ?? '')
-	const usual = row === undefined ? 0 : ctx.fleet.table.serviceMs[row]!
-	return Math.max(route.targetMs * PATIENCE_SHARE, usual * PATIENCE_TIMES)
+	const usualMs = row === undefined ? 0 : ctx.fleet.table.serviceMs[row]!
+	return Math.max(
+		route.targetMs * HEAD_TIMEOUT_SHARE,
+		usualMs * HEAD_TIMEOUT_TIMES,
+	)
 }
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -1,6 +1,6 @@
 /**
- * What a server says of itself in an answer, handed to whoever decides by it. Each signal
- * has exactly one reader.
+ * Dispatches the signals that a server sends about itself in a response. Each signal has
+ * exactly one handler.
  */
 
 import { readNow } from '@juniperhook/runtime'
@@ -11,47 +11,49 @@
 import { noteLeaving } from './serverRecords.ts'
 import { takeRest } from './serverRests.ts'
 
-/** Headers that are counted by name, and signals that are logged as unreadable. */
+/** Maximum of unknown headers that are counted by name. */
 const MAX_UNKNOWN = 32
+/** Maximum of distinct unreadable signals that are logged. */
 const MAX_UNREADABLE = 256
-/** Name under which headers beyond that are counted. */
+/** Label under which further headers are counted. */
 const OTHERS = 'others'
 
-/** Takes a signal; undefined where the answer doesn't have it. */
-type Reader<T> = (
+/** Handles a signal; the value is undefined when the response lacks the signal. */
+type Handler<T> = (
 	ctx: GatewayContext,
 	heard: Heard,
 	value: T | undefined,
 ) => void
 
-const READERS: { readonly [K in keyof SignalValues]: Reader<SignalValues[K]> } =
-	{
-		load: (ctx, { server }, load) => {
-			if (load) noteToldLoad(ctx.fleet, server, load, readNow())
-		},
-		perSecond: noteNamedLimit,
-		restMs: (ctx, { server }, restMs) => {
-			if (restMs !== undefined) takeRest(ctx, server, restMs)
-		},
-		leaving: (ctx, { server }, leaving) => {
-			if (leaving) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')
-		},
-	}
+const HANDLERS: {
+	readonly [K in keyof SignalValues]: Handler<SignalValues[K]>
+} = {
+	load: (ctx, { server }, load) => {
+		if (load) noteToldLoad(ctx.fleet, server, load, readNow())
+	},
+	perSecond: noteNamedLimit,
+	restMs: (ctx, { server }, restMs) => {
+		if (restMs !== undefined) takeRest(ctx, server, restMs)
+	},
+	leaving: (ctx, { server }, leaving) => {
+		if (leaving) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')
+	},
+}
 
-/** Names of the signals that have a reader. */
-export const READ_SIGNALS = Object.keys(READERS) as (keyof SignalValues)[]
+/** Names of the signals that have a handler. */
+export const READ_SIGNALS = Object.keys(HANDLERS) as (keyof SignalValues)[]
 
-/** Takes all that an answer says of its server. */
+/** Handles all signals and unknown headers of a response. */
 export function takeStatement(
 	ctx: GatewayContext,
 	heard: Heard,
 	statement: ServerStatement,
 ): void {
-	for (const signal of READ_SIGNALS) takeSignal(ctx, heard, statement, signal)
+	for (const signal of READ_SIGNALS) handleSignal(ctx, heard, statement, signal)
 	for (const header of statement.unknown) noteUnknown(ctx, heard, header)
 }
 
-function takeSignal<K extends keyof SignalValues>(
+function handleSignal<K extends keyof SignalValues>(
 	ctx: GatewayContext,
 	heard: Heard,
 	{ signals }: ServerStatement,
@@ -60,10 +62,10 @@
 	const signal = signals[name]
 	switch (signal.kind) {
 		case 'told':
-			READERS[name](ctx, heard, signal.value)
+			HANDLERS[name](ctx, heard, signal.value)
 			return
 		case 'untold':
-			READERS[name](ctx, heard, undefined)
+			HANDLERS[name](ctx, heard, undefined)
 			return
 		case 'unreadable':
 			noteUnreadable(ctx, heard, name, signal.text)
@@ -73,7 +75,7 @@
 	}
 }
 
-/** What was believed is held. */
+/** Counts and logs an unreadable signal; the last known value stays in force. */
 function noteUnreadable(
 	ctx: GatewayContext,
 	{ server }: Heard,
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -1,6 +1,6 @@
 /**
- * Passes a stream's events on as they come, whole and in order. A stream that
- * breaks off goes on at another server within the same answer.
+ * Relays the events of a stream as they arrive, complete and in order. A truncated
+ * stream is resumed at another server within the same response.
  */
 
 import type { ServerResponse } from 'node:http'
@@ -13,7 +13,7 @@
 import { writeStreamHead } from './reply.ts'
 import { mayTryAgain } from './retryDecision.ts'
 
-/** Relays one server's part of a stream. */
+/** Relays the part of a stream that one server sends. */
 export function relayStream(
 	ctx: GatewayContext,
 	job: Job,
@@ -24,14 +24,14 @@
 	const { message } = answer
 	const splitter = createEventSplitter()
 	let lastAt = readNow()
-	let sound = true
+	let inOrder = true
 	const notePause = (ms: number) => {
 		ctx.metrics.pauses.observe(ms / 1_000)
 		job.times.longestPauseMs = Math.max(job.times.longestPauseMs, ms)
 	}
-	const pass = (event: StreamEvent) => {
-		if (!isNext(job.lastEventId, event.id)) {
-			sound = false
+	const relay = (event: StreamEvent) => {
+		if (!isAfter(job.lastEventId, event.id)) {
+			inOrder = false
 			answer.cut()
 			return
 		}
@@ -48,11 +48,11 @@
 	}
 	return new Promise(resolve => {
 		message.on('data', (data: Buffer) => {
-			for (const event of splitEvents(splitter, data)) if (sound) pass(event)
+			for (const event of splitEvents(splitter, data)) if (inOrder) relay(event)
 		})
 		message.on('close', () => {
-			const whole = answer.isWhole() && sound && splitter.held.length === 0
-			result.release(judgeEnd(job, whole, answer.isWhole()))
+			const whole = answer.isWhole() && inOrder && splitter.held.length === 0
+			result.release(classifyEnd(job, whole, answer.isWhole()))
 			if (job.signal.aborted) {
 				resolve({ kind: 'done' })
 				return
@@ -75,15 +75,15 @@
 	})
 }
 
-/** How a stream's connection ended. */
-function judgeEnd(job: Job, isWhole: boolean, isFramed: boolean): AnswerEnd {
+/** Classifies the end of a stream's connection. */
+function classifyEnd(job: Job, isWhole: boolean, isFramed: boolean): AnswerEnd {
 	if (job.signal.aborted) return 'left'
 	if (isWhole) return 'good'
 	return isFramed ? 'failed' : 'broken'
 }
 
-/** Whether an event's id follows the last one; ids are rising numbers. */
-function isNext(last: string | undefined, id: string | undefined): boolean {
+/** Returns whether an event id follows the last one; ids are ascending numbers. */
+function isAfter(last: string | undefined, id: string | undefined): boolean {
 	if (last === undefined || id === undefined) return true
 	return Number(id) > Number(last)
 }
--- a/packages/gateway/src/suspension.ts
+++ b/packages/gateway/src/suspension.ts
@@ -1,47 +1,51 @@
 /**
- * What an entry does when its VM was suspended: its timers and its open connections do
- * not know, and what it believes is older than they say.
+ * Detects suspensions of the VM and corrects their effects: timers and open connections
+ * do not notice a suspension, so timeouts fire late and state is older than it seems.
  */
 
 import { readElapsed, readSuspendedMs } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 
 /**
- * After waking, ms: what is under way and only seems overdue, as the time of day was
- * set ahead, mostly ends by itself meanwhile; answers that came are read.
+ * Delay after a suspension before overdue requests are ended, ms. Responses that have
+ * arrived are read meanwhile, and if the time of day was only set forward, most requests
+ * end normally.
  */
 const OVERDUE_GRACE_MS = 500
 
-/** Looks whether the VM was suspended since the last look, and does what follows. */
+/** Checks for a suspension since the last check and handles it. */
 export function noticeSuspension(ctx: GatewayContext): void {
 	const { suspension } = ctx
-	const forMs = readSuspendedMs() - suspension.knownMs
-	if (forMs <= 0) return
-	suspension.knownMs += forMs
-	ctx.log.write('clocks parted', { forMs: Math.round(forMs), open: ctx.open })
+	const suspendedMs = readSuspendedMs() - suspension.knownMs
+	if (suspendedMs <= 0) return
+	suspension.knownMs += suspendedMs
+	ctx.log.write('clocks parted', {
+		forMs: Math.round(suspendedMs),
+		open: ctx.open,
+	})
 	setTimeout(() => endOverdue(ctx), OVERDUE_GRACE_MS).unref()
-	for (const wake of [...suspension.onWake]) wake()
+	for (const resume of [...suspension.onWake]) resume()
 }
 
-/** Timers of requests that were open have that much left too long. */
+/** Ends requests whose timeout passed during the suspension; their timers run late. */
 function endOverdue(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const [request, giveUp] of [...ctx.giveUps])
-		if (now >= request.givenUpAt) giveUp('timeOver')
+	for (const [request, cancel] of [...ctx.giveUps])
+		if (now >= request.givenUpAt) cancel('timeOver')
 }
 
-/** Ends a wait early, with `instead`, when the VM has been suspended meanwhile. */
+/** Resolves to `wait`, or early to `instead` when a suspension is detected meanwhile. */
 export function unlessSuspended<T>(
 	{ suspension }: GatewayContext,
 	wait: Promise<T>,
 	instead: T,
 ): Promise<T> {
 	return new Promise((resolve, reject) => {
-		const wake = () => {
-			suspension.onWake.delete(wake)
+		const resume = () => {
+			suspension.onWake.delete(resume)
 			resolve(instead)
 		}
-		suspension.onWake.add(wake)
-		wait.then(resolve, reject).finally(() => suspension.onWake.delete(wake))
+		suspension.onWake.add(resume)
+		wait.then(resolve, reject).finally(() => suspension.onWake.delete(resume))
 	})
 }
--- a/packages/gateway/src/suspensionWatch.ts
+++ b/packages/gateway/src/suspensionWatch.ts
@@ -1,14 +1,16 @@
-/** What an entry knows of suspensions of its VM. */
+/** State of the detection of VM suspensions. */
 
 import { readSuspendedMs } from '@juniperhook/runtime'
 
-/** How long the VM was suspended by the last look, and what waits for the next one. */
+/** Total suspended time as last observed, and listeners for the next suspension. */
 export interface SuspensionWatch {
+	/** Total time for which the VM was suspended, as of the last check, ms. */
 	knownMs: number
+	/** Called when a suspension is detected. */
 	readonly onWake: Set<() => void>
 }
 
-/** Makes a watch from now on. */
+/** Creates a watch that ignores earlier suspensions. */
 export function createSuspensionWatch(): SuspensionWatch {
 	return { knownMs: readSuspendedMs(), onWake: new Set() }
 }
--- a/packages/gateway/src/timeliness.ts
+++ b/packages/gateway/src/timeliness.ts
@@ -1,24 +1,24 @@
-/** Whether an answer came in time, and if not, which part of it was late. */
+/** Classifies whether a response met its route's latency objectives. */
 
 import type { TrafficRoute } from '@juniperhook/core'
 
-/** How an answer came, as its caller sees it. */
+/** Timeliness of a response, as its caller sees it. */
 export type Timeliness =
 	| 'inTime'
-	/** It began after its route's target time. */
+	/** The first byte came after the route's target time. */
 	| 'lateStart'
-	/** It began in time, and paused for too long between two events. */
+	/** It started in time, but a pause between two events was too long. */
 	| 'latePause'
 
-/** When the parts of an answer came. */
+/** Timing of a response. */
 export interface AnswerTimes {
-	/** From the request's arrival to the first byte, ms. */
+	/** Time from the request's arrival to the first byte, ms. */
 	startMs: number
 	/** Longest pause between two events so far, ms. */
 	longestPauseMs: number
 }
 
-/** Judges an answer by its route's objectives. */
+/** Classifies a response by its route's objectives. */
 export function judgeTimes(
 	{ targetMs, maxPauseMs }: TrafficRoute,
 	{ startMs, longestPauseMs }: AnswerTimes,
--- a/packages/gateway/src/waiter.ts
+++ b/packages/gateway/src/waiter.ts
@@ -1,43 +1,50 @@
-/** What a request asks a service's servers for, and what it gets. */
+/** Types of requests that acquire a server of a service. */
 
 import type { Waiting } from '@juniperhook/core'
 
-/** What a request that asks for a server gets. */
+/** Result of acquiring a server. */
 export type Grant =
 	| { readonly kind: 'server'; readonly id: string }
-	/** None had room in time. */
+	/** No server had a free slot in time. */
 	| { readonly kind: 'full' }
-	/** All take only so many requests a second, and none another one in time. */
+	/** All servers are rate-limited, and none takes another request in time. */
 	| { readonly kind: 'limited' }
-	/** All have asked for rest, beyond the time that there is. */
+	/** All servers have requested a pause that exceeds the time left. */
 	| { readonly kind: 'resting' }
+	/** The service has no server. */
 	| { readonly kind: 'none' }
 
-/** A request that waits. */
+/** A request that waits for a server. */
 export interface Waiter extends Waiting {
 	readonly service: string
-	/** Ids of servers it has been to. */
+	/** Ids of servers that it has been sent to. */
 	readonly tried: ReadonlySet<string>
+	/** See {@link ServerWish}. */
 	readonly luck: number
-	/** Until when it may wait, ms. */
+	/** End of the time that it may wait, ms. */
 	readonly until: number
+	/** Ends the wait with a result. */
 	grant(grant: Grant): void
 }
 
-/** What a request asks for. */
+/** Options of a request that acquires a server. */
 export interface ServerWish {
 	readonly service: string
 	readonly team: string
 	readonly priority: number
+	/** Ids of servers that the request has been sent to. */
 	readonly tried: ReadonlySet<string>
 	/**
-	 * From 0 to 1, drawn once for each request: which part of the requests must be
-	 * taken for this one to be.
+	 * Random number from 0 to 1, drawn once per request. A nearly full group that accepts
+	 * a share of the requests accepts those whose draw is below the share.
 	 */
 	readonly luck: number
-	/** How long it may wait, ms. */
+	/** Maximum wait, ms. */
 	readonly waitMs: number
-	/** Whether places come free one by one; not while a group forms. */
+	/**
+	 * Whether slots become free one at a time, so that the wait can be predicted. Not so
+	 * while a group forms, since all of its slots become free at once.
+	 */
 	readonly inTurn: boolean
 	readonly signal: AbortSignal
 }
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -1,4 +1,4 @@
-/** Requests that wait for a server with room, by priority and then by team. */
+/** Queues requests for a server with a free slot, by priority and fairly by team. */
 
 import {
 	beginSpell,
@@ -29,94 +29,101 @@
 import type { Grant, ServerWish, Waiter } from './waiter.ts'
 
 /**
- * Requests that an engine may hold beyond its slots: none. One that waits there
- * waits for the end of one of a few streams; here, for that of any stream.
+ * Requests that an engine may queue beyond its slots: none. A request queued there
+ * waits until one of that engine's few streams ends; here, until any stream ends.
  */
 const ENGINE_QUEUE_ROOM = 0
-/** Requests that a plain server may hold beyond its slots. */
+/** Requests that a plain server may queue beyond its slots. */
 const PLAIN_QUEUE_ROOM = 6
 
-/** Gets a server with room; the caller gives it back with `noteHeld`. */
+/** Acquires a server with a free slot; the caller must free it with {@link noteHeld}. */
 export function awaitServer(
 	ctx: GatewayContext,
-	wish: ServerWish,
+	options: ServerWish,
 ): Promise<Grant> {
-	const queue = queueOf(ctx.fleet, wish.service)
-	const pressure = pressureOf(ctx.pressures, wish.service)
+	const queue = queueOf(ctx.fleet, options.service)
+	const pressure = pressureOf(ctx.pressures, options.service)
 	const now = readNow()
-	const callers = queue.waiting.length + 1
-	askAhead(ctx, wish.service, callers, 0)
+	const demand = queue.waiting.length + 1
+	requestPermits(ctx, options.service, demand, 0)
 	if (queue.waiting.length === 0) {
-		const grant = choose(ctx, wish.service, wish.tried, wish.luck)
+		const grant = chooseServer(
+			ctx,
+			options.service,
+			options.tried,
+			options.luck,
+		)
 		if (grant.kind === 'server') {
 			notePlace(pressure.flow, now)
-			// One that is taken of many that are not does not end a full spell.
-			if (!isRationed(ctx.fleet, wish.service)) endSpell(pressure.full, now)
+			// A full spell goes on while the service accepts only a share of the requests.
+			if (!isRationed(ctx.fleet, options.service)) endSpell(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
 	beginSpell(pressure.full, now)
-	askAhead(ctx, wish.service, callers, wish.waitMs)
-	const outlook = outlookOf(ctx, wish.service)
-	if (waitsTooLong(queue, wish, pressure, outlook, now))
-		return Promise.resolve({ kind: outlook?.kind ?? 'full' })
-	return waitInQueue(ctx, queue, wish, now)
+	requestPermits(ctx, options.service, demand, options.waitMs)
+	const forecast = outlookOf(ctx, options.service)
+	if (willExceedWait(queue, options, pressure, forecast, now))
+		return Promise.resolve({ kind: forecast?.kind ?? 'full' })
+	return waitInQueue(ctx, queue, options, now)
 }
 
-/** Waits until a server has room, and no longer than is wished. */
+/** Waits in the queue until a server has a free slot, for `waitMs` at most. */
 function waitInQueue(
 	ctx: GatewayContext,
 	queue: FairQueue<Waiter>,
-	wish: ServerWish,
+	options: ServerWish,
 	now: number,
 ): Promise<Grant> {
 	return new Promise(resolve => {
-		const leave = (grant: Grant) => {
+		const settle = (grant: Grant) => {
 			clearTimeout(timer)
-			wish.signal.removeEventListener('abort', giveUp)
+			options.signal.removeEventListener('abort', stopWaiting)
 			removeWaiting(queue, waiter)
 			resolve(grant)
 		}
-		const giveUp = () =>
-			leave({ kind: outlookOf(ctx, wish.service)?.kind ?? 'full' })
+		const stopWaiting = () =>
+			settle({ kind: outlookOf(ctx, options.service)?.kind ?? 'full' })
 		const waiter: Waiter = {
-			...wish,
-			until: now + wish.waitMs,
+			...options,
+			until: now + options.waitMs,
 			weight: 1,
 			virtualStart: 0,
 			order: 0,
-			grant: leave,
+			grant: settle,
 		}
-		const timer = setTimeout(giveUp, wish.waitMs)
-		wish.signal.addEventListener('abort', giveUp)
+		const timer = setTimeout(stopWaiting, options.waitMs)
+		options.signal.addEventListener('abort', stopWaiting)
 		enqueue(queue, waiter)
 	})
 }
 
-/** One that surely waits too long is told so now, not when its time is over. */
-function waitsTooLong(
+/** Predicts whether a request would exceed its maximum wait, to refuse it at once. */
+function willExceedWait(
 	queue: FairQueue<Waiter>,
-	wish: ServerWish,
+	options: ServerWish,
 	{ flow }: Pressure,
-	outlook: Outlook | undefined,
+	forecast: Outlook | undefined,
 	now: number,
 ): boolean {
-	const before = queue.waiting.filter(one => one.priority <= wish.priority)
-	if (outlook) return outlookWaitMs(outlook, before.length) > wish.waitMs
-	if (!wish.inTurn) return wish.waitMs <= 0
-	return predictWaitMs(flow, before.length, now) > wish.waitMs
+	const before = queue.waiting.filter(
+		other => other.priority <= options.priority,
+	)
+	if (forecast) return outlookWaitMs(forecast, before.length) > options.waitMs
+	if (!options.inTurn) return options.waitMs <= 0
+	return predictWaitMs(flow, before.length, now) > options.waitMs
 }
 
-/** Gives waiting requests the servers that have room now. */
+/** Assigns servers with free slots to waiting requests. */
 export function serveWaiting(ctx: GatewayContext): void {
 	for (const queue of ctx.fleet.queues.values()) serveQueue(ctx, queue)
 }
 
 function serveQueue(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
 	for (let next = queue.waiting[0]; next; next = queue.waiting[0]) {
-		const grant = choose(ctx, next.service, next.tried, next.luck)
+		const grant = chooseServer(ctx, next.service, next.tried, next.luck)
 		if (grant.kind === 'full') {
-			refuseHopeless(ctx, queue)
+			refuseLate(ctx, queue)
 			return
 		}
 		dequeue(queue)
@@ -126,33 +133,33 @@
 	}
 }
 
-/** Asks for permits; an answer that comes later finds those who wait. */
-function askAhead(
+/** Requests permits in advance; permits that arrive later go to waiting requests. */
+function requestPermits(
 	ctx: GatewayContext,
 	service: string,
-	callers: number,
+	demand: number,
 	withinMs: number,
 ): void {
-	askForPermits(ctx, service, { count: callers, withinMs }, () =>
+	askForPermits(ctx, service, { count: demand, withinMs }, () =>
 		serveQueue(ctx, queueOf(ctx.fleet, service)),
 	)
 }
 
-/** Asks for permits for those who wait, and refuses whom no server can take in time. */
-function refuseHopeless(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
+/** Requests permits for the queue and refuses requests that cannot be served in time. */
+function refuseLate(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
 	const waiting = [...queue.waiting]
 	const { service } = waiting[0]!
 	const now = readNow()
 	const longest = Math.max(...waiting.map(({ until }) => until - now))
-	askAhead(ctx, service, waiting.length, longest)
-	const outlook = outlookOf(ctx, service)
-	if (!outlook) return
+	requestPermits(ctx, service, waiting.length, longest)
+	const forecast = outlookOf(ctx, service)
+	if (!forecast) return
 	for (const [before, { until, grant }] of waiting.entries())
-		if (outlookWaitMs(outlook, before) > until - now)
-			grant({ kind: outlook.kind })
+		if (outlookWaitMs(forecast, before) > until - now)
+			grant({ kind: forecast.kind })
 }
 
-function choose(
+function chooseServer(
 	ctx: GatewayContext,
 	service: string,
 	triedIds: ReadonlySet<string>,
@@ -171,7 +178,7 @@
 		rows: fleet.rowsOf.get(service) ?? [],
 		tried,
 		queueRoom: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
-		shutGroups: listShutGroups(ctx, luck, now),
+		shutGroups: listUnavailableGroups(ctx, luck, now),
 		near: fleet.near,
 		untold: meterOf(fleet, service).untold,
 		permitted,
@@ -188,18 +195,18 @@
 	return { kind: 'server', id }
 }
 
-function listShutGroups(
+function listUnavailableGroups(
 	ctx: GatewayContext,
 	luck: number,
 	now: number,
 ): Set<number> {
-	const shut = new Set<number>()
+	const unavailable = new Set<number>()
 	for (const [number, group] of ctx.fleet.groups.entries())
-		if (isShut(ctx.closures, group, now)) shut.add(number)
+		if (isShut(ctx.closures, group, now)) unavailable.add(number)
 	const { fleet } = ctx
 	const isOpen = (group: number, room: number) =>
 		isTaken(fleet, group, room, luck)
 	const full = listFullGroups(fleet.table, isOpen, fleet.othersTimes)
-	for (const number of full) shut.add(number)
-	return shut
+	for (const number of full) unavailable.add(number)
+	return unavailable
 }
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -74,8 +74,8 @@
 	{
 		name: 'predictedWaits',
 		file: WAITING,
-		on: '	if (!wish.inTurn) return wish.waitMs <= 0',
-		off: '	if (flow) return wish.waitMs <= 0',
+		on: '	if (!options.inTurn) return options.waitMs <= 0',
+		off: '	if (flow) return options.waitMs <= 0',
 	},
 	{
 		name: 'fairQueue',
@@ -116,14 +116,14 @@
 	{
 		name: 'patience',
 		file: SEND,
-		on: 'const PATIENCE_SHARE = 0.5',
-		off: 'const PATIENCE_SHARE = 1_000',
+		on: 'const HEAD_TIMEOUT_SHARE = 0.5',
+		off: 'const HEAD_TIMEOUT_SHARE = 1_000',
 	},
 	{
 		name: 'secondSends',
 		file: RETRIES,
-		on: '	if (runs >= request.route.maxAttempts) return false',
-		off: '	if (runs >= 0) return false',
+		on: '	if (attempts >= request.route.maxAttempts) return false',
+		off: '	if (attempts >= 0) return false',
 	},
 	{
 		name: 'resume',
@@ -170,8 +170,8 @@
 	{
 		name: 'groupRefusals',
 		file: RETRIES,
-		on: '	const refused = job.refusedSends - job.groupRefusals',
-		off: '	const refused = job.refusedSends',
+		on: '	const refusals = job.refusedSends - job.groupRefusals',
+		off: '	const refusals = job.refusedSends',
 	},
 	{
 		name: 'drawnServers',
@@ -218,8 +218,8 @@
 	{
 		name: 'fullSpells',
 		file: WAITING,
-		on: '			if (!isRationed(ctx.fleet, wish.service)) endSpell(pressure.full, now)',
-		off: '			if (isRationed(ctx.fleet, wish.service) || now) endSpell(pressure.full, now)',
+		on: '			if (!isRationed(ctx.fleet, options.service)) endSpell(pressure.full, now)',
+		off: '			if (isRationed(ctx.fleet, options.service) || now) endSpell(pressure.full, now)',
 	},
 	{
 		name: 'shiftBounds',
