--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -105,7 +105,7 @@
 	return routes.teamOfKey.get(key)
 }
 
-/** Parses the caller's deadline, ms; `defaultMs` without a header, undefined if invalid. */
+/** Returns the caller's deadline, ms: `defaultMs` if absent, undefined if invalid. */
 function readDeadline(
 	req: IncomingMessage,
 	header: string,
--- a/packages/gateway/src/retryDecision.ts
+++ b/packages/gateway/src/retryDecision.ts
@@ -5,7 +5,7 @@
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
 
-/** Refused sends after which a request is still retried; they do not count as attempts. */
+/** Maximum of refused sends before a retry; they do not count as attempts. */
 const MAX_REFUSED_SENDS = 3
 
 /**
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -15,7 +15,7 @@
 
 /** No attempt is made with less time left than this, ms. */
 const MIN_LEFT_MS = 5
-/** Added to the head timeout, so that the request times out first, with the right error, ms. */
+/** Margin by which the request's own timeout, with the right error, fires first, ms. */
 const HEAD_TIMEOUT_MARGIN_MS = 500
 /** Head timeout of a repeatable request before a retry, as a share of its target. */
 const HEAD_TIMEOUT_SHARE = 0.5
--- a/packages/gateway/test/fingerprint.test.ts
+++ b/packages/gateway/test/fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are the same one that comes again. */
+/** Requests that have the same fingerprint. */
 
 import type { TrafficTeam } from '@juniperhook/core'
 import { test } from 'uvu'
@@ -19,8 +19,8 @@
 }
 
 const CASES: { name: string; other: Partial<typeof FIRST>; same: boolean }[] = [
-	{ name: 'another try', other: { id: 'two' }, same: true },
-	{ name: 'a stream that goes on', other: { lastEventId: '7' }, same: true },
+	{ name: 'a retry with another id', other: { id: 'two' }, same: true },
+	{ name: 'a resumed stream', other: { lastEventId: '7' }, same: true },
 	{ name: 'another path', other: { path: '/r/y' }, same: false },
 	{ name: 'another query', other: { path: '/r/x?page=2' }, same: false },
 	{ name: 'another method', other: { method: 'PUT' }, same: false },
@@ -34,12 +34,12 @@
 }
 
 for (const { name, other, same } of CASES)
-	test(`${name} is ${same ? 'the same' : 'another'} request`, () => {
+	test(`fingerprint: ${name} gives ${same ? 'the same' : 'another'} fingerprint`, () => {
 		const second = fingerprint({ ...FIRST, ...other })
 		assert.is(second === fingerprint(FIRST), same)
 	})
 
-test('the length of the body can be read from it', () => {
+test('fingerprint: contains the length of the body', () => {
 	for (const length of [0, 35, 36, 1_000_000]) {
 		const body = Buffer.alloc(length)
 		assert.is(bodyLengthOf(fingerprint({ ...FIRST, body })), length)
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -1,4 +1,4 @@
-/** Requests through a gateway to backend servers that follow a script. */
+/** Requests through a gateway to backend servers with scripted behaviour. */
 
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -46,15 +46,15 @@
 	body?: string
 	script: readonly Deed[]
 	status: number
-	/** Arrivals at backend servers. */
+	/** Expected number of requests that reach backend servers. */
 	arrivals: number
-	/** Part of the body. */
+	/** Expected part of the response body. */
 	has?: string
 	retryAfter?: boolean
 	whole?: boolean
 }[] = [
 	{
-		name: 'an answer is passed on whole',
+		name: 'a response is passed on completely',
 		path: '/r/x',
 		script: ['serve'],
 		status: 200,
@@ -62,21 +62,21 @@
 		has: 'answer to',
 	},
 	{
-		name: 'repeatable: refused by one, served by another',
+		name: 'repeatable: refused by one server, served by another',
 		path: '/r/x',
 		script: ['refuse', 'serve'],
 		status: 200,
 		arrivals: 2,
 	},
 	{
-		name: 'repeatable: lost, served by another',
+		name: 'repeatable: connection reset, served by another server',
 		path: '/r/x',
 		script: ['reset', 'serve'],
 		status: 200,
 		arrivals: 2,
 	},
 	{
-		name: 'repeatable: cut in the body, served by another',
+		name: 'repeatable: body truncated, served by another server',
 		path: '/r/x',
 		script: ['cut', 'serve'],
 		status: 200,
@@ -84,7 +84,7 @@
 		has: 'answer to',
 	},
 	{
-		name: 'repeatable: failed twice, the failure is passed on',
+		name: 'repeatable: failed twice, the second failure is passed on',
 		path: '/r/x',
 		script: ['fail', 'fail', 'serve'],
 		status: 500,
@@ -92,21 +92,21 @@
 		has: 'failed',
 	},
 	{
-		name: 'repeatable: the answer to another request never reaches a caller',
+		name: 'repeatable: a response with another request id never reaches the caller',
 		path: '/r/x',
 		script: ['otherId', 'otherId'],
 		status: 502,
 		arrivals: 2,
 	},
 	{
-		name: 'repeatable: one that hangs is left for another in time',
+		name: 'repeatable: a server that hangs is abandoned for another in time',
 		path: '/r/x',
 		script: ['hang', 'serve'],
 		status: 200,
 		arrivals: 2,
 	},
 	{
-		name: 'once: refused with proof, sent to another',
+		name: 'once: provably not run, sent to another server',
 		path: '/o/x',
 		method: 'POST',
 		body: 'book',
@@ -115,7 +115,7 @@
 		arrivals: 2,
 	},
 	{
-		name: 'once: lost, never sent again, no promise made',
+		name: 'once: connection reset, never sent again, reported as possibly run',
 		path: '/o/x',
 		method: 'POST',
 		body: 'book',
@@ -124,7 +124,7 @@
 		arrivals: 1,
 	},
 	{
-		name: 'once: cut in the body, never sent again',
+		name: 'once: body truncated, never sent again',
 		path: '/o/x',
 		method: 'POST',
 		body: 'book',
@@ -133,7 +133,7 @@
 		arrivals: 1,
 	},
 	{
-		name: 'once: no answer by the route time, no promise made',
+		name: 'once: no response before the route timeout, reported as possibly run',
 		path: '/o/x',
 		method: 'POST',
 		body: 'book',
@@ -142,7 +142,7 @@
 		arrivals: 1,
 	},
 	{
-		name: 'once: refused by all, told when to come back',
+		name: 'once: refused by all servers, with a Retry-After time',
 		path: '/o/x',
 		method: 'POST',
 		body: 'book',
@@ -152,7 +152,7 @@
 		retryAfter: true,
 	},
 	{
-		name: 'a body without a length ends with its connection',
+		name: 'a body without a length ends with the connection',
 		path: '/o/x',
 		method: 'POST',
 		script: ['unframed'],
@@ -161,7 +161,7 @@
 		has: 'answer to',
 	},
 	{
-		name: 'a body without a length that is reset is not whole',
+		name: 'a body without a length is incomplete when the connection is reset',
 		path: '/o/x',
 		method: 'POST',
 		script: ['unframedReset'],
@@ -169,7 +169,7 @@
 		arrivals: 1,
 	},
 	{
-		name: 'a success without its seal is no success',
+		name: 'a success response without a seal is not passed on',
 		path: '/o/x',
 		method: 'POST',
 		script: ['unsealed'],
@@ -177,7 +177,7 @@
 		arrivals: 1,
 	},
 	{
-		name: 'a stream is passed on whole',
+		name: 'a stream is passed on completely',
 		path: '/s/x',
 		method: 'POST',
 		script: ['stream'],
@@ -186,7 +186,7 @@
 		has: WHOLE_STREAM,
 	},
 	{
-		name: 'a broken stream goes on at another server, each event once',
+		name: 'a truncated stream resumes at another server, with each event once',
 		path: '/s/x',
 		method: 'POST',
 		script: ['brokenStream', 'stream'],
@@ -195,7 +195,7 @@
 		has: WHOLE_STREAM,
 	},
 	{
-		name: 'a stream that may not be resumed is never shown as complete',
+		name: 'a truncated stream that is not resumable never appears complete',
 		path: '/f/x',
 		method: 'POST',
 		script: ['brokenStream', 'stream'],
@@ -219,7 +219,7 @@
 		arrivals: 0,
 	},
 	{
-		name: 'an open route needs no key',
+		name: 'an anonymous route needs no key',
 		path: '/p/x',
 		headers: { authorization: '' },
 		script: ['serve'],
@@ -252,7 +252,7 @@
 		arrivals: 0,
 	},
 	{
-		name: 'a service without servers: refused, told when to come back',
+		name: 'a service without servers: refused, with a Retry-After time',
 		path: '/n/x',
 		script: [],
 		status: 503,
@@ -280,7 +280,7 @@
 		if (item.retryAfter) assert.ok(Number(got.headers['retry-after']) > 0)
 	})
 
-test('gateway: what a server is sent', async () => {
+test('gateway: headers and path that a server receives', async () => {
 	reset()
 	await callGateway(gateway.callers, '/r/x?q=%20', {
 		[WIRE.requestId]: 'sent',
@@ -302,7 +302,7 @@
 	assert.ok(left > 0 && left <= 400, String(left))
 })
 
-test('gateway: a caller that leaves frees its server', async () => {
+test('gateway: a disconnect of the caller frees its server', async () => {
 	reset(['hang'])
 	const [host, port] = gateway.callers.split(':')
 	const socket = connect({ host, port: Number(port) })
@@ -337,7 +337,7 @@
 ]
 
 for (const { name, head, body } of FRAMINGS)
-	test(`gateway: ${name}: 400, nothing reaches a server`, async () => {
+	test(`gateway: ${name}: refused with 400, no request reaches a server`, async () => {
 		reset()
 		const [host, port] = gateway.callers.split(':')
 		const socket = connect({ host, port: Number(port) })
@@ -353,16 +353,16 @@
 		assert.is(backends.runs.length, 0)
 	})
 
-/** More than the buffers of a connection on loopback hold. */
+/** Exceeds the socket buffers of a loopback connection. */
 const LONG_BODY = 'x'.repeat(24_000_000)
 
-test('gateway: a connection answered before its body was read is not used again', async () => {
+test('gateway: a connection is not reused after a response before the body was read', async () => {
 	const sockets: unknown[] = []
 	const server = createServer((req, res) => {
 		sockets.push(req.socket)
 		const id = String(req.headers[WIRE.requestId])
-		const early = sockets.length === 1
-		if (!early) req.resume()
+		const isFirst = sockets.length === 1
+		if (!isFirst) req.resume()
 		res.writeHead(200, { [WIRE.requestId]: id, [WIRE.seal]: 'sealed' })
 		res.end(`answer to ${id}`)
 	})
@@ -372,9 +372,9 @@
 	const limits = { ...CONFIG.limits, maxBodyBytes: LONG_BODY.length }
 	const routes = CONFIG.routes.map(route => ({ ...route, timeoutMs: 9_000 }))
 	const catalog = createCatalog({ ...CONFIG, limits, routes }, [listed])
-	const lone = await openGateway(catalog)
+	const other = await openGateway(catalog)
 	const send = (id: string, body: string) =>
-		callGateway(lone.callers, '/r/x', { 'x-id': id }, 'POST', body)
+		callGateway(other.callers, '/r/x', { 'x-id': id }, 'POST', body)
 	assert.is((await send('early', LONG_BODY)).body, 'answer to early')
 	assert.is((await send('next', 'short')).body, 'answer to next')
 	assert.is(sockets.length, 2)
--- a/packages/gateway/test/gatewayState.test.ts
+++ b/packages/gateway/test/gatewayState.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes of servers and of its source. */
+/** A gateway's state of servers and its source. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { incarnationId } from '@juniperhook/core'
@@ -20,9 +20,9 @@
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_540, backends.listed)
-/** What an adapter adds to a watch before it counts as lost, ms. */
+/** Time that the source client adds to a watch's wait before it times out, ms. */
 const WATCH_GRACE_MS = 500
-/** A pause before the next call, ms. */
+/** Pause before the next call to the source, ms. */
 const PAUSE_MS = 100
 
 function reset(script: readonly Deed[] = []): void {
@@ -30,7 +30,7 @@
 	backends.arrivals.length = 0
 }
 
-test('gateway: a server that leaves gets nothing new', async () => {
+test('gateway: a leaving server gets no new requests', async () => {
 	reset()
 	const catalog = createCatalog(CONFIG, backends.listed.slice(0, 2))
 	const other = await openGateway(catalog)
@@ -47,49 +47,53 @@
 	assert.is(expected.length, 8)
 })
 
-test('gateway: without a configuration it is not ready and says 503', async () => {
+test('gateway: without a configuration, it is not ready and responds with 503', async () => {
 	const catalog = createCatalog(undefined, [])
 	catalog.down = true
-	const lone = await openGateway(catalog)
-	const got = await callGateway(lone.callers, '/r/x', { [WIRE.requestId]: 'n' })
+	const gateway = await openGateway(catalog)
+	const got = await callGateway(gateway.callers, '/r/x', {
+		[WIRE.requestId]: 'n',
+	})
 	assert.is(got.status, 503)
 	assert.ok(Number(got.headers['retry-after']) > 0)
-	const ready = await callGateway(lone.readiness, '/')
+	const ready = await callGateway(gateway.readiness, '/')
 	assert.is(ready.status, 503)
 })
 
-test('gateway: nothing of a former life is held against a server', async () => {
+test('gateway: a restarted server starts without the failures of its former incarnation', async () => {
 	reset(['reset', 'reset', 'reset', 'reset', 'hang'])
 	const [first] = backends.listed
-	const born = (bornAt: number): ListedServer => ({
+	const listedAs = (bornAt: number): ListedServer => ({
 		...first!,
 		id: incarnationId(first!.name, bornAt),
 	})
-	const catalog = createCatalog(CONFIG, [born(10)])
+	const catalog = createCatalog(CONFIG, [listedAs(10)])
 	const other = await openGateway(catalog)
 	const { fleet } = other.ctx
 	const ask = (id: string) =>
 		callGateway(other.callers, '/o/x', { [WIRE.requestId]: id }, 'POST')
 	for (let at = 0; at < 4; at++) await ask(`former-${at}`)
 	const lost = ask('former-open')
-	await until(() => fleet.held.get(born(10).id) === 1)
+	await until(() => fleet.held.get(listedAs(10).id) === 1)
 	assert.ok(fleet.table.failureRate[0]! > 0)
 	catalog.tell({
-		servers: [{ name: first!.name, revision: revisionOf(2), server: born(20) }],
+		servers: [
+			{ name: first!.name, revision: revisionOf(2), server: listedAs(20) },
+		],
 	})
-	await until(() => fleet.table.rowOf.has(born(20).id))
+	await until(() => fleet.table.rowOf.has(listedAs(20).id))
 	assert.is(fleet.table.failureRate[0], 0)
 	assert.is(fleet.table.sentSince[0], 0)
-	const answer = await ask('new-life')
+	const answer = await ask('restarted')
 	assert.is(answer.status, 200)
 	const expected = backends.arrivals.at(-1)?.headers[WIRE.expectServer]
-	assert.is(expected, first!.name, 'it answers to its name')
+	assert.is(expected, first!.name, 'requests are addressed to the server name')
 	backends.servers[0]!.closeAllConnections()
 	assert.is((await lost).status, 502)
-	assert.not(fleet.held.has(born(10).id))
+	assert.not(fleet.held.has(listedAs(10).id))
 })
 
-test('gateway: a server that is granted and gone in one turn is not sent to', async () => {
+test('gateway: a server granted and removed in the same event-loop turn gets no request', async () => {
 	const [first, second] = backends.listed
 	const catalog = createCatalog(CONFIG, [first!])
 	const other = await openGateway(catalog)
@@ -98,7 +102,7 @@
 		callGateway(other.callers, `/r/${at}`, { [WIRE.requestId]: `turn-${at}` }),
 	)
 	await until(() => queueOf(other.ctx.fleet, 'plain').waiting.length === 1)
-	// More slots grant what waits; the same news take the server out.
+	// More slots grant the server to the waiting request; the same change removes it.
 	const engine = { ...ENGINE, slots: 64, experts: undefined }
 	const services = CONFIG.services.map(service => ({ ...service, engine }))
 	const config = { ...CONFIG, version: 5, services }
@@ -115,12 +119,12 @@
 	assert.ok(statuses.includes(200), statuses.join())
 })
 
-test('gateway: an entry that cannot be read takes its server out of use at once', async () => {
+test('gateway: an unreadable list entry removes its server at once', async () => {
 	const catalog = createCatalog(CONFIG, backends.listed)
 	const other = await openGateway(catalog)
 	const [first] = backends.listed
 	const { name } = first!
-	// Removals are doubted after an outage; what was written is not.
+	// After an outage, removals are doubted, but values that were written are not.
 	catalog.down = true
 	await new Promise(resolve => setTimeout(resolve, 1_500))
 	catalog.tell({
@@ -137,7 +141,7 @@
 	assert.is(other.ctx.fleet.servers.length, 3)
 })
 
-test('gateway: a source that comes back tells what changed, not everything', async () => {
+test('gateway: after an outage of the source, only changes are read', async () => {
 	const catalog = createCatalog(CONFIG, backends.listed)
 	const entry = await openGateway(catalog)
 	catalog.down = true
@@ -154,7 +158,7 @@
 	assert.is(catalog.reads, 1)
 })
 
-test('gateway: a watch whose answer is lost ends well within the contact time', async () => {
+test('gateway: a watch whose response is lost ends well within the contact time', async () => {
 	const catalog = createCatalog(CONFIG, backends.listed)
 	await openGateway(catalog)
 	await until(() => catalog.watchMs > 0)
@@ -162,7 +166,7 @@
 	assert.ok(catalog.watchMs + reread < CONTACT_MS)
 })
 
-test('gateway: when its time to stop is over, what is open gets a final answer', async () => {
+test('gateway: open requests get a final response when the time to stop is over', async () => {
 	const stopping = await openGateway()
 	reset(['hang', 'hang', 'hang'])
 	const paths = ['/o/x', '/r/x', '/s/x']
@@ -172,7 +176,7 @@
 	await until(() => backends.arrivals.length === paths.length)
 	await endOpenRequests(stopping.ctx)
 	for (const answer of await Promise.all(answers))
-		assert.is(answer.status, 504, 'it may have run')
+		assert.is(answer.status, 504, 'status of a request that may have run')
 	assert.is(stopping.ctx.giveUps.size, 0)
 })
 
--- a/packages/gateway/test/groups.test.ts
+++ b/packages/gateway/test/groups.test.ts
@@ -1,4 +1,4 @@
-/** Lock-step groups that break, form and open, as a gateway sees them. */
+/** Circuit breakers of lock-step groups that break, form and open. */
 
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -21,10 +21,10 @@
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_960, backends.listed)
-/** Far beyond what a forming takes, also on a busy machine, ms. */
+/** Far longer than a group takes to form, even on a busy machine, ms. */
 const LONG_MS = 8_000
 
-/** The plain service as ranks of a group that forms within 2 s. */
+/** Configuration in which the servers are ranks of a group that forms within 2 s. */
 const GROUPED: TrafficConfig = {
 	...CONFIG,
 	services: CONFIG.services.map(service => ({ ...service, engine: ENGINE })),
@@ -36,7 +36,7 @@
 	backends.arrivals.length = 0
 }
 
-test('gateway: a broken group leaves the other group of its service alone', async () => {
+test('gateway: a broken group does not affect the other group of its service', async () => {
 	let refused = 0
 	const broken = createServer((_req, res) => {
 		refused++
@@ -51,24 +51,24 @@
 		{ ...second!, group: 'b' },
 		{ ...third!, group: 'b' },
 	]
-	const two = await openGateway(createCatalog(GROUPED, listed))
+	const gateway = await openGateway(createCatalog(GROUPED, listed))
 	reset()
 	const ids = Array.from({ length: 24 }, (_, at) => `two-groups-${at}`)
 	const answers = await Promise.all(
-		ids.map(id => callGateway(two.callers, '/r/1', { 'x-id': id })),
+		ids.map(id => callGateway(gateway.callers, '/r/1', { 'x-id': id })),
 	)
 	assert.ok(answers.every(answer => answer.status === 200))
-	await callGateway(two.callers, '/r/1', { 'x-id': 'two-groups-last' })
+	await callGateway(gateway.callers, '/r/1', { 'x-id': 'two-groups-last' })
 	assert.ok(refused <= 12, `${refused} of 25 sent to the broken group`)
 	broken.close()
 })
 
-test('gateway: at its start, requests wait for a group that forms', async () => {
-	const young = await openGateway(createCatalog(GROUPED, backends.listed))
+test('gateway: after the start, requests wait for a forming group', async () => {
+	const gateway = await openGateway(createCatalog(GROUPED, backends.listed))
 	reset(['refuse', 'refuse', 'refuse'])
 	const answers = await Promise.all([
-		callGateway(young.callers, '/r/1', { 'x-id': 'forming-1' }),
-		callGateway(young.callers, '/r/2', { 'x-id': 'forming-2' }),
+		callGateway(gateway.callers, '/r/1', { 'x-id': 'forming-1' }),
+		callGateway(gateway.callers, '/r/2', { 'x-id': 'forming-2' }),
 	])
 	assert.equal(
 		answers.map(answer => answer.status),
@@ -76,23 +76,25 @@
 	)
 })
 
-test('gateway: requests wait for a group as long as their callers do, however often it refuses', async () => {
+test('gateway: requests wait for a group until their deadline, however often it refuses', async () => {
 	const experts = { ...ENGINE.experts!, reformMs: 50 }
 	const engine = { ...ENGINE, experts }
 	const services = CONFIG.services.map(service => ({ ...service, engine }))
 	const config = { ...GROUPED, services }
-	const young = await openGateway(createCatalog(config, backends.listed))
+	const gateway = await openGateway(createCatalog(config, backends.listed))
 	reset(new Array<Deed>(8).fill('refuse'))
-	const answer = await callGateway(young.callers, '/r/1', { 'x-id': 'long-1' })
+	const answer = await callGateway(gateway.callers, '/r/1', {
+		'x-id': 'long-1',
+	})
 	assert.is(answer.status, 200)
 	assert.is(backends.arrivals.length, 9)
 })
 
-test('gateway: a group that its coordinator calls broken is left alone until it runs', async () => {
-	const young = await openGateway(createCatalog(GROUPED, backends.listed))
+test('gateway: a group that its coordinator reports broken gets no requests until it runs', async () => {
+	const gateway = await openGateway(createCatalog(GROUPED, backends.listed))
 	reset()
-	const link = await connectRpc(young.control, {})
-	const tell = (number: number, broken: boolean) => {
+	const link = await connectRpc(gateway.control, {})
+	const report = (number: number, broken: boolean) => {
 		const news = {
 			group: 'plain/',
 			by: 'one',
@@ -103,27 +105,27 @@
 		}
 		return call(link, 'paces', news)
 	}
-	await tell(1, true)
+	await report(1, true)
 	const answers = [1, 2, 3].map(at =>
-		callGateway(young.callers, `/r/${at}`, { 'x-id': `told-${at}` }),
+		callGateway(gateway.callers, `/r/${at}`, { 'x-id': `told-${at}` }),
 	)
 	await new Promise(resolve => setTimeout(resolve, 300))
 	assert.is(backends.arrivals.length, 0)
-	await tell(2, false)
+	await report(2, false)
 	for (const answer of await Promise.all(answers)) assert.is(answer.status, 200)
 	assert.is(backends.arrivals.length, 3)
 	link.socket.destroy()
 })
 
-test('gateway: groups that open together share what waits', async () => {
+test('gateway: groups that open at the same time share the waiting requests', async () => {
 	const listed = backends.listed.slice(0, 2).map((server, at) => ({
 		...server,
 		group: `g${at}`,
 	}))
-	const young = await openGateway(createCatalog(GROUPED, listed))
+	const gateway = await openGateway(createCatalog(GROUPED, listed))
 	reset()
-	const tell = (group: string, number: number, broken: boolean) =>
-		takePaces(young.ctx, {
+	const report = (group: string, number: number, broken: boolean) =>
+		takePaces(gateway.ctx, {
 			group,
 			by: 'one',
 			number,
@@ -132,13 +134,13 @@
 			broken,
 		})
 	const groups = ['plain/g0', 'plain/g1']
-	for (const group of groups) tell(group, 1, true)
+	for (const group of groups) report(group, 1, true)
 	const answers = [1, 2, 3, 4, 5, 6].map(at =>
-		callGateway(young.callers, `/r/${at}`, { 'x-id': `shared-${at}` }),
+		callGateway(gateway.callers, `/r/${at}`, { 'x-id': `shared-${at}` }),
 	)
-	await until(() => queueOf(young.ctx.fleet, 'plain').waiting.length === 6)
-	// In one turn: no look at the queues comes between.
-	for (const group of groups) tell(group, 2, false)
+	await until(() => queueOf(gateway.ctx.fleet, 'plain').waiting.length === 6)
+	// In one event-loop turn, so that the queues are not served in between.
+	for (const group of groups) report(group, 2, false)
 	for (const answer of await Promise.all(answers)) assert.is(answer.status, 200)
 	const first = backends.arrivals.filter(
 		req => req.headers[WIRE.expectServer] === listed[0]!.name,
@@ -146,14 +148,14 @@
 	assert.is(first.length, 3)
 })
 
-test('gateway: a group that served and broke is not waited for', async () => {
-	const known = await openGateway(createCatalog(GROUPED, backends.listed))
+test('gateway: requests do not wait for a group that has served before and broke', async () => {
+	const gateway = await openGateway(createCatalog(GROUPED, backends.listed))
 	reset()
-	await callGateway(known.callers, '/r/1', { 'x-id': 'broken-1' })
+	await callGateway(gateway.callers, '/r/1', { 'x-id': 'broken-1' })
 	reset(new Array<Deed>(8).fill('refuse'))
 	const ids = [2, 3, 4].map(id => `broken-${id}`)
 	const answers = await Promise.all(
-		ids.map(id => callGateway(known.callers, `/r/${id}`, { 'x-id': id })),
+		ids.map(id => callGateway(gateway.callers, `/r/${id}`, { 'x-id': id })),
 	)
 	assert.ok(answers.every(answer => answer.status === 503))
 	assert.ok(answers.every(answer => answer.headers['retry-after']))
--- a/packages/gateway/test/openGateway.ts
+++ b/packages/gateway/test/openGateway.ts
@@ -1,4 +1,4 @@
-/** Starts gateways for tests, each on ports of its own. */
+/** Starts gateways for tests, each on its own ports. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { createEventLog } from '@juniperhook/runtime'
@@ -7,12 +7,12 @@
 import type { StandInCatalog } from './standIns.ts'
 import { CONFIG, createCatalog, SERVER_WIRE } from './standIns.ts'
 
-/** After trouble, a gateway must be up to date again after this time, ms. */
+/** Time within which a gateway must be up to date again after a failure, ms. */
 export const CONTACT_MS = 3_000
-const PORTS_EACH = 4
+const PORTS_PER_GATEWAY = 4
 const log = { ...createEventLog('test'), write: () => {}, flush: () => {} }
 
-/** A running gateway and where it listens. */
+/** A running gateway and its addresses. */
 export interface OpenGateway {
 	readonly ctx: GatewayContext
 	readonly callers: string
@@ -25,13 +25,13 @@
 	readonly catalog: StandInCatalog
 }
 
-/** Opens a gateway that follows a catalog; by default one that lists all. */
+/** Opens a gateway that follows a catalog; the default catalog lists all servers. */
 export type Opener = (
 	catalog?: StandInCatalog,
 	seeds?: readonly string[],
 ) => Promise<TestGateway>
 
-/** Makes an opener whose gateways listen from `firstPort` on. */
+/** Creates an opener whose gateways listen on ports from `firstPort` on. */
 export function createOpener(
 	firstPort: number,
 	listed: readonly ListedServer[],
@@ -39,14 +39,14 @@
 	let ports = firstPort
 	return async (catalog = createCatalog(CONFIG, listed), seeds = []) => {
 		const at = ports
-		ports += PORTS_EACH
+		ports += PORTS_PER_GATEWAY
 		const gateway = await openGatewayAt(at, catalog, seeds)
 		await until(() => catalog.down || gateway.ctx.routes !== undefined)
 		return { ...gateway, catalog }
 	}
 }
 
-/** Opens a gateway that listens from `firstPort` on and follows a source. */
+/** Opens a gateway that listens on ports from `firstPort` on and follows a source. */
 export async function openGatewayAt(
 	firstPort: number,
 	source: CatalogSource,
@@ -74,8 +74,8 @@
 	return { ctx, callers, readiness, control }
 }
 
-/** Waits until something holds, for 4 s at most. */
+/** Waits until a condition holds, for 4 s at most. */
 export async function until(condition: () => boolean): Promise<void> {
-	for (let look = 0; look < 400 && !condition(); look++)
+	for (let attempt = 0; attempt < 400 && !condition(); attempt++)
 		await new Promise(resolve => setTimeout(resolve, 10))
 }
--- a/packages/gateway/test/ownDelays.ts
+++ b/packages/gateway/test/ownDelays.ts
@@ -1,31 +1,31 @@
 /**
- * How late this process itself was: callers, entries and servers of a test share its
- * thread, so a busy machine delays all of them, whatever an entry decides.
+ * Measures event-loop delays of this process. Callers, entries and servers of a test
+ * share its thread, so a busy machine delays all of them, whatever an entry decides.
  */
 
-const LOOK_MS = 5
-/** Timers are this late on an idle machine, ms. */
-const USUAL_MS = 2
+const INTERVAL_MS = 5
+/** Usual delay of timers on an idle machine, ms. */
+const USUAL_DELAY_MS = 2
 
-/** A look that came late. */
+/** A timer that fired late. */
 interface Delay {
-	/** When it came, ms. */
+	/** When it fired, ms. */
 	readonly at: number
 	readonly lateMs: number
 }
 
 const delays: Delay[] = []
-let lookedAt = performance.now()
+let firedAt = performance.now()
 
 const timer = setInterval(() => {
 	const at = performance.now()
-	const lateMs = at - lookedAt - LOOK_MS
-	lookedAt = at
-	if (lateMs > USUAL_MS) delays.push({ at, lateMs })
-}, LOOK_MS)
+	const lateMs = at - firedAt - INTERVAL_MS
+	firedAt = at
+	if (lateMs > USUAL_DELAY_MS) delays.push({ at, lateMs })
+}, INTERVAL_MS)
 timer.unref()
 
-/** Time by which this process was late between two moments, ms. */
+/** Returns the sum of the event-loop delays between two times, ms. */
 export function delaysBetween(from: number, to: number): number {
 	return delays
 		.filter(({ at }) => at > from && at <= to)
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -1,4 +1,4 @@
-/** Requests before a full service: queued, refused at once, told when to return. */
+/** Requests to a full service: queueing, early refusal and `Retry-After` times. */
 
 import { readNow } from '@juniperhook/runtime'
 import { test } from 'uvu'
@@ -15,9 +15,9 @@
 const openGateway = createOpener(21_740, backends.listed)
 const { ctx } = await openGateway(createCatalog(CONFIG, backends.listed))
 const SERVICE = backends.listed[0]!.service
-const NEVER = new AbortController().signal
+const NEVER_ABORTED = new AbortController().signal
 
-/** No server has room, and places come free `gapMs` apart. */
+/** Fills all servers, with slots expected to become free `gapMs` apart. */
 function fill(gapMs: number): Pressure {
 	ctx.fleet.table.most.fill(0)
 	const pressure = pressureOf(ctx.pressures, SERVICE)
@@ -26,7 +26,7 @@
 	return pressure
 }
 
-function ask(waitMs: number, inTurn = true, luck = 0) {
+function acquire(waitMs: number, inTurn = true, luck = 0) {
 	return awaitServer(ctx, {
 		service: SERVICE,
 		team: 't',
@@ -35,27 +35,37 @@
 		tried: new Set(),
 		waitMs,
 		inTurn,
-		signal: NEVER,
+		signal: NEVER_ABORTED,
 	})
 }
 
-const ASKED = [
-	{ name: 'that no place comes for', gapMs: 900, waitMs: 400, inTurn: true },
+const REFUSED = [
+	{
+		name: 'with no slot expected in time',
+		gapMs: 900,
+		waitMs: 400,
+		inTurn: true,
+	},
 	{ name: 'without time to wait', gapMs: 10, waitMs: -1, inTurn: true },
-	{ name: 'while no group forms', gapMs: 10, waitMs: 0, inTurn: false },
+	{
+		name: 'to a group that does not form',
+		gapMs: 10,
+		waitMs: 0,
+		inTurn: false,
+	},
 ]
 
-for (const { name, gapMs, waitMs, inTurn } of ASKED)
+for (const { name, gapMs, waitMs, inTurn } of REFUSED)
 	test(`full service: a request ${name} does not wait`, async () => {
 		fill(gapMs)
-		const grant = ask(waitMs, inTurn)
+		const grant = acquire(waitMs, inTurn)
 		assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 0)
 		assert.is((await grant).kind, 'full')
 	})
 
-test('full service: a request waits for a place that comes in time', async () => {
+test('full service: a request waits for a slot that is expected in time', async () => {
 	fill(5)
-	const grant = ask(2_000)
+	const grant = acquire(2_000)
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
 	ctx.fleet.table.most.fill(1)
 	assert.is((await grant).kind, 'server')
@@ -63,9 +73,9 @@
 	ctx.fleet.table.sentSince.fill(0)
 })
 
-test('full service: each that waits makes the next wait longer', async () => {
+test('full service: each waiting request lengthens the predicted wait of the next', async () => {
 	fill(300)
-	const [first, second] = [ask(500), ask(500)]
+	const [first, second] = [acquire(500), acquire(500)]
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
 	assert.is((await second).kind, 'full')
 	ctx.fleet.table.most.fill(1)
@@ -74,45 +84,51 @@
 	ctx.fleet.table.sentSince.fill(0)
 })
 
-test('full service: callers are told to return one after the other', () => {
+test('full service: callers get ascending Retry-After times', () => {
 	const pressure = fill(200)
 	pressure.full.since = readNow()
 	pressure.full.usualMs = 1_000
-	const told = [0, 1, 2].map(() => chooseComeBack(ctx, SERVICE, 8_000))
-	assert.ok(told[0]! >= 1_000, `${told}`)
-	assert.ok(told[2]! > told[0]!, `${told}`)
-	assert.ok(told[2]! <= 8_000 / 3, 'within what callers heed')
+	const times = [0, 1, 2].map(() => chooseComeBack(ctx, SERVICE, 8_000))
+	assert.ok(times[0]! >= 1_000, `${times}`)
+	assert.ok(times[2]! > times[0]!, `${times}`)
+	assert.ok(
+		times[2]! <= 8_000 / 3,
+		'within the time in which callers honour Retry-After',
+	)
 })
 
-const SPARES = [
-	{ firstMs: 0, elapsedMs: 0, spare: 500 },
-	{ firstMs: 200, elapsedMs: 0, spare: 250 },
-	{ firstMs: 200, elapsedMs: 400, spare: -150 },
+const BUDGETS = [
+	{ firstMs: 0, elapsedMs: 0, budget: 500 },
+	{ firstMs: 200, elapsedMs: 0, budget: 250 },
+	{ firstMs: 200, elapsedMs: 400, budget: -150 },
 ]
 
-for (const { firstMs, elapsedMs, spare } of SPARES)
-	test(`time to wait: answers begin after ${firstMs} ms, ${elapsedMs} ms gone`, () => {
+for (const { firstMs, elapsedMs, budget } of BUDGETS)
+	test(`wait budget: first byte after ${firstMs} ms, ${elapsedMs} ms elapsed`, () => {
 		const pressure = { ...pressureOf(ctx.pressures, SERVICE), firstMs }
-		assert.is(spareMs(pressure, 500, elapsedMs), spare)
+		assert.is(spareMs(pressure, 500, elapsedMs), budget)
 	})
 
-test('nearly full group: a part is taken, and that does not end the full spell', async () => {
+test('nearly full group: a share of requests is accepted without ending the full spell', async () => {
 	const { fleet } = ctx
 	fleet.groups.push(`${SERVICE}/g`)
 	fleet.table.group.fill(0)
 	fleet.table.most.fill(2.5)
 	const meter = meterOf(fleet, SERVICE)
-	// 2.5 places within 50 ms, in which 5 requests come: half of them.
+	// 2.5 slots within 50 ms, in which 5 requests arrive: half of them are accepted.
 	meter.intake = { perSecond: 100, endedPerSecond: 0, horizonMs: 50 }
 	const { full } = pressureOf(ctx.pressures, SERVICE)
 	full.since = undefined
-	assert.is((await ask(-1, true, 0.9)).kind, 'full')
+	assert.is((await acquire(-1, true, 0.9)).kind, 'full')
 	assert.ok(full.since !== undefined)
-	assert.is((await ask(-1, true, 0.2)).kind, 'server')
-	assert.ok(full.since !== undefined, 'others are still turned away')
+	assert.is((await acquire(-1, true, 0.2)).kind, 'server')
+	assert.ok(
+		full.since !== undefined,
+		'the full spell goes on while others are refused',
+	)
 	meter.taken = 1
 	meter.intake = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
-	assert.is((await ask(-1, true, 0.9)).kind, 'server')
+	assert.is((await acquire(-1, true, 0.9)).kind, 'server')
 	assert.is(full.since, undefined)
 })
 
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Entries that keep requests from all servers: what they tell, and who is served. */
+/** Quarantine of requests that end the servers that run them, over several entries. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { clocks } from '@juniperhook/runtime'
@@ -16,15 +16,15 @@
 import { ENGINE, revisionOf, startBackends } from './standIns.ts'
 
 const openWorld = createWorlds(23_500)
-/** Ends further apart than what ends together, ms. */
+/** Ends this far apart do not count as simultaneous, ms. */
 const APART_MS = 600
-/** Until a request is tried again that ended two servers, ms. */
-const BARRED_MS = 600_000
-/** Until a closed group is tried at the earliest, ms; 500 less some for the test. */
-const STILL_MS = 300
+/** Time after which a request that ended two servers is tried again, ms. */
+const QUARANTINE_MS = 600_000
+/** Earliest probe of a closed group, which is after 500 ms, less a margin, ms. */
+const CLOSED_MS = 300
 
-/** Lets a deadly request end servers until it is refused; gives how many. */
-async function learn(world: World): Promise<number> {
+/** Sends a deadly request until it is refused; returns how many servers it ended. */
+async function endServersUntilRefused(world: World): Promise<number> {
 	const { entries, servers } = world
 	for (let at = 0; at < 6; at++) {
 		const got = await ask(entries[at % entries.length]!, '/o/x', DEADLY)
@@ -34,8 +34,8 @@
 	return servers.ends.length
 }
 
-/** Asks until it is served, as callers do; gives the statuses. */
-async function askUntilServed(entry: OpenGateway, body: string) {
+/** Retries until the request is served, as callers do; returns the statuses. */
+async function retryUntilServed(entry: OpenGateway, body: string) {
 	const statuses: number[] = []
 	for (let at = 0; at < 4 && statuses.at(-1) !== 200; at++) {
 		statuses.push((await ask(entry, '/r/x', body)).status)
@@ -44,17 +44,17 @@
 	return statuses
 }
 
-test('two ends that follow each other are enough', async () => {
+test('quarantine: two successive ends quarantine a request', async () => {
 	const world = await openWorld(3)
-	assert.is(await learn(world), 2)
+	assert.is(await endServersUntilRefused(world), 2)
 	world.servers.close()
 })
 
-test('when the time is over, one entry tries it again, not each', async () => {
+test('quarantine: after its time, only one entry tries the request again', async () => {
 	const world = await openWorld(3)
-	const before = await learn(world)
+	const before = await endServersUntilRefused(world)
 	const { now } = clocks
-	clocks.now = () => now() + BARRED_MS
+	clocks.now = () => now() + QUARANTINE_MS
 	await pause(APART_MS)
 	const asked = world.entries.map(entry => ask(entry, '/o/x', DEADLY))
 	const statuses = (await Promise.all(asked)).map(({ status }) => status)
@@ -64,43 +64,43 @@
 	world.servers.close()
 })
 
-test('who is refused is told that it did not run, and for how long', async () => {
+test('quarantine: a refusal says that the request did not run, and when to retry', async () => {
 	const world = await openWorld(3)
-	await learn(world)
+	await endServersUntilRefused(world)
 	for (const entry of world.entries) {
 		const got = await ask(entry, '/o/x', DEADLY)
 		assert.is(got.status, 503)
 		assert.match(got.body, '"quarantined"')
 		const seconds = Number(got.headers['retry-after'])
-		// Entries try it again in turn, ten seconds after each other.
+		// Entries try it again one after another, 10 s apart.
 		assert.ok(seconds > 500 && seconds <= 620, String(seconds))
 		assert.is((await ask(entry, '/o/x', 'another body')).status, 200)
 	}
 	world.servers.close()
 })
 
-test('an entry that starts later learns of it, also when another has ended', async () => {
+test('quarantine: an entry that starts later learns of quarantined requests', async () => {
 	const world = await openWorld(2)
-	await learn(world)
-	const late = await openEntry(world)
-	await until(() => late.ctx.gate.barred.size > 0)
-	assert.is((await ask(late, '/o/x', DEADLY)).status, 503)
+	await endServersUntilRefused(world)
+	const newcomer = await openEntry(world)
+	await until(() => newcomer.ctx.gate.barred.size > 0)
+	assert.is((await ask(newcomer, '/o/x', DEADLY)).status, 503)
 	assert.is(world.servers.ends.length, 2)
 	world.servers.close()
 })
 
-test('what was told on a link that broke comes with the next one', async () => {
+test('quarantine: facts lost with a broken link are sent on the next one', async () => {
 	const world = await openWorld(2)
 	const [first, second] = world.entries as [OpenGateway, OpenGateway]
 	const request = { method: 'POST', path: '/o/x', body: Buffer.from(DEADLY) }
 	const team = first.ctx.routes!.teamOfKey.get('key-1')
 	const fingerprint = fingerprintOf({ ...request, team } as never)
-	// As if the news had been on its way when the link broke.
+	// Simulates facts in flight when the link broke.
 	first.ctx.outbox.clear()
-	const agos = [5_000, 1_000]
+	const agesMs = [5_000, 1_000]
 	takeTold(
 		first.ctx,
-		agos.map(agoMs => ({
+		agesMs.map(agoMs => ({
 			kind: 'end' as const,
 			server: `gone-${agoMs}`,
 			agoMs,
@@ -110,14 +110,14 @@
 	)
 	first.ctx.outbox.clear()
 	assert.is(second.ctx.gate.barred.size, 0)
-	const late = await openEntry(world)
-	await until(() => late.ctx.gate.barred.size > 0)
+	const newcomer = await openEntry(world)
+	await until(() => newcomer.ctx.gate.barred.size > 0)
 	await until(() => second.ctx.gate.barred.size > 0)
 	assert.is((await ask(second, '/o/x', DEADLY)).status, 503)
 	world.servers.close()
 })
 
-test('a copy that is under way is ended, with no promise', async () => {
+test('quarantine: a running copy of the request is ended as possibly run', async () => {
 	const world = await openWorld(1)
 	const [entry] = world.entries as [OpenGateway]
 	const asked = ask(entry, '/o/x', SLOW)
@@ -138,11 +138,11 @@
 	world.servers.close()
 })
 
-test('who ran beside a deadly request is served', async () => {
+test('quarantine: requests that ran beside a deadly request are served', async () => {
 	const world = await openWorld(3, 2)
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	const asked = bodies.map((body, at) =>
-		askUntilServed(world.entries[at % 3]!, body),
+		retryUntilServed(world.entries[at % 3]!, body),
 	)
 	for (let at = 0; at < 3; at++) {
 		await pause(APART_MS / 4)
@@ -158,7 +158,7 @@
 	world.servers.close()
 })
 
-test('who ran on servers that all end at once, three times, is served', async () => {
+test('quarantine: requests on servers that all end at once, three times, are served', async () => {
 	const world = await openWorld(3, 4)
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	for (let round = 0; round < 3; round++) {
@@ -179,7 +179,7 @@
 	world.servers.close()
 })
 
-test('a rank that ends closes its group at all entries', async () => {
+test('quarantine: the end of a rank closes its group at all entries', async () => {
 	const world = await openWorld(3, 4, ENGINE)
 	const asked = ask(world.entries[0]!, '/o/x', SLOW)
 	await until(() => world.servers.runs.length > 0)
@@ -190,27 +190,27 @@
 	end(world.servers, rank!, run!.server)
 	for (const { ctx } of world.entries) await until(() => ctx.closures.size > 0)
 	assert.is((await asked).status, 502)
-	// The other ranks would hold it until they refuse.
+	// The other ranks would hold the request until they refuse it.
 	const before = world.servers.runs.length
-	const late = ask(world.entries[2]!, '/o/x', 'after the end')
-	await pause(STILL_MS)
+	const response = ask(world.entries[2]!, '/o/x', 'after the end')
+	await pause(CLOSED_MS)
 	assert.is(world.servers.runs.length, before)
-	await late
+	await response
 	world.servers.close()
 })
 
-/** How a list says that a server has ended. */
-const ENDINGS = [
-	{ name: 'names it no more', next: () => undefined },
-	// The former life counted as one that had said that it leaves.
+/** Changes of the list that show that a server has ended. */
+const LIST_CHANGES = [
+	{ name: 'no longer contains it', next: () => undefined },
+	// A defect counted the former incarnation as a server that had announced to leave.
 	{
-		name: 'names another life of it',
+		name: 'contains another incarnation',
 		next: (server: ListedServer) => ({ ...server, id: `${server.id}@2` }),
 	},
 ]
 
-for (const { name, next } of ENDINGS)
-	test(`a server behind something that listens for it has ended when the list ${name}`, async () => {
+for (const { name, next } of LIST_CHANGES)
+	test(`server end: behind a proxy that still listens, it is detected when the list ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2)
 		const [entry] = entries as [OpenGateway]
 		const asked = ask(entry, '/o/x', SLOW)
@@ -220,7 +220,7 @@
 		noteBroken(entry.ctx, server)
 		await until(() => entry.ctx.ends.answered.size > 0)
 		assert.is(entry.ctx.gate.quarantine.ends.size, 0)
-		// What is sent on meanwhile meets the one in between, not the server.
+		// Requests sent meanwhile reach the proxy, not the server.
 		const [run] = entry.ctx.runs.running.get(server.id)!
 		entry.ctx.runs.running.clear()
 		noteBroken(entry.ctx, server)
@@ -240,7 +240,7 @@
 		servers.close()
 	})
 
-test('a server that says that it leaves has not ended under what broke before', async () => {
+test('server end: a server that announces to leave has not ended under earlier failures', async () => {
 	const { entries, servers } = await openWorld(1, 2)
 	const [entry] = entries as [OpenGateway]
 	const { ctx } = entry
@@ -260,12 +260,12 @@
 })
 
 const CLOSED: { name: string; forMs: number; doubts: number }[] = [
-	{ name: 'has just closed is asked', forMs: 0, doubts: 1 },
-	{ name: 'has stood still for a while is not', forMs: 600, doubts: 0 },
+	{ name: 'has just closed is probed', forMs: 0, doubts: 1 },
+	{ name: 'has been closed for a while is not probed', forMs: 600, doubts: 0 },
 ]
 
 for (const { name, forMs, doubts } of CLOSED)
-	test(`a rank that breaks off in a group that ${name}`, async () => {
+	test(`server end: a rank that closes a connection in a group that ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2, ENGINE)
 		const [entry] = entries as [OpenGateway]
 		const now = performance.now()
@@ -277,7 +277,7 @@
 		servers.close()
 	})
 
-test('a server that breaks answers off and lives has not ended', async () => {
+test('server end: a server that truncates responses but is alive has not ended', async () => {
 	const backends = await startBackends(3)
 	const { ctx, callers } = await createOpener(23_700, backends.listed)()
 	for (let at = 0; at < 6; at++) {
--- a/packages/gateway/test/serverPool.test.ts
+++ b/packages/gateway/test/serverPool.test.ts
@@ -1,20 +1,30 @@
-/** Connections that entries keep to a server together. */
+/** Idle connections that all entries together keep to a server. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { idleShare } from '../src/serverPool.ts'
 
 const CASES = [
-	{ name: 'one entry', most: 200, entries: 1, idle: 12 },
-	{ name: 'five entries and a small server', most: 51, entries: 5, idle: 5 },
-	{ name: 'thirty-six entries', most: 390, entries: 36, idle: 5 },
-	{ name: 'more entries than connections', most: 40, entries: 60, idle: 0 },
+	{ name: 'one entry', maxConnections: 200, entries: 1, idle: 12 },
+	{
+		name: 'five entries and a small server',
+		maxConnections: 51,
+		entries: 5,
+		idle: 5,
+	},
+	{ name: 'thirty-six entries', maxConnections: 390, entries: 36, idle: 5 },
+	{
+		name: 'more entries than connections',
+		maxConnections: 40,
+		entries: 60,
+		idle: 0,
+	},
 ]
 
-for (const { name, most, entries, idle } of CASES)
-	test(`idle connections: ${name} never keep more than half`, () => {
-		assert.is(idleShare(most, entries), idle)
-		assert.ok(idle * entries <= most / 2)
+for (const { name, maxConnections, entries, idle } of CASES)
+	test(`idle connections: ${name} keep at most half of the server's connections`, () => {
+		assert.is(idleShare(maxConnections, entries), idle)
+		assert.ok(idle * entries <= maxConnections / 2)
 	})
 
 test.run()
--- a/packages/gateway/test/standIns.ts
+++ b/packages/gateway/test/standIns.ts
@@ -1,4 +1,4 @@
-/** Backend servers and a catalog for tests of the gateway, on loopback. */
+/** Fake backend servers and a fake catalog for tests of the gateway, on loopback. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createServer, request } from 'node:http'
@@ -18,7 +18,7 @@
 	WireNames,
 } from '../src/index.ts'
 
-/** Header names of the stand-ins; no platform's own. */
+/** Header names of the fake servers; different from those of any platform. */
 export const WIRE: WireNames = {
 	requestId: 'x-id',
 	deadlineMs: 'x-deadline',
@@ -34,7 +34,7 @@
 	promptParts: 'x-prompt',
 }
 
-/** Headers in which the stand-ins speak of themselves. */
+/** Headers in which the fake servers send signals. */
 export const SIGNALS = {
 	load: 'x-load',
 	perSecond: 'x-rate-limit',
@@ -42,7 +42,7 @@
 	leaving: 'x-leaving',
 }
 
-/** How gateways and the stand-ins speak. */
+/** Protocol between gateways and the fake servers. */
 export const SERVER_WIRE: ServerWire = {
 	names: WIRE,
 	readStatement(status, headers) {
@@ -68,53 +68,53 @@
 	},
 }
 
-/** What a backend server does with one arrival. */
+/** What a fake server does with one request. */
 export type Deed =
 	| 'serve'
-	/** A 503 that says that it was not run. */
+	/** Responds with 503 and marks the request as not run. */
 	| 'refuse'
-	/** A 421: another server is here. */
+	/** Responds with 421, as another server at the same address does. */
 	| 'misdirected'
-	/** Runs it and answers 500. */
+	/** Runs the request and responds with 500. */
 	| 'fail'
-	/** Closes the connection without a byte. */
+	/** Closes the connection without a response. */
 	| 'reset'
-	/** Closes it in the middle of the body. */
+	/** Closes the connection in the middle of the body. */
 	| 'cut'
 	/** Resets the connection in the middle of a body without a length. */
 	| 'unframedReset'
-	/** A body without a length, whole when the connection ends. */
+	/** Sends a body without a length, complete when the connection ends. */
 	| 'unframed'
-	/** Never answers. */
+	/** Never responds. */
 	| 'hang'
-	/** Answers with another request's id. */
+	/** Responds with another request id. */
 	| 'otherId'
-	/** A success without its seal. */
+	/** Responds with success, without the seal. */
 	| 'unsealed'
-	/** A stream of five events from the id after the last one. */
+	/** Sends a stream of five events, from the id after `last-event-id`. */
 	| 'stream'
-	/** Such a stream that breaks off in the middle of the third event. */
+	/** Sends such a stream, truncated in the middle of the third event. */
 	| 'brokenStream'
 
-/** Events of a whole stream. */
+/** Number of events of a complete stream. */
 export const STREAM_EVENTS = 5
 const BROKEN_AFTER = 2
 
-/** Backend servers that follow one script together. */
+/** Fake backend servers that share one script. */
 export interface Backends {
 	readonly servers: Server[]
 	readonly listed: ListedServer[]
-	/** Deeds for the next arrivals; then `serve`. */
+	/** Actions for the next requests; when empty, requests are served. */
 	script: Deed[]
-	/** Arrivals so far. */
+	/** Requests received so far. */
 	readonly arrivals: IncomingMessage[]
 	/** Ids of requests that were run, in order. */
 	readonly runs: string[]
-	/** Requests whose connection closed before their answer was whole. */
+	/** Number of requests whose connection closed before the response was complete. */
 	abandoned: number
 }
 
-/** Starts `count` backend servers. */
+/** Starts `count` fake backend servers. */
 export async function startBackends(count: number): Promise<Backends> {
 	const backends: Backends = {
 		servers: [],
@@ -125,7 +125,7 @@
 		abandoned: 0,
 	}
 	for (let at = 0; at < count; at++) {
-		const server = createServer((req, res) => act(backends, req, res))
+		const server = createServer((req, res) => handle(backends, req, res))
 		await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
 		const { port } = server.address() as AddressInfo
 		backends.servers.push(server)
@@ -143,17 +143,17 @@
 	return backends
 }
 
-function act(backends: Backends, req: IncomingMessage, res: ServerResponse) {
+function handle(backends: Backends, req: IncomingMessage, res: ServerResponse) {
 	backends.arrivals.push(req)
-	const deed = backends.script.shift() ?? 'serve'
+	const action = backends.script.shift() ?? 'serve'
 	const id = String(req.headers[WIRE.requestId])
 	const sealed = { [WIRE.requestId]: id, [WIRE.seal]: 'sealed' }
 	res.on('close', () => {
 		if (!res.writableFinished) backends.abandoned++
 	})
-	if (deed !== 'refuse' && deed !== 'misdirected') backends.runs.push(id)
+	if (action !== 'refuse' && action !== 'misdirected') backends.runs.push(id)
 	req.resume()
-	switch (deed) {
+	switch (action) {
 		case 'serve':
 			res.writeHead(200, sealed).end(`answer to ${id}`)
 			return
@@ -191,10 +191,10 @@
 			return
 		case 'stream':
 		case 'brokenStream':
-			stream(req, res, sealed, deed === 'brokenStream')
+			stream(req, res, sealed, action === 'brokenStream')
 			return
 		default:
-			deed satisfies never
+			action satisfies never
 	}
 }
 
@@ -242,7 +242,10 @@
 	maxPauseMs: 0,
 }
 
-/** Routes `/r/` repeatable, `/o/` once, `/s/` stream, `/p/` open to all. */
+/**
+ * Routes: `/r/` repeatable, `/o/` once, `/s/` resumable stream, `/f/` stream that is not
+ * resumable, `/p/` anonymous, `/n/` to a service without servers.
+ */
 export const CONFIG: TrafficConfig = {
 	version: 4,
 	routes: [
@@ -276,7 +279,7 @@
 	},
 }
 
-/** An engine whose group forms within 2 s. */
+/** Profile of an engine whose group forms within 2 s. */
 export const ENGINE: EngineProfile = {
 	slots: 8,
 	memoryTokens: 100_000,
@@ -300,37 +303,37 @@
 	},
 }
 
-/** A catalog whose answers a test sets; watches end when something is told. */
+/** A catalog whose content a test sets; watches end when a change is published. */
 export interface StandInCatalog extends CatalogSource {
 	snapshot: CatalogSnapshot
-	/** Answers every call with a failure while set. */
+	/** While set, every call fails. */
 	down: boolean
-	/** How long the last watch was to wait, ms. */
+	/** Maximum wait of the last watch, ms. */
 	watchMs: number
-	/** How often everything was read. */
+	/** Number of complete reads. */
 	reads: number
-	/** Tells of changes. */
+	/** Publishes changes. */
 	tell(changes: Partial<CatalogSnapshot>): void
 }
 
-/** A revision of the only term that stand-in catalogs have. */
+/** Returns a revision in the only term that fake catalogs have. */
 export function revisionOf(revision: number): TermRevision {
 	return { term: 1, revision }
 }
 
-/** The revision after a catalog's. */
+/** Returns the revision after a catalog's current one. */
 export function nextRevision({ snapshot }: StandInCatalog): TermRevision {
 	return revisionOf(snapshot.revision.revision + 1)
 }
 
-const DOWN = {
+const SOURCE_DOWN = {
 	ok: false,
 	lostHistory: false,
 	reason: 'down',
 	bytes: 0,
 } as const
 
-/** Makes a catalog of `config` and servers. */
+/** Creates a catalog with a configuration and servers. */
 export function createCatalog(
 	config: TrafficConfig | undefined,
 	listed: readonly ListedServer[],
@@ -363,7 +366,7 @@
 			wake()
 		},
 		async read() {
-			if (catalog.down) return DOWN
+			if (catalog.down) return SOURCE_DOWN
 			catalog.reads++
 			return { ok: true, value: catalog.snapshot, bytes: 0 }
 		},
@@ -374,7 +377,7 @@
 					wake = resolve
 					setTimeout(resolve, Math.min(waitMs, 50))
 				})
-			if (catalog.down) return DOWN
+			if (catalog.down) return SOURCE_DOWN
 			const told = changes
 			changes = undefined
 			const now = told ? catalog.snapshot.revision : revision
@@ -386,16 +389,16 @@
 	return catalog
 }
 
-/** What a caller got. */
+/** The response that a caller received. */
 export interface Got {
 	readonly status: number
 	readonly headers: IncomingMessage['headers']
 	readonly body: string
-	/** Whether the answer ended as its framing says. */
+	/** Whether the response is complete by its framing. */
 	readonly whole: boolean
 }
 
-/** Calls a gateway; a connection that ends without an answer gives status 0. */
+/** Calls a gateway; status 0 means that the connection closed without a response. */
 export function callGateway(
 	address: string,
 	path: string,
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -1,4 +1,4 @@
-/** An entry whose VM is suspended: the steady clock stands, the time of day goes on. */
+/** Suspension of an entry's VM: the steady clock stops, the time of day goes on. */
 
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
@@ -15,7 +15,7 @@
 } from './standIns.ts'
 
 const SUSPENDED_MS = 20_000
-/** Far less than the time that such a request had left. */
+/** Far less than the time that the requests had left, ms. */
 const SOON_MS = 2_000
 const backends = await startBackends(3)
 const openGateway = createOpener(23_800, backends.listed)
@@ -27,45 +27,45 @@
 	suspendedMs += SUSPENDED_MS
 }
 
-function ask(gateway: TestGateway, id: string, headers = {}) {
+function request(gateway: TestGateway, id: string, headers = {}) {
 	return callGateway(gateway.callers, '/r/x', {
 		[WIRE.requestId]: id,
 		...headers,
 	})
 }
 
-test('a request whose time went by meanwhile is ended soon', async () => {
+test('suspension: a request that timed out meanwhile is ended soon', async () => {
 	const routes = CONFIG.routes.map(one => ({ ...one, timeoutMs: 10_000 }))
 	const config = { ...CONFIG, routes }
 	const gateway = await openGateway(createCatalog(config, backends.listed))
 	backends.script = ['hang']
 	const startedAt = performance.now()
 	const headers = { [WIRE.requestId]: 'late' }
-	const asked = callGateway(gateway.callers, '/o/x', headers)
+	const response = callGateway(gateway.callers, '/o/x', headers)
 	await until(() => gateway.ctx.open > 0)
 	suspend()
-	const got = await asked
-	assert.is(got.status, 504)
+	const answer = await response
+	assert.is(answer.status, 504)
 	assert.ok(performance.now() - startedAt < SOON_MS)
 })
 
-test('one that came before is not handed on with time that is gone', async () => {
+test('suspension: a retried request is sent with its deadline reduced by the suspension', async () => {
 	const gateway = await openGateway()
 	const { ctx } = gateway
 	backends.script = ['hang']
 	const arrivals = backends.arrivals.length
-	const asked = ask(gateway, 'again', { [WIRE.deadlineMs]: '60000' })
+	const response = request(gateway, 'again', { [WIRE.deadlineMs]: '60000' })
 	await until(() => backends.arrivals.length > arrivals)
 	ctx.giveUps.clear()
 	suspend()
-	await asked
+	await response
 	const [first, second] = backends.arrivals.slice(arrivals)
 	const left = (arrival: typeof first) =>
 		Number(arrival?.headers[WIRE.deadlineMs] ?? 0)
 	assert.ok(left(second) <= left(first) - SUSPENDED_MS + 1_000)
 })
 
-test('what is told of others grows old meanwhile', async () => {
+test('suspension: reports of peers and coordinators age meanwhile', async () => {
 	const gateway = await openGateway()
 	const { ctx } = gateway
 	const ran = { '6.deadly': 40 }
@@ -89,7 +89,7 @@
 	assert.is(ctx.fleet.toldGroups.size, 0)
 })
 
-test('the source is asked at once, not when its watch is over', async () => {
+test('suspension: the source is watched anew at once, not when the watch times out', async () => {
 	const gateway = await openGateway()
 	const { ctx, catalog } = gateway
 	await until(() => catalog.watchMs > 1)
