--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -78,7 +78,7 @@
 	readonly startedAt: number
 	/** Whether a peer has sent its state since this entry started. */
 	isTold: boolean
-	/** Removals that were confirmed after doubt, for peers that cannot reach the source. */
+	/** Deferred removals that were confirmed, for peers that cannot reach the source. */
 	readonly settledRemovals: ServerRecord[]
 	/** Whether calls of this entry to the source fail. */
 	sourceAway: boolean
@@ -89,7 +89,7 @@
 	toldVersion: number
 	/** When the configuration came into force, ms. */
 	configSince: number
-	/** Circuit breakers of lock-step groups that refuse at every rank. */
+	/** Backoffs of lock-step groups that refuse requests at every rank. */
 	readonly closures: Closures
 	/**
 	 * When a group that refused before it ever served this process is expected to
@@ -106,21 +106,21 @@
 	entries: number
 	/** Requests that servers run for this entry. */
 	readonly runs: Runs
-	/** Servers suspected to have ended. */
+	/** Detects crashes of servers. */
 	readonly ends: EndWatch
-	/** Facts about servers that are shared with other entries. */
+	/** Gossip state: what entries know of servers and share. */
 	readonly book: NewsBook
-	/** Facts that are still to be sent to other entries. */
+	/** Updates that are still to be sent to other entries. */
 	readonly outbox: Outbox
 	/** Rate limits that servers report, over all entries. */
 	readonly rateLimits: RateLimits
-	/** Pauses that servers have requested of this entry. */
+	/** Backoffs that servers have requested of this entry. */
 	readonly rests: Rests
 	/** Permits of rate-limited servers that this entry holds. */
 	readonly permits: PermitGate
 	/** Permits that this entry grants to others, as home of a server. */
 	readonly permitHomes: PermitHomes
-	/** Requests suspected to end the servers that run them. */
+	/** Requests suspected of crashing the servers that run them. */
 	readonly gate: QuarantineGate
 	/** Detects suspensions of the VM. */
 	readonly suspension: SuspensionWatch
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -60,7 +60,7 @@
 	flow: RequestFlow
 	/** Rates over all entries; undefined without peers. */
 	intake: GroupIntake | undefined
-	/** Least share of requests that one of its groups accepted since the last update. */
+	/** Least fraction of requests that one of its groups admitted since the last update. */
 	taken: number
 }
 
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -188,9 +188,9 @@
 }
 
 /**
- * Waits until it is known whether the last server has ended, where a retry depends on
- * it: a suspected request could end the next server too, and the end of a rank closes
- * its whole group. Usually this takes one round trip.
+ * Waits until it is known whether the last server has crashed, where a retry depends
+ * on it: a suspected request could crash the next server too, and the crash of a rank
+ * closes its whole group. Usually this takes one round trip.
  */
 async function awaitServerState(ctx: GatewayContext, job: Job): Promise<void> {
 	const server = [...job.tried].at(-1)
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -21,13 +21,13 @@
 	readonly retries: Counter<'reason'>
 	/** Streams resumed at another server. */
 	readonly resumes: Counter
-	/** Servers that ended while they ran requests, by the source of that knowledge. */
+	/** Servers that crashed while they ran requests, by how the crash was detected. */
 	readonly serverEnds: Counter<'witness'>
-	/** Requests in quarantine because servers ended while they ran them. */
+	/** Requests in quarantine because servers crashed while they ran them. */
 	readonly quarantined: Gauge
 	/** Servers with a rate limit. */
 	readonly limitedServers: Gauge
-	/** Servers that have requested a pause of this entry. */
+	/** Servers that have requested backoff of this entry. */
 	readonly restingServers: Gauge
 	/** Server signals that could not be parsed, by signal. */
 	readonly unreadableSignals: Counter<'signal'>
--- a/packages/gateway/src/outlook.ts
+++ b/packages/gateway/src/outlook.ts
@@ -1,6 +1,6 @@
 /**
  * Forecasts when a service can take requests while all of its servers are
- * restricted, by a rate limit or by a pause that they requested.
+ * restricted, by a rate limit or by a backoff that they requested.
  */
 
 import {
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -89,7 +89,7 @@
 	readonly load: ServerLoad
 	/** Rate limit over all entries, requests per second. */
 	readonly perSecond: number
-	/** Pause that it requests of this entry, ms. */
+	/** Backoff that it requests of this entry, ms. */
 	readonly restMs: number
 	/** Set when the server is about to leave. */
 	readonly leaving: true
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -7,7 +7,7 @@
 import type { PlaceFlow, Returns, Spell } from '@juniperhook/core'
 import { createPlaceFlow, createReturns, createSpell } from '@juniperhook/core'
 
-/** Assumed length of a full spell before one has been observed, ms. */
+/** Assumed time for which a service stays full, before it was observed, ms. */
 const INITIAL_FULL_MS = 1_000
 /** Smoothing weight of a new sample of the time to first byte. */
 const FIRST_BYTE_WEIGHT = 0.1
--- a/packages/gateway/src/waiter.ts
+++ b/packages/gateway/src/waiter.ts
@@ -9,7 +9,7 @@
 	| { readonly kind: 'full' }
 	/** All servers are rate-limited, and none takes another request in time. */
 	| { readonly kind: 'limited' }
-	/** All servers have requested a pause that exceeds the time left. */
+	/** All servers have requested a backoff that exceeds the time left. */
 	| { readonly kind: 'resting' }
 	/** The service has no server. */
 	| { readonly kind: 'none' }
@@ -35,8 +35,8 @@
 	/** Ids of servers that the request has been sent to. */
 	readonly tried: ReadonlySet<string>
 	/**
-	 * Random number from 0 to 1, drawn once per request. A nearly full group that accepts
-	 * a share of the requests accepts those whose draw is below the share.
+	 * Random number from 0 to 1, drawn once per request. A nearly full group admits
+	 * only a fraction of the requests: those whose draw is below the fraction.
 	 */
 	readonly luck: number
 	/** Maximum wait, ms. */
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/waiting.ts
@@ -55,7 +55,7 @@
 		)
 		if (grant.kind === 'server') {
 			notePlace(pressure.flow, now)
-			// A full spell goes on while the service accepts only a share of the requests.
+			// The service still counts as full while it admits only a fraction of requests.
 			if (!isRationed(ctx.fleet, options.service)) endSpell(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -109,13 +109,13 @@
 		assert.is(spareMs(pressure, 500, elapsedMs), budget)
 	})
 
-test('nearly full group: a share of requests is accepted without ending the full spell', async () => {
+test('nearly full group: admits a fraction of requests and still counts as full', async () => {
 	const { fleet } = ctx
 	fleet.groups.push(`${SERVICE}/g`)
 	fleet.table.group.fill(0)
 	fleet.table.most.fill(2.5)
 	const meter = meterOf(fleet, SERVICE)
-	// 2.5 slots within 50 ms, in which 5 requests arrive: half of them are accepted.
+	// 2.5 slots within 50 ms, in which 5 requests arrive: half of them are admitted.
 	meter.intake = { perSecond: 100, endedPerSecond: 0, horizonMs: 50 }
 	const { full } = pressureOf(ctx.pressures, SERVICE)
 	full.since = undefined
@@ -124,7 +124,7 @@
 	assert.is((await acquire(-1, true, 0.2)).kind, 'server')
 	assert.ok(
 		full.since !== undefined,
-		'the full spell goes on while others are refused',
+		'the service counts as full while others are refused',
 	)
 	meter.taken = 1
 	meter.intake = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Quarantine of requests that end the servers that run them, over several entries. */
+/** Quarantine of requests that crash the servers that run them, over several entries. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { clocks } from '@juniperhook/runtime'
@@ -16,15 +16,15 @@
 import { ENGINE, revisionOf, startBackends } from './standIns.ts'
 
 const openWorld = createWorlds(23_500)
-/** Ends this far apart do not count as simultaneous, ms. */
+/** Crashes this far apart do not count as simultaneous, ms. */
 const APART_MS = 600
-/** Time after which a request that ended two servers is tried again, ms. */
+/** Time after which a request that crashed two servers is tried again, ms. */
 const QUARANTINE_MS = 600_000
 /** Earliest probe of a closed group, which is after 500 ms, less a margin, ms. */
 const CLOSED_MS = 300
 
-/** Sends a deadly request until it is refused; returns how many servers it ended. */
-async function endServersUntilRefused(world: World): Promise<number> {
+/** Sends a poison request until it is refused; returns how many servers it crashed. */
+async function crashServersUntilRefused(world: World): Promise<number> {
 	const { entries, servers } = world
 	for (let at = 0; at < 6; at++) {
 		const got = await ask(entries[at % entries.length]!, '/o/x', DEADLY)
@@ -44,15 +44,15 @@
 	return statuses
 }
 
-test('quarantine: two successive ends quarantine a request', async () => {
+test('quarantine: two successive crashes quarantine a request', async () => {
 	const world = await openWorld(3)
-	assert.is(await endServersUntilRefused(world), 2)
+	assert.is(await crashServersUntilRefused(world), 2)
 	world.servers.close()
 })
 
 test('quarantine: after its time, only one entry tries the request again', async () => {
 	const world = await openWorld(3)
-	const before = await endServersUntilRefused(world)
+	const before = await crashServersUntilRefused(world)
 	const { now } = clocks
 	clocks.now = () => now() + QUARANTINE_MS
 	await pause(APART_MS)
@@ -66,7 +66,7 @@
 
 test('quarantine: a refusal says that the request did not run, and when to retry', async () => {
 	const world = await openWorld(3)
-	await endServersUntilRefused(world)
+	await crashServersUntilRefused(world)
 	for (const entry of world.entries) {
 		const got = await ask(entry, '/o/x', DEADLY)
 		assert.is(got.status, 503)
@@ -81,7 +81,7 @@
 
 test('quarantine: an entry that starts later learns of quarantined requests', async () => {
 	const world = await openWorld(2)
-	await endServersUntilRefused(world)
+	await crashServersUntilRefused(world)
 	const newcomer = await openEntry(world)
 	await until(() => newcomer.ctx.gate.barred.size > 0)
 	assert.is((await ask(newcomer, '/o/x', DEADLY)).status, 503)
@@ -89,13 +89,13 @@
 	world.servers.close()
 })
 
-test('quarantine: facts lost with a broken link are sent on the next one', async () => {
+test('quarantine: updates lost with a broken link are sent on the next one', async () => {
 	const world = await openWorld(2)
 	const [first, second] = world.entries as [OpenGateway, OpenGateway]
 	const request = { method: 'POST', path: '/o/x', body: Buffer.from(DEADLY) }
 	const team = first.ctx.routes!.teamOfKey.get('key-1')
 	const fingerprint = fingerprintOf({ ...request, team } as never)
-	// Simulates facts in flight when the link broke.
+	// Simulates updates in flight when the link broke.
 	first.ctx.outbox.clear()
 	const agesMs = [5_000, 1_000]
 	takeTold(
@@ -138,7 +138,7 @@
 	world.servers.close()
 })
 
-test('quarantine: requests that ran beside a deadly request are served', async () => {
+test('quarantine: requests that ran beside a poison request are served', async () => {
 	const world = await openWorld(3, 2)
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	const asked = bodies.map((body, at) =>
@@ -158,7 +158,7 @@
 	world.servers.close()
 })
 
-test('quarantine: requests on servers that all end at once, three times, are served', async () => {
+test('quarantine: requests on servers that all crash at once, three times, are served', async () => {
 	const world = await openWorld(3, 4)
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	for (let round = 0; round < 3; round++) {
@@ -179,7 +179,7 @@
 	world.servers.close()
 })
 
-test('quarantine: the end of a rank closes its group at all entries', async () => {
+test('quarantine: the crash of a rank closes its group at all entries', async () => {
 	const world = await openWorld(3, 4, ENGINE)
 	const asked = ask(world.entries[0]!, '/o/x', SLOW)
 	await until(() => world.servers.runs.length > 0)
@@ -199,7 +199,7 @@
 	world.servers.close()
 })
 
-/** Changes of the list that show that a server has ended. */
+/** Changes of the list that show that a server has crashed. */
 const LIST_CHANGES = [
 	{ name: 'no longer contains it', next: () => undefined },
 	// A defect counted the former incarnation as a server that had announced to leave.
@@ -210,7 +210,7 @@
 ]
 
 for (const { name, next } of LIST_CHANGES)
-	test(`server end: behind a proxy that still listens, it is detected when the list ${name}`, async () => {
+	test(`server crash: behind a proxy that still listens, it is detected when the list ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2)
 		const [entry] = entries as [OpenGateway]
 		const asked = ask(entry, '/o/x', SLOW)
@@ -240,7 +240,7 @@
 		servers.close()
 	})
 
-test('server end: a server that announces to leave has not ended under earlier failures', async () => {
+test('server crash: earlier failures are no crash of a server that announces to leave', async () => {
 	const { entries, servers } = await openWorld(1, 2)
 	const [entry] = entries as [OpenGateway]
 	const { ctx } = entry
@@ -265,7 +265,7 @@
 ]
 
 for (const { name, forMs, doubts } of CLOSED)
-	test(`server end: a rank that closes a connection in a group that ${name}`, async () => {
+	test(`server crash: a rank that closes a connection in a group that ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2, ENGINE)
 		const [entry] = entries as [OpenGateway]
 		const now = performance.now()
@@ -277,7 +277,7 @@
 		servers.close()
 	})
 
-test('server end: a server that truncates responses but is alive has not ended', async () => {
+test('server crash: a server that truncates responses but is alive has not crashed', async () => {
 	const backends = await startBackends(3)
 	const { ctx, callers } = await createOpener(23_700, backends.listed)()
 	for (let at = 0; at < 6; at++) {
