--- a/packages/gateway/src/serverPool.ts
+++ b/packages/gateway/src/serverPool.ts
@@ -37,7 +37,7 @@
 	}
 }
 
-/** Closes the idle connections to a server that has crashed; `address` is its `IP:port`. */
+/** Closes the idle connections to a crashed server; `address` is its `IP:port`. */
 export function closeIdle({ kept }: ServerPool, address: string): void {
 	const [host, port] = address.split(':')
 	const idle = kept.freeSockets[kept.getName({ host, port: Number(port) })]
