--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,13 +1,13 @@
 /** One attempt: acquires a server with a free slot and sends the request to it. */
 
 import { readElapsed } from '@juniperhook/runtime'
-import { closedWaitMs, isServiceClosed } from './closedGroups.ts'
+import { isServiceClosed, maxClosedWaitMs } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import type { AttemptResult, Job } from './job.ts'
-import { pressureOf, spareMs } from './pressure.ts'
+import { pressureOf, waitBudgetMs } from './pressure.ts'
+import { acquireServer } from './serverQueue.ts'
 import { sendToServer } from './serverSend.ts'
 import type { Grant } from './waiter.ts'
-import { awaitServer } from './waiting.ts'
 
 /** Minimum wait of a retried request, as a share of the route's target time. */
 const RETRY_WAIT_SHARE = 0.2
@@ -43,17 +43,17 @@
 	const { request, service } = job
 	const isClosed = isServiceClosed(ctx, service)
 	const waitMs = isClosed
-		? closedWaitMs(ctx, service, request)
+		? maxClosedWaitMs(ctx, service, request)
 		: maxWaitMs(ctx, job, now)
-	return awaitServer(ctx, {
+	return acquireServer(ctx, {
 		service,
 		team: request.team?.name ?? '',
 		priority: request.priority,
 		tried: job.tried,
 		// A retried request is admitted before requests that were never sent.
-		luck: job.sends > 0 ? 0 : job.luck,
-		waitMs: Math.min(waitMs, request.givenUpAt - now),
-		inTurn: !isClosed,
+		admissionDraw: job.sends > 0 ? 0 : job.admissionDraw,
+		waitMs: Math.min(waitMs, request.timeoutAt - now),
+		slotsFreeOneByOne: !isClosed,
 		signal: job.signal,
 	})
 }
@@ -62,7 +62,7 @@
 function maxWaitMs(ctx: GatewayContext, job: Job, now: number): number {
 	const { targetMs } = job.request.route
 	const elapsedMs = now - job.request.arrivedAt
-	const budget = spareMs(
+	const budget = waitBudgetMs(
 		pressureOf(ctx.pressures, job.service),
 		targetMs,
 		elapsedMs,
--- a/packages/gateway/src/outlook.ts
+++ b/packages/gateway/src/availabilityForecast.ts
@@ -4,38 +4,38 @@
  */
 
 import {
+	BACKOFF_PROBE_MS,
+	backoffLeftMs,
 	listDueMs,
-	perSecondOf,
-	REST_TRY_MS,
-	restLeftMs,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { heldOf } from './permitGate.ts'
+import { heldPermitsOf } from './permitGate.ts'
 
 /** When the servers of a service may be sent requests. */
-export interface Outlook {
+export interface AvailabilityForecast {
 	/** Restriction of the server that is available first. */
 	readonly kind: 'limited' | 'resting'
 	/** Times from now at which held permits become valid, ascending, ms. */
 	readonly dueMs: readonly number[]
 	/** Time from now until requests beyond the held permits may be sent, ms. */
-	readonly moreMs: number
+	readonly nextMs: number
 	/** Interval between those further requests, ms. */
-	readonly gapMs: number
+	readonly intervalMs: number
 }
 
 /** The forecast for one server. */
-type ServerOutlook = Pick<Outlook, 'kind' | 'dueMs' | 'moreMs'>
+type ServerOutlook = Pick<AvailabilityForecast, 'kind' | 'dueMs' | 'moreMs'>
 
 /** Returns the forecast for a service; undefined while a server is unrestricted. */
-export function outlookOf(
+export function forecastAvailability(
 	ctx: GatewayContext,
 	service: string,
-): Outlook | undefined {
-	const { fleet, rateLimits, rests } = ctx
+): AvailabilityForecast | undefined {
+	const { fleet, rateLimits, backoffs: rests } = ctx
 	if (rateLimits.size + rests.size === 0) return undefined
-	const rows = fleet.rowsOf.get(service) ?? []
+	const rows = fleet.rowsByService.get(service) ?? []
 	const now = readElapsed()
 	const forecasts: ServerOutlook[] = []
 	for (const row of rows) {
@@ -43,13 +43,18 @@
 		if (!forecast) return undefined
 		forecasts.push(forecast)
 	}
-	const [first] = forecasts.sort((a, b) => a.moreMs - b.moreMs)
+	const [first] = forecasts.sort((a, b) => a.nextMs - b.nextMs)
 	if (!first) return undefined
-	const { kind, moreMs } = first
+	const { kind, nextMs: moreMs } = first
 	const dueMs = forecasts
 		.flatMap(forecast => forecast.dueMs)
 		.sort((a, b) => a - b)
-	return { kind, dueMs, moreMs, gapMs: kind === 'resting' ? REST_TRY_MS : 0 }
+	return {
+		kind,
+		dueMs,
+		nextMs: moreMs,
+		intervalMs: kind === 'resting' ? BACKOFF_PROBE_MS : 0,
+	}
 }
 
 function forecastServer(
@@ -57,24 +62,24 @@
 	server: string,
 	now: number,
 ): ServerOutlook | undefined {
-	const restMs = restLeftMs(ctx.rests, server, now)
-	if (perSecondOf(ctx.rateLimits, server) === undefined)
+	const restMs = backoffLeftMs(ctx.backoffs, server, now)
+	if (rateLimitOf(ctx.rateLimits, server) === undefined)
 		return restMs > 0
-			? { kind: 'resting', dueMs: [], moreMs: restMs }
+			? { kind: 'resting', dueMs: [], nextMs: restMs }
 			: undefined
-	const held = heldOf(ctx, server)
-	const { isAsking, notBefore } = held
+	const held = heldPermitsOf(ctx, server)
+	const { isRequestPending: isAsking, notBefore } = held
 	const moreMs = isAsking ? 0 : Math.max(0, notBefore - now)
 	return {
 		kind: restMs > moreMs ? 'resting' : 'limited',
 		dueMs: listDueMs(held, now).map(ms => Math.max(ms, restMs)),
-		moreMs: Math.max(moreMs, restMs),
+		nextMs: Math.max(moreMs, restMs),
 	}
 }
 
 /** Returns the expected wait of a request with `before` others ahead of it, ms. */
-export function outlookWaitMs(
-	{ dueMs, moreMs, gapMs }: Outlook,
+export function forecastWaitMs(
+	{ dueMs, nextMs: moreMs, intervalMs: gapMs }: AvailabilityForecast,
 	before: number,
 ): number {
 	return dueMs[before] ?? moreMs + (before - dueMs.length) * gapMs
--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -5,13 +5,13 @@
 
 import type { ServerRecord, TermRevision } from '@juniperhook/core'
 import {
+	confirmRemovals,
+	confirmReturns,
 	createRouteTable,
 	findMissing,
 	formatRevision,
 	isSameRevision,
-	noteRead,
-	settleRemovals,
-	settleReturns,
+	recordRead,
 } from '@juniperhook/core'
 import { readElapsed, readNow, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -113,7 +113,7 @@
 				bytes: result.bytes,
 				tookMs: Math.round(now - begunAt),
 			})
-			noteAway(ctx, follower, now, result.reason)
+			recordAway(ctx, follower, now, result.reason)
 			if (result.lostHistory) {
 				revision = undefined
 				pause = MIN_PAUSE_MS
@@ -123,7 +123,7 @@
 			continue
 		}
 		pause = MIN_PAUSE_MS
-		noteBack(ctx, follower, now)
+		recordBack(ctx, follower, now)
 		takeSnapshot(ctx, result.value, whole, follower, now)
 		const isNews = !whole && !isSameRevision(result.value.revision, revision!)
 		revision = result.value.revision
@@ -137,7 +137,7 @@
 	return Math.round(settings.contactMs * WATCH_SHARE)
 }
 
-function noteAway(
+function recordAway(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
@@ -152,7 +152,7 @@
 	})
 }
 
-function noteBack(
+function recordBack(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
@@ -179,7 +179,7 @@
 		ctx.log.write('published value refused', { reason })
 	if (snapshot.config) adoptConfig(ctx, snapshot.config, 'source')
 	const isCopy = whole && isOlderCopy(ctx, follower, snapshot.revision)
-	if (whole) noteTerm(ctx, follower, snapshot.revision)
+	if (whole) recordTerm(ctx, follower, snapshot.revision)
 	if (isCopy) follower.doubtUntil = now + LAPSED_GRACE_MS
 	const missing = whole ? listMissing(ctx, snapshot) : []
 	const before = ctx.list.revision
@@ -187,11 +187,11 @@
 		from: isCopy ? 'copy' : 'source',
 		doubtUntil: follower.doubtUntil,
 	})
-	noteRead(ctx.list, snapshot.revision)
+	recordRead(ctx.list, snapshot.revision)
 	if (isCopy) logTerm(ctx, before, snapshot, missing.length)
 }
 
-function noteTerm(
+function recordTerm(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	{ term }: TermRevision,
@@ -232,18 +232,18 @@
 		backTo: formatRevision(revision),
 		listed: servers.length,
 		missing,
-		doubted: list.doubted.size,
-		returning: list.returning.size,
+		doubted: list.pendingRemovals.size,
+		returning: list.pendingReturns.size,
 	})
 }
 
 /** Believes removals whose time has come. */
 export function tickCatalog(ctx: GatewayContext): void {
-	const settled = settleRemovals(ctx.list, readElapsed())
+	const settled = confirmRemovals(ctx.list, readElapsed())
 	for (const { name } of settled)
 		ctx.log.write('server', { server: name, state: 'gone', from: 'not back' })
 	ctx.settledRemovals.push(...settled)
-	const returned = settleReturns(ctx.list, readElapsed())
+	const returned = confirmReturns(ctx.list, readElapsed())
 	for (const record of returned) logRecord(ctx, record, 'still listed')
 	if (settled.length + returned.length > 0) refreshFleet(ctx)
 }
@@ -259,7 +259,7 @@
 	if (held !== undefined && version <= held) return false
 	ctx.routes = createRouteTable(published.config)
 	ctx.published = published
-	ctx.configSince = readNow()
+	ctx.configAppliedAt = readNow()
 	ctx.metrics.configVersion.set(version)
 	ctx.log.write('configuration in force', {
 		version,
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,37 +1,37 @@
 /** Settings and shared state of a gateway. */
 
 import type {
-	Closures,
-	NewsBook,
+	BlockageTracker,
+	GroupClosures,
 	Random,
 	RateLimits,
-	Rests,
 	RetryAllowance,
 	RetryWindow,
 	RouteTable,
+	ServerBackoffs,
 	ServerList,
 	ServerRecord,
-	Spell,
+	SharedState,
 } from '@juniperhook/core'
 import type { EventLog } from '@juniperhook/runtime'
-import type { EndWatch } from './endWatch.ts'
+import type { CrashDetector } from './crashDetectorState.ts'
 import type { Fleet } from './fleet.ts'
-import type { CallerRequest, GiveUp } from './job.ts'
+import type { CallerRequest, CancelRequest } from './job.ts'
 import type { GatewayMetrics } from './metrics.ts'
-import type { OddSignals } from './oddSignals.ts'
 import type { Outbox } from './outbox.ts'
-import type { PermitGate, PermitHomes } from './permitState.ts'
+import type { PermitHomes, PermitStore } from './permitState.ts'
 import type {
-	CallerPatience,
+	EventTimeoutPolicy,
 	PublishedConfig,
 	ServerWire,
 	WireNames,
 } from './ports.ts'
 import type { Pressure } from './pressure.ts'
 import type { QuarantineGate } from './quarantineState.ts'
-import type { Runs } from './runs.ts'
+import type { SentRequests } from './sentRequests.ts'
 import type { ServerPool } from './serverPool.ts'
 import type { SuspensionWatch } from './suspensionWatch.ts'
+import type { UnrecognizedSignals } from './unrecognizedSignals.ts'
 
 /** Settings of a gateway on its VM. */
 export interface GatewaySettings {
@@ -57,8 +57,8 @@
 	 * Share of its remaining time within which a caller honours `Retry-After`; with a
 	 * later time it abandons the request.
 	 */
-	readonly heededShare: number
-	readonly patience: CallerPatience
+	readonly retryAfterShare: number
+	readonly eventTimeout: EventTimeoutPolicy
 }
 
 /** State of a running gateway. */
@@ -67,7 +67,7 @@
 	settings: GatewaySettings
 	readonly wire: WireNames
 	readonly readStatement: ServerWire['readStatement']
-	readonly oddSignals: OddSignals
+	readonly unrecognizedSignals: UnrecognizedSignals
 	readonly log: EventLog
 	readonly metrics: GatewayMetrics
 	readonly random: Random
@@ -77,7 +77,7 @@
 	/** When this entry started, ms of elapsed time. */
 	readonly startedAt: number
 	/** Whether a peer has sent its state since this entry started. */
-	isTold: boolean
+	hasPeerState: boolean
 	/** Deferred removals that were confirmed, for peers that cannot reach the source. */
 	readonly settledRemovals: ServerRecord[]
 	/** Whether calls of this entry to the source fail. */
@@ -86,47 +86,47 @@
 	routes: RouteTable | undefined
 	published: PublishedConfig | undefined
 	/** Highest configuration version that a peer has announced; -1 for none. */
-	toldVersion: number
+	newestPeerVersion: number
 	/** When the configuration came into force, ms. */
-	configSince: number
+	configAppliedAt: number
 	/** Backoffs of lock-step groups that refuse requests at every rank. */
-	readonly closures: Closures
+	readonly closures: GroupClosures
 	/**
 	 * When a group that refused before it ever served this process is expected to
 	 * open, ms, by group; 0 once it has served.
 	 */
-	readonly openUntil: Map<string, number>
+	readonly expectedOpenAt: Map<string, number>
 	/** Outages of lock-step groups, by group. */
-	readonly outages: Map<string, Spell>
+	readonly blockages: Map<string, BlockageTracker>
 	/** Load observations, by service. */
 	readonly pressures: Map<string, Pressure>
 	/** Retry budget windows, by service. */
 	readonly retries: Map<string, RetryWindow>
 	/** Entries considered alive, including this one. */
-	entries: number
+	entryCount: number
 	/** Requests that servers run for this entry. */
-	readonly runs: Runs
+	readonly sentRequests: SentRequests
 	/** Detects crashes of servers. */
-	readonly ends: EndWatch
+	readonly ends: CrashDetector
 	/** Gossip state: what entries know of servers and share. */
-	readonly book: NewsBook
+	readonly sharedState: SharedState
 	/** Updates that are still to be sent to other entries. */
 	readonly outbox: Outbox
 	/** Rate limits that servers report, over all entries. */
 	readonly rateLimits: RateLimits
 	/** Backoffs that servers have requested of this entry. */
-	readonly rests: Rests
+	readonly backoffs: ServerBackoffs
 	/** Permits of rate-limited servers that this entry holds. */
-	readonly permits: PermitGate
+	readonly permits: PermitStore
 	/** Permits that this entry grants to others, as home of a server. */
 	readonly permitHomes: PermitHomes
 	/** Requests suspected of crashing the servers that run them. */
-	readonly gate: QuarantineGate
+	readonly quarantineGate: QuarantineGate
 	/** Detects suspensions of the VM. */
 	readonly suspension: SuspensionWatch
 	/** Number of requests being served. */
-	open: number
+	openRequests: number
 	/** Ends a request without a server's response, for each open request. */
-	readonly giveUps: Map<CallerRequest, GiveUp>
+	readonly cancelByRequest: Map<CallerRequest, CancelRequest>
 	stopping: boolean
 }
--- a/packages/gateway/src/serverEnds.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -6,13 +6,13 @@
 
 import { connect } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
-import { MAX_NAMED, splitAddress } from '@juniperhook/core'
+import { MAX_REQUESTS_PER_CRASH, splitAddress } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
-import { noteRankGone, standsStill } from './closedGroups.ts'
+import { handleRankCrash, standsStill } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
-import type { Doubt } from './endWatch.ts'
-import { noteServerEnd } from './quarantineGate.ts'
-import { listRunning } from './runs.ts'
+import type { CrashCheck } from './crashDetectorState.ts'
+import { recordServerEnd } from './quarantineGate.ts'
+import { listInFlight } from './sentRequests.ts'
 
 /** Servers that are asked at the same time; each takes one round trip. */
 const MAX_PROBES = 4
@@ -37,14 +37,17 @@
  * asked of the ranks of a group that is known to stand still: each entry would open a
  * connection to every rank.
  */
-export function noteBroken(ctx: GatewayContext, server: ListedServer): void {
+export function recordBrokenConnection(
+	ctx: GatewayContext,
+	server: ListedServer,
+): void {
 	if (standsStill(ctx, server)) return
-	const { doubts, queue } = ctx.ends
-	const running = listRunning(ctx.runs, server.id)
+	const { checks: doubts, queue } = ctx.ends
+	const running = listInFlight(ctx.sentRequests, server.id)
 	const known = doubts.get(server.id)
 	if (!known && doubts.size >= MAX_DOUBTS) return
 	const doubt = known ?? createDoubt(ctx, server)
-	for (const one of running) doubt.running.set(one.id, one)
+	for (const one of running) doubt.inFlight.set(one.id, one)
 	if (known) return
 	doubts.set(server.id, doubt)
 	queue.push(server.id)
@@ -55,11 +58,17 @@
  * Looks later whether a server has ended under a request that this entry left there:
  * no connection of its own will tell. Only for requests that are suspected already.
  */
-export function watchLeft(ctx: GatewayContext, server: ListedServer): void {
-	setTimeout(() => noteBroken(ctx, server), LEFT_LOOK_MS).unref()
+export function scheduleCrashCheck(
+	ctx: GatewayContext,
+	server: ListedServer,
+): void {
+	setTimeout(() => recordBrokenConnection(ctx, server), LEFT_LOOK_MS).unref()
 }
 
-function createDoubt({ list }: GatewayContext, server: ListedServer): Doubt {
+function createDoubt(
+	{ list }: GatewayContext,
+	server: ListedServer,
+): CrashCheck {
 	let settle = () => {}
 	const settled = new Promise<void>(resolve => {
 		settle = resolve
@@ -67,11 +76,11 @@
 	return {
 		server,
 		at: readElapsed(),
-		hadLeft: list.left.has(server.id),
-		running: new Map(),
+		hadLeft: list.departed.has(server.id),
+		inFlight: new Map(),
 		tries: 0,
-		settled,
-		settle,
+		resolved: settled,
+		resolve: settle,
 	}
 }
 
@@ -80,7 +89,7 @@
 	while (ends.probing < MAX_PROBES) {
 		const id = ends.queue.shift()
 		if (id === undefined) return
-		const doubt = ends.doubts.get(id)
+		const doubt = ends.checks.get(id)
 		if (!doubt) continue
 		ends.probing++
 		void probe(doubt.server.address).then(listens => {
@@ -111,15 +120,19 @@
 	})
 }
 
-function judgeProbe(ctx: GatewayContext, doubt: Doubt, listens: Listens): void {
-	const { doubts, answered, queue } = ctx.ends
+function judgeProbe(
+	ctx: GatewayContext,
+	doubt: CrashCheck,
+	listens: Listens,
+): void {
+	const { checks: doubts, inconclusive: answered, queue } = ctx.ends
 	const { id } = doubt.server
 	if (doubts.get(id) !== doubt) return
 	switch (listens) {
 		case 'yes':
 			doubts.delete(id)
 			if (!answered.has(id)) answered.set(id, doubt)
-			doubt.settle()
+			doubt.resolve()
 			return
 		case 'no':
 			believeEnd(ctx, doubt, 'refused')
@@ -127,7 +140,7 @@
 		case 'unclear':
 			doubt.tries++
 			if (doubt.tries < MAX_TRIES) queue.push(id)
-			else doubt.settle()
+			else doubt.resolve()
 			return
 		default:
 			listens satisfies never
@@ -140,7 +153,7 @@
  */
 export function settleByList(ctx: GatewayContext): void {
 	const { ends, list } = ctx
-	for (const [id, doubt] of [...ends.answered, ...ends.doubts]) {
+	for (const [id, doubt] of [...ends.inconclusive, ...ends.checks]) {
 		const listed = list.records.get(doubt.server.name)?.server
 		const isListed = listed?.id === id
 		if (isListed && listed.leaving) dropDoubt(ctx, doubt)
@@ -148,42 +161,48 @@
 	}
 }
 
-function dropDoubt({ ends }: GatewayContext, { server, settle }: Doubt): void {
-	ends.doubts.delete(server.id)
-	ends.answered.delete(server.id)
+function dropDoubt(
+	{ ends }: GatewayContext,
+	{ server, resolve: settle }: CrashCheck,
+): void {
+	ends.checks.delete(server.id)
+	ends.inconclusive.delete(server.id)
 	settle()
 }
 
 /** Forgets doubts that nothing has settled. */
-export function forgetDoubts(ctx: GatewayContext): void {
+export function expireCrashChecks(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const some of [ctx.ends.doubts, ctx.ends.answered])
+	for (const some of [ctx.ends.checks, ctx.ends.inconclusive])
 		for (const [id, { at }] of some) if (now - at >= DOUBT_MS) some.delete(id)
 }
 
 /** Notes that a server gave a whole answer: it has not ended before. */
-export function noteAlive({ ends }: GatewayContext, server: string): void {
-	ends.answered.delete(server)
+export function recordServerAlive(
+	{ ends }: GatewayContext,
+	server: string,
+): void {
+	ends.inconclusive.delete(server)
 }
 
 /** Waits until it is known whether a server that broke off has ended. */
-export async function awaitDoubt(
+export async function awaitCrashCheck(
 	{ ends }: GatewayContext,
 	server: string,
 ): Promise<void> {
-	await ends.doubts.get(server)?.settled
+	await ends.checks.get(server)?.resolved
 }
 
 function believeEnd(
 	ctx: GatewayContext,
-	doubt: Doubt,
+	doubt: CrashCheck,
 	witness: EndWitness,
 ): void {
 	const { server, at } = doubt
 	dropDoubt(ctx, doubt)
-	const running = [...doubt.running.values()]
+	const running = [...doubt.inFlight.values()]
 		.sort((a, b) => b.since - a.since)
-		.slice(0, MAX_NAMED)
+		.slice(0, MAX_REQUESTS_PER_CRASH)
 	ctx.metrics.serverEnds.inc({ witness })
 	ctx.log.write('server ended', {
 		server: server.id,
@@ -193,6 +212,6 @@
 		requests: running.map(one => one.id),
 		fingerprints: [...new Set(running.map(one => one.fingerprint))],
 	})
-	noteServerEnd(ctx, server.id, at, running)
-	if (witness === 'refused') noteRankGone(ctx, server)
+	recordServerEnd(ctx, server.id, at, running)
+	if (witness === 'refused') handleRankCrash(ctx, server)
 }
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -5,10 +5,10 @@
  */
 
 import type { EntryDemand } from '@juniperhook/core'
-import { dealServers, partTaken } from '@juniperhook/core'
+import { admittedFraction, assignServers } from '@juniperhook/core'
 import type { GatewayContext } from './context.ts'
 import type { Fleet, FlowMeter, RequestFlow } from './fleet.ts'
-import { meterOf, serviceOfGroup, settlePeerLoads } from './fleet.ts'
+import { applyPeerLoads, meterOf, serviceOfGroup } from './fleet.ts'
 
 /**
  * Demand of the last second counts most: callers that move to another data centre
@@ -23,8 +23,8 @@
 const HORIZON_TIMES = 2
 
 /** Counts a request that has come. */
-export function countRequest(fleet: Fleet, service: string): void {
-	meterOf(fleet, service).come++
+export function countArrival(fleet: Fleet, service: string): void {
+	meterOf(fleet, service).arrived++
 }
 
 /** What comes to this entry, by service, for its peers. */
@@ -40,7 +40,7 @@
 }
 
 /** Whether a request is taken by a group that has `room` places free. */
-export function isTaken(
+export function isAdmitted(
 	fleet: Fleet,
 	group: number,
 	room: number,
@@ -48,14 +48,14 @@
 ): boolean {
 	const meter = meterOf(fleet, serviceOfGroup(fleet, group))
 	if (!meter.intake) return room >= 1
-	const part = partTaken(room, meter.intake)
-	meter.taken = Math.min(meter.taken, part)
+	const part = admittedFraction(room, meter.intake)
+	meter.minAdmittedFraction = Math.min(meter.minAdmittedFraction, part)
 	return luck < part
 }
 
 /** Whether a service's groups take only a part of what comes. */
 export function isRationed(fleet: Fleet, service: string): boolean {
-	return meterOf(fleet, service).taken < 1
+	return meterOf(fleet, service).minAdmittedFraction < 1
 }
 
 /**
@@ -69,10 +69,10 @@
 	now: number,
 ): void {
 	const { fleet } = ctx
-	settlePeerLoads(fleet, now)
+	applyPeerLoads(fleet, now)
 	const heard = fleet.peerDemand.size
-	fleet.othersTimes = 1 + Math.max(0, unheard) / Math.max(1, heard)
-	for (const service of fleet.rowsOf.keys()) {
+	fleet.peerScale = 1 + Math.max(0, unheard) / Math.max(1, heard)
+	for (const service of fleet.rowsByService.keys()) {
 		const meter = meterOf(fleet, service)
 		settleMeter(meter, elapsedMs)
 		if (fleet.peerDemand.size > 0) settleService(ctx, service, meter, elapsedMs)
@@ -84,20 +84,20 @@
 	const kept = Math.exp(-elapsedMs / FORGET_MS)
 	const lately = (count: number) => (count * SECOND_MS) / elapsedMs
 	meter.flow = {
-		come: meter.flow.come * kept + lately(meter.come) * (1 - kept),
-		end: meter.flow.end * kept + lately(meter.end) * (1 - kept),
+		come: meter.flow.come * kept + lately(meter.arrived) * (1 - kept),
+		end: meter.flow.end * kept + lately(meter.finished) * (1 - kept),
 	}
-	meter.come = 0
-	meter.end = 0
-	meter.untold = 0
-	meter.taken = 1
+	meter.arrived = 0
+	meter.finished = 0
+	meter.sentSinceReport = 0
+	meter.minAdmittedFraction = 1
 }
 
 /** Without peers, every server is this entry's own. */
 function settleAlone(fleet: Fleet, service: string, meter: FlowMeter): void {
 	meter.intake = undefined
-	for (const row of fleet.rowsOf.get(service) ?? [])
-		fleet.table.dealtElsewhere[row] = 0
+	for (const row of fleet.rowsByService.get(service) ?? [])
+		fleet.table.assignedElsewhere[row] = 0
 }
 
 function settleService(
@@ -110,7 +110,7 @@
 	const peers = [...fleet.peerDemand]
 	const sum = (part: keyof RequestFlow) =>
 		meter.flow[part] +
-		fleet.othersTimes *
+		fleet.peerScale *
 			peers.reduce(
 				(total, [, peer]) => total + (peer.flows[service]?.[part] ?? 0),
 				0,
@@ -127,9 +127,9 @@
 		dataCentre: peer.dataCentre,
 		perSecond: peer.flows[service]?.come ?? 0,
 	}))
-	const rows = fleet.rowsOf.get(service) ?? []
+	const rows = fleet.rowsByService.get(service) ?? []
 	const servers = rows.map(row => fleet.servers[row]!)
-	const dealt = new Set(dealServers(own, others, servers))
+	const dealt = new Set(assignServers(own, others, servers))
 	for (const [place, row] of rows.entries())
-		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 1
+		fleet.table.assignedElsewhere[row] = dealt.has(place) ? 0 : 1
 }
--- a/packages/gateway/src/fingerprint.ts
+++ b/packages/gateway/src/fingerprint.ts
@@ -19,7 +19,7 @@
 }
 
 /** The parts of a request that its fingerprint covers. */
-export interface SameRequest {
+export interface FingerprintInput {
 	readonly method: string
 	readonly path: string
 	readonly team: { readonly name: string } | undefined
@@ -27,7 +27,7 @@
 }
 
 /** Computes the fingerprint of a request, without the cache. */
-export function computeFingerprint(request: SameRequest): string {
+export function computeFingerprint(request: FingerprintInput): string {
 	const { method, path, team, body } = request
 	const hash = createHash('sha256')
 	hash.update(`${method} ${path}\n${team?.name ?? ''}\n`)
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -2,7 +2,7 @@
 
 import type {
 	FairQueue,
-	GroupIntake,
+	GroupTraffic,
 	ListedServer,
 	RouteTable,
 	ServerList,
@@ -18,7 +18,7 @@
 import type { Waiter } from './waiter.ts'
 
 /** State of a lock-step group as reported by its coordinator. */
-export interface ToldGroup {
+export interface GroupReport {
 	/** Slowdown factors of its slow ranks, by address. */
 	readonly slow: Readonly<Record<string, number>>
 	/** Limit of requests in flight per rank; undefined for no limit but the slots. */
@@ -30,7 +30,7 @@
 }
 
 /** Number and time of the latest report of a coordinator, direct or relayed. */
-export interface HeardNews {
+export interface LastGroupReport {
 	readonly number: number
 	readonly at: number
 }
@@ -53,15 +53,15 @@
 /** Counts the requests of a service at this entry. */
 export interface FlowMeter {
 	/** Arrivals and ends since the rates were last updated. */
-	come: number
-	end: number
+	arrived: number
+	finished: number
 	/** Sends since entries last exchanged their requests in flight. */
-	untold: number
+	sentSinceReport: number
 	flow: RequestFlow
 	/** Rates over all entries; undefined without peers. */
-	intake: GroupIntake | undefined
+	intake: GroupTraffic | undefined
 	/** Least fraction of requests that one of its groups admitted since the last update. */
-	taken: number
+	minAdmittedFraction: number
 }
 
 /** Servers by row, their load, and the queues of waiting requests. */
@@ -69,27 +69,27 @@
 	table: ServerTable
 	servers: ListedServer[]
 	/** Rows, by service. */
-	rowsOf: Map<string, number[]>
+	rowsByService: Map<string, number[]>
 	/** Rows of servers in this entry's data centre. */
-	near: Set<number>
+	localRows: Set<number>
 	/** Requests of this entry in flight, by server id. */
-	readonly held: Map<string, number>
+	readonly inFlight: Map<string, number>
 	/** Requests in flight of each peer, by server id. */
-	readonly heldByPeer: Map<string, ReadonlyMap<string, number>>
+	readonly inFlightByPeer: Map<string, ReadonlyMap<string, number>>
 	/** Requests in flight of all peers, by server id. */
-	readonly heldByOthers: Map<string, number>
+	readonly inFlightOfPeers: Map<string, number>
 	/** Request counts of this entry, by service. */
 	readonly meters: Map<string, FlowMeter>
 	/** Demand of each peer, by control address. */
 	readonly peerDemand: Map<string, PeerDemand>
 	/** Factor that scales the sum over reporting peers to all peers. */
-	othersTimes: number
+	peerScale: number
 	/** Names of lock-step groups; a group's number is its index here. */
 	groups: string[]
 	/** Reports of groups with slow ranks, a limit or an outage, by group name. */
-	readonly toldGroups: Map<string, ToldGroup>
+	readonly groupReports: Map<string, GroupReport>
 	/** Latest reports, by group and coordinator. */
-	readonly heardNews: Map<string, HeardNews>
+	readonly lastGroupReports: Map<string, LastGroupReport>
 	/** Waiting requests, by service. */
 	readonly queues: Map<string, FairQueue<Waiter>>
 }
@@ -99,17 +99,17 @@
 	return {
 		table: createServerTable([]),
 		servers: [],
-		rowsOf: new Map(),
-		near: new Set(),
-		held: new Map(),
-		heldByPeer: new Map(),
-		heldByOthers: new Map(),
+		rowsByService: new Map(),
+		localRows: new Set(),
+		inFlight: new Map(),
+		inFlightByPeer: new Map(),
+		inFlightOfPeers: new Map(),
 		meters: new Map(),
 		peerDemand: new Map(),
-		othersTimes: 1,
+		peerScale: 1,
 		groups: [],
-		toldGroups: new Map(),
-		heardNews: new Map(),
+		groupReports: new Map(),
+		lastGroupReports: new Map(),
 		queues: new Map(),
 	}
 }
@@ -126,8 +126,8 @@
 		service => routes?.services.has(service) ?? false,
 	)
 	const table = createServerTable(servers.map(server => server.id))
-	fleet.rowsOf = new Map()
-	fleet.near = new Set()
+	fleet.rowsByService = new Map()
+	fleet.localRows = new Set()
 	fleet.groups = []
 	for (const [row, server] of servers.entries()) {
 		copyServerRow(fleet.table, table, server.id)
@@ -136,10 +136,10 @@
 		table.open[row] = 1
 		if (engine?.experts)
 			table.group[row] = groupNumberOf(fleet, groupOf(server))
-		const rows = fleet.rowsOf.get(server.service) ?? []
+		const rows = fleet.rowsByService.get(server.service) ?? []
 		rows.push(row)
-		fleet.rowsOf.set(server.service, rows)
-		if (server.dataCentre === dataCentre) fleet.near.add(row)
+		fleet.rowsByService.set(server.service, rows)
+		if (server.dataCentre === dataCentre) fleet.localRows.add(row)
 	}
 	fleet.table = table
 	fleet.servers = servers
@@ -166,16 +166,16 @@
 }
 
 /** Records that a request was assigned to a server (`1`) or ended there (`-1`). */
-export function noteHeld(fleet: Fleet, id: string, change: 1 | -1): void {
-	const held = (fleet.held.get(id) ?? 0) + change
-	if (held > 0) fleet.held.set(id, held)
-	else fleet.held.delete(id)
+export function trackInFlight(fleet: Fleet, id: string, change: 1 | -1): void {
+	const held = (fleet.inFlight.get(id) ?? 0) + change
+	if (held > 0) fleet.inFlight.set(id, held)
+	else fleet.inFlight.delete(id)
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
-	fleet.table.sentSince[row] = Math.max(0, held)
+	fleet.table.sentSinceReport[row] = Math.max(0, held)
 	const meter = meterOf(fleet, fleet.servers[row]!.service)
-	if (change < 0) meter.end++
-	else meter.untold++
+	if (change < 0) meter.finished++
+	else meter.sentSinceReport++
 }
 
 /** Returns the request counts of a service, creating them on first use. */
@@ -184,19 +184,19 @@
 	if (known) return known
 	const flow = { come: 0, end: 0 }
 	const meter: FlowMeter = {
-		come: 0,
-		end: 0,
-		untold: 0,
+		arrived: 0,
+		finished: 0,
+		sentSinceReport: 0,
 		flow,
 		intake: undefined,
-		taken: 1,
+		minAdmittedFraction: 1,
 	}
 	fleet.meters.set(service, meter)
 	return meter
 }
 
 /** Records the load that a server reported in a response. */
-export function noteToldLoad(
+export function recordReportedLoad(
 	fleet: Fleet,
 	id: string,
 	{ running, waiting }: ServerLoad,
@@ -204,42 +204,42 @@
 ): void {
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
-	const own = fleet.held.get(id) ?? 0
-	fleet.table.reported[row] = Math.max(0, running + waiting - own)
+	const own = fleet.inFlight.get(id) ?? 0
+	fleet.table.reportedLoad[row] = Math.max(0, running + waiting - own)
 	fleet.table.reportedAt[row] = now
 }
 
 /** Applies the reported slowdowns and limits to the table; other groups have none. */
-export function applyToldGroups(fleet: Fleet): void {
+export function applyGroupReports(fleet: Fleet): void {
 	for (const [row, server] of fleet.servers.entries()) {
-		const told = fleet.toldGroups.get(groupOf(server))
+		const told = fleet.groupReports.get(groupOf(server))
 		const { table } = fleet
 		const paces = Object.values(told?.slow ?? {})
-		table.pace[row] = Math.max(1, told?.slow[server.address] ?? 1)
-		table.groupPace[row] = Math.max(1, ...paces)
-		table.most[row] = told?.limit ?? Number.POSITIVE_INFINITY
+		table.slowdown[row] = Math.max(1, told?.slow[server.address] ?? 1)
+		table.groupSlowdown[row] = Math.max(1, ...paces)
+		table.maxInFlight[row] = told?.limit ?? Number.POSITIVE_INFINITY
 	}
 }
 
 /** Replaces a peer's requests in flight, by server id. */
-export function notePeerLoad(
+export function recordPeerLoad(
 	fleet: Fleet,
 	peer: string,
 	held: ReadonlyMap<string, number>,
 	now: number,
 ): void {
-	const before = fleet.heldByPeer.get(peer)
+	const before = fleet.inFlightByPeer.get(peer)
 	if (before) addPeerLoad(fleet, before, -1, now)
-	fleet.heldByPeer.set(peer, held)
+	fleet.inFlightByPeer.set(peer, held)
 	addPeerLoad(fleet, held, 1, now)
 }
 
 /** Removes the demand and the requests in flight of a peer that has left. */
 export function dropPeerLoad(fleet: Fleet, peer: string, now: number): void {
 	fleet.peerDemand.delete(peer)
-	const held = fleet.heldByPeer.get(peer)
+	const held = fleet.inFlightByPeer.get(peer)
 	if (!held) return
-	fleet.heldByPeer.delete(peer)
+	fleet.inFlightByPeer.delete(peer)
 	addPeerLoad(fleet, held, -1, now)
 }
 
@@ -249,14 +249,14 @@
 	sign: 1 | -1,
 	now: number,
 ): void {
-	const { heldByOthers, table } = fleet
+	const { inFlightOfPeers: heldByOthers, table } = fleet
 	for (const [id, count] of held) {
 		const sum = (heldByOthers.get(id) ?? 0) + sign * count
 		if (sum > 0) heldByOthers.set(id, sum)
 		else heldByOthers.delete(id)
 		const row = table.rowOf.get(id)
 		if (row === undefined) continue
-		table.reported[row] = Math.max(0, sum)
+		table.reportedLoad[row] = Math.max(0, sum)
 		table.reportedAt[row] = now
 	}
 }
@@ -266,10 +266,10 @@
  * that a server reported in a response is outdated soon, and a server that no peer
  * uses any more sends no response that would correct it.
  */
-export function settlePeerLoads(fleet: Fleet, now: number): void {
-	if (fleet.heldByPeer.size === 0) return
+export function applyPeerLoads(fleet: Fleet, now: number): void {
+	if (fleet.inFlightByPeer.size === 0) return
 	for (const [row, { id }] of fleet.servers.entries()) {
-		fleet.table.reported[row] = fleet.heldByOthers.get(id) ?? 0
+		fleet.table.reportedLoad[row] = fleet.inFlightOfPeers.get(id) ?? 0
 		fleet.table.reportedAt[row] = now
 	}
 }
--- a/packages/gateway/src/toldGroups.ts
+++ b/packages/gateway/src/groupReports.ts
@@ -6,11 +6,11 @@
 
 import { readElapsed } from '@juniperhook/runtime'
 import * as v from 'valibot'
-import { openGroup, shutGroup } from './closedGroups.ts'
+import { handleGroupBroken, handleGroupOpened } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
-import { applyToldGroups, serviceOf } from './fleet.ts'
+import { applyGroupReports, serviceOf } from './fleet.ts'
 import { PacesSchema } from './peerMessages.ts'
-import { serveWaiting } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** Coordinators repeat what they tell each second; older is forgotten, ms. */
 const PACES_MS = 2_500
@@ -24,13 +24,13 @@
 export type GroupNews = v.InferOutput<typeof PacesSchema>
 
 /** Takes news of a group; gives them for others if they are new here. */
-export function takePaces(
+export function receiveGroupReport(
 	ctx: GatewayContext,
 	params: unknown,
 ): GroupNews | undefined {
 	const news = v.parse(PacesSchema, params)
 	const { group, by, number, slow, limit, broken, hops } = news
-	const { toldGroups, heardNews } = ctx.fleet
+	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
 	const key = `${group} ${by}`
 	const heard = heardNews.get(key)
 	if (heard && heard.number >= number) return undefined
@@ -43,10 +43,10 @@
 	else toldGroups.set(group, { slow, limit, broken, at })
 	const { log } = ctx
 	log.write('paces told', { group, slow: ranks, limit, broken, by, hops })
-	applyToldGroups(ctx.fleet)
-	if (broken) shutGroup(ctx, group, 'coordinator')
+	applyGroupReports(ctx.fleet)
+	if (broken) handleGroupBroken(ctx, group, 'coordinator')
 	// Older news of a group that runs may come after a rank's refusal.
-	else if (wasBroken && openGroup(ctx, group, 'coordinator'))
+	else if (wasBroken && handleGroupOpened(ctx, group, 'coordinator'))
 		serveOpened(ctx, group)
 	return { ...news, hops: hops + 1 }
 }
@@ -58,16 +58,16 @@
 function serveOpened(ctx: GatewayContext, group: string): void {
 	const service = serviceOf(group)
 	const closed = [...ctx.closures.keys()]
-	if (!closed.some(other => serviceOf(other) === service)) serveWaiting(ctx)
+	if (!closed.some(other => serviceOf(other) === service)) serveQueues(ctx)
 }
 
 /** What has not been told again is no longer believed. */
 export function forgetGroups(ctx: GatewayContext, now: number): void {
-	const { toldGroups, heardNews } = ctx.fleet
+	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
 	for (const [key, { at }] of heardNews)
 		if (now - at > HEARD_MS) heardNews.delete(key)
 	const old = [...toldGroups].filter(([, { at }]) => now - at > PACES_MS)
 	if (old.length === 0) return
 	for (const [group] of old) toldGroups.delete(group)
-	applyToldGroups(ctx.fleet)
+	applyGroupReports(ctx.fleet)
 }
--- a/packages/gateway/src/job.ts
+++ b/packages/gateway/src/job.ts
@@ -8,7 +8,7 @@
 } from '@juniperhook/core'
 import type { ServerAnswer } from './serverCall.ts'
 import type { AnswerTimes } from './timeliness.ts'
-import type { ServerWish } from './waiter.ts'
+import type { AcquireOptions } from './waiter.ts'
 
 /** A request that has been read completely and validated. */
 export interface CallerRequest {
@@ -26,7 +26,7 @@
 	/** When its head was read, ms. */
 	readonly arrivedAt: number
 	/** When it times out, by its deadline and its route, ms. */
-	readonly givenUpAt: number
+	readonly timeoutAt: number
 	/** When its caller stops waiting, ms. */
 	readonly deadlineAt: number
 	/** 0 is the most urgent. */
@@ -47,8 +47,8 @@
 	readonly signal: AbortSignal
 	/** Ids of servers that it has been sent to. */
 	readonly tried: Set<string>
-	/** See {@link ServerWish}. */
-	readonly luck: ServerWish['luck']
+	/** See {@link AcquireOptions}. */
+	readonly admissionDraw: AcquireOptions['luck']
 	/** Sends so far. */
 	sends: number
 	/** Sends that provably were not run. */
@@ -94,10 +94,10 @@
  * Ends a request without a server's response, because it timed out or because it was
  * quarantined.
  */
-export type GiveUp = (why: 'timeOver' | 'quarantined') => void
+export type CancelRequest = (why: 'timeOver' | 'quarantined') => void
 
 /** What follows an attempt: nothing, a retry or a failure. */
-export type Next =
+export type NextStep =
 	| { readonly kind: 'done' }
 	| { readonly kind: 'again'; readonly reason: string }
 	| { readonly kind: 'failed'; readonly error: ErrorKind }
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -3,8 +3,8 @@
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { connectRpc, messageOf, notify, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
+import type { GroupNews } from './groupReports.ts'
 import { chooseLinks } from './peerMesh.ts'
-import type { GroupNews } from './toldGroups.ts'
 
 /** Before another try to link to an entry, ms; it doubles up to the second. */
 const RECONNECT_MS = 100
@@ -51,7 +51,7 @@
 }
 
 /** Notes addresses of entries. */
-export function noteAddresses(
+export function recordAddresses(
 	{ links }: PeerLinks,
 	addresses: readonly string[],
 ): void {
@@ -86,7 +86,7 @@
 export function keepLinks(ctx: GatewayContext, peers: PeerLinks): void {
 	const { links } = peers
 	const { control, seeds } = ctx.settings
-	noteAddresses(
+	recordAddresses(
 		peers,
 		seeds.filter(address => address !== control),
 	)
--- a/packages/gateway/src/peerNews.ts
+++ b/packages/gateway/src/peerPull.ts
@@ -172,7 +172,7 @@
 	peer: string,
 	link: RpcLink,
 ): Promise<PullEnd> {
-	let after = laterOf(ctx.list.revision, ctx.list.readAt)
+	let after = laterOf(ctx.list.revision, ctx.list.readUpTo)
 	let count = 0
 	for (;;) {
 		const reply = await call(link, 'records', { after })
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -8,9 +8,9 @@
 	isLater,
 	isSameRevision,
 	NO_REVISION,
-	noteEntryHeard,
-	noteEntryNamed,
-	PEER_SILENT_MS,
+	PEER_TIMEOUT_MS,
+	recordEntryContact,
+	recordEntryDiscovered,
 	splitAddress,
 } from '@juniperhook/core'
 import type { RpcLink } from '@juniperhook/runtime'
@@ -24,14 +24,14 @@
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
 import { settleDemand, tellFlows } from './entryDemand.ts'
-import { dropPeerLoad, notePeerLoad } from './fleet.ts'
-import { listLimits, listNews, takeTold } from './news.ts'
+import { dropPeerLoad, recordPeerLoad } from './fleet.ts'
 import type { PeerLinks } from './peerLinks.ts'
-import { countUnlinked, listOpen, noteAddresses } from './peerLinks.ts'
+import { countUnlinked, listOpen, recordAddresses } from './peerLinks.ts'
 import type { HeldNews, State } from './peerMessages.ts'
 import { HeldNewsSchema, StateSchema } from './peerMessages.ts'
-import type { PeerNews } from './peerNews.ts'
-import { heldVersion, takeNews } from './peerNews.ts'
+import type { PeerNews } from './peerPull.ts'
+import { heldVersion, takeNews } from './peerPull.ts'
+import { listLimits, listNews, receiveUpdates } from './updateExchange.ts'
 
 /**
  * Between states told to peers while something changes, ms: so much at least, and
@@ -107,7 +107,7 @@
 		config: heldVersion(ctx),
 		list: ctx.list.revision,
 		sourceAway: ctx.sourceAway,
-		held: Object.fromEntries(ctx.fleet.held),
+		held: Object.fromEntries(ctx.fleet.inFlight),
 		dataCentre: ctx.settings.dataCentre,
 		flows: tellFlows(ctx.fleet),
 		limits: listLimits(ctx),
@@ -131,7 +131,7 @@
 	states.told = {
 		config: state.config,
 		list: state.list,
-		held: new Map(ctx.fleet.held),
+		held: new Map(ctx.fleet.inFlight),
 	}
 	const isNews =
 		state.config !== told.config || !isSameRevision(state.list, told.list)
@@ -195,21 +195,21 @@
 	const addresses = [state.control, ...state.peers].filter(address =>
 		isOtherEntry(ctx, address),
 	)
-	noteAddresses(peers, addresses)
+	recordAddresses(peers, addresses)
 	const { roster } = ctx.permitHomes
 	for (const address of addresses)
-		noteEntryNamed(roster, address, readElapsed())
+		recordEntryDiscovered(roster, address, readElapsed())
 	if (isOtherEntry(ctx, state.control))
-		noteEntryHeard(roster, state.control, readElapsed())
-	takeTold(ctx, state.limits, state.name)
-	ctx.isTold = true
+		recordEntryContact(roster, state.control, readElapsed())
+	receiveUpdates(ctx, state.limits, state.name)
+	ctx.hasPeerState = true
 	if (state.sourceAway) states.withoutSource.add(link)
 	else states.withoutSource.delete(link)
 	const { dataCentre, flows } = state
 	const held = new Map(Object.entries(state.held))
 	ctx.fleet.peerDemand.set(state.name, { dataCentre, flows })
-	notePeerLoad(ctx.fleet, state.name, held, now)
-	ctx.toldVersion = Math.max(ctx.toldVersion, state.config)
+	recordPeerLoad(ctx.fleet, state.name, held, now)
+	ctx.newestPeerVersion = Math.max(ctx.newestPeerVersion, state.config)
 	// A peer that is behind may not be reached from here but by its own link.
 	const isBehind =
 		state.config < heldVersion(ctx) || isLater(ctx.list.revision, state.list)
@@ -220,14 +220,14 @@
 /** Takes what has changed since a peer's last words. */
 export function takeHeld(ctx: GatewayContext, params: unknown): void {
 	const { name, changed } = v.parse(HeldNewsSchema, params)
-	const known = ctx.fleet.heldByPeer.get(name)
+	const known = ctx.fleet.inFlightByPeer.get(name)
 	// Without a whole state before, the changes alone say nothing.
 	if (!known) return
 	const held = new Map(known)
 	for (const [id, count] of Object.entries(changed))
 		if (count > 0) held.set(id, count)
 		else held.delete(id)
-	notePeerLoad(ctx.fleet, name, held, readNow())
+	recordPeerLoad(ctx.fleet, name, held, readNow())
 }
 
 /** Peers listen on the same control port everywhere. */
@@ -241,11 +241,12 @@
 export function forgetSilent(ctx: GatewayContext, states: PeerStates): void {
 	const now = readElapsed()
 	for (const [name, heardAt] of states.heardAt) {
-		if (now - heardAt > PEER_SILENT_MS) dropPeerLoad(ctx.fleet, name, readNow())
+		if (now - heardAt > PEER_TIMEOUT_MS)
+			dropPeerLoad(ctx.fleet, name, readNow())
 		if (now - heardAt > REMEMBERED_MS) states.heardAt.delete(name)
 	}
 	const seeds = ctx.settings.seeds.length
-	ctx.entries = Math.max(states.heardAt.size + 1, seeds)
+	ctx.entryCount = Math.max(states.heardAt.size + 1, seeds)
 }
 
 /** Tells removals that were doubted here to peers that cannot learn of them otherwise. */
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -3,7 +3,7 @@
  * to other entries.
  */
 
-import { noteEntryNamed } from '@juniperhook/core'
+import { recordEntryDiscovered } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import {
 	call,
@@ -15,7 +15,7 @@
 import * as v from 'valibot'
 import { answerPiece, createConfigServer } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import { drainNews, takeTold } from './news.ts'
+import { forgetGroups, receiveGroupReport } from './groupReports.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import {
 	createPeerLinks,
@@ -31,7 +31,7 @@
 	PermitReplySchema,
 	PieceRequestSchema,
 } from './peerMessages.ts'
-import { answerRecords, createPeerNews, takeRemovals } from './peerNews.ts'
+import { answerRecords, createPeerNews, takeRemovals } from './peerPull.ts'
 import {
 	createPeerStates,
 	forgetSilent,
@@ -43,7 +43,7 @@
 } from './peerStates.ts'
 import { answerPermits, lookAtHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
-import { forgetGroups, takePaces } from './toldGroups.ts'
+import { drainNews, receiveUpdates } from './updateExchange.ts'
 
 /** Between looks at whether peers are to be told, ms. */
 const LOOK_MS = 50
@@ -68,7 +68,7 @@
 		},
 		held: (params: unknown) => takeHeld(ctx, params),
 		news: (params: unknown) =>
-			takeTold(ctx, v.parse(NewsSchema, params).items, 'peer'),
+			receiveUpdates(ctx, v.parse(NewsSchema, params).items, 'peer'),
 		permits: (params: unknown) => answerPermits(ctx, params),
 		configPiece: (params: unknown, link: RpcLink) =>
 			answerPiece(
@@ -80,7 +80,7 @@
 		records: (params: unknown) => answerRecords(ctx, params),
 		removals: (params: unknown) => takeRemovals(ctx, params),
 		paces: (params: unknown, link: RpcLink) => {
-			const news = takePaces(ctx, params)
+			const news = receiveGroupReport(ctx, params)
 			if (news) tellOn(peers, news, link)
 			return listSome(peers)
 		},
@@ -91,7 +91,7 @@
 	ctx.permits.askHome = (home, ask) => askHome(peers, home, ask)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
-			noteEntryNamed(ctx.permitHomes.roster, seed, readElapsed())
+			recordEntryDiscovered(ctx.permitHomes.roster, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
 		keepLinks(ctx, peers)
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -5,10 +5,10 @@
 
 import type { HeldPermits } from '@juniperhook/core'
 import {
+	consumePermit,
 	createHeldPermits,
 	hasPermit,
-	perSecondOf,
-	usePermit,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -30,9 +30,9 @@
 	const permitted = new Set<number>()
 	const spent = new Set<number>()
 	const now = readElapsed()
-	for (const row of fleet.rowsOf.get(service) ?? []) {
+	for (const row of fleet.rowsByService.get(service) ?? []) {
 		const { id } = fleet.servers[row]!
-		if (perSecondOf(rateLimits, id) === undefined) continue
+		if (rateLimitOf(rateLimits, id) === undefined) continue
 		const held = permits.held.get(id)
 		if (held && hasPermit(held, now)) permitted.add(row)
 		else spent.add(row)
@@ -43,11 +43,11 @@
 /** Uses a permit for a request that is about to be sent, where it needs one. */
 export function spendPermit({ permits }: GatewayContext, server: string): void {
 	const held = permits.held.get(server)
-	if (held) usePermit(held, readElapsed())
+	if (held) consumePermit(held, readElapsed())
 }
 
 /** What is held of a server's permits. */
-export function heldOf(
+export function heldPermitsOf(
 	{ permits }: GatewayContext,
 	server: string,
 ): HeldPermits {
@@ -64,9 +64,9 @@
 }
 
 /** Forgets permits, given and held, of servers that have no limit any more. */
-export function forgetPermits(ctx: GatewayContext): void {
+export function dropUnlimitedPermits(ctx: GatewayContext): void {
 	const { permits, permitHomes, rateLimits } = ctx
 	for (const known of [permits.held, permitHomes.pools, permitHomes.homes])
 		for (const server of known.keys())
-			if (perSecondOf(rateLimits, server) === undefined) known.delete(server)
+			if (rateLimitOf(rateLimits, server) === undefined) known.delete(server)
 }
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -3,21 +3,21 @@
  * that hear each other take the same one of them for a server's home.
  */
 
-import type { Permits, PermitWish } from '@juniperhook/core'
+import type { PermitGrant, PermitRequest } from '@juniperhook/core'
 import {
 	createPermitPool,
 	findPermitHome,
-	lookAtRoster,
-	paceOfHome,
-	perSecondOf,
-	takePermits,
+	grantPermits,
+	permitScheduleFor,
+	rateLimitOf,
+	updateEntryMembership,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
 import { PermitAskSchema } from './peerMessages.ts'
-import { noteLimits } from './rateLimits.ts'
+import { recordLimits } from './rateLimits.ts'
 
 /** Takes stock of the entries that are heard; homes move with them. */
 export function lookAtHomes(
@@ -26,7 +26,7 @@
 ): void {
 	const { roster, pools, homes } = ctx.permitHomes
 	const { control } = ctx.settings
-	if (!lookAtRoster(roster, control, isLinked, readElapsed())) return
+	if (!updateEntryMembership(roster, control, isLinked, readElapsed())) return
 	const before = [...homes]
 	homes.clear()
 	for (const server of [...pools.keys()])
@@ -43,7 +43,7 @@
 	const { homes, roster } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
-	const home = findPermitHome(server, roster.heard) ?? ctx.settings.control
+	const home = findPermitHome(server, roster.reachable) ?? ctx.settings.control
 	homes.set(server, home)
 	return home
 }
@@ -53,13 +53,13 @@
 	ctx: GatewayContext,
 	server: string,
 	perSecond: number,
-	wish: PermitWish,
-): Permits {
+	wish: PermitRequest,
+): PermitGrant {
 	const { pools, roster } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
-	const pace = paceOfHome(perSecond, roster.count)
-	return takePermits(pool, pace, wish, readElapsed())
+	const pace = permitScheduleFor(perSecond, roster.count)
+	return grantPermits(pool, pace, wish, readElapsed())
 }
 
 /** Answers another entry that asks for permits. */
@@ -70,9 +70,9 @@
 	const ask = v.parse(PermitAskSchema, params)
 	const { server, limit, limitAgoMs, count, withinMs } = ask
 	const at = readElapsed() - limitAgoMs
-	noteLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
+	recordLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
 	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
-	const perSecond = perSecondOf(ctx.rateLimits, server)
+	const perSecond = rateLimitOf(ctx.rateLimits, server)
 	// What is believed to have no limit any more: the asker will hear of it.
 	if (perSecond === undefined) return { type: 'notHome' }
 	const permits = givePermits(ctx, server, perSecond, { count, withinMs })
--- a/packages/gateway/src/permitAsk.ts
+++ b/packages/gateway/src/permitRequest.ts
@@ -3,12 +3,16 @@
  * has room; the next request finds it.
  */
 
-import type { HeldPermits, Permits, PermitWish } from '@juniperhook/core'
-import { isAskDue, restLeftMs, takeGiven } from '@juniperhook/core'
+import type { HeldPermits, PermitGrant, PermitRequest } from '@juniperhook/core'
+import {
+	addGrantedPermits,
+	backoffLeftMs,
+	shouldRequestPermits,
+} from '@juniperhook/core'
 import { messageOf, readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
-import { heldOf, listLimited } from './permitGate.ts'
+import { heldPermitsOf, listLimited } from './permitGate.ts'
 import { givePermits, homeOf } from './permitHome.ts'
 
 /** Permits that one question asks for at most. */
@@ -20,10 +24,10 @@
  * Asks for permits of a service's servers that have none left. `onAnswer` follows
  * answers that come later.
  */
-export function askForPermits(
+export function requestPermits(
 	ctx: GatewayContext,
 	service: string,
-	wish: PermitWish,
+	wish: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	if (ctx.rateLimits.size === 0) return
@@ -31,10 +35,10 @@
 	const { withinMs } = wish
 	for (const row of listLimited(ctx, service).spent) {
 		const { id } = ctx.fleet.servers[row]!
-		const held = heldOf(ctx, id)
+		const held = heldPermitsOf(ctx, id)
 		const now = readElapsed()
-		if (restLeftMs(ctx.rests, id, now) > withinMs) continue
-		if (isAskDue(held, withinMs, now))
+		if (backoffLeftMs(ctx.backoffs, id, now) > withinMs) continue
+		if (shouldRequestPermits(held, withinMs, now))
 			askFor(ctx, id, held, { count, withinMs }, onAnswer)
 	}
 }
@@ -43,7 +47,7 @@
 	ctx: GatewayContext,
 	server: string,
 	held: HeldPermits,
-	wish: PermitWish,
+	wish: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	const known = ctx.rateLimits.get(server)
@@ -58,10 +62,10 @@
 	const ask = { server, limit: perSecond, limitAgoMs, ...wish }
 	const reply = ctx.permits.askHome(home, ask)
 	if (!reply) {
-		noteNone(ctx, held, 'unlinked')
+		recordNone(ctx, held, 'unlinked')
 		return
 	}
-	held.isAsking = true
+	held.isRequestPending = true
 	void reply
 		.then(
 			got => takeReply(ctx, held, perSecond, got),
@@ -71,11 +75,11 @@
 					home,
 					reason: messageOf(err),
 				})
-				noteNone(ctx, held, 'failed')
+				recordNone(ctx, held, 'failed')
 			},
 		)
 		.finally(() => {
-			held.isAsking = false
+			held.isRequestPending = false
 			onAnswer()
 		})
 }
@@ -91,7 +95,7 @@
 			keepPermits(ctx, held, perSecond, reply)
 			return
 		case 'notHome':
-			noteNone(ctx, held, 'notHome')
+			recordNone(ctx, held, 'notHome')
 			return
 		default:
 			reply satisfies never
@@ -102,14 +106,14 @@
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
-	permits: Permits,
+	permits: PermitGrant,
 ): void {
-	takeGiven(held, perSecond, permits, readElapsed())
+	addGrantedPermits(held, perSecond, permits, readElapsed())
 	const outcome = permits.dueMs.length > 0 ? 'given' : 'wait'
 	ctx.metrics.permits.inc({ outcome })
 }
 
-function noteNone(
+function recordNone(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	outcome: 'unlinked' | 'failed' | 'notHome',
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -1,7 +1,11 @@
 /** What an entry knows of permits to send to servers with a limit. */
 
-import type { EntryRoster, HeldPermits, PermitPool } from '@juniperhook/core'
-import { createEntryRoster } from '@juniperhook/core'
+import type {
+	EntryMembership,
+	HeldPermits,
+	PermitPool,
+} from '@juniperhook/core'
+import { createEntryMembership } from '@juniperhook/core'
 import type { PermitAsk, PermitReply } from './peerMessages.ts'
 
 /** Asks a home; undefined while there is no link to it. */
@@ -11,7 +15,7 @@
 ) => Promise<PermitReply> | undefined
 
 /** What this entry has of the permits of all servers with a limit. */
-export interface PermitGate {
+export interface PermitStore {
 	/** By server id. */
 	readonly held: Map<string, HeldPermits>
 	/** What other entries are asked by; set once there are any. */
@@ -19,13 +23,13 @@
 }
 
 /** Makes a gate that has nothing. */
-export function createPermitGate(): PermitGate {
+export function createPermitStore(): PermitStore {
 	return { held: new Map(), askHome: () => undefined }
 }
 
 /** Homes, and the pools of those servers that this entry is home to. */
 export interface PermitHomes {
-	readonly roster: EntryRoster
+	readonly roster: EntryMembership
 	/** By server id. */
 	readonly pools: Map<string, PermitPool>
 	/** Control address of each server's home, by server id. */
@@ -35,7 +39,7 @@
 /** Makes an entry's homes while it knows of itself only. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
-		roster: createEntryRoster(own),
+		roster: createEntryMembership(own),
 		pools: new Map(),
 		homes: new Map(),
 	}
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -111,7 +111,7 @@
 }
 
 /** The response that a statement comes from. */
-export interface Heard {
+export interface StatementOrigin {
 	/** Id of the server that the request was sent to. */
 	readonly server: string
 	/** When the request was sent, ms. */
@@ -125,10 +125,10 @@
  * maximum of a fixed time, a multiple of the route's target time and a multiple of its
  * maximum pause.
  */
-export interface CallerPatience {
-	readonly leastMs: number
-	readonly targetTimes: number
-	readonly pauseTimes: number
+export interface EventTimeoutPolicy {
+	readonly minMs: number
+	readonly targetFactor: number
+	readonly pauseFactor: number
 }
 
 export type { ListedServer }
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -4,8 +4,16 @@
  * served in time is refused at once.
  */
 
-import type { PlaceFlow, Returns, Spell } from '@juniperhook/core'
-import { createPlaceFlow, createReturns, createSpell } from '@juniperhook/core'
+import type {
+	BlockageTracker,
+	DispatchRate,
+	RetryAfterSchedule,
+} from '@juniperhook/core'
+import {
+	createBlockageTracker,
+	createDispatchRate,
+	createRetryAfterSchedule,
+} from '@juniperhook/core'
 
 /** Assumed time for which a service stays full, before it was observed, ms. */
 const INITIAL_FULL_MS = 1_000
@@ -16,11 +24,11 @@
 
 /** Load observations of one service. */
 export interface Pressure {
-	readonly flow: PlaceFlow
-	readonly full: Spell
-	readonly returns: Returns
+	readonly flow: DispatchRate
+	readonly full: BlockageTracker
+	readonly returns: RetryAfterSchedule
 	/** Time from sending a request to the first byte of its response, smoothed, ms. */
-	firstMs: number
+	firstByteMs: number
 }
 
 /** Returns the observations of a service, creating them on first use. */
@@ -31,25 +39,25 @@
 	const known = pressures.get(service)
 	if (known) return known
 	const pressure = {
-		flow: createPlaceFlow(),
-		full: createSpell(INITIAL_FULL_MS),
-		returns: createReturns(),
-		firstMs: 0,
+		flow: createDispatchRate(),
+		full: createBlockageTracker(INITIAL_FULL_MS),
+		returns: createRetryAfterSchedule(),
+		firstByteMs: 0,
 	}
 	pressures.set(service, pressure)
 	return pressure
 }
 
 /** Records the time to first byte of a response, ms. */
-export function noteFirst(pressure: Pressure, tookMs: number): void {
-	const { firstMs } = pressure
-	pressure.firstMs =
+export function recordFirstByte(pressure: Pressure, tookMs: number): void {
+	const { firstByteMs: firstMs } = pressure
+	pressure.firstByteMs =
 		firstMs === 0 ? tookMs : firstMs + FIRST_BYTE_WEIGHT * (tookMs - firstMs)
 }
 
 /** Returns how long a request may wait and still be answered in time, ms. */
-export function spareMs(
-	{ firstMs }: Pressure,
+export function waitBudgetMs(
+	{ firstByteMs: firstMs }: Pressure,
 	targetMs: number,
 	elapsedMs: number,
 ): number {
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -3,20 +3,20 @@
  * hears from others, and whom it refuses.
  */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	barredForMs,
-	listBarred,
-	takeServerNews,
+	listQuarantined,
+	mergeServerUpdates,
+	quarantineLeftMs,
 	topByRendezvous,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
-import { noteRankGone } from './closedGroups.ts'
+import { handleRankCrash } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import { bodyLengthOf, fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
 import { postNews } from './outbox.ts'
-import type { RunningRequest } from './runs.ts'
+import type { InFlightSummary } from './sentRequests.ts'
 
 /**
  * For which each entry has the turn to try a request again, ms: longer than a server takes
@@ -31,7 +31,7 @@
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	const { gate } = ctx
+	const { quarantineGate: gate } = ctx
 	if (gate.barred.size === 0 || !gate.lengths.has(request.body.length))
 		return false
 	return quarantinedForMs(ctx, request) > 0
@@ -42,22 +42,22 @@
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): number {
-	const { quarantine } = ctx.gate
+	const { quarantine } = ctx.quarantineGate
 	const fingerprint = fingerprintOf(request)
 	const turnMs = turnOf(ctx, fingerprint) * TURN_MS
-	return barredForMs(quarantine, fingerprint, readElapsed(), turnMs)
+	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
 /** How many other entries try a request again before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
-	const { heard } = permitHomes.roster
+	const { reachable: heard } = permitHomes.roster
 	const order = topByRendezvous(key, heard, heard.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
 
 /** Whether a server ended under a request that no other has answered since. */
 export function isSuspected(
-	{ gate }: GatewayContext,
+	{ quarantineGate: gate }: GatewayContext,
 	request: CallerRequest,
 ): boolean {
 	if (!gate.lengths.has(request.body.length)) return false
@@ -65,41 +65,44 @@
 }
 
 /** Notes that a server gave a request its whole answer. */
-export function noteServed(ctx: GatewayContext, request: CallerRequest): void {
+export function recordServed(
+	ctx: GatewayContext,
+	request: CallerRequest,
+): void {
 	if (!isSuspected(ctx, request)) return
 	const fingerprint = fingerprintOf(request)
 	const news = { kind: 'served', fingerprint, at: readElapsed() } as const
-	noteEndNews(ctx, [news], 'here')
+	recordEndNews(ctx, [news], 'here')
 }
 
 /** Notes that a server ended, and what it was running for this entry. */
-export function noteServerEnd(
+export function recordServerEnd(
 	ctx: GatewayContext,
 	server: string,
 	at: number,
-	running: readonly RunningRequest[],
+	running: readonly InFlightSummary[],
 ): void {
 	const ran = new Map<string, number>()
 	for (const { fingerprint, since } of running) {
 		const ranMs = Math.max(0, at - since)
 		ran.set(fingerprint, Math.min(ranMs, ran.get(fingerprint) ?? ranMs))
 	}
-	noteEndNews(ctx, [{ kind: 'end', server, at, ran }], 'here')
+	recordEndNews(ctx, [{ kind: 'end', server, at, ran }], 'here')
 }
 
 function shutFor(ctx: GatewayContext, id: string): void {
 	const row = ctx.fleet.table.rowOf.get(id)
-	if (row !== undefined) noteRankGone(ctx, ctx.fleet.servers[row]!)
+	if (row !== undefined) handleRankCrash(ctx, ctx.fleet.servers[row]!)
 }
 
 /** Takes news of servers that ended, and of requests that others have served. */
-export function noteEndNews(
+export function recordEndNews(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'end' | 'served'>[],
+	told: readonly UpdateOf<'end' | 'served'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, told, now)
+	const fresh = mergeServerUpdates(ctx.sharedState, told, now)
 	if (fresh.length === 0) return
 	postNews(ctx.outbox, fresh)
 	judgeAnew(ctx, from)
@@ -109,12 +112,12 @@
 }
 
 function judgeAnew(ctx: GatewayContext, from: string): void {
-	const { gate } = ctx
+	const { quarantineGate: gate } = ctx
 	const { quarantine } = gate
 	const suspects = [...quarantine.suspects.keys()]
 	gate.lengths = new Set(suspects.map(bodyLengthOf))
 	const before = gate.barred
-	gate.barred = new Set(listBarred(quarantine))
+	gate.barred = new Set(listQuarantined(quarantine))
 	ctx.metrics.quarantined.set(gate.barred.size)
 	for (const fingerprint of gate.barred)
 		if (!before.has(fingerprint)) bar(ctx, fingerprint, from)
@@ -125,7 +128,7 @@
 
 /** Whatever of it is under way is ended: its server may still be saved. */
 function bar(ctx: GatewayContext, fingerprint: string, from: string): void {
-	const suspicion = ctx.gate.quarantine.suspects.get(fingerprint)
+	const suspicion = ctx.quarantineGate.quarantine.suspects.get(fingerprint)
 	ctx.log.write('request quarantined', {
 		fingerprint,
 		servers: suspicion?.servers ?? [],
@@ -133,7 +136,7 @@
 		from,
 	})
 	const length = bodyLengthOf(fingerprint)
-	for (const [request, giveUp] of [...ctx.giveUps])
+	for (const [request, giveUp] of [...ctx.cancelByRequest])
 		if (
 			request.body.length === length &&
 			fingerprintOf(request) === fingerprint
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -3,22 +3,22 @@
  * tell each other.
  */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	forgetRateNotices,
-	perSecondOf,
-	takeServerNews,
+	mergeServerUpdates,
+	pruneRateNotices,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { postNews } from './outbox.ts'
 import { dropPermits } from './permitGate.ts'
-import type { Heard } from './ports.ts'
+import type { StatementOrigin } from './ports.ts'
 
 /** Takes the limit that an answer names, or that it names none. */
-export function noteNamedLimit(
+export function recordAnnouncedLimit(
 	ctx: GatewayContext,
-	{ server, sentAt, ran }: Heard,
+	{ server, sentAt, ran }: StatementOrigin,
 	perSecond: number | undefined,
 ): void {
 	const at = readElapsed()
@@ -28,40 +28,40 @@
 		// An answer to a request from before the limit says nothing of its end.
 		if (sentAt <= known.since) return
 	}
-	noteLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
+	recordLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
 }
 
 /** Takes news of limits. */
-export function noteLimits(
+export function recordLimits(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'limit'>[],
+	told: readonly UpdateOf<'limit'>[],
 	from: string,
 ): void {
-	for (const news of told) noteLimit(ctx, news, from)
+	for (const news of told) recordLimit(ctx, news, from)
 }
 
-function noteLimit(
+function recordLimit(
 	ctx: GatewayContext,
-	news: NewsOf<'limit'>,
+	news: UpdateOf<'limit'>,
 	from: string,
 ): void {
-	const { rateLimits, book, outbox } = ctx
+	const { rateLimits, sharedState: book, outbox } = ctx
 	const { server, perSecond } = news
-	const before = perSecondOf(rateLimits, server)
-	const fresh = takeServerNews(book, [news], readElapsed())
+	const before = rateLimitOf(rateLimits, server)
+	const fresh = mergeServerUpdates(book, [news], readElapsed())
 	if (fresh.length === 0) return
 	postNews(outbox, fresh)
 	dropPermits(ctx, server)
 	ctx.log.write('server limit', { server, perSecond, before, from })
 	const inForce = [...rateLimits.keys()].filter(
-		id => perSecondOf(rateLimits, id) !== undefined,
+		id => rateLimitOf(rateLimits, id) !== undefined,
 	)
 	ctx.metrics.limitedServers.set(inForce.length)
 }
 
 /** Forgets old notices of servers. */
-export function forgetRates({ rateLimits, fleet }: GatewayContext): void {
+export function expireRateLimits({ rateLimits, fleet }: GatewayContext): void {
 	if (rateLimits.size === 0) return
 	const isListed = (id: string) => fleet.table.rowOf.has(id)
-	forgetRateNotices(rateLimits, isListed, readElapsed())
+	pruneRateNotices(rateLimits, isListed, readElapsed())
 }
--- a/packages/gateway/src/reply.ts
+++ b/packages/gateway/src/reply.ts
@@ -56,7 +56,7 @@
 }
 
 /** Writes a server's response with its complete body. */
-export function writeWhole(
+export function writeAnswer(
 	ctx: GatewayContext,
 	res: ServerResponse,
 	message: IncomingMessage,
--- a/packages/gateway/src/retryDecision.ts
+++ b/packages/gateway/src/retryDecision.ts
@@ -13,7 +13,7 @@
  * provably did not run, attempts are left, and the retry budget allows it. Consumes
  * from that budget.
  */
-export function mayTryAgain(ctx: GatewayContext, job: Job): boolean {
+export function mayRetry(ctx: GatewayContext, job: Job): boolean {
 	const { request } = job
 	if (job.signal.aborted) return false
 	if (job.mayHaveRun && !request.repeatable) return false
@@ -23,15 +23,15 @@
 	const refusals = job.refusedSends - job.groupRefusals
 	if (refusals > MAX_REFUSED_SENDS) return false
 	return takeRetry(
-		retriesOf(ctx, job.service),
+		retryWindowOf(ctx, job.service),
 		ctx.settings.retries,
-		ctx.entries,
+		ctx.entryCount,
 		readNow(),
 	)
 }
 
 /** Returns the retry budget window of a service, creating it on first use. */
-export function retriesOf(ctx: GatewayContext, service: string) {
+export function retryWindowOf(ctx: GatewayContext, service: string) {
 	const known = ctx.retries.get(service)
 	if (known) return known
 	const window = createRetryWindow()
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -2,13 +2,13 @@
 
 import type { ListedServer } from '@juniperhook/core'
 import type { Job } from './job.ts'
-import type { Run } from './runs.ts'
+import type { SentRequest } from './sentRequests.ts'
 
 /** One send of a request to a server. */
 export interface Send {
 	readonly job: Job
 	readonly server: ListedServer
-	readonly run: Run
+	readonly run: SentRequest
 	/** When it was sent, ms of the steady clock, which stands while the VM is suspended. */
 	readonly sentAt: number
 	/** When it was sent, ms of elapsed time, which includes suspensions. */
@@ -16,5 +16,5 @@
 	/** Whether a server may have run the request before this send. */
 	readonly mayHaveRunBefore: boolean
 	/** Frees the slot at the server. */
-	free(): void
+	releaseSlot(): void
 }
--- a/packages/gateway/src/runs.ts
+++ b/packages/gateway/src/sentRequests.ts
@@ -13,19 +13,19 @@
 const MAX_LEFT = 8
 
 /** A request at a server. */
-export interface Run {
+export interface SentRequest {
 	readonly request: CallerRequest
 	/** When it was sent, ms. */
 	readonly since: number
 }
 
 /** A request whose connection this entry closed before its answer was whole. */
-interface LeftRun extends RunningRequest {
+interface LeftRun extends InFlightSummary {
 	readonly leftAt: number
 }
 
 /** What is told of a request at a server. */
-export interface RunningRequest {
+export interface InFlightSummary {
 	readonly id: string
 	readonly fingerprint: string
 	/** When it was sent, ms. */
@@ -33,61 +33,72 @@
 }
 
 /** Requests at servers, by server id. */
-export interface Runs {
-	readonly running: Map<string, Set<Run>>
-	readonly left: Map<string, LeftRun[]>
+export interface SentRequests {
+	readonly inFlight: Map<string, Set<SentRequest>>
+	readonly abandoned: Map<string, LeftRun[]>
 }
 
 /** Makes a record of no requests. */
-export function createRuns(): Runs {
-	return { running: new Map(), left: new Map() }
+export function createSentRequests(): SentRequests {
+	return { inFlight: new Map(), abandoned: new Map() }
 }
 
 /** Notes that a request is sent to a server. */
-export function beginRun(
-	runs: Runs,
+export function trackRequest(
+	runs: SentRequests,
 	server: string,
 	request: CallerRequest,
-): Run {
+): SentRequest {
 	const run = { request, since: readElapsed() }
-	const there = runs.running.get(server)
+	const there = runs.inFlight.get(server)
 	if (there) there.add(run)
-	else runs.running.set(server, new Set([run]))
+	else runs.inFlight.set(server, new Set([run]))
 	return run
 }
 
 /** Notes that a request is no longer waited for at its server. */
-export function endRun(runs: Runs, server: string, run: Run): void {
-	const there = runs.running.get(server)
+export function untrackRequest(
+	runs: SentRequests,
+	server: string,
+	run: SentRequest,
+): void {
+	const there = runs.inFlight.get(server)
 	there?.delete(run)
-	if (there?.size === 0) runs.running.delete(server)
+	if (there?.size === 0) runs.inFlight.delete(server)
 }
 
 /** Notes that this entry closed a request's connection; its server may go on. */
-export function leaveRun(runs: Runs, server: string, run: Run): void {
+export function trackAbandoned(
+	runs: SentRequests,
+	server: string,
+	run: SentRequest,
+): void {
 	const leftAt = readElapsed()
-	const left = (runs.left.get(server) ?? []).filter(
+	const left = (runs.abandoned.get(server) ?? []).filter(
 		one => leftAt - one.leftAt < LEFT_MS,
 	)
 	left.push({ ...describe(run), leftAt })
-	runs.left.set(server, left.slice(-MAX_LEFT))
+	runs.abandoned.set(server, left.slice(-MAX_LEFT))
 }
 
 /** Requests that a server may be running for this entry. */
-export function listRunning(runs: Runs, server: string): RunningRequest[] {
+export function listInFlight(
+	runs: SentRequests,
+	server: string,
+): InFlightSummary[] {
 	const now = readElapsed()
-	const running = [...(runs.running.get(server) ?? [])].map(describe)
-	const left = runs.left.get(server) ?? []
+	const running = [...(runs.inFlight.get(server) ?? [])].map(describe)
+	const left = runs.abandoned.get(server) ?? []
 	return [...left.filter(one => now - one.leftAt < LEFT_MS), ...running]
 }
 
 /** Forgets what was left at servers long ago. */
-export function forgetLeft(runs: Runs): void {
+export function expireAbandoned(runs: SentRequests): void {
 	const now = readElapsed()
-	for (const [server, left] of runs.left)
-		if (now - left.at(-1)!.leftAt >= LEFT_MS) runs.left.delete(server)
+	for (const [server, left] of runs.abandoned)
+		if (now - left.at(-1)!.leftAt >= LEFT_MS) runs.abandoned.delete(server)
 }
 
-function describe({ request, since }: Run): RunningRequest {
+function describe({ request, since }: SentRequest): InFlightSummary {
 	return { id: request.id, fingerprint: fingerprintOf(request), since }
 }
--- a/packages/gateway/src/serverRests.ts
+++ b/packages/gateway/src/serverBackoffs.ts
@@ -1,41 +1,41 @@
 /** Rests that servers have asked this entry for. */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	forgetNews,
-	forgetRests,
-	MAX_REST_MS,
-	noteRest,
-	noteTakenAfterRest,
-	restLeftMs,
-	takeServerNews,
+	backoffLeftMs,
+	endBackoff,
+	MAX_BACKOFF_MS,
+	mergeServerUpdates,
+	pruneBackoffs,
+	pruneExpiredBackoffs,
+	startBackoff,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { postNews } from './outbox.ts'
 
 /** Takes a server's word that it wants nothing from this entry for `forMs`. */
-export function takeRest(
+export function recordRequestedBackoff(
 	ctx: GatewayContext,
 	server: string,
 	forMs: number,
 ): void {
 	const entry = ctx.settings.control
-	const endsAt = readElapsed() + Math.min(forMs, MAX_REST_MS)
-	noteRests(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
+	const endsAt = readElapsed() + Math.min(forMs, MAX_BACKOFF_MS)
+	recordRests(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
 }
 
 /**
  * Takes news of rests. Those of other entries are kept for them: one that starts again
  * is told them.
  */
-export function noteRests(
+export function recordRests(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'rest'>[],
+	told: readonly UpdateOf<'rest'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, told, now)
+	const fresh = mergeServerUpdates(ctx.sharedState, told, now)
 	if (from === 'answer') postNews(ctx.outbox, fresh)
 	for (const { entry, server, endsAt } of fresh)
 		if (entry === ctx.settings.control) keepRest(ctx, server, endsAt, from)
@@ -48,45 +48,50 @@
 	from: string,
 ): void {
 	const now = readElapsed()
-	const before = Math.round(restLeftMs(ctx.rests, server, now))
+	const before = Math.round(backoffLeftMs(ctx.backoffs, server, now))
 	const forMs = Math.round(endsAt - now)
-	if (!noteRest(ctx.rests, server, forMs, now)) return
+	if (!startBackoff(ctx.backoffs, server, forMs, now)) return
 	ctx.log.write('server rests', { server, forMs, before, from })
 	countResting(ctx, now)
 }
 
 /** Notes that a server took a request that was sent at `sentAt`. */
-export function noteTaken(
+export function recordAccepted(
 	ctx: GatewayContext,
 	server: string,
 	sentAt: number,
 ): void {
-	if (ctx.rests.size === 0) return
-	if (!noteTakenAfterRest(ctx.rests, server, sentAt)) return
+	if (ctx.backoffs.size === 0) return
+	if (!endBackoff(ctx.backoffs, server, sentAt)) return
 	ctx.log.write('server rested', { server })
 	countResting(ctx, readElapsed())
 }
 
 /** Rows of a service's servers that are to be left alone now. */
-export function listResting(
-	{ rests, fleet }: GatewayContext,
+export function listBackingOff(
+	{ backoffs: rests, fleet }: GatewayContext,
 	service: string,
 ): number[] {
 	if (rests.size === 0) return []
 	const now = readElapsed()
-	const rows = fleet.rowsOf.get(service) ?? []
-	return rows.filter(row => restLeftMs(rests, fleet.servers[row]!.id, now) > 0)
+	const rows = fleet.rowsByService.get(service) ?? []
+	return rows.filter(
+		row => backoffLeftMs(rests, fleet.servers[row]!.id, now) > 0,
+	)
 }
 
 /** Forgets rests that are long over. */
-export function tickRests(ctx: GatewayContext): void {
+export function expireBackoffs(ctx: GatewayContext): void {
 	const now = readElapsed()
-	forgetRests(ctx.rests, now)
-	forgetNews(ctx.book, now)
+	pruneBackoffs(ctx.backoffs, now)
+	pruneExpiredBackoffs(ctx.sharedState, now)
 	countResting(ctx, now)
 }
 
-function countResting({ rests, metrics }: GatewayContext, now: number): void {
+function countResting(
+	{ backoffs: rests, metrics }: GatewayContext,
+	now: number,
+): void {
 	const resting = [...rests.values()].filter(({ endsAt }) => now < endsAt)
 	metrics.restingServers.set(resting.length)
 }
--- a/packages/gateway/src/serverPool.ts
+++ b/packages/gateway/src/serverPool.ts
@@ -16,29 +16,32 @@
 /** HTTP agents for calls to all servers. */
 export interface ServerPool {
 	/** Reuses connections; a server may close one while a request is being sent on it. */
-	readonly kept: Agent
+	readonly keepAlive: Agent
 	/**
 	 * Opens a connection for each request, so that no bytes of another request are on it.
 	 * Used for requests that must not run twice.
 	 */
-	readonly single: Agent
+	readonly oneShot: Agent
 }
 
 /** Creates a pool without connections. */
 export function createServerPool(): ServerPool {
 	return {
-		kept: new Agent({
+		keepAlive: new Agent({
 			keepAlive: true,
 			maxFreeSockets: MAX_IDLE_CONNECTIONS,
 			timeout: IDLE_MS,
 			scheduling: 'lifo',
 		}),
-		single: new Agent({ keepAlive: false }),
+		oneShot: new Agent({ keepAlive: false }),
 	}
 }
 
 /** Closes the idle connections to a crashed server; `address` is its `IP:port`. */
-export function closeIdle({ kept }: ServerPool, address: string): void {
+export function closeIdle(
+	{ keepAlive: kept }: ServerPool,
+	address: string,
+): void {
 	const [host, port] = address.split(':')
 	const idle = kept.freeSockets[kept.getName({ host, port: Number(port) })]
 	for (const socket of idle ?? []) socket.destroy()
@@ -48,7 +51,10 @@
  * Returns how many idle connections one of `entries` entries may keep to a server that
  * accepts `maxConnections` in total.
  */
-export function idleShare(maxConnections: number, entries: number): number {
+export function maxIdlePerServer(
+	maxConnections: number,
+	entries: number,
+): number {
 	return Math.min(
 		MAX_IDLE_CONNECTIONS,
 		Math.floor((IDLE_SHARE * maxConnections) / entries),
@@ -59,13 +65,13 @@
  * Adjusts the maximum of idle connections to the connection limits of services and the
  * number of entries.
  */
-export function fitIdle(
-	{ kept }: ServerPool,
+export function resizeIdle(
+	{ keepAlive: kept }: ServerPool,
 	services: Iterable<TrafficService>,
 	entries: number,
 ): void {
 	const maxConnections = Math.min(
 		...[...services].map(service => service.maxConnections),
 	)
-	kept.maxFreeSockets = idleShare(maxConnections, entries)
+	kept.maxFreeSockets = maxIdlePerServer(maxConnections, entries)
 }
--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -1,32 +1,32 @@
 /** Queues requests for a server with a free slot, by priority and fairly by team. */
 
 import {
-	beginSpell,
 	chooseRow,
 	dequeue,
-	endSpell,
 	enqueue,
 	type FairQueue,
-	isShut,
+	isGroupClosed,
 	listFullGroups,
-	mayEnter,
-	notePlace,
-	noteSentAfterRest,
+	markBlocked,
+	markUnblocked,
 	predictWaitMs,
-	removeWaiting,
+	recordBackoffProbe,
+	recordDispatch,
+	removeQueued,
+	tryEnterGroup,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
+import type { AvailabilityForecast } from './availabilityForecast.ts'
+import { forecastAvailability, forecastWaitMs } from './availabilityForecast.ts'
 import type { GatewayContext } from './context.ts'
-import { isRationed, isTaken } from './entryDemand.ts'
-import { groupOf, meterOf, noteHeld, queueOf } from './fleet.ts'
-import type { Outlook } from './outlook.ts'
-import { outlookOf, outlookWaitMs } from './outlook.ts'
-import { askForPermits } from './permitAsk.ts'
+import { isAdmitted, isRationed } from './entryDemand.ts'
+import { groupOf, meterOf, queueOf, trackInFlight } from './fleet.ts'
 import { listLimited, spendPermit } from './permitGate.ts'
+import { requestPermits } from './permitRequest.ts'
 import type { Pressure } from './pressure.ts'
 import { pressureOf } from './pressure.ts'
-import { listResting } from './serverRests.ts'
-import type { Grant, ServerWish, Waiter } from './waiter.ts'
+import { listBackingOff } from './serverBackoffs.ts'
+import type { AcquireOptions, Grant, Waiter } from './waiter.ts'
 
 /**
  * Requests that an engine may queue beyond its slots: none. A request queued there
@@ -36,10 +36,10 @@
 /** Requests that a plain server may queue beyond its slots. */
 const PLAIN_QUEUE_ROOM = 6
 
-/** Acquires a server with a free slot; the caller must free it with {@link noteHeld}. */
-export function awaitServer(
+/** Acquires a server with a free slot; the caller must free it with {@link trackInFlight}. */
+export function acquireServer(
 	ctx: GatewayContext,
-	options: ServerWish,
+	options: AcquireOptions,
 ): Promise<Grant> {
 	const queue = queueOf(ctx.fleet, options.service)
 	const pressure = pressureOf(ctx.pressures, options.service)
@@ -51,18 +51,19 @@
 			ctx,
 			options.service,
 			options.tried,
-			options.luck,
+			options.admissionDraw,
 		)
 		if (grant.kind === 'server') {
-			notePlace(pressure.flow, now)
+			recordDispatch(pressure.flow, now)
 			// The service still counts as full while it admits only a fraction of requests.
-			if (!isRationed(ctx.fleet, options.service)) endSpell(pressure.full, now)
+			if (!isRationed(ctx.fleet, options.service))
+				markUnblocked(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
-	beginSpell(pressure.full, now)
+	markBlocked(pressure.full, now)
 	requestPermits(ctx, options.service, demand, options.waitMs)
-	const forecast = outlookOf(ctx, options.service)
+	const forecast = forecastAvailability(ctx, options.service)
 	if (willExceedWait(queue, options, pressure, forecast, now))
 		return Promise.resolve({ kind: forecast?.kind ?? 'full' })
 	return waitInQueue(ctx, queue, options, now)
@@ -72,18 +73,20 @@
 function waitInQueue(
 	ctx: GatewayContext,
 	queue: FairQueue<Waiter>,
-	options: ServerWish,
+	options: AcquireOptions,
 	now: number,
 ): Promise<Grant> {
 	return new Promise(resolve => {
 		const settle = (grant: Grant) => {
 			clearTimeout(timer)
 			options.signal.removeEventListener('abort', stopWaiting)
-			removeWaiting(queue, waiter)
+			removeQueued(queue, waiter)
 			resolve(grant)
 		}
 		const stopWaiting = () =>
-			settle({ kind: outlookOf(ctx, options.service)?.kind ?? 'full' })
+			settle({
+				kind: forecastAvailability(ctx, options.service)?.kind ?? 'full',
+			})
 		const waiter: Waiter = {
 			...options,
 			until: now + options.waitMs,
@@ -101,34 +104,39 @@
 /** Predicts whether a request would exceed its maximum wait, to refuse it at once. */
 function willExceedWait(
 	queue: FairQueue<Waiter>,
-	options: ServerWish,
+	options: AcquireOptions,
 	{ flow }: Pressure,
-	forecast: Outlook | undefined,
+	forecast: AvailabilityForecast | undefined,
 	now: number,
 ): boolean {
 	const before = queue.waiting.filter(
 		other => other.priority <= options.priority,
 	)
-	if (forecast) return outlookWaitMs(forecast, before.length) > options.waitMs
-	if (!options.inTurn) return options.waitMs <= 0
+	if (forecast) return forecastWaitMs(forecast, before.length) > options.waitMs
+	if (!options.slotsFreeOneByOne) return options.waitMs <= 0
 	return predictWaitMs(flow, before.length, now) > options.waitMs
 }
 
 /** Assigns servers with free slots to waiting requests. */
-export function serveWaiting(ctx: GatewayContext): void {
+export function serveQueues(ctx: GatewayContext): void {
 	for (const queue of ctx.fleet.queues.values()) serveQueue(ctx, queue)
 }
 
 function serveQueue(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
 	for (let next = queue.waiting[0]; next; next = queue.waiting[0]) {
-		const grant = chooseServer(ctx, next.service, next.tried, next.luck)
+		const grant = chooseServer(
+			ctx,
+			next.service,
+			next.tried,
+			next.admissionDraw,
+		)
 		if (grant.kind === 'full') {
 			refuseLate(ctx, queue)
 			return
 		}
 		dequeue(queue)
 		if (grant.kind === 'server')
-			notePlace(pressureOf(ctx.pressures, next.service).flow, readNow())
+			recordDispatch(pressureOf(ctx.pressures, next.service).flow, readNow())
 		next.grant(grant)
 	}
 }
@@ -140,7 +148,7 @@
 	demand: number,
 	withinMs: number,
 ): void {
-	askForPermits(ctx, service, { count: demand, withinMs }, () =>
+	requestPermits(ctx, service, { count: demand, withinMs }, () =>
 		serveQueue(ctx, queueOf(ctx.fleet, service)),
 	)
 }
@@ -152,10 +160,10 @@
 	const now = readNow()
 	const longest = Math.max(...waiting.map(({ until }) => until - now))
 	requestPermits(ctx, service, waiting.length, longest)
-	const forecast = outlookOf(ctx, service)
+	const forecast = forecastAvailability(ctx, service)
 	if (!forecast) return
 	for (const [before, { until, grant }] of waiting.entries())
-		if (outlookWaitMs(forecast, before) > until - now)
+		if (forecastWaitMs(forecast, before) > until - now)
 			grant({ kind: forecast.kind })
 }
 
@@ -175,23 +183,24 @@
 	const isEngine = routes?.services.get(service)?.engine !== undefined
 	const { permitted, spent } = listLimited(ctx, service)
 	const query = {
-		rows: fleet.rowsOf.get(service) ?? [],
+		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
 		queueRoom: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
 		shutGroups: listUnavailableGroups(ctx, luck, now),
-		near: fleet.near,
-		untold: meterOf(fleet, service).untold,
+		near: fleet.localRows,
+		untold: meterOf(fleet, service).sentSinceReport,
 		permitted,
-		withheld: new Set([...spent, ...listResting(ctx, service)]),
+		withheld: new Set([...spent, ...listBackingOff(ctx, service)]),
 	}
 	const choice = chooseRow(fleet.table, query, now, ctx.random)
 	if (choice.kind !== 'row') return choice
 	const server = fleet.servers[choice.row]!
-	if (!mayEnter(ctx.closures, groupOf(server), now)) return { kind: 'full' }
+	if (!tryEnterGroup(ctx.closures, groupOf(server), now))
+		return { kind: 'full' }
 	const { id } = server
 	spendPermit(ctx, id)
-	noteSentAfterRest(ctx.rests, id, readElapsed())
-	noteHeld(fleet, id, 1)
+	recordBackoffProbe(ctx.backoffs, id, readElapsed())
+	trackInFlight(fleet, id, 1)
 	return { kind: 'server', id }
 }
 
@@ -202,11 +211,11 @@
 ): Set<number> {
 	const unavailable = new Set<number>()
 	for (const [number, group] of ctx.fleet.groups.entries())
-		if (isShut(ctx.closures, group, now)) unavailable.add(number)
+		if (isGroupClosed(ctx.closures, group, now)) unavailable.add(number)
 	const { fleet } = ctx
 	const isOpen = (group: number, room: number) =>
-		isTaken(fleet, group, room, luck)
-	const full = listFullGroups(fleet.table, isOpen, fleet.othersTimes)
+		isAdmitted(fleet, group, room, luck)
+	const full = listFullGroups(fleet.table, isOpen, fleet.peerScale)
 	for (const number of full) unavailable.add(number)
 	return unavailable
 }
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -3,23 +3,23 @@
  * from it.
  */
 
-import type { ListedServer, NewsOf, ServerRecord } from '@juniperhook/core'
+import type { ListedServer, ServerRecord, UpdateOf } from '@juniperhook/core'
 import {
-	doubtRemoval,
+	applyPeerRecord,
+	applyRecord,
+	applyRestoredRecord,
+	deferRemoval,
 	formatRevision,
-	noteDisplaced,
-	takeCopied,
-	takeRecord,
-	takeServerNews,
-	takeTold,
+	markDisplaced,
+	mergeServerUpdates,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
+import { settleByList } from './crashDetector.ts'
 import { applyServerList } from './fleet.ts'
 import { postNews } from './outbox.ts'
-import { settleByList } from './serverEnds.ts'
 import { closeIdle } from './serverPool.ts'
-import { serveWaiting } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** Where records come from: the source, an older copy of it, or another entry. */
 export type RecordOrigin =
@@ -46,15 +46,15 @@
 	origin: RecordOrigin,
 	now: number,
 ): boolean {
-	if (origin.from === 'peer') return takeTold(list, record, now)
+	if (origin.from === 'peer') return applyPeerRecord(list, record, now)
 	const mayHaveLapsed = !record.server && record.fault === undefined
 	if (mayHaveLapsed && now < origin.doubtUntil) {
-		doubtRemoval(list, record, origin.doubtUntil)
+		deferRemoval(list, record, origin.doubtUntil)
 		return false
 	}
 	return origin.from === 'copy'
-		? takeCopied(list, record, now)
-		: takeRecord(list, record)
+		? applyRestoredRecord(list, record, now)
+		: applyRecord(list, record)
 }
 
 /** Writes what has become of a server. */
@@ -86,12 +86,12 @@
  * Takes news of servers that leave or have left. Nothing that the source tells of the
  * same lives brings them back.
  */
-export function noteLeaving(
+export function recordLeaving(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'left'>[],
+	told: readonly UpdateOf<'left'>[],
 	from: string,
 ): void {
-	const fresh = takeServerNews(ctx.book, told, readElapsed())
+	const fresh = mergeServerUpdates(ctx.sharedState, told, readElapsed())
 	if (fresh.length === 0) return
 	postNews(ctx.outbox, fresh)
 	for (const { server } of fresh)
@@ -101,7 +101,7 @@
 
 /** Takes a server out that has said that it is another one. */
 export function dropDisplaced(ctx: GatewayContext, id: string): void {
-	noteDisplaced(ctx.list, id)
+	markDisplaced(ctx.list, id)
 	ctx.log.write('server', { server: id, state: 'displaced', from: 'answer' })
 	refreshFleet(ctx)
 }
@@ -113,7 +113,7 @@
 	applyServerList(fleet, list, settings.dataCentre, routes)
 	closeEnded(ctx, before)
 	settleByList(ctx)
-	serveWaiting(ctx)
+	serveQueues(ctx)
 }
 
 /**
--- a/packages/gateway/src/suspension.ts
+++ b/packages/gateway/src/suspension.ts
@@ -14,24 +14,24 @@
 const OVERDUE_GRACE_MS = 500
 
 /** Checks for a suspension since the last check and handles it. */
-export function noticeSuspension(ctx: GatewayContext): void {
+export function checkSuspension(ctx: GatewayContext): void {
 	const { suspension } = ctx
-	const suspendedMs = readSuspendedMs() - suspension.knownMs
+	const suspendedMs = readSuspendedMs() - suspension.observedMs
 	if (suspendedMs <= 0) return
-	suspension.knownMs += suspendedMs
+	suspension.observedMs += suspendedMs
 	ctx.log.write('clocks parted', {
 		forMs: Math.round(suspendedMs),
-		open: ctx.open,
+		open: ctx.openRequests,
 	})
 	setTimeout(() => endOverdue(ctx), OVERDUE_GRACE_MS).unref()
-	for (const resume of [...suspension.onWake]) resume()
+	for (const resume of [...suspension.resumeListeners]) resume()
 }
 
 /** Ends requests whose timeout passed during the suspension; their timers run late. */
 function endOverdue(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const [request, cancel] of [...ctx.giveUps])
-		if (now >= request.givenUpAt) cancel('timeOver')
+	for (const [request, cancel] of [...ctx.cancelByRequest])
+		if (now >= request.timeoutAt) cancel('timeOver')
 }
 
 /** Resolves to `wait`, or early to `instead` when a suspension is detected meanwhile. */
@@ -42,10 +42,12 @@
 ): Promise<T> {
 	return new Promise((resolve, reject) => {
 		const resume = () => {
-			suspension.onWake.delete(resume)
+			suspension.resumeListeners.delete(resume)
 			resolve(instead)
 		}
-		suspension.onWake.add(resume)
-		wait.then(resolve, reject).finally(() => suspension.onWake.delete(resume))
+		suspension.resumeListeners.add(resume)
+		wait
+			.then(resolve, reject)
+			.finally(() => suspension.resumeListeners.delete(resume))
 	})
 }
--- a/packages/gateway/src/suspensionWatch.ts
+++ b/packages/gateway/src/suspensionWatch.ts
@@ -5,12 +5,12 @@
 /** Total suspended time as last observed, and listeners for the next suspension. */
 export interface SuspensionWatch {
 	/** Total time for which the VM was suspended, as of the last check, ms. */
-	knownMs: number
+	observedMs: number
 	/** Called when a suspension is detected. */
-	readonly onWake: Set<() => void>
+	readonly resumeListeners: Set<() => void>
 }
 
 /** Creates a watch that ignores earlier suspensions. */
 export function createSuspensionWatch(): SuspensionWatch {
-	return { knownMs: readSuspendedMs(), onWake: new Set() }
+	return { observedMs: readSuspendedMs(), resumeListeners: new Set() }
 }
--- a/packages/gateway/src/news.ts
+++ b/packages/gateway/src/updateExchange.ts
@@ -3,34 +3,34 @@
  * by whoever they are news to, until all know.
  */
 
-import type { NewsOf, ServerNews } from '@juniperhook/core'
-import { listLimitNews, listServerNews } from '@juniperhook/core'
+import type { ServerUpdate, UpdateOf } from '@juniperhook/core'
+import { listLimitUpdates, listServerUpdates } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { drainOutbox } from './outbox.ts'
 import type { NewsItem } from './peerMessages.ts'
-import { noteEndNews } from './quarantineGate.ts'
-import { noteLimits } from './rateLimits.ts'
-import { noteLeaving } from './serverRecords.ts'
-import { noteRests } from './serverRests.ts'
+import { recordEndNews } from './quarantineGate.ts'
+import { recordLimits } from './rateLimits.ts'
+import { recordRests } from './serverBackoffs.ts'
+import { recordLeaving } from './serverRecords.ts'
 
 /** Ids of servers that left, of which a new link is told the last ones. */
 const MAX_LEFT_TOLD = 512
 
 /** Takes what another entry tells. */
-export function takeTold(
+export function receiveUpdates(
 	ctx: GatewayContext,
 	items: readonly NewsItem[],
 	from: string,
 ): void {
 	const now = readElapsed()
 	const news = items.map(item => fromWire(item, now))
-	const of = <K extends ServerNews['kind']>(...kinds: readonly K[]) =>
-		news.filter((one): one is NewsOf<K> => kinds.some(k => k === one.kind))
-	noteLimits(ctx, of('limit'), from)
-	noteLeaving(ctx, of('left'), from)
-	noteEndNews(ctx, of('end', 'served'), from)
-	noteRests(ctx, of('rest'), from)
+	const of = <K extends ServerUpdate['kind']>(...kinds: readonly K[]) =>
+		news.filter((one): one is UpdateOf<K> => kinds.some(k => k === one.kind))
+	recordLimits(ctx, of('limit'), from)
+	recordLeaving(ctx, of('left'), from)
+	recordEndNews(ctx, of('end', 'served'), from)
+	recordRests(ctx, of('rest'), from)
 }
 
 /** What has changed since other entries were last told. */
@@ -40,18 +40,18 @@
 }
 
 /** All that is known, for an entry that may know nothing. */
-export function listNews({ book }: GatewayContext): NewsItem[] {
+export function listNews({ sharedState: book }: GatewayContext): NewsItem[] {
 	const now = readElapsed()
-	return listServerNews(book, MAX_LEFT_TOLD).map(one => toWire(one, now))
+	return listServerUpdates(book, MAX_LEFT_TOLD).map(one => toWire(one, now))
 }
 
 /** What is known of limits, which is told again and again while they last. */
-export function listLimits({ book }: GatewayContext): NewsItem[] {
+export function listLimits({ sharedState: book }: GatewayContext): NewsItem[] {
 	const now = readElapsed()
-	return listLimitNews(book).map(one => toWire(one, now))
+	return listLimitUpdates(book).map(one => toWire(one, now))
 }
 
-function toWire(news: ServerNews, now: number): NewsItem {
+function toWire(news: ServerUpdate, now: number): NewsItem {
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
 	switch (news.kind) {
 		case 'limit': {
@@ -78,7 +78,7 @@
 	}
 }
 
-function fromWire(item: NewsItem, now: number): ServerNews {
+function fromWire(item: NewsItem, now: number): ServerUpdate {
 	switch (item.kind) {
 		case 'limit': {
 			const { kind, server, perSecond, agoMs } = item
--- a/packages/gateway/src/waiter.ts
+++ b/packages/gateway/src/waiter.ts
@@ -1,6 +1,6 @@
 /** Types of requests that acquire a server of a service. */
 
-import type { Waiting } from '@juniperhook/core'
+import type { QueueItem } from '@juniperhook/core'
 
 /** Result of acquiring a server. */
 export type Grant =
@@ -15,12 +15,12 @@
 	| { readonly kind: 'none' }
 
 /** A request that waits for a server. */
-export interface Waiter extends Waiting {
+export interface Waiter extends QueueItem {
 	readonly service: string
 	/** Ids of servers that it has been sent to. */
 	readonly tried: ReadonlySet<string>
-	/** See {@link ServerWish}. */
-	readonly luck: number
+	/** See {@link AcquireOptions}. */
+	readonly admissionDraw: number
 	/** End of the time that it may wait, ms. */
 	readonly until: number
 	/** Ends the wait with a result. */
@@ -28,7 +28,7 @@
 }
 
 /** Options of a request that acquires a server. */
-export interface ServerWish {
+export interface AcquireOptions {
 	readonly service: string
 	readonly team: string
 	readonly priority: number
@@ -38,13 +38,13 @@
 	 * Random number from 0 to 1, drawn once per request. A nearly full group admits
 	 * only a fraction of the requests: those whose draw is below the fraction.
 	 */
-	readonly luck: number
+	readonly admissionDraw: number
 	/** Maximum wait, ms. */
 	readonly waitMs: number
 	/**
 	 * Whether slots become free one at a time, so that the wait can be predicted. Not so
 	 * while a group forms, since all of its slots become free at once.
 	 */
-	readonly inTurn: boolean
+	readonly slotsFreeOneByOne: boolean
 	readonly signal: AbortSignal
 }
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -1,14 +1,15 @@
 /** Servers that turn requests away and ask for rest. */
 
-import type { Rests, TrafficConfig } from '@juniperhook/core'
+import type { ServerBackoffs, TrafficConfig } from '@juniperhook/core'
 import {
-	noteRest,
-	noteSentAfterRest,
-	noteTakenAfterRest,
-	restLeftMs,
+	backoffLeftMs,
+	endBackoff,
+	recordBackoffProbe,
+	startBackoff,
 } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import { ENGINE } from './fakeBackends.ts'
 import type { LimitedServer } from './limitedServers.ts'
 import {
 	askSteadily,
@@ -19,7 +20,6 @@
 	relist,
 	TAKEN,
 } from './limitedServers.ts'
-import { ENGINE } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(25_900)
 /** What was under way when a server asked for rest still comes, ms. */
@@ -174,7 +174,7 @@
 	closeWorld(world)
 	const failed = asked.filter(({ got }) => got.status !== 200)
 	assert.is(failed.length, 0)
-	for (const { ctx } of world.entries) assert.is(ctx.outages.size, 0)
+	for (const { ctx } of world.entries) assert.is(ctx.blockages.size, 0)
 })
 
 test('a closed group is tried at ranks that do not rest', async () => {
@@ -187,7 +187,7 @@
 	closeWorld(world)
 	assert.ok(server.told.length > 0)
 	assert.ok(mostInRest(server, 3) <= MAX_IN_REST)
-	assert.ok(world.entries[0]!.ctx.outages.size > 0)
+	assert.ok(world.entries[0]!.ctx.blockages.size > 0)
 })
 
 test('while all servers rest, callers are refused at once and told a time that comes true', async () => {
@@ -232,25 +232,25 @@
 })
 
 test('a shorter rest ends no longer one, and one beyond all bounds is bounded', () => {
-	const rests: Rests = new Map()
-	assert.ok(noteRest(rests, 'one', 5_000, 0))
+	const rests: ServerBackoffs = new Map()
+	assert.ok(startBackoff(rests, 'one', 5_000, 0))
 	for (const forMs of [0, 1_000, 5_000])
-		assert.not(noteRest(rests, 'one', forMs, 0))
-	assert.is(restLeftMs(rests, 'one', 0), 5_000)
-	assert.ok(noteRest(rests, 'one', Number.POSITIVE_INFINITY, 0))
-	assert.is(restLeftMs(rests, 'one', 0), 600_000)
+		assert.not(startBackoff(rests, 'one', forMs, 0))
+	assert.is(backoffLeftMs(rests, 'one', 0), 5_000)
+	assert.ok(startBackoff(rests, 'one', Number.POSITIVE_INFINITY, 0))
+	assert.is(backoffLeftMs(rests, 'one', 0), 600_000)
 })
 
 test('a rest is not ended by what was under way before it', () => {
-	const rests: Rests = new Map()
-	noteRest(rests, 'one', 1_000, 100)
-	assert.not(noteTakenAfterRest(rests, 'one', 50))
-	assert.not(noteTakenAfterRest(rests, 'one', 1_050))
-	assert.is(restLeftMs(rests, 'one', 500), 600)
-	noteSentAfterRest(rests, 'one', 1_200)
-	assert.ok(restLeftMs(rests, 'one', 1_210) > 0)
-	assert.ok(noteTakenAfterRest(rests, 'one', 1_200))
-	assert.is(restLeftMs(rests, 'one', 1_210), 0)
+	const rests: ServerBackoffs = new Map()
+	startBackoff(rests, 'one', 1_000, 100)
+	assert.not(endBackoff(rests, 'one', 50))
+	assert.not(endBackoff(rests, 'one', 1_050))
+	assert.is(backoffLeftMs(rests, 'one', 500), 600)
+	recordBackoffProbe(rests, 'one', 1_200)
+	assert.ok(backoffLeftMs(rests, 'one', 1_210) > 0)
+	assert.ok(endBackoff(rests, 'one', 1_200))
+	assert.is(backoffLeftMs(rests, 'one', 1_210), 0)
 })
 
 test('a rest ends with its server: the next life under that name is sent to', async () => {
@@ -273,7 +273,7 @@
 		world.servers[0]!.answer = () => ({ status, retryAfter: '5' })
 		await askSteadily(world, { perSecond: 20, forMs: 300 })
 		closeWorld(world)
-		assert.is(world.entries[0]!.ctx.rests.size, 0)
+		assert.is(world.entries[0]!.ctx.backoffs.size, 0)
 		assert.ok(world.servers[0]!.arrivals.length > 0)
 	})
 
--- a/packages/gateway/test/mortalServers.ts
+++ b/packages/gateway/test/crashingServers.ts
@@ -4,11 +4,11 @@
 import { createServer } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
-import type { StandInCatalog } from './standIns.ts'
-import { nextRevision, WIRE } from './standIns.ts'
+import type { FakeCatalog } from './fakeBackends.ts'
+import { nextRevision, WIRE } from './fakeBackends.ts'
 
 /** A body with this in it ends the server that begins to run it. */
-export const DEADLY = 'deadly'
+export const POISON = 'deadly'
 /** A body with this in it is run until its server ends or `release` is called. */
 export const SLOW = 'slow'
 /** From the beginning of a deadly run to the end of its server, ms. */
@@ -17,27 +17,27 @@
 const BACK_AFTER_MS = 150
 
 /** A run of a request. */
-export interface MortalRun {
+export interface ServerRun {
 	readonly body: string
 	readonly server: string
 	readonly at: number
 }
 
 /** Servers that run, end and come back. */
-export interface MortalServers {
+export interface CrashingServers {
 	/** What is told of changes. */
-	readonly catalogs: StandInCatalog[]
-	readonly runs: MortalRun[]
+	readonly catalogs: FakeCatalog[]
+	readonly runs: ServerRun[]
 	/** When servers ended, ms. */
 	readonly ends: { readonly server: string; readonly at: number }[]
-	readonly mortals: Mortal[]
+	readonly servers: CrashingServer[]
 	/** Lets all slow requests end well. */
 	release(): void
 	close(): void
 }
 
 /** One server, in whichever life. */
-interface Mortal {
+interface CrashingServer {
 	readonly port: number
 	life: number
 	server: Server
@@ -47,32 +47,32 @@
 }
 
 /** Starts `count` servers of the service `plain`. */
-export async function startMortals(
+export async function startCrashingServers(
 	count: number,
 	service = 'plain',
-): Promise<MortalServers> {
-	const all: MortalServers = {
+): Promise<CrashingServers> {
+	const all: CrashingServers = {
 		catalogs: [],
 		runs: [],
 		ends: [],
-		mortals: [],
+		servers: [],
 		release: () => {
-			for (const { slow } of all.mortals) for (const finish of slow) finish()
+			for (const { slow } of all.servers) for (const finish of slow) finish()
 		},
 		close: () => {
-			for (const one of all.mortals) stop(one)
+			for (const one of all.servers) stop(one)
 		},
 	}
 	for (let at = 0; at < count; at++)
-		all.mortals.push(await startMortal(all, at, service))
+		all.servers.push(await startMortal(all, at, service))
 	return all
 }
 
 async function startMortal(
-	all: MortalServers,
+	all: CrashingServers,
 	at: number,
 	service: string,
-): Promise<Mortal> {
+): Promise<CrashingServer> {
 	const server = createServer()
 	await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
 	const { port } = server.address() as AddressInfo
@@ -86,7 +86,7 @@
 		leaving: false,
 		coldMs: 0,
 	}
-	const mortal: Mortal = {
+	const mortal: CrashingServer = {
 		port,
 		life: 0,
 		server,
@@ -98,7 +98,7 @@
 	return mortal
 }
 
-function serve(all: MortalServers, mortal: Mortal): void {
+function serve(all: CrashingServers, mortal: CrashingServer): void {
 	mortal.server.on('connection', socket => {
 		mortal.sockets.add(socket)
 		socket.on('close', () => mortal.sockets.delete(socket))
@@ -107,8 +107,8 @@
 }
 
 async function run(
-	all: MortalServers,
-	mortal: Mortal,
+	all: CrashingServers,
+	mortal: CrashingServer,
 	req: IncomingMessage,
 	res: ServerResponse,
 ): Promise<void> {
@@ -128,8 +128,8 @@
 	const event = (after: number) => `id: ${last + after}\ndata: text\n\n`
 	const answer = isStream ? event(2) : `answer to ${id}`
 	if (isStream) res.writeHead(200, head).write(event(1))
-	if (body.includes(DEADLY)) {
-		setTimeout(() => end(all, mortal, name), ENDS_AFTER_MS)
+	if (body.includes(POISON)) {
+		setTimeout(() => crash(all, mortal, name), ENDS_AFTER_MS)
 		return
 	}
 	const finish = () => {
@@ -142,20 +142,24 @@
 }
 
 /** Ends a server as a crash does, if it still is in that life. */
-export function end(all: MortalServers, mortal: Mortal, name: string): void {
+export function crash(
+	all: CrashingServers,
+	mortal: CrashingServer,
+	name: string,
+): void {
 	if (mortal.listed.name !== name || !mortal.server.listening) return
 	all.ends.push({ server: name, at: performance.now() })
 	stop(mortal)
 	setTimeout(() => comeBack(all, mortal), BACK_AFTER_MS)
 }
 
-function stop(mortal: Mortal): void {
+function stop(mortal: CrashingServer): void {
 	mortal.server.close()
 	for (const socket of mortal.sockets) socket.resetAndDestroy()
 	mortal.slow.clear()
 }
 
-function comeBack(all: MortalServers, mortal: Mortal): void {
+function comeBack(all: CrashingServers, mortal: CrashingServer): void {
 	const before = mortal.listed.name
 	mortal.life++
 	const name = `${before.split('-')[0]}-${mortal.life}`
@@ -165,7 +169,7 @@
 	mortal.server.listen(mortal.port, '127.0.0.1')
 	for (const catalog of all.catalogs) {
 		const revision = nextRevision(catalog)
-		catalog.tell({
+		catalog.publish({
 			servers: [
 				{ name: before, revision, server: undefined },
 				{ name, revision, server: mortal.listed },
--- a/packages/gateway/test/standIns.ts
+++ b/packages/gateway/test/fakeBackends.ts
@@ -69,7 +69,7 @@
 }
 
 /** What a fake server does with one request. */
-export type Deed =
+export type BackendAction =
 	| 'serve'
 	/** Responds with 503 and marks the request as not run. */
 	| 'refuse'
@@ -105,7 +105,7 @@
 	readonly servers: Server[]
 	readonly listed: ListedServer[]
 	/** Actions for the next requests; when empty, requests are served. */
-	script: Deed[]
+	script: BackendAction[]
 	/** Requests received so far. */
 	readonly arrivals: IncomingMessage[]
 	/** Ids of requests that were run, in order. */
@@ -304,16 +304,16 @@
 }
 
 /** A catalog whose content a test sets; watches end when a change is published. */
-export interface StandInCatalog extends CatalogSource {
+export interface FakeCatalog extends CatalogSource {
 	snapshot: CatalogSnapshot
 	/** While set, every call fails. */
-	down: boolean
+	isDown: boolean
 	/** Maximum wait of the last watch, ms. */
 	watchMs: number
 	/** Number of complete reads. */
 	reads: number
 	/** Publishes changes. */
-	tell(changes: Partial<CatalogSnapshot>): void
+	publish(changes: Partial<CatalogSnapshot>): void
 }
 
 /** Returns a revision in the only term that fake catalogs have. */
@@ -322,7 +322,7 @@
 }
 
 /** Returns the revision after a catalog's current one. */
-export function nextRevision({ snapshot }: StandInCatalog): TermRevision {
+export function nextRevision({ snapshot }: FakeCatalog): TermRevision {
 	return revisionOf(snapshot.revision.revision + 1)
 }
 
@@ -337,7 +337,7 @@
 export function createCatalog(
 	config: TrafficConfig | undefined,
 	listed: readonly ListedServer[],
-): StandInCatalog {
+): FakeCatalog {
 	const published = (held: TrafficConfig) => ({
 		config: held,
 		text: JSON.stringify(held),
@@ -345,8 +345,8 @@
 	let wake = () => {}
 	let changes: Partial<CatalogSnapshot> | undefined
 	const none = { config: undefined, servers: [], faults: [] }
-	const catalog: StandInCatalog = {
-		down: false,
+	const catalog: FakeCatalog = {
+		isDown: false,
 		watchMs: 0,
 		reads: 0,
 		snapshot: {
@@ -359,14 +359,14 @@
 			})),
 			faults: [],
 		},
-		tell(told) {
+		publish(told) {
 			const revision = nextRevision(catalog)
 			catalog.snapshot = { ...catalog.snapshot, ...told, revision }
 			changes = told
 			wake()
 		},
 		async read() {
-			if (catalog.down) return SOURCE_DOWN
+			if (catalog.isDown) return SOURCE_DOWN
 			catalog.reads++
 			return { ok: true, value: catalog.snapshot, bytes: 0 }
 		},
@@ -377,7 +377,7 @@
 					wake = resolve
 					setTimeout(resolve, Math.min(waitMs, 50))
 				})
-			if (catalog.down) return SOURCE_DOWN
+			if (catalog.isDown) return SOURCE_DOWN
 			const told = changes
 			changes = undefined
 			const now = told ? catalog.snapshot.revision : revision
@@ -390,7 +390,7 @@
 }
 
 /** The response that a caller received. */
-export interface Got {
+export interface CallerResponse {
 	readonly status: number
 	readonly headers: IncomingMessage['headers']
 	readonly body: string
@@ -405,7 +405,7 @@
 	headers: Record<string, string> = {},
 	method = 'GET',
 	body = '',
-): Promise<Got> {
+): Promise<CallerResponse> {
 	const [host, port] = address.split(':')
 	return new Promise(resolve => {
 		const none = { status: 0, headers: {}, body: '', whole: false }
--- a/packages/gateway/test/gatewayState.test.ts
+++ b/packages/gateway/test/gatewayState.test.ts
@@ -6,8 +6,7 @@
 import * as assert from 'uvu/assert'
 import { queueOf } from '../src/fleet.ts'
 import { endOpenRequests } from '../src/index.ts'
-import { CONTACT_MS, createOpener, until } from './openGateway.ts'
-import type { Deed } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -16,7 +15,8 @@
 	revisionOf,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { CONTACT_MS, createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_540, backends.listed)
@@ -25,7 +25,7 @@
 /** Pause before the next call to the source, ms. */
 const PAUSE_MS = 100
 
-function reset(script: readonly Deed[] = []): void {
+function reset(script: readonly BackendAction[] = []): void {
 	backends.script = [...script]
 	backends.arrivals.length = 0
 }
@@ -36,7 +36,7 @@
 	const other = await openGateway(catalog)
 	const [first] = backends.listed
 	const leaving = { ...first!, leaving: true }
-	catalog.tell({
+	catalog.publish({
 		servers: [{ name: first!.name, revision: revisionOf(2), server: leaving }],
 	})
 	await until(() => other.ctx.fleet.servers.length === 1)
@@ -49,7 +49,7 @@
 
 test('gateway: without a configuration, it is not ready and responds with 503', async () => {
 	const catalog = createCatalog(undefined, [])
-	catalog.down = true
+	catalog.isDown = true
 	const gateway = await openGateway(catalog)
 	const got = await callGateway(gateway.callers, '/r/x', {
 		[WIRE.requestId]: 'n',
@@ -74,30 +74,30 @@
 		callGateway(other.callers, '/o/x', { [WIRE.requestId]: id }, 'POST')
 	for (let at = 0; at < 4; at++) await ask(`former-${at}`)
 	const lost = ask('former-open')
-	await until(() => fleet.held.get(listedAs(10).id) === 1)
+	await until(() => fleet.inFlight.get(listedAs(10).id) === 1)
 	assert.ok(fleet.table.failureRate[0]! > 0)
-	catalog.tell({
+	catalog.publish({
 		servers: [
 			{ name: first!.name, revision: revisionOf(2), server: listedAs(20) },
 		],
 	})
 	await until(() => fleet.table.rowOf.has(listedAs(20).id))
 	assert.is(fleet.table.failureRate[0], 0)
-	assert.is(fleet.table.sentSince[0], 0)
+	assert.is(fleet.table.sentSinceReport[0], 0)
 	const answer = await ask('restarted')
 	assert.is(answer.status, 200)
 	const expected = backends.arrivals.at(-1)?.headers[WIRE.expectServer]
 	assert.is(expected, first!.name, 'requests are addressed to the server name')
 	backends.servers[0]!.closeAllConnections()
 	assert.is((await lost).status, 502)
-	assert.not(fleet.held.has(listedAs(10).id))
+	assert.not(fleet.inFlight.has(listedAs(10).id))
 })
 
 test('gateway: a server granted and removed in the same event-loop turn gets no request', async () => {
 	const [first, second] = backends.listed
 	const catalog = createCatalog(CONFIG, [first!])
 	const other = await openGateway(catalog)
-	reset(new Array<Deed>(10).fill('hang'))
+	reset(new Array<BackendAction>(10).fill('hang'))
 	const open = Array.from({ length: 11 }, (_, at) =>
 		callGateway(other.callers, `/r/${at}`, { [WIRE.requestId]: `turn-${at}` }),
 	)
@@ -106,7 +106,7 @@
 	const engine = { ...ENGINE, slots: 64, experts: undefined }
 	const services = CONFIG.services.map(service => ({ ...service, engine }))
 	const config = { ...CONFIG, version: 5, services }
-	catalog.tell({
+	catalog.publish({
 		config: { config, text: JSON.stringify(config) },
 		servers: [
 			{ name: first!.name, revision: revisionOf(2), server: undefined },
@@ -125,18 +125,20 @@
 	const [first] = backends.listed
 	const { name } = first!
 	// After an outage, removals are doubted, but values that were written are not.
-	catalog.down = true
+	catalog.isDown = true
 	await new Promise(resolve => setTimeout(resolve, 1_500))
-	catalog.tell({
+	catalog.publish({
 		servers: [
 			{ name, revision: revisionOf(2), server: undefined, fault: 'not JSON' },
 		],
 	})
-	catalog.down = false
+	catalog.isDown = false
 	await until(() => other.ctx.fleet.servers.length === 2)
 	assert.is(other.ctx.fleet.servers.length, 2)
-	assert.is(other.ctx.list.doubted.size, 0)
-	catalog.tell({ servers: [{ name, revision: revisionOf(3), server: first }] })
+	assert.is(other.ctx.list.pendingRemovals.size, 0)
+	catalog.publish({
+		servers: [{ name, revision: revisionOf(3), server: first }],
+	})
 	await until(() => other.ctx.fleet.servers.length === 3)
 	assert.is(other.ctx.fleet.servers.length, 3)
 })
@@ -144,15 +146,15 @@
 test('gateway: after an outage of the source, only changes are read', async () => {
 	const catalog = createCatalog(CONFIG, backends.listed)
 	const entry = await openGateway(catalog)
-	catalog.down = true
+	catalog.isDown = true
 	await new Promise(resolve => setTimeout(resolve, 1_500))
 	const [first] = backends.listed
-	catalog.tell({
+	catalog.publish({
 		servers: [
 			{ name: first!.name, revision: revisionOf(2), server: undefined },
 		],
 	})
-	catalog.down = false
+	catalog.isDown = false
 	await until(() => entry.ctx.fleet.servers.length === 2)
 	assert.is(entry.ctx.fleet.servers.length, 2)
 	assert.is(catalog.reads, 1)
@@ -177,7 +179,7 @@
 	await endOpenRequests(stopping.ctx)
 	for (const answer of await Promise.all(answers))
 		assert.is(answer.status, 504, 'status of a request that may have run')
-	assert.is(stopping.ctx.giveUps.size, 0)
+	assert.is(stopping.ctx.cancelByRequest.size, 0)
 })
 
 test.after(() => {
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -4,10 +4,8 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { ListedServer, TrafficConfig } from '@juniperhook/core'
-import type { OpenGateway } from './openGateway.ts'
-import { openGatewayAt, until } from './openGateway.ts'
-import { delaysBetween } from './ownDelays.ts'
-import type { Got, StandInCatalog } from './standIns.ts'
+import { loopDelayBetween } from './eventLoopDelays.ts'
+import type { CallerResponse, FakeCatalog } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -15,7 +13,9 @@
 	nextRevision,
 	SIGNALS,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { OpenGateway } from './openGateway.ts'
+import { openGatewayAt, until } from './openGateway.ts'
 
 /** Spans over which requests are counted, and what is allowed beside the limit, ms. */
 export const SPAN_MS = 4_000
@@ -84,7 +84,7 @@
 	readonly port: number
 	readonly config: TrafficConfig
 	/** What each entry follows. */
-	readonly catalogs: StandInCatalog[]
+	readonly catalogs: FakeCatalog[]
 }
 
 /** Opens worlds whose entries listen from `firstPort` on. */
@@ -134,7 +134,7 @@
 ): void {
 	for (const catalog of catalogs) {
 		const revision = nextRevision(catalog)
-		catalog.tell({ servers: [{ name, revision, server }] })
+		catalog.publish({ servers: [{ name, revision, server }] })
 	}
 }
 
@@ -218,7 +218,7 @@
 
 /** How a request ended. */
 export interface Asked {
-	readonly got: Got
+	readonly got: CallerResponse
 	/** After how long, without what this process itself was late, ms. */
 	readonly tookMs: number
 }
@@ -262,7 +262,7 @@
 	}
 	const got = await callGateway(entries[entry]!.callers, path, headers)
 	const endedAt = performance.now()
-	const tookMs = endedAt - begunAt - delaysBetween(begunAt, endedAt)
+	const tookMs = endedAt - begunAt - loopDelayBetween(begunAt, endedAt)
 	return { got, tookMs }
 }
 
--- a/packages/gateway/test/deadlyRequests.test.ts
+++ b/packages/gateway/test/poisonRequests.test.ts
@@ -10,11 +10,11 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { World } from './deadlyWorld.ts'
-import { ask, createWorlds, pause } from './deadlyWorld.ts'
-import { DEADLY } from './mortalServers.ts'
+import { POISON } from './crashingServers.ts'
+import { WIRE } from './fakeBackends.ts'
 import { CONTACT_MS } from './openGateway.ts'
-import { WIRE } from './standIns.ts'
+import type { World } from './poisonWorld.ts'
+import { ask, createWorlds, pause } from './poisonWorld.ts'
 
 /** Sends after the third end that are allowed, once the contact time is over. */
 const MOST_AFTER = 3
@@ -44,7 +44,7 @@
 	return statuses
 }
 
-const BIG = `${'x'.repeat(300_000)} ${DEADLY}`
+const BIG = `${'x'.repeat(300_000)} ${POISON}`
 interface DeadlyCase {
 	readonly name: string
 	readonly entries: number
@@ -53,14 +53,14 @@
 	readonly headers?: (attempt: number) => object
 }
 const CASES: readonly DeadlyCase[] = [
-	{ name: 'one entry', entries: 1, path: '/o/x', body: DEADLY },
-	{ name: 'three entries', entries: 3, path: '/o/x', body: DEADLY },
-	{ name: 'repeated by entries', entries: 3, path: '/r/x', body: DEADLY },
+	{ name: 'one entry', entries: 1, path: '/o/x', body: POISON },
+	{ name: 'three entries', entries: 3, path: '/o/x', body: POISON },
+	{ name: 'repeated by entries', entries: 3, path: '/r/x', body: POISON },
 	{
 		name: 'a stream that is resumed by entries and by its caller',
 		entries: 3,
 		path: '/s/x',
-		body: DEADLY,
+		body: POISON,
 		headers: at => (at % 2 === 0 ? {} : { [WIRE.lastEventId]: '1' }),
 	},
 	{
--- a/packages/gateway/test/deadlyWorld.ts
+++ b/packages/gateway/test/poisonWorld.ts
@@ -1,12 +1,12 @@
 /** Entries before servers that end under some requests, for tests. */
 
 import type { EngineProfile, TrafficConfig } from '@juniperhook/core'
-import type { MortalServers } from './mortalServers.ts'
-import { startMortals } from './mortalServers.ts'
+import type { CrashingServers } from './crashingServers.ts'
+import { startCrashingServers } from './crashingServers.ts'
+import type { CallerResponse } from './fakeBackends.ts'
+import { CONFIG, callGateway, createCatalog, WIRE } from './fakeBackends.ts'
 import type { OpenGateway } from './openGateway.ts'
 import { openGatewayAt, until } from './openGateway.ts'
-import type { Got } from './standIns.ts'
-import { CONFIG, callGateway, createCatalog, WIRE } from './standIns.ts'
 
 const PORTS_EACH = 4
 /** For entries to find each other, ms. */
@@ -19,7 +19,7 @@
 
 /** Entries that know each other, before servers that end and come back. */
 export interface World {
-	readonly servers: MortalServers
+	readonly servers: CrashingServers
 	readonly entries: OpenGateway[]
 	/** First port of all entries; each has an address of its own. */
 	readonly port: number
@@ -46,7 +46,7 @@
 	servers: number,
 	engine: EngineProfile | undefined,
 ): Promise<World> {
-	const mortals = await startMortals(servers)
+	const mortals = await startCrashingServers(servers)
 	const entries: OpenGateway[] = []
 	const services = CONFIG.services.map(one => ({ ...one, engine }))
 	const config = { ...CONFIG, routes: ROUTES, services, limits: LIMITS }
@@ -59,7 +59,7 @@
 /** Opens one more entry, which finds the others. */
 export async function openEntry(world: World): Promise<OpenGateway> {
 	const { servers, entries, port, config } = world
-	const listed = servers.mortals.map(one => one.listed)
+	const listed = servers.servers.map(one => one.listed)
 	const catalog = createCatalog(config, listed)
 	servers.catalogs.push(catalog)
 	const seeds = [`127.0.0.1:${port + 2}`, `127.0.0.2:${port + 2}`]
@@ -82,7 +82,7 @@
 	path: string,
 	body: string,
 	headers = {},
-): Promise<Got> {
+): Promise<CallerResponse> {
 	const id = `d${nextId++}`
 	return callGateway(
 		entry.callers,
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -3,13 +3,13 @@
 import { readNow } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { chooseComeBack } from '../src/comeBack.ts'
 import { meterOf } from '../src/fleet.ts'
 import type { Pressure } from '../src/pressure.ts'
-import { pressureOf, spareMs } from '../src/pressure.ts'
-import { awaitServer } from '../src/waiting.ts'
+import { pressureOf, waitBudgetMs } from '../src/pressure.ts'
+import { chooseRetryAfterMs } from '../src/retryAfter.ts'
+import { acquireServer } from '../src/serverQueue.ts'
+import { CONFIG, createCatalog, startBackends } from './fakeBackends.ts'
 import { createOpener } from './openGateway.ts'
-import { CONFIG, createCatalog, startBackends } from './standIns.ts'
 
 const backends = await startBackends(1)
 const openGateway = createOpener(21_740, backends.listed)
@@ -19,22 +19,22 @@
 
 /** Fills all servers, with slots expected to become free `gapMs` apart. */
 function fill(gapMs: number): Pressure {
-	ctx.fleet.table.most.fill(0)
+	ctx.fleet.table.maxInFlight.fill(0)
 	const pressure = pressureOf(ctx.pressures, SERVICE)
-	pressure.flow.gapMs = gapMs
+	pressure.flow.intervalMs = gapMs
 	pressure.flow.lastAt = readNow()
 	return pressure
 }
 
 function acquire(waitMs: number, inTurn = true, luck = 0) {
-	return awaitServer(ctx, {
+	return acquireServer(ctx, {
 		service: SERVICE,
 		team: 't',
 		priority: 1,
-		luck,
+		admissionDraw: luck,
 		tried: new Set(),
 		waitMs,
-		inTurn,
+		slotsFreeOneByOne: inTurn,
 		signal: NEVER_ABORTED,
 	})
 }
@@ -67,10 +67,10 @@
 	fill(5)
 	const grant = acquire(2_000)
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
-	ctx.fleet.table.most.fill(1)
+	ctx.fleet.table.maxInFlight.fill(1)
 	assert.is((await grant).kind, 'server')
-	ctx.fleet.held.clear()
-	ctx.fleet.table.sentSince.fill(0)
+	ctx.fleet.inFlight.clear()
+	ctx.fleet.table.sentSinceReport.fill(0)
 })
 
 test('full service: each waiting request lengthens the predicted wait of the next', async () => {
@@ -78,17 +78,17 @@
 	const [first, second] = [acquire(500), acquire(500)]
 	assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 1)
 	assert.is((await second).kind, 'full')
-	ctx.fleet.table.most.fill(1)
+	ctx.fleet.table.maxInFlight.fill(1)
 	assert.is((await first).kind, 'server')
-	ctx.fleet.held.clear()
-	ctx.fleet.table.sentSince.fill(0)
+	ctx.fleet.inFlight.clear()
+	ctx.fleet.table.sentSinceReport.fill(0)
 })
 
 test('full service: callers get ascending Retry-After times', () => {
 	const pressure = fill(200)
 	pressure.full.since = readNow()
-	pressure.full.usualMs = 1_000
-	const times = [0, 1, 2].map(() => chooseComeBack(ctx, SERVICE, 8_000))
+	pressure.full.typicalMs = 1_000
+	const times = [0, 1, 2].map(() => chooseRetryAfterMs(ctx, SERVICE, 8_000))
 	assert.ok(times[0]! >= 1_000, `${times}`)
 	assert.ok(times[2]! > times[0]!, `${times}`)
 	assert.ok(
@@ -106,14 +106,14 @@
 for (const { firstMs, elapsedMs, budget } of BUDGETS)
 	test(`wait budget: first byte after ${firstMs} ms, ${elapsedMs} ms elapsed`, () => {
 		const pressure = { ...pressureOf(ctx.pressures, SERVICE), firstMs }
-		assert.is(spareMs(pressure, 500, elapsedMs), budget)
+		assert.is(waitBudgetMs(pressure, 500, elapsedMs), budget)
 	})
 
 test('nearly full group: admits a fraction of requests and still counts as full', async () => {
 	const { fleet } = ctx
 	fleet.groups.push(`${SERVICE}/g`)
 	fleet.table.group.fill(0)
-	fleet.table.most.fill(2.5)
+	fleet.table.maxInFlight.fill(2.5)
 	const meter = meterOf(fleet, SERVICE)
 	// 2.5 slots within 50 ms, in which 5 requests arrive: half of them are admitted.
 	meter.intake = { perSecond: 100, endedPerSecond: 0, horizonMs: 50 }
@@ -126,7 +126,7 @@
 		full.since !== undefined,
 		'the service counts as full while others are refused',
 	)
-	meter.taken = 1
+	meter.minAdmittedFraction = 1
 	meter.intake = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
 	assert.is((await acquire(-1, true, 0.9)).kind, 'server')
 	assert.is(full.since, undefined)
--- a/packages/gateway/test/serverPool.test.ts
+++ b/packages/gateway/test/serverPool.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { idleShare } from '../src/serverPool.ts'
+import { maxIdlePerServer } from '../src/serverPool.ts'
 
 const CASES = [
 	{ name: 'one entry', maxConnections: 200, entries: 1, idle: 12 },
@@ -23,7 +23,7 @@
 
 for (const { name, maxConnections, entries, idle } of CASES)
 	test(`idle connections: ${name} keep at most half of the server's connections`, () => {
-		assert.is(idleShare(maxConnections, entries), idle)
+		assert.is(maxIdlePerServer(maxConnections, entries), idle)
 		assert.ok(idle * entries <= maxConnections / 2)
 	})
 
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -3,16 +3,16 @@
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { takeTold } from '../src/news.ts'
-import type { TestGateway } from './openGateway.ts'
-import { createOpener, until } from './openGateway.ts'
+import { receiveUpdates } from '../src/updateExchange.ts'
 import {
 	CONFIG,
 	callGateway,
 	createCatalog,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { TestGateway } from './openGateway.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const SUSPENDED_MS = 20_000
 /** Far less than the time that the requests had left, ms. */
@@ -42,7 +42,7 @@
 	const startedAt = performance.now()
 	const headers = { [WIRE.requestId]: 'late' }
 	const response = callGateway(gateway.callers, '/o/x', headers)
-	await until(() => gateway.ctx.open > 0)
+	await until(() => gateway.ctx.openRequests > 0)
 	suspend()
 	const answer = await response
 	assert.is(answer.status, 504)
@@ -56,7 +56,7 @@
 	const arrivals = backends.arrivals.length
 	const response = request(gateway, 'again', { [WIRE.deadlineMs]: '60000' })
 	await until(() => backends.arrivals.length > arrivals)
-	ctx.giveUps.clear()
+	ctx.cancelByRequest.clear()
 	suspend()
 	await response
 	const [first, second] = backends.arrivals.slice(arrivals)
@@ -73,10 +73,10 @@
 		{ kind: 'end' as const, server: 'a', agoMs: 5_000, ran },
 		{ kind: 'end' as const, server: 'b', agoMs: 1_000, ran },
 	]
-	takeTold(ctx, told, 'peer')
-	const [first] = ctx.gate.quarantine.ends.values()
+	receiveUpdates(ctx, told, 'peer')
+	const [first] = ctx.quarantineGate.quarantine.ends.values()
 	const before = readElapsed() - first!.at
-	ctx.fleet.toldGroups.set('g', {
+	ctx.fleet.groupReports.set('g', {
 		slow: {},
 		limit: 1,
 		broken: false,
@@ -85,8 +85,8 @@
 	suspend()
 	const after = readElapsed() - first!.at
 	assert.ok(after - before >= SUSPENDED_MS)
-	await until(() => ctx.fleet.toldGroups.size === 0)
-	assert.is(ctx.fleet.toldGroups.size, 0)
+	await until(() => ctx.fleet.groupReports.size === 0)
+	assert.is(ctx.fleet.groupReports.size, 0)
 })
 
 test('suspension: the source is watched anew at once, not when the watch times out', async () => {
@@ -104,7 +104,7 @@
 	suspend()
 	await until(() => catalog.watchMs < hung)
 	assert.ok(catalog.watchMs < hung)
-	assert.ok(ctx.suspension.knownMs >= SUSPENDED_MS)
+	assert.ok(ctx.suspension.observedMs >= SUSPENDED_MS)
 })
 
 test.after(() => {
--- a/packages/gateway/test/newsTimes.test.ts
+++ b/packages/gateway/test/updatePropagation.test.ts
@@ -3,12 +3,12 @@
  * virtual time: the real merge, outbox and choice of links, over links that take time.
  */
 
-import type { NewsBook, Random, ServerNews } from '@juniperhook/core'
+import type { Random, ServerUpdate, SharedState } from '@juniperhook/core'
 import {
-	createNewsBook,
 	createRandom,
-	drawIndex,
-	takeServerNews,
+	createSharedState,
+	mergeServerUpdates,
+	randomIndex,
 } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -23,7 +23,7 @@
 const SEEDS = 5
 
 interface Entry {
-	readonly book: NewsBook
+	readonly book: SharedState
 	readonly outbox: Outbox
 	/** Entries that it has a link with, whoever opened it. */
 	readonly links: number[]
@@ -46,7 +46,7 @@
 	const placeOf = new Map(addresses.map((address, at) => [address, at]))
 	const entries = addresses.map(
 		(): Entry => ({
-			book: createNewsBook(),
+			book: createSharedState(),
 			outbox: new Map(),
 			links: [],
 			phaseMs: random() * LOOK_MS,
@@ -64,17 +64,17 @@
 /** Lets one entry hear a word of a server and gives how it spreads. */
 function spread(
 	entries: readonly Entry[],
-	news: ServerNews,
+	news: ServerUpdate,
 	random: Random,
 ): Spread {
 	// By the ms in which messages come.
-	const underWay = new Map<number, { to: number; news: ServerNews[] }[]>()
+	const underWay = new Map<number, { to: number; news: ServerUpdate[] }[]>()
 	let bytes = 0
 	let lastAt = 0
 	let known = 0
-	const take = (to: number, told: readonly ServerNews[], now: number) => {
+	const take = (to: number, told: readonly ServerUpdate[], now: number) => {
 		const { book, outbox, phaseMs } = entries[to]!
-		const fresh = takeServerNews(book, told, now)
+		const fresh = mergeServerUpdates(book, told, now)
 		if (fresh.length === 0) return
 		known++
 		lastAt = now
@@ -94,7 +94,7 @@
 			due.push({ to, news: told })
 		}
 	}
-	take(drawIndex(random, entries.length), [news], 0)
+	take(randomIndex(random, entries.length), [news], 0)
 	for (let now = 0; underWay.size > 0; now++) {
 		for (const { to, news: told } of underWay.get(now) ?? [])
 			take(to, told, now)
@@ -104,7 +104,7 @@
 	return { tookMs: lastAt, bytesEach: bytes / entries.length }
 }
 
-const NEWS: readonly { name: string; news: ServerNews }[] = [
+const NEWS: readonly { name: string; news: ServerUpdate }[] = [
 	{
 		name: 'a limit',
 		news: { kind: 'limit', server: 'a', perSecond: 1, at: 0 },
