--- a/packages/gateway/src/availabilityForecast.ts
+++ b/packages/gateway/src/availabilityForecast.ts
@@ -26,18 +26,18 @@
 }
 
 /** The forecast for one server. */
-type ServerOutlook = Pick<AvailabilityForecast, 'kind' | 'dueMs' | 'moreMs'>
+type ServerForecast = Pick<AvailabilityForecast, 'kind' | 'dueMs' | 'nextMs'>
 
 /** Returns the forecast for a service; undefined while a server is unrestricted. */
 export function forecastAvailability(
 	ctx: GatewayContext,
 	service: string,
 ): AvailabilityForecast | undefined {
-	const { fleet, rateLimits, backoffs: rests } = ctx
-	if (rateLimits.size + rests.size === 0) return undefined
+	const { fleet, rateLimits, backoffs } = ctx
+	if (rateLimits.size + backoffs.size === 0) return undefined
 	const rows = fleet.rowsByService.get(service) ?? []
 	const now = readElapsed()
-	const forecasts: ServerOutlook[] = []
+	const forecasts: ServerForecast[] = []
 	for (const row of rows) {
 		const forecast = forecastServer(ctx, fleet.servers[row]!.id, now)
 		if (!forecast) return undefined
@@ -45,14 +45,14 @@
 	}
 	const [first] = forecasts.sort((a, b) => a.nextMs - b.nextMs)
 	if (!first) return undefined
-	const { kind, nextMs: moreMs } = first
+	const { kind, nextMs } = first
 	const dueMs = forecasts
 		.flatMap(forecast => forecast.dueMs)
 		.sort((a, b) => a - b)
 	return {
 		kind,
 		dueMs,
-		nextMs: moreMs,
+		nextMs,
 		intervalMs: kind === 'resting' ? BACKOFF_PROBE_MS : 0,
 	}
 }
@@ -61,26 +61,26 @@
 	ctx: GatewayContext,
 	server: string,
 	now: number,
-): ServerOutlook | undefined {
-	const restMs = backoffLeftMs(ctx.backoffs, server, now)
+): ServerForecast | undefined {
+	const backoffMs = backoffLeftMs(ctx.backoffs, server, now)
 	if (rateLimitOf(ctx.rateLimits, server) === undefined)
-		return restMs > 0
-			? { kind: 'resting', dueMs: [], nextMs: restMs }
+		return backoffMs > 0
+			? { kind: 'resting', dueMs: [], nextMs: backoffMs }
 			: undefined
 	const held = heldPermitsOf(ctx, server)
-	const { isRequestPending: isAsking, notBefore } = held
-	const moreMs = isAsking ? 0 : Math.max(0, notBefore - now)
+	const { isRequestPending, notBefore } = held
+	const nextMs = isRequestPending ? 0 : Math.max(0, notBefore - now)
 	return {
-		kind: restMs > moreMs ? 'resting' : 'limited',
-		dueMs: listDueMs(held, now).map(ms => Math.max(ms, restMs)),
-		nextMs: Math.max(moreMs, restMs),
+		kind: backoffMs > nextMs ? 'resting' : 'limited',
+		dueMs: listDueMs(held, now).map(ms => Math.max(ms, backoffMs)),
+		nextMs: Math.max(nextMs, backoffMs),
 	}
 }
 
 /** Returns the expected wait of a request with `before` others ahead of it, ms. */
 export function forecastWaitMs(
-	{ dueMs, nextMs: moreMs, intervalMs: gapMs }: AvailabilityForecast,
+	{ dueMs, nextMs, intervalMs }: AvailabilityForecast,
 	before: number,
 ): number {
-	return dueMs[before] ?? moreMs + (before - dueMs.length) * gapMs
+	return dueMs[before] ?? nextMs + (before - dueMs.length) * intervalMs
 }
--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -17,7 +17,7 @@
 	| { readonly kind: 'request'; readonly request: CallerRequest }
 	| { readonly kind: 'refused'; readonly error: ErrorKind }
 	/** The caller's connection closed before the request was complete. */
-	| { readonly kind: 'gone' }
+	| { readonly kind: 'disconnected' }
 
 /** Validates the head of a request and reads its body. */
 export async function readCallerRequest(
@@ -42,7 +42,7 @@
 	const deadline = readDeadline(req, wire.deadlineMs, route.timeoutMs)
 	if (deadline === undefined) return { kind: 'refused', error: 'badRequest' }
 	const body = await readBody(req, limits.maxBodyBytes)
-	if (body === 'gone') return { kind: 'gone' }
+	if (body === 'disconnected') return { kind: 'disconnected' }
 	if (body === 'tooLarge') return { kind: 'refused', error: 'tooLarge' }
 	const lastEventId = req.headers[wire.lastEventId]
 	return {
@@ -74,11 +74,11 @@
  * route or the key.
  */
 function refuseUnmatched(
-	{ newestPeerVersion: toldVersion }: GatewayContext,
+	{ newestPeerVersion }: GatewayContext,
 	{ config }: RouteTable,
 	error: ErrorKind,
 ): RequestReadResult {
-	const isBehind = toldVersion > config.version
+	const isBehind = newestPeerVersion > config.version
 	return { kind: 'refused', error: isBehind ? 'configBehind' : error }
 }
 
@@ -127,7 +127,7 @@
 function readBody(
 	req: IncomingMessage,
 	limit: number,
-): Promise<Buffer | 'gone' | 'tooLarge'> {
+): Promise<Buffer | 'disconnected' | 'tooLarge'> {
 	const length = Number(req.headers['content-length'] ?? 0)
 	if (length > limit) return Promise.resolve('tooLarge')
 	return new Promise(resolve => {
@@ -139,7 +139,7 @@
 			else parts.push(part)
 		})
 		req.on('end', () => resolve(Buffer.concat(parts)))
-		req.on('error', () => resolve('gone'))
-		req.on('close', () => resolve('gone'))
+		req.on('error', () => resolve('disconnected'))
+		req.on('close', () => resolve('disconnected'))
 	})
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -89,7 +89,7 @@
 	newestPeerVersion: number
 	/** When the configuration came into force, ms. */
 	configAppliedAt: number
-	/** Backoffs of lock-step groups that refuse requests at every rank. */
+	/** Closures of lock-step groups that refuse requests at every rank. */
 	readonly closures: GroupClosures
 	/**
 	 * When a group that refused before it ever served this process is expected to
@@ -104,13 +104,13 @@
 	readonly retries: Map<string, RetryWindow>
 	/** Entries considered alive, including this one. */
 	entryCount: number
-	/** Requests that servers run for this entry. */
+	/** Requests in flight and requests abandoned at servers. */
 	readonly sentRequests: SentRequests
 	/** Detects crashes of servers. */
 	readonly ends: CrashDetector
-	/** Gossip state: what entries know of servers and share. */
+	/** What this entry knows of servers and shares with other entries. */
 	readonly sharedState: SharedState
-	/** Updates that are still to be sent to other entries. */
+	/** Server updates that are still to be sent to other entries. */
 	readonly outbox: Outbox
 	/** Rate limits that servers report, over all entries. */
 	readonly rateLimits: RateLimits
@@ -118,7 +118,7 @@
 	readonly backoffs: ServerBackoffs
 	/** Permits of rate-limited servers that this entry holds. */
 	readonly permits: PermitStore
-	/** Permits that this entry grants to others, as home of a server. */
+	/** Permits that this entry grants to others, as permit home of servers. */
 	readonly permitHomes: PermitHomes
 	/** Requests suspected of crashing the servers that run them. */
 	readonly quarantineGate: QuarantineGate
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -74,13 +74,13 @@
 	localRows: Set<number>
 	/** Requests of this entry in flight, by server id. */
 	readonly inFlight: Map<string, number>
-	/** Requests in flight of each peer, by server id. */
+	/** Requests in flight by server id, of each peer by entry name. */
 	readonly inFlightByPeer: Map<string, ReadonlyMap<string, number>>
 	/** Requests in flight of all peers, by server id. */
 	readonly inFlightOfPeers: Map<string, number>
 	/** Request counts of this entry, by service. */
 	readonly meters: Map<string, FlowMeter>
-	/** Demand of each peer, by control address. */
+	/** Demand of each peer, by entry name. */
 	readonly peerDemand: Map<string, PeerDemand>
 	/** Factor that scales the sum over reporting peers to all peers. */
 	peerScale: number
@@ -167,12 +167,12 @@
 
 /** Records that a request was assigned to a server (`1`) or ended there (`-1`). */
 export function trackInFlight(fleet: Fleet, id: string, change: 1 | -1): void {
-	const held = (fleet.inFlight.get(id) ?? 0) + change
-	if (held > 0) fleet.inFlight.set(id, held)
+	const inFlight = (fleet.inFlight.get(id) ?? 0) + change
+	if (inFlight > 0) fleet.inFlight.set(id, inFlight)
 	else fleet.inFlight.delete(id)
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
-	fleet.table.sentSinceReport[row] = Math.max(0, held)
+	fleet.table.sentSinceReport[row] = Math.max(0, inFlight)
 	const meter = meterOf(fleet, fleet.servers[row]!.service)
 	if (change < 0) meter.finished++
 	else meter.sentSinceReport++
@@ -212,12 +212,12 @@
 /** Applies the reported slowdowns and limits to the table; other groups have none. */
 export function applyGroupReports(fleet: Fleet): void {
 	for (const [row, server] of fleet.servers.entries()) {
-		const told = fleet.groupReports.get(groupOf(server))
+		const report = fleet.groupReports.get(groupOf(server))
 		const { table } = fleet
-		const paces = Object.values(told?.slow ?? {})
-		table.slowdown[row] = Math.max(1, told?.slow[server.address] ?? 1)
-		table.groupSlowdown[row] = Math.max(1, ...paces)
-		table.maxInFlight[row] = told?.limit ?? Number.POSITIVE_INFINITY
+		const slowdowns = Object.values(report?.slow ?? {})
+		table.slowdown[row] = Math.max(1, report?.slow[server.address] ?? 1)
+		table.groupSlowdown[row] = Math.max(1, ...slowdowns)
+		table.maxInFlight[row] = report?.limit ?? Number.POSITIVE_INFINITY
 	}
 }
 
@@ -225,35 +225,35 @@
 export function recordPeerLoad(
 	fleet: Fleet,
 	peer: string,
-	held: ReadonlyMap<string, number>,
+	inFlight: ReadonlyMap<string, number>,
 	now: number,
 ): void {
 	const before = fleet.inFlightByPeer.get(peer)
 	if (before) addPeerLoad(fleet, before, -1, now)
-	fleet.inFlightByPeer.set(peer, held)
-	addPeerLoad(fleet, held, 1, now)
+	fleet.inFlightByPeer.set(peer, inFlight)
+	addPeerLoad(fleet, inFlight, 1, now)
 }
 
 /** Removes the demand and the requests in flight of a peer that has left. */
 export function dropPeerLoad(fleet: Fleet, peer: string, now: number): void {
 	fleet.peerDemand.delete(peer)
-	const held = fleet.inFlightByPeer.get(peer)
-	if (!held) return
+	const inFlight = fleet.inFlightByPeer.get(peer)
+	if (!inFlight) return
 	fleet.inFlightByPeer.delete(peer)
-	addPeerLoad(fleet, held, -1, now)
+	addPeerLoad(fleet, inFlight, -1, now)
 }
 
 function addPeerLoad(
 	fleet: Fleet,
-	held: ReadonlyMap<string, number>,
+	inFlight: ReadonlyMap<string, number>,
 	sign: 1 | -1,
 	now: number,
 ): void {
-	const { inFlightOfPeers: heldByOthers, table } = fleet
-	for (const [id, count] of held) {
-		const sum = (heldByOthers.get(id) ?? 0) + sign * count
-		if (sum > 0) heldByOthers.set(id, sum)
-		else heldByOthers.delete(id)
+	const { inFlightOfPeers, table } = fleet
+	for (const [id, count] of inFlight) {
+		const sum = (inFlightOfPeers.get(id) ?? 0) + sign * count
+		if (sum > 0) inFlightOfPeers.set(id, sum)
+		else inFlightOfPeers.delete(id)
 		const row = table.rowOf.get(id)
 		if (row === undefined) continue
 		table.reportedLoad[row] = Math.max(0, sum)
@@ -263,8 +263,8 @@
 
 /**
  * Resets the reported load of all servers to the requests in flight of the peers. Load
- * that a server reported in a response is outdated soon, and a server that no peer
- * uses any more sends no response that would correct it.
+ * that a server reported in a response is outdated soon, and a server does not
+ * report when the peers' requests there have ended.
  */
 export function applyPeerLoads(fleet: Fleet, now: number): void {
 	if (fleet.inFlightByPeer.size === 0) return
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -33,7 +33,7 @@
 const SERVER_ERROR = 500
 /** Errors of a cancelled request: if a server may have run it, and if none has. */
 const CANCEL_ERRORS = {
-	timeOver: ['noAnswer', 'startBudget'],
+	timeout: ['noAnswer', 'startBudget'],
 	quarantined: ['linkLost', 'quarantined'],
 } as const
 
@@ -45,18 +45,18 @@
 ): Promise<void> {
 	ctx.openRequests++
 	try {
-		const intake = await readCallerRequest(ctx, req)
-		switch (intake.kind) {
-			case 'gone':
+		const read = await readCallerRequest(ctx, req)
+		switch (read.kind) {
+			case 'disconnected':
 				break
 			case 'refused':
-				refuseRequest(ctx, req, res, intake.error)
+				refuseRequest(ctx, req, res, read.error)
 				break
 			case 'request':
-				await serveRequest(ctx, intake.request, res)
+				await serveRequest(ctx, read.request, res)
 				break
 			default:
-				intake satisfies never
+				read satisfies never
 		}
 	} finally {
 		ctx.openRequests--
@@ -113,8 +113,8 @@
 	// Quarantined requests count neither as demand nor towards the retry budget.
 	recordRequest(retryWindowOf(ctx, service), ctx.settings.retries, readNow())
 	countArrival(ctx.fleet, service)
-	const left = request.timeoutAt - readElapsed()
-	const timer = setTimeout(() => cancel('timeOver'), left)
+	const leftMs = request.timeoutAt - readElapsed()
+	const timer = setTimeout(() => cancel('timeout'), leftMs)
 	ctx.cancelByRequest.set(request, cancel)
 	res.on('close', () => {
 		ctx.cancelByRequest.delete(request)
@@ -171,12 +171,12 @@
 		const result = await makeAttempt(ctx, job)
 		if (job.signal.aborted) {
 			if (result.kind === 'answer') result.answer.cut()
-			if (result.kind === 'answer') result.release('left')
+			if (result.kind === 'answer') result.release('abandoned')
 			return
 		}
 		const next = await handleResult(ctx, job, res, result)
 		if (next.kind === 'done') return
-		if (next.kind === 'again') {
+		if (next.kind === 'retry') {
 			await awaitServerState(ctx, job)
 			if (job.signal.aborted) return
 			ctx.metrics.retries.inc({ reason: next.reason })
@@ -212,13 +212,13 @@
 				error: job.mayHaveRun ? 'linkLost' : result.error,
 			}
 		case 'notRun':
-			if (mayRetry(ctx, job)) return { kind: 'again', reason: 'notRun' }
+			if (mayRetry(ctx, job)) return { kind: 'retry', reason: 'notRun' }
 			return {
 				kind: 'failed',
 				error: job.mayHaveRun ? 'linkLost' : 'unreachable',
 			}
 		case 'lost':
-			if (mayRetry(ctx, job)) return { kind: 'again', reason: 'lost' }
+			if (mayRetry(ctx, job)) return { kind: 'retry', reason: 'lost' }
 			return { kind: 'failed', error: 'linkLost' }
 		case 'answer':
 			return await handleAnswer(ctx, job, res, result)
@@ -239,17 +239,17 @@
 	const isStream = status === 200 && type.includes('text/event-stream')
 	if (isStream) return await relayStream(ctx, job, res, result)
 	const body = await readAnswerBody(answer)
-	const sealed = message.headers[ctx.wire.seal] !== undefined
-	const usable = body.kind === 'whole' && (sealed || status >= 300)
-	const good = usable && status < SERVER_ERROR
-	result.release(classifyEnd(job, good, body.kind === 'whole'))
+	const isSealed = message.headers[ctx.wire.seal] !== undefined
+	const isUsable = body.kind === 'whole' && (isSealed || status >= 300)
+	const isGood = isUsable && status < SERVER_ERROR
+	result.release(classifyEnd(job, isGood, body.kind === 'whole'))
 	if (job.signal.aborted) return { kind: 'done' }
-	if (!good) {
+	if (!isGood) {
 		const reason = body.kind === 'broken' ? body.reason : `status ${status}`
 		logAttempt(ctx, job, serverId, 'failed', reason)
-		if (mayRetry(ctx, job)) return { kind: 'again', reason: 'failed' }
+		if (mayRetry(ctx, job)) return { kind: 'retry', reason: 'failed' }
 	}
-	if (!usable) return { kind: 'failed', error: 'truncated' }
+	if (!isUsable) return { kind: 'failed', error: 'truncated' }
 	const { arrivedAt, method } = job.request
 	job.times.startMs = readElapsed() - arrivedAt
 	ctx.metrics.firstByte.observe(job.times.startMs / 1_000)
@@ -259,7 +259,7 @@
 }
 
 function classifyEnd(job: Job, isGood: boolean, isWhole: boolean): AnswerEnd {
-	if (job.signal.aborted) return 'left'
+	if (job.signal.aborted) return 'abandoned'
 	if (isGood) return 'good'
 	return isWhole ? 'failed' : 'broken'
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -198,11 +198,11 @@
 /** Returns whether a peer has sent its state, there are no peers, or the wait is over. */
 function isPeerStateSettled({
 	settings,
-	hasPeerState: isTold,
+	hasPeerState,
 	startedAt,
 }: GatewayContext): boolean {
 	const hasPeers = settings.seeds.some(seed => seed !== settings.control)
-	return isTold || !hasPeers || readElapsed() - startedAt >= PEER_STATE_MS
+	return hasPeerState || !hasPeers || readElapsed() - startedAt >= PEER_STATE_MS
 }
 
 function createMetricsServer(ctx: GatewayContext): Server {
@@ -253,7 +253,7 @@
 /** Ends all open requests with a response, while there is time to send it. */
 export async function endOpenRequests(ctx: GatewayContext): Promise<void> {
 	ctx.log.write('open requests ended', { open: ctx.openRequests })
-	for (const cancel of [...ctx.cancelByRequest.values()]) cancel('timeOver')
+	for (const cancel of [...ctx.cancelByRequest.values()]) cancel('timeout')
 	await sleep(FLUSH_MS)
 }
 
--- a/packages/gateway/src/job.ts
+++ b/packages/gateway/src/job.ts
@@ -48,7 +48,7 @@
 	/** Ids of servers that it has been sent to. */
 	readonly tried: Set<string>
 	/** See {@link AcquireOptions}. */
-	readonly admissionDraw: AcquireOptions['luck']
+	readonly admissionDraw: AcquireOptions['admissionDraw']
 	/** Sends so far. */
 	sends: number
 	/** Sends that provably were not run. */
@@ -72,7 +72,7 @@
 	/** Truncated by the server. */
 	| 'broken'
 	/** This entry closed the connection. */
-	| 'left'
+	| 'abandoned'
 
 /** Result of an attempt. */
 export type AttemptResult =
@@ -94,10 +94,10 @@
  * Ends a request without a server's response, because it timed out or because it was
  * quarantined.
  */
-export type CancelRequest = (why: 'timeOver' | 'quarantined') => void
+export type CancelRequest = (why: 'timeout' | 'quarantined') => void
 
 /** What follows an attempt: nothing, a retry or a failure. */
 export type NextStep =
 	| { readonly kind: 'done' }
-	| { readonly kind: 'again'; readonly reason: string }
+	| { readonly kind: 'retry'; readonly reason: string }
 	| { readonly kind: 'failed'; readonly error: ErrorKind }
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -15,8 +15,8 @@
 	createRetryAfterSchedule,
 } from '@juniperhook/core'
 
-/** Assumed time for which a service stays full, before it was observed, ms. */
-const INITIAL_FULL_MS = 1_000
+/** Assumed length of a blockage before one has been observed, ms. */
+const INITIAL_BLOCKAGE_MS = 1_000
 /** Smoothing weight of a new sample of the time to first byte. */
 const FIRST_BYTE_WEIGHT = 0.1
 /** Safety factor: responses often take longer to start than the smoothed time. */
@@ -40,7 +40,7 @@
 	if (known) return known
 	const pressure = {
 		flow: createDispatchRate(),
-		full: createBlockageTracker(INITIAL_FULL_MS),
+		full: createBlockageTracker(INITIAL_BLOCKAGE_MS),
 		returns: createRetryAfterSchedule(),
 		firstByteMs: 0,
 	}
@@ -50,16 +50,18 @@
 
 /** Records the time to first byte of a response, ms. */
 export function recordFirstByte(pressure: Pressure, tookMs: number): void {
-	const { firstByteMs: firstMs } = pressure
+	const { firstByteMs } = pressure
 	pressure.firstByteMs =
-		firstMs === 0 ? tookMs : firstMs + FIRST_BYTE_WEIGHT * (tookMs - firstMs)
+		firstByteMs === 0
+			? tookMs
+			: firstByteMs + FIRST_BYTE_WEIGHT * (tookMs - firstByteMs)
 }
 
 /** Returns how long a request may wait and still be answered in time, ms. */
 export function waitBudgetMs(
-	{ firstByteMs: firstMs }: Pressure,
+	{ firstByteMs }: Pressure,
 	targetMs: number,
 	elapsedMs: number,
 ): number {
-	return targetMs - elapsedMs - FIRST_BYTE_MARGIN * firstMs
+	return targetMs - elapsedMs - FIRST_BYTE_MARGIN * firstByteMs
 }
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -25,32 +25,32 @@
 ): number {
 	const now = readNow()
 	const { flow, full, returns } = pressureOf(ctx.pressures, service)
-	const reopenMs = expectedReopenAt(ctx, service, now)
+	const reopenInMs = expectedReopenAt(ctx, service, now)
 	const availability = forecastAvailability(ctx, service)
 	const maxHonoredMs = leftMs * ctx.settings.retryAfterShare - RESPONSE_TRIP_MS
 	if (availability?.kind === 'resting') {
-		const { nextMs: moreMs } = availability
+		const { nextMs } = availability
 		const forecast = {
-			availableInMs: reopenMs,
-			notBeforeMs: moreMs,
-			maxHonoredMs: maxHonoredMs,
+			availableInMs: reopenInMs,
+			notBeforeMs: nextMs,
+			maxHonoredMs,
 		}
-		// While nothing is sent, the observed gaps say nothing about the server's rate.
+		// While nothing is sent, the observed intervals say nothing about the server's rate.
 		const gapMs = Math.max(flow.intervalMs, availability.intervalMs)
 		return scheduleRetryAfter(returns, { ...forecast, gapMs }, now, ctx.random)
 	}
 	const permitMs = availability?.nextMs ?? 0
 	const availableInMs = Math.max(
-		reopenMs,
+		reopenInMs,
 		estimateBlockageMs(full, now),
 		permitMs,
 	)
 	const gapMs = currentIntervalMs(flow, now)
 	const forecast = {
-		availableInMs: availableInMs,
+		availableInMs,
 		notBeforeMs: 0,
 		gapMs,
-		maxHonoredMs: maxHonoredMs,
+		maxHonoredMs,
 	}
 	return scheduleRetryAfter(returns, forecast, now, ctx.random)
 }
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -8,7 +8,8 @@
 export interface Send {
 	readonly job: Job
 	readonly server: ListedServer
-	readonly run: SentRequest
+	/** The request in the record of requests sent by this entry. */
+	readonly sentRequest: SentRequest
 	/** When it was sent, ms of the steady clock, which stands while the VM is suspended. */
 	readonly sentAt: number
 	/** When it was sent, ms of elapsed time, which includes suspensions. */
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -47,7 +47,7 @@
 	if (isSent) recordLost(ctx, send, reason)
 	send.releaseSlot()
 	if (!job.signal.aborted)
-		noteResult(ctx, send, { kind: isSent ? 'failed' : 'unreached' })
+		recordResult(ctx, send, { kind: isSent ? 'failed' : 'unreached' })
 	if (!isSent) recordNotRun(send)
 	// A rank without a process stops its whole group, which will refuse requests.
 	if (reason === CONNECTION_REFUSED && isGrouped(ctx, job.service))
@@ -57,7 +57,7 @@
 }
 
 /** Evaluates the head of a response, before its body is read. */
-export function judgeAnswer(
+export function evaluateAnswer(
 	ctx: GatewayContext,
 	send: Send,
 	answer: ServerAnswer,
@@ -128,8 +128,8 @@
 		case 'broken':
 			recordBrokenConnection(ctx, server)
 			break
-		case 'left':
-			noteAbandoned(ctx, send)
+		case 'abandoned':
+			recordAbandoned(ctx, send)
 			break
 		case 'failed':
 			break
@@ -139,11 +139,15 @@
 	send.releaseSlot()
 	const isPlain = request.route.kind !== 'stream'
 	const tookMs = isPlain ? readNow() - sentAt : undefined
-	const isGood = end === 'good' || end === 'left'
-	noteResult(ctx, send, isGood ? { kind: 'good', tookMs } : { kind: 'failed' })
+	const isSuccess = end === 'good' || end === 'abandoned'
+	recordResult(
+		ctx,
+		send,
+		isSuccess ? { kind: 'good', tookMs } : { kind: 'failed' },
+	)
 }
 
-function noteResult(
+function recordResult(
 	{ fleet }: GatewayContext,
 	{ server }: Send,
 	result: AttemptOutcome,
@@ -155,12 +159,15 @@
 /** Records a connection that was closed by the server or by this entry. */
 function recordLost(ctx: GatewayContext, send: Send, reason: string): void {
 	if (CLOSED_BY_SERVER.has(reason)) recordBrokenConnection(ctx, send.server)
-	else noteAbandoned(ctx, send)
+	else recordAbandoned(ctx, send)
 }
 
-function noteAbandoned(ctx: GatewayContext, { server, run }: Send): void {
-	trackAbandoned(ctx.sentRequests, server.id, run)
-	if (isSuspected(ctx, run.request)) scheduleCrashCheck(ctx, server)
+function recordAbandoned(
+	ctx: GatewayContext,
+	{ server, sentRequest }: Send,
+): void {
+	trackAbandoned(ctx.sentRequests, server.id, sentRequest)
+	if (isSuspected(ctx, sentRequest.request)) scheduleCrashCheck(ctx, server)
 }
 
 function recordNotRun({ job, mayHaveRunBefore }: Send): void {
--- a/packages/gateway/src/serverCall.ts
+++ b/packages/gateway/src/serverCall.ts
@@ -113,19 +113,19 @@
 	message.on('error', () => {})
 	// Node reports a response without a length as complete when the connection is reset.
 	let isReset = false
-	const noteReset = () => {
+	const recordReset = () => {
 		isReset = true
 	}
 	const { socket } = message
 	// A reset may also appear as a regular end; then the socket has no remote address.
-	const noteEnd = () => {
+	const checkEnd = () => {
 		if (socket.remoteAddress === undefined) isReset = true
 	}
-	socket.once('error', noteReset)
-	socket.prependOnceListener('end', noteEnd)
+	socket.once('error', recordReset)
+	socket.prependOnceListener('end', checkEnd)
 	message.once('close', () => {
-		socket.removeListener('error', noteReset)
-		socket.removeListener('end', noteEnd)
+		socket.removeListener('error', recordReset)
+		socket.removeListener('end', checkEnd)
 	})
 	return {
 		status: message.statusCode ?? 0,
--- a/packages/gateway/src/serverQueue.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -32,9 +32,9 @@
  * Requests that an engine may queue beyond its slots: none. A request queued there
  * waits until one of that engine's few streams ends; here, until any stream ends.
  */
-const ENGINE_QUEUE_ROOM = 0
+const ENGINE_QUEUE_CAPACITY = 0
 /** Requests that a plain server may queue beyond its slots. */
-const PLAIN_QUEUE_ROOM = 6
+const PLAIN_QUEUE_CAPACITY = 6
 
 /** Acquires a server with a free slot; the caller must free it with {@link trackInFlight}. */
 export function acquireServer(
@@ -45,7 +45,7 @@
 	const pressure = pressureOf(ctx.pressures, options.service)
 	const now = readNow()
 	const demand = queue.waiting.length + 1
-	requestPermits(ctx, options.service, demand, 0)
+	requestPermitsAhead(ctx, options.service, demand, 0)
 	if (queue.waiting.length === 0) {
 		const grant = chooseServer(
 			ctx,
@@ -55,14 +55,14 @@
 		)
 		if (grant.kind === 'server') {
 			recordDispatch(pressure.flow, now)
-			// The service still counts as full while it admits only a fraction of requests.
+			// A blockage goes on while the service admits only a fraction of requests.
 			if (!isRationed(ctx.fleet, options.service))
 				markUnblocked(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
 	markBlocked(pressure.full, now)
-	requestPermits(ctx, options.service, demand, options.waitMs)
+	requestPermitsAhead(ctx, options.service, demand, options.waitMs)
 	const forecast = forecastAvailability(ctx, options.service)
 	if (willExceedWait(queue, options, pressure, forecast, now))
 		return Promise.resolve({ kind: forecast?.kind ?? 'full' })
@@ -142,7 +142,7 @@
 }
 
 /** Requests permits in advance; permits that arrive later go to waiting requests. */
-function requestPermits(
+function requestPermitsAhead(
 	ctx: GatewayContext,
 	service: string,
 	demand: number,
@@ -159,7 +159,7 @@
 	const { service } = waiting[0]!
 	const now = readNow()
 	const longest = Math.max(...waiting.map(({ until }) => until - now))
-	requestPermits(ctx, service, waiting.length, longest)
+	requestPermitsAhead(ctx, service, waiting.length, longest)
 	const forecast = forecastAvailability(ctx, service)
 	if (!forecast) return
 	for (const [before, { until, grant }] of waiting.entries())
@@ -171,7 +171,7 @@
 	ctx: GatewayContext,
 	service: string,
 	triedIds: ReadonlySet<string>,
-	luck: number,
+	admissionDraw: number,
 ): Grant {
 	const { fleet, routes } = ctx
 	const tried = new Set<number>()
@@ -185,10 +185,10 @@
 	const query = {
 		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
-		queueRoom: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
-		shutGroups: listUnavailableGroups(ctx, luck, now),
-		near: fleet.localRows,
-		untold: meterOf(fleet, service).sentSinceReport,
+		queueCapacity: isEngine ? ENGINE_QUEUE_CAPACITY : PLAIN_QUEUE_CAPACITY,
+		closedGroups: listUnavailableGroups(ctx, admissionDraw, now),
+		localRows: fleet.localRows,
+		unreportedSends: meterOf(fleet, service).sentSinceReport,
 		permitted,
 		withheld: new Set([...spent, ...listBackingOff(ctx, service)]),
 	}
@@ -206,15 +206,15 @@
 
 function listUnavailableGroups(
 	ctx: GatewayContext,
-	luck: number,
+	admissionDraw: number,
 	now: number,
 ): Set<number> {
 	const unavailable = new Set<number>()
 	for (const [number, group] of ctx.fleet.groups.entries())
 		if (isGroupClosed(ctx.closures, group, now)) unavailable.add(number)
 	const { fleet } = ctx
-	const isOpen = (group: number, room: number) =>
-		isAdmitted(fleet, group, room, luck)
+	const isOpen = (group: number, freeSlots: number) =>
+		isAdmitted(fleet, group, freeSlots, admissionDraw)
 	const full = listFullGroups(fleet.table, isOpen, fleet.peerScale)
 	for (const number of full) unavailable.add(number)
 	return unavailable
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -6,7 +6,7 @@
 import { trackInFlight } from './fleet.ts'
 import type { AttemptResult, Job } from './job.ts'
 import type { Send } from './send.ts'
-import { judgeAnswer, recordUnanswered } from './sendOutcome.ts'
+import { evaluateAnswer, recordUnanswered } from './sendOutcome.ts'
 import { trackRequest, untrackRequest } from './sentRequests.ts'
 import type { CallResult } from './serverCall.ts'
 import { callServer } from './serverCall.ts'
@@ -43,7 +43,7 @@
 	}
 	const send = beginSend(ctx, job, server)
 	const result = await call(ctx, send, untilTimeoutMs)
-	if (result.kind === 'answer') return judgeAnswer(ctx, send, result.answer)
+	if (result.kind === 'answer') return evaluateAnswer(ctx, send, result.answer)
 	return recordUnanswered(ctx, send, result)
 }
 
@@ -58,16 +58,16 @@
 	const mayHaveRunBefore = job.mayHaveRun
 	// Assumed until disproved, since the request may time out before that.
 	job.mayHaveRun = true
-	const run = trackRequest(ctx.sentRequests, server.id, job.request)
+	const sentRequest = trackRequest(ctx.sentRequests, server.id, job.request)
 	return {
 		job,
 		server,
-		run,
+		sentRequest,
 		sentAt: readNow(),
 		sentAtElapsed: readElapsed(),
 		mayHaveRunBefore,
 		releaseSlot: () => {
-			untrackRequest(ctx.sentRequests, server.id, run)
+			untrackRequest(ctx.sentRequests, server.id, sentRequest)
 			releaseServer(ctx, server.id)
 		},
 	}
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -95,10 +95,10 @@
 	{ server }: StatementOrigin,
 	header: string,
 ): void {
-	const { unknownHeaders: unknown } = ctx.unrecognizedSignals
-	const isNew = !unknown.has(header) && unknown.size < MAX_UNKNOWN
-	if (isNew) unknown.add(header)
-	const name = unknown.has(header) ? header : OTHERS
+	const { unknownHeaders } = ctx.unrecognizedSignals
+	const isNew = !unknownHeaders.has(header) && unknownHeaders.size < MAX_UNKNOWN
+	if (isNew) unknownHeaders.add(header)
+	const name = unknownHeaders.has(header) ? header : OTHERS
 	ctx.metrics.unknownHeaders.inc({ header: name })
 	if (isNew) ctx.log.write('server header unknown', { server, header })
 }
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -25,7 +25,7 @@
 	const splitter = createEventSplitter()
 	let lastAt = readNow()
 	let inOrder = true
-	const notePause = (ms: number) => {
+	const recordPause = (ms: number) => {
 		ctx.metrics.pauses.observe(ms / 1_000)
 		job.times.longestPauseMs = Math.max(job.times.longestPauseMs, ms)
 	}
@@ -36,7 +36,7 @@
 			return
 		}
 		const now = readNow()
-		if (res.headersSent) notePause(now - lastAt)
+		if (res.headersSent) recordPause(now - lastAt)
 		else {
 			writeStreamHead(ctx, res, message)
 			job.times.startMs = readElapsed() - job.request.arrivedAt
@@ -70,14 +70,14 @@
 				return
 			}
 			ctx.metrics.resumes.inc()
-			resolve({ kind: 'again', reason: 'broken' })
+			resolve({ kind: 'retry', reason: 'broken' })
 		})
 	})
 }
 
 /** Classifies the end of a stream's connection. */
 function classifyEnd(job: Job, isWhole: boolean, isFramed: boolean): AnswerEnd {
-	if (job.signal.aborted) return 'left'
+	if (job.signal.aborted) return 'abandoned'
 	if (isWhole) return 'good'
 	return isFramed ? 'failed' : 'broken'
 }
--- a/packages/gateway/src/suspension.ts
+++ b/packages/gateway/src/suspension.ts
@@ -31,7 +31,7 @@
 function endOverdue(ctx: GatewayContext): void {
 	const now = readElapsed()
 	for (const [request, cancel] of [...ctx.cancelByRequest])
-		if (now >= request.timeoutAt) cancel('timeOver')
+		if (now >= request.timeoutAt) cancel('timeout')
 }
 
 /** Resolves to `wait`, or early to `instead` when a suspension is detected meanwhile. */
--- a/packages/gateway/test/fakeBackends.ts
+++ b/packages/gateway/test/fakeBackends.ts
@@ -52,7 +52,7 @@
 				? { kind: 'untold' }
 				: { kind: 'told', value: toValue(text) }
 		}
-		const rest = read(SIGNALS.restMs, text => Number(text) * 1_000)
+		const backoff = read(SIGNALS.restMs, text => Number(text) * 1_000)
 		return {
 			signals: {
 				load: read(SIGNALS.load, text => {
@@ -60,7 +60,7 @@
 					return { running, waiting }
 				}),
 				perSecond: read(SIGNALS.perSecond, Number),
-				restMs: status === 503 ? rest : { kind: 'untold' },
+				restMs: status === 503 ? backoff : { kind: 'untold' },
 				leaving: read(SIGNALS.leaving, () => true as const),
 			},
 			unknown: Object.keys(headers).filter(name => name.startsWith('x-new')),
@@ -338,9 +338,9 @@
 	config: TrafficConfig | undefined,
 	listed: readonly ListedServer[],
 ): FakeCatalog {
-	const published = (held: TrafficConfig) => ({
-		config: held,
-		text: JSON.stringify(held),
+	const toPublished = (config: TrafficConfig) => ({
+		config,
+		text: JSON.stringify(config),
 	})
 	let wake = () => {}
 	let changes: Partial<CatalogSnapshot> | undefined
@@ -351,7 +351,7 @@
 		reads: 0,
 		snapshot: {
 			revision: revisionOf(1),
-			config: config && published(config),
+			config: config && toPublished(config),
 			servers: listed.map(server => ({
 				name: server.name,
 				revision: revisionOf(1),
@@ -359,10 +359,10 @@
 			})),
 			faults: [],
 		},
-		publish(told) {
+		publish(update) {
 			const revision = nextRevision(catalog)
-			catalog.snapshot = { ...catalog.snapshot, ...told, revision }
-			changes = told
+			catalog.snapshot = { ...catalog.snapshot, ...update, revision }
+			changes = update
 			wake()
 		},
 		async read() {
@@ -378,13 +378,13 @@
 					setTimeout(resolve, Math.min(waitMs, 50))
 				})
 			if (catalog.isDown) return SOURCE_DOWN
-			const told = changes
+			const update = changes
 			changes = undefined
-			const now = told ? catalog.snapshot.revision : revision
-			const value = { ...none, ...told, revision: now }
+			const now = update ? catalog.snapshot.revision : revision
+			const value = { ...none, ...update, revision: now }
 			return { ok: true, value, bytes: 0 }
 		},
-		decode: text => published(JSON.parse(text) as TrafficConfig),
+		decode: text => toPublished(JSON.parse(text) as TrafficConfig),
 	}
 	return catalog
 }
--- a/packages/gateway/test/groups.test.ts
+++ b/packages/gateway/test/groups.test.ts
@@ -107,7 +107,7 @@
 	}
 	await report(1, true)
 	const answers = [1, 2, 3].map(at =>
-		callGateway(gateway.callers, `/r/${at}`, { 'x-id': `told-${at}` }),
+		callGateway(gateway.callers, `/r/${at}`, { 'x-id': `reported-${at}` }),
 	)
 	await new Promise(resolve => setTimeout(resolve, 300))
 	assert.is(backends.arrivals.length, 0)
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -26,15 +26,15 @@
 	return pressure
 }
 
-function acquire(waitMs: number, inTurn = true, luck = 0) {
+function acquire(waitMs: number, slotsFreeOneByOne = true, admissionDraw = 0) {
 	return acquireServer(ctx, {
 		service: SERVICE,
 		team: 't',
 		priority: 1,
-		admissionDraw: luck,
+		admissionDraw,
 		tried: new Set(),
 		waitMs,
-		slotsFreeOneByOne: inTurn,
+		slotsFreeOneByOne,
 		signal: NEVER_ABORTED,
 	})
 }
@@ -44,21 +44,26 @@
 		name: 'with no slot expected in time',
 		gapMs: 900,
 		waitMs: 400,
-		inTurn: true,
+		slotsFreeOneByOne: true,
+	},
+	{
+		name: 'without time to wait',
+		gapMs: 10,
+		waitMs: -1,
+		slotsFreeOneByOne: true,
 	},
-	{ name: 'without time to wait', gapMs: 10, waitMs: -1, inTurn: true },
 	{
 		name: 'to a group that does not form',
 		gapMs: 10,
 		waitMs: 0,
-		inTurn: false,
+		slotsFreeOneByOne: false,
 	},
 ]
 
-for (const { name, gapMs, waitMs, inTurn } of REFUSED)
+for (const { name, gapMs, waitMs, slotsFreeOneByOne } of REFUSED)
 	test(`full service: a request ${name} does not wait`, async () => {
 		fill(gapMs)
-		const grant = acquire(waitMs, inTurn)
+		const grant = acquire(waitMs, slotsFreeOneByOne)
 		assert.is(ctx.fleet.queues.get(SERVICE)!.waiting.length, 0)
 		assert.is((await grant).kind, 'full')
 	})
@@ -109,7 +114,7 @@
 		assert.is(waitBudgetMs(pressure, 500, elapsedMs), budget)
 	})
 
-test('nearly full group: admits a fraction of requests and still counts as full', async () => {
+test('nearly full group: admits a fraction of requests without ending the blockage', async () => {
 	const { fleet } = ctx
 	fleet.groups.push(`${SERVICE}/g`)
 	fleet.table.group.fill(0)
@@ -124,7 +129,7 @@
 	assert.is((await acquire(-1, true, 0.2)).kind, 'server')
 	assert.ok(
 		full.since !== undefined,
-		'the service counts as full while others are refused',
+		'the blockage goes on while others are refused',
 	)
 	meter.minAdmittedFraction = 1
 	meter.intake = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -69,11 +69,11 @@
 	const gateway = await openGateway()
 	const { ctx } = gateway
 	const ran = { '6.deadly': 40 }
-	const told = [
+	const updates = [
 		{ kind: 'end' as const, server: 'a', agoMs: 5_000, ran },
 		{ kind: 'end' as const, server: 'b', agoMs: 1_000, ran },
 	]
-	receiveUpdates(ctx, told, 'peer')
+	receiveUpdates(ctx, updates, 'peer')
 	const [first] = ctx.quarantineGate.quarantine.ends.values()
 	const before = readElapsed() - first!.at
 	ctx.fleet.groupReports.set('g', {
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -23,7 +23,7 @@
 const SEND = 'packages/gateway/src/serverSend.ts'
 const RETRIES = 'packages/gateway/src/retryDecision.ts'
 const STATEMENT = 'packages/gateway/src/serverStatement.ts'
-const WAITING = 'packages/gateway/src/waiting.ts'
+const SERVER_QUEUE = 'packages/gateway/src/serverQueue.ts'
 const ENTRY_DEMAND = 'packages/gateway/src/entryDemand.ts'
 const DEMAND_WATCH = 'packages/groups/src/demandWatch.ts'
 
@@ -73,8 +73,8 @@
 	},
 	{
 		name: 'predictedWaits',
-		file: WAITING,
-		on: '	if (!options.inTurn) return options.waitMs <= 0',
+		file: SERVER_QUEUE,
+		on: '	if (!options.slotsFreeOneByOne) return options.waitMs <= 0',
 		off: '	if (flow) return options.waitMs <= 0',
 	},
 	{
@@ -128,14 +128,14 @@
 	{
 		name: 'resume',
 		file: 'packages/gateway/src/streamRelay.ts',
-		on: '			if (!mayTryAgain(ctx, job)) {',
-		off: '			if (lastAt > 0 || !mayTryAgain(ctx, job)) {',
+		on: '			if (!mayRetry(ctx, job)) {',
+		off: '			if (lastAt > 0 || !mayRetry(ctx, job)) {',
 	},
 	{
 		name: 'peerCounts',
 		file: 'packages/gateway/src/fleet.ts',
-		on: '		const sum = (heldByOthers.get(id) ?? 0) + sign * count',
-		off: '		const sum = (heldByOthers.get(id) ?? 0) + 0 * sign * count',
+		on: '		const sum = (inFlightOfPeers.get(id) ?? 0) + sign * count',
+		off: '		const sum = (inFlightOfPeers.get(id) ?? 0) + 0 * sign * count',
 	},
 	{
 		name: 'closures',
@@ -181,9 +181,9 @@
 	},
 	{
 		name: 'untoldSends',
-		file: WAITING,
-		on: '		untold: meterOf(fleet, service).untold,',
-		off: '		untold: 0,',
+		file: SERVER_QUEUE,
+		on: '		unreportedSends: meterOf(fleet, service).sentSinceReport,',
+		off: '		unreportedSends: 0,',
 	},
 	{
 		name: 'tree',
@@ -211,15 +211,15 @@
 	},
 	{
 		name: 'engineRoom',
-		file: WAITING,
-		on: 'const ENGINE_QUEUE_ROOM = 0',
-		off: 'const ENGINE_QUEUE_ROOM = 2',
+		file: SERVER_QUEUE,
+		on: 'const ENGINE_QUEUE_CAPACITY = 0',
+		off: 'const ENGINE_QUEUE_CAPACITY = 2',
 	},
 	{
 		name: 'fullSpells',
-		file: WAITING,
-		on: '			if (!isRationed(ctx.fleet, options.service)) endSpell(pressure.full, now)',
-		off: '			if (isRationed(ctx.fleet, options.service) || now) endSpell(pressure.full, now)',
+		file: SERVER_QUEUE,
+		on: '			if (!isRationed(ctx.fleet, options.service))',
+		off: '			if (isRationed(ctx.fleet, options.service) || now)',
 	},
 	{
 		name: 'shiftBounds',
@@ -266,8 +266,8 @@
 	{
 		name: 'rests',
 		file: STATEMENT,
-		on: '		if (restMs !== undefined) takeRest(ctx, server, restMs)',
-		off: '		if (restMs === -1) takeRest(ctx, server, restMs)',
+		on: '		if (restMs !== undefined) recordRequestedBackoff(ctx, server, restMs)',
+		off: '		if (restMs === -1) recordRequestedBackoff(ctx, server, restMs)',
 	},
 	{
 		name: 'restOfOneRank',
@@ -284,8 +284,8 @@
 	{
 		name: 'leavingByAnswers',
 		file: STATEMENT,
-		on: "		if (leaving) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')",
-		off: "		if (leaving && !server) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')",
+		on: "		if (leaving) recordLeaving(ctx, [{ kind: 'left', server }], 'answer')",
+		off: "		if (leaving && !server) recordLeaving(ctx, [{ kind: 'left', server }], 'answer')",
 	},
 ]
 
