--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -107,7 +107,7 @@
 	/** Requests in flight and requests abandoned at servers. */
 	readonly sentRequests: SentRequests
 	/** Detects crashes of servers. */
-	readonly ends: CrashDetector
+	readonly crashDetector: CrashDetector
 	/** What this entry knows of servers and shares with other entries. */
 	readonly sharedState: SharedState
 	/** Server updates that are still to be sent to other entries. */
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -42,7 +42,7 @@
 	server: ListedServer,
 ): void {
 	if (standsStill(ctx, server)) return
-	const { checks: doubts, queue } = ctx.ends
+	const { checks: doubts, queue } = ctx.crashDetector
 	const running = listInFlight(ctx.sentRequests, server.id)
 	const known = doubts.get(server.id)
 	if (!known && doubts.size >= MAX_DOUBTS) return
@@ -85,7 +85,7 @@
 }
 
 function askNext(ctx: GatewayContext): void {
-	const { ends } = ctx
+	const { crashDetector: ends } = ctx
 	while (ends.probing < MAX_PROBES) {
 		const id = ends.queue.shift()
 		if (id === undefined) return
@@ -125,7 +125,7 @@
 	doubt: CrashCheck,
 	listens: Listens,
 ): void {
-	const { checks: doubts, inconclusive: answered, queue } = ctx.ends
+	const { checks: doubts, inconclusive: answered, queue } = ctx.crashDetector
 	const { id } = doubt.server
 	if (doubts.get(id) !== doubt) return
 	switch (listens) {
@@ -152,7 +152,7 @@
  * that it leaves. One that says so later has lived on.
  */
 export function settleByList(ctx: GatewayContext): void {
-	const { ends, list } = ctx
+	const { crashDetector: ends, list } = ctx
 	for (const [id, doubt] of [...ends.inconclusive, ...ends.checks]) {
 		const listed = list.records.get(doubt.server.name)?.server
 		const isListed = listed?.id === id
@@ -162,7 +162,7 @@
 }
 
 function dropDoubt(
-	{ ends }: GatewayContext,
+	{ crashDetector: ends }: GatewayContext,
 	{ server, resolve: settle }: CrashCheck,
 ): void {
 	ends.checks.delete(server.id)
@@ -173,13 +173,13 @@
 /** Forgets doubts that nothing has settled. */
 export function expireCrashChecks(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const some of [ctx.ends.checks, ctx.ends.inconclusive])
+	for (const some of [ctx.crashDetector.checks, ctx.crashDetector.inconclusive])
 		for (const [id, { at }] of some) if (now - at >= DOUBT_MS) some.delete(id)
 }
 
 /** Notes that a server gave a whole answer: it has not ended before. */
 export function recordServerAlive(
-	{ ends }: GatewayContext,
+	{ crashDetector: ends }: GatewayContext,
 	server: string,
 ): void {
 	ends.inconclusive.delete(server)
@@ -187,7 +187,7 @@
 
 /** Waits until it is known whether a server that broke off has ended. */
 export async function awaitCrashCheck(
-	{ ends }: GatewayContext,
+	{ crashDetector: ends }: GatewayContext,
 	server: string,
 ): Promise<void> {
 	await ends.checks.get(server)?.resolved
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -41,7 +41,7 @@
 }
 
 /** Names of the signals that have a handler. */
-export const READ_SIGNALS = Object.keys(HANDLERS) as (keyof SignalValues)[]
+export const HANDLED_SIGNALS = Object.keys(HANDLERS) as (keyof SignalValues)[]
 
 /** Handles all signals and unknown headers of a response. */
 export function applyStatement(
@@ -49,7 +49,8 @@
 	heard: StatementOrigin,
 	statement: ServerStatement,
 ): void {
-	for (const signal of READ_SIGNALS) handleSignal(ctx, heard, statement, signal)
+	for (const signal of HANDLED_SIGNALS)
+		handleSignal(ctx, heard, statement, signal)
 	for (const header of statement.unknown) recordUnknown(ctx, heard, header)
 }
 
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -218,13 +218,13 @@
 		const row = entry.ctx.fleet.table.rowOf.get(servers.runs[0]!.server)!
 		const server = entry.ctx.fleet.servers[row]!
 		recordBrokenConnection(entry.ctx, server)
-		await until(() => entry.ctx.ends.inconclusive.size > 0)
+		await until(() => entry.ctx.crashDetector.inconclusive.size > 0)
 		assert.is(entry.ctx.quarantineGate.quarantine.ends.size, 0)
 		// Requests sent meanwhile reach the proxy, not the server.
 		const [run] = entry.ctx.sentRequests.inFlight.get(server.id)!
 		entry.ctx.sentRequests.inFlight.clear()
 		recordBrokenConnection(entry.ctx, server)
-		await until(() => entry.ctx.ends.checks.size === 0)
+		await until(() => entry.ctx.crashDetector.checks.size === 0)
 		const record = { name: server.name, revision: revisionOf(9) }
 		servers.catalogs[0]!.publish({
 			servers: [{ ...record, server: next(server) }],
@@ -246,7 +246,7 @@
 	const { ctx } = entry
 	const server = ctx.fleet.servers[0]!
 	recordBrokenConnection(ctx, server)
-	await until(() => ctx.ends.inconclusive.size > 0)
+	await until(() => ctx.crashDetector.inconclusive.size > 0)
 	const tell = (at: number, one: ListedServer | undefined) =>
 		servers.catalogs[0]!.publish({
 			servers: [{ name: server.name, revision: revisionOf(at), server: one }],
@@ -273,7 +273,7 @@
 		const [rank] = entry.ctx.fleet.servers
 		entry.ctx.closures.set(groupOf(rank!), closure)
 		recordBrokenConnection(entry.ctx, rank!)
-		assert.is(entry.ctx.ends.checks.size, doubts)
+		assert.is(entry.ctx.crashDetector.checks.size, doubts)
 		servers.close()
 	})
 
@@ -283,7 +283,7 @@
 	for (let at = 0; at < 6; at++) {
 		backends.script = ['cut', 'reset', 'cut']
 		await ask({ ctx, callers } as OpenGateway, '/r/x', 'the same')
-		await until(() => ctx.ends.checks.size === 0)
+		await until(() => ctx.crashDetector.checks.size === 0)
 	}
 	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
 	for (const server of backends.servers) server.close()
