--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -2,14 +2,14 @@
 
 export type { GatewayContext, GatewaySettings } from './context.ts'
 export * from './eventSplitter.ts'
-export type { FingerprintInput as SameRequest } from './fingerprint.ts'
+export type { FingerprintInput } from './fingerprint.ts'
 export { bodyLengthOf, computeFingerprint } from './fingerprint.ts'
 export { endOpenRequests, startGateway } from './gateway.ts'
 export * from './peerMesh.ts'
 export type {
 	CatalogSnapshot,
 	CatalogSource,
-	EventTimeoutPolicy as CallerPatience,
+	EventTimeoutPolicy,
 	PublishedConfig,
 	ServerLoad,
 	ServerStatement,
@@ -19,4 +19,4 @@
 	SourceResult,
 	WireNames,
 } from './ports.ts'
-export { HANDLED_SIGNALS as READ_SIGNALS } from './serverStatement.ts'
+export { HANDLED_SIGNALS } from './serverStatement.ts'
