--- a/packages/gateway/src/serverQueue.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -36,7 +36,7 @@
 /** Requests that a plain server may queue beyond its slots. */
 const PLAIN_QUEUE_CAPACITY = 6
 
-/** Acquires a server with a free slot; the caller must free it with {@link trackInFlight}. */
+/** Acquires a server with a free slot, to be freed with {@link trackInFlight}. */
 export function acquireServer(
 	ctx: GatewayContext,
 	options: AcquireOptions,
