--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -196,7 +196,7 @@
 		isOtherEntry(ctx, address),
 	)
 	recordAddresses(peers, addresses)
-	const { roster } = ctx.permitHomes
+	const { membership: roster } = ctx.permitHomes
 	for (const address of addresses)
 		recordEntryDiscovered(roster, address, readElapsed())
 	if (isOtherEntry(ctx, state.control))
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -91,7 +91,7 @@
 	ctx.permits.askHome = (home, ask) => askHome(peers, home, ask)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
-			recordEntryDiscovered(ctx.permitHomes.roster, seed, readElapsed())
+			recordEntryDiscovered(ctx.permitHomes.membership, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
 		keepLinks(ctx, peers)
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -18,14 +18,14 @@
 	/** For which there is a permit. */
 	readonly permitted: ReadonlySet<number>
 	/** For which there is none now. */
-	readonly spent: ReadonlySet<number>
+	readonly exhausted: ReadonlySet<number>
 }
 
 const NO_ROWS: ReadonlySet<number> = new Set()
 
 /** Which of a service's servers have a limit, and whether they may be sent to. */
 export function listLimited(ctx: GatewayContext, service: string): LimitedRows {
-	if (ctx.rateLimits.size === 0) return { permitted: NO_ROWS, spent: NO_ROWS }
+	if (ctx.rateLimits.size === 0) return { permitted: NO_ROWS, exhausted: NO_ROWS }
 	const { fleet, rateLimits, permits } = ctx
 	const permitted = new Set<number>()
 	const spent = new Set<number>()
@@ -37,7 +37,7 @@
 		if (held && hasPermit(held, now)) permitted.add(row)
 		else spent.add(row)
 	}
-	return { permitted, spent }
+	return { permitted, exhausted: spent }
 }
 
 /** Uses a permit for a request that is about to be sent, where it needs one. */
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -24,7 +24,7 @@
 	ctx: GatewayContext,
 	isLinked: (address: string) => boolean,
 ): void {
-	const { roster, pools, homes } = ctx.permitHomes
+	const { membership: roster, pools, homes } = ctx.permitHomes
 	const { control } = ctx.settings
 	if (!updateEntryMembership(roster, control, isLinked, readElapsed())) return
 	const before = [...homes]
@@ -40,7 +40,7 @@
 
 /** Control address of a server's home. */
 export function homeOf(ctx: GatewayContext, server: string): string {
-	const { homes, roster } = ctx.permitHomes
+	const { homes, membership: roster } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
 	const home = findPermitHome(server, roster.reachable) ?? ctx.settings.control
@@ -55,7 +55,7 @@
 	perSecond: number,
 	wish: PermitRequest,
 ): PermitGrant {
-	const { pools, roster } = ctx.permitHomes
+	const { pools, membership: roster } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
 	const pace = permitScheduleFor(perSecond, roster.count)
--- a/packages/gateway/src/permitRequest.ts
+++ b/packages/gateway/src/permitRequest.ts
@@ -33,7 +33,7 @@
 	if (ctx.rateLimits.size === 0) return
 	const count = Math.min(MAX_ASKED, wish.count)
 	const { withinMs } = wish
-	for (const row of listLimited(ctx, service).spent) {
+	for (const row of listLimited(ctx, service).exhausted) {
 		const { id } = ctx.fleet.servers[row]!
 		const held = heldPermitsOf(ctx, id)
 		const now = readElapsed()
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -29,7 +29,7 @@
 
 /** Homes, and the pools of those servers that this entry is home to. */
 export interface PermitHomes {
-	readonly roster: EntryMembership
+	readonly membership: EntryMembership
 	/** By server id. */
 	readonly pools: Map<string, PermitPool>
 	/** Control address of each server's home, by server id. */
@@ -39,7 +39,7 @@
 /** Makes an entry's homes while it knows of itself only. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
-		roster: createEntryMembership(own),
+		membership: createEntryMembership(own),
 		pools: new Map(),
 		homes: new Map(),
 	}
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -32,7 +32,7 @@
 	request: CallerRequest,
 ): boolean {
 	const { quarantineGate: gate } = ctx
-	if (gate.barred.size === 0 || !gate.lengths.has(request.body.length))
+	if (gate.quarantined.size === 0 || !gate.bodyLengths.has(request.body.length))
 		return false
 	return quarantinedForMs(ctx, request) > 0
 }
@@ -50,7 +50,7 @@
 
 /** How many other entries try a request again before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
-	const { reachable: heard } = permitHomes.roster
+	const { reachable: heard } = permitHomes.membership
 	const order = topByRendezvous(key, heard, heard.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
@@ -60,7 +60,7 @@
 	{ quarantineGate: gate }: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	if (!gate.lengths.has(request.body.length)) return false
+	if (!gate.bodyLengths.has(request.body.length)) return false
 	return gate.quarantine.suspects.has(fingerprintOf(request))
 }
 
@@ -115,14 +115,14 @@
 	const { quarantineGate: gate } = ctx
 	const { quarantine } = gate
 	const suspects = [...quarantine.suspects.keys()]
-	gate.lengths = new Set(suspects.map(bodyLengthOf))
-	const before = gate.barred
-	gate.barred = new Set(listQuarantined(quarantine))
-	ctx.metrics.quarantined.set(gate.barred.size)
-	for (const fingerprint of gate.barred)
+	gate.bodyLengths = new Set(suspects.map(bodyLengthOf))
+	const before = gate.quarantined
+	gate.quarantined = new Set(listQuarantined(quarantine))
+	ctx.metrics.quarantined.set(gate.quarantined.size)
+	for (const fingerprint of gate.quarantined)
 		if (!before.has(fingerprint)) bar(ctx, fingerprint, from)
 	for (const fingerprint of before)
-		if (!gate.barred.has(fingerprint))
+		if (!gate.quarantined.has(fingerprint))
 			ctx.log.write('request released', { fingerprint, from })
 }
 
--- a/packages/gateway/src/quarantineState.ts
+++ b/packages/gateway/src/quarantineState.ts
@@ -7,8 +7,8 @@
 export interface QuarantineGate {
 	readonly quarantine: Quarantine
 	/** Lengths of their bodies: no other request needs a fingerprint. */
-	lengths: ReadonlySet<number>
-	barred: ReadonlySet<string>
+	bodyLengths: ReadonlySet<number>
+	quarantined: ReadonlySet<string>
 }
 
 /** Makes a gate that lets everything pass. */
@@ -17,7 +17,7 @@
 ): QuarantineGate {
 	return {
 		quarantine,
-		lengths: new Set(),
-		barred: new Set(),
+		bodyLengths: new Set(),
+		quarantined: new Set(),
 	}
 }
--- a/packages/gateway/src/serverQueue.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -181,7 +181,7 @@
 	}
 	const now = readNow()
 	const isEngine = routes?.services.get(service)?.engine !== undefined
-	const { permitted, spent } = listLimited(ctx, service)
+	const { permitted, exhausted: spent } = listLimited(ctx, service)
 	const query = {
 		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
--- a/packages/gateway/test/crashingServers.ts
+++ b/packages/gateway/test/crashingServers.ts
@@ -29,7 +29,7 @@
 	readonly catalogs: FakeCatalog[]
 	readonly runs: ServerRun[]
 	/** When servers ended, ms. */
-	readonly ends: { readonly server: string; readonly at: number }[]
+	readonly crashes: { readonly server: string; readonly at: number }[]
 	readonly servers: CrashingServer[]
 	/** Lets all slow requests end well. */
 	release(): void
@@ -54,7 +54,7 @@
 	const all: CrashingServers = {
 		catalogs: [],
 		runs: [],
-		ends: [],
+		crashes: [],
 		servers: [],
 		release: () => {
 			for (const { slow } of all.servers) for (const finish of slow) finish()
@@ -148,7 +148,7 @@
 	name: string,
 ): void {
 	if (mortal.listed.name !== name || !mortal.server.listening) return
-	all.ends.push({ server: name, at: performance.now() })
+	all.crashes.push({ server: name, at: performance.now() })
 	stop(mortal)
 	setTimeout(() => comeBack(all, mortal), BACK_AFTER_MS)
 }
--- a/packages/gateway/test/poisonRequests.test.ts
+++ b/packages/gateway/test/poisonRequests.test.ts
@@ -14,7 +14,7 @@
 import { WIRE } from './fakeBackends.ts'
 import { CONTACT_MS } from './openGateway.ts'
 import type { World } from './poisonWorld.ts'
-import { ask, createWorlds, pause } from './poisonWorld.ts'
+import { send, createWorlds, pause } from './poisonWorld.ts'
 
 /** Sends after the third end that are allowed, once the contact time is over. */
 const MOST_AFTER = 3
@@ -37,7 +37,7 @@
 	const statuses: number[] = []
 	for (let at = 0; at < tries; at++) {
 		const entry = entries[at % entries.length]!
-		const got = await ask(entry, path, body, headers(at))
+		const got = await send(entry, path, body, headers(at))
 		statuses.push(got.status)
 		await pause(PAUSE_MS)
 	}
@@ -84,7 +84,7 @@
 	headers,
 }: DeadlyCase): Promise<string[]> {
 	const world = await openWorld(entries)
-	const { ends, runs } = world.servers
+	const { crashes: ends, runs } = world.servers
 	const early = await askAgain(world, path, body, TRIES / 2, headers)
 	await pause(CONTACT_MS)
 	const late = await askAgain(world, path, body, TRIES / 2, headers)
--- a/packages/gateway/test/poisonWorld.ts
+++ b/packages/gateway/test/poisonWorld.ts
@@ -77,7 +77,7 @@
 }
 
 /** Posts a body to an entry. */
-export function ask(
+export function send(
 	entry: OpenGateway,
 	path: string,
 	body: string,
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -13,7 +13,7 @@
 import type { OpenGateway } from './openGateway.ts'
 import { createOpener, until } from './openGateway.ts'
 import type { World } from './poisonWorld.ts'
-import { ask, createWorlds, openEntry, pause } from './poisonWorld.ts'
+import { send, createWorlds, openEntry, pause } from './poisonWorld.ts'
 
 const openWorld = createWorlds(23_500)
 /** Crashes this far apart do not count as simultaneous, ms. */
@@ -27,18 +27,18 @@
 async function crashServersUntilRefused(world: World): Promise<number> {
 	const { entries, servers } = world
 	for (let at = 0; at < 6; at++) {
-		const got = await ask(entries[at % entries.length]!, '/o/x', POISON)
+		const got = await send(entries[at % entries.length]!, '/o/x', POISON)
 		await pause(APART_MS)
 		if (got.status === 503) break
 	}
-	return servers.ends.length
+	return servers.crashes.length
 }
 
 /** Retries until the request is served, as callers do; returns the statuses. */
 async function retryUntilServed(entry: OpenGateway, body: string) {
 	const statuses: number[] = []
 	for (let at = 0; at < 4 && statuses.at(-1) !== 200; at++) {
-		statuses.push((await ask(entry, '/r/x', body)).status)
+		statuses.push((await send(entry, '/r/x', body)).status)
 		if (statuses.at(-1) !== 200) await pause(APART_MS)
 	}
 	return statuses
@@ -56,10 +56,10 @@
 	const { now } = clocks
 	clocks.now = () => now() + QUARANTINE_MS
 	await pause(APART_MS)
-	const asked = world.entries.map(entry => ask(entry, '/o/x', POISON))
+	const asked = world.entries.map(entry => send(entry, '/o/x', POISON))
 	const statuses = (await Promise.all(asked)).map(({ status }) => status)
 	clocks.now = now
-	assert.is(world.servers.ends.length - before, 1)
+	assert.is(world.servers.crashes.length - before, 1)
 	assert.is(statuses.filter(status => status === 503).length, 2)
 	world.servers.close()
 })
@@ -68,13 +68,13 @@
 	const world = await openWorld(3)
 	await crashServersUntilRefused(world)
 	for (const entry of world.entries) {
-		const got = await ask(entry, '/o/x', POISON)
+		const got = await send(entry, '/o/x', POISON)
 		assert.is(got.status, 503)
 		assert.match(got.body, '"quarantined"')
 		const seconds = Number(got.headers['retry-after'])
 		// Entries try it again one after another, 10 s apart.
 		assert.ok(seconds > 500 && seconds <= 620, String(seconds))
-		assert.is((await ask(entry, '/o/x', 'another body')).status, 200)
+		assert.is((await send(entry, '/o/x', 'another body')).status, 200)
 	}
 	world.servers.close()
 })
@@ -83,9 +83,9 @@
 	const world = await openWorld(2)
 	await crashServersUntilRefused(world)
 	const newcomer = await openEntry(world)
-	await until(() => newcomer.ctx.quarantineGate.barred.size > 0)
-	assert.is((await ask(newcomer, '/o/x', POISON)).status, 503)
-	assert.is(world.servers.ends.length, 2)
+	await until(() => newcomer.ctx.quarantineGate.quarantined.size > 0)
+	assert.is((await send(newcomer, '/o/x', POISON)).status, 503)
+	assert.is(world.servers.crashes.length, 2)
 	world.servers.close()
 })
 
@@ -109,18 +109,18 @@
 		'peer',
 	)
 	first.ctx.outbox.clear()
-	assert.is(second.ctx.quarantineGate.barred.size, 0)
+	assert.is(second.ctx.quarantineGate.quarantined.size, 0)
 	const newcomer = await openEntry(world)
-	await until(() => newcomer.ctx.quarantineGate.barred.size > 0)
-	await until(() => second.ctx.quarantineGate.barred.size > 0)
-	assert.is((await ask(second, '/o/x', POISON)).status, 503)
+	await until(() => newcomer.ctx.quarantineGate.quarantined.size > 0)
+	await until(() => second.ctx.quarantineGate.quarantined.size > 0)
+	assert.is((await send(second, '/o/x', POISON)).status, 503)
 	world.servers.close()
 })
 
 test('quarantine: a running copy of the request is ended as possibly run', async () => {
 	const world = await openWorld(1)
 	const [entry] = world.entries as [OpenGateway]
-	const asked = ask(entry, '/o/x', SLOW)
+	const asked = send(entry, '/o/x', SLOW)
 	await until(() => entry.ctx.sentRequests.inFlight.size > 0)
 	const [run] = [...[...entry.ctx.sentRequests.inFlight.values()][0]!]
 	const fingerprint = fingerprintOf(run!.request)
@@ -146,7 +146,7 @@
 	)
 	for (let at = 0; at < 3; at++) {
 		await pause(APART_MS / 4)
-		await ask(world.entries[at]!, '/o/x', POISON)
+		await send(world.entries[at]!, '/o/x', POISON)
 		await pause(APART_MS)
 		world.servers.release()
 	}
@@ -154,7 +154,7 @@
 	const statuses = await Promise.all(asked)
 	clearInterval(release)
 	for (const one of statuses) assert.is(one.at(-1), 200, one.join())
-	assert.ok(world.servers.ends.length >= 2)
+	assert.ok(world.servers.crashes.length >= 2)
 	world.servers.close()
 })
 
@@ -163,7 +163,7 @@
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	for (let round = 0; round < 3; round++) {
 		const asked = bodies.map((body, at) =>
-			ask(world.entries[at % 3]!, '/r/x', body),
+			send(world.entries[at % 3]!, '/r/x', body),
 		)
 		await pause(50)
 		for (const one of world.servers.servers)
@@ -173,15 +173,15 @@
 	}
 	const release = setInterval(() => world.servers.release(), 20)
 	for (const [at, body] of bodies.entries())
-		assert.is((await ask(world.entries[at % 3]!, '/r/x', body)).status, 200)
+		assert.is((await send(world.entries[at % 3]!, '/r/x', body)).status, 200)
 	clearInterval(release)
-	assert.ok(world.servers.ends.length >= 12)
+	assert.ok(world.servers.crashes.length >= 12)
 	world.servers.close()
 })
 
 test('quarantine: the crash of a rank closes its group at all entries', async () => {
 	const world = await openWorld(3, 4, ENGINE)
-	const asked = ask(world.entries[0]!, '/o/x', SLOW)
+	const asked = send(world.entries[0]!, '/o/x', SLOW)
 	await until(() => world.servers.runs.length > 0)
 	const [run] = world.servers.runs
 	const rank = world.servers.servers.find(
@@ -192,7 +192,7 @@
 	assert.is((await asked).status, 502)
 	// The other ranks would hold the request until they refuse it.
 	const before = world.servers.runs.length
-	const response = ask(world.entries[2]!, '/o/x', 'after the end')
+	const response = send(world.entries[2]!, '/o/x', 'after the end')
 	await pause(CLOSED_MS)
 	assert.is(world.servers.runs.length, before)
 	await response
@@ -213,13 +213,13 @@
 	test(`server crash: behind a proxy that still listens, it is detected when the list ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2)
 		const [entry] = entries as [OpenGateway]
-		const asked = ask(entry, '/o/x', SLOW)
+		const asked = send(entry, '/o/x', SLOW)
 		await until(() => servers.runs.length > 0)
 		const row = entry.ctx.fleet.table.rowOf.get(servers.runs[0]!.server)!
 		const server = entry.ctx.fleet.servers[row]!
 		recordBrokenConnection(entry.ctx, server)
 		await until(() => entry.ctx.crashDetector.inconclusive.size > 0)
-		assert.is(entry.ctx.quarantineGate.quarantine.ends.size, 0)
+		assert.is(entry.ctx.quarantineGate.quarantine.crashes.size, 0)
 		// Requests sent meanwhile reach the proxy, not the server.
 		const [run] = entry.ctx.sentRequests.inFlight.get(server.id)!
 		entry.ctx.sentRequests.inFlight.clear()
@@ -229,8 +229,8 @@
 		servers.catalogs[0]!.publish({
 			servers: [{ ...record, server: next(server) }],
 		})
-		await until(() => entry.ctx.quarantineGate.quarantine.ends.size > 0)
-		const [end] = entry.ctx.quarantineGate.quarantine.ends.values()
+		await until(() => entry.ctx.quarantineGate.quarantine.crashes.size > 0)
+		const [end] = entry.ctx.quarantineGate.quarantine.crashes.values()
 		assert.equal(
 			[end?.server, [...end!.ran.keys()]],
 			[server.id, [fingerprintOf(run!.request)]],
@@ -255,7 +255,7 @@
 	await until(() => ctx.list.departed.has(server.id))
 	tell(10, undefined)
 	await until(() => ctx.list.records.get(server.name)?.server === undefined)
-	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	servers.close()
 })
 
@@ -282,10 +282,10 @@
 	const { ctx, callers } = await createOpener(23_700, backends.listed)()
 	for (let at = 0; at < 6; at++) {
 		backends.script = ['cut', 'reset', 'cut']
-		await ask({ ctx, callers } as OpenGateway, '/r/x', 'the same')
+		await send({ ctx, callers } as OpenGateway, '/r/x', 'the same')
 		await until(() => ctx.crashDetector.checks.size === 0)
 	}
-	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	for (const server of backends.servers) server.close()
 })
 
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -74,7 +74,7 @@
 		{ kind: 'end' as const, server: 'b', agoMs: 1_000, ran },
 	]
 	receiveUpdates(ctx, updates, 'peer')
-	const [first] = ctx.quarantineGate.quarantine.ends.values()
+	const [first] = ctx.quarantineGate.quarantine.crashes.values()
 	const before = readElapsed() - first!.at
 	ctx.fleet.groupReports.set('g', {
 		slow: {},
