--- a/packages/gateway/src/availabilityForecast.ts
+++ b/packages/gateway/src/availabilityForecast.ts
@@ -1,6 +1,6 @@
 /**
- * What the callers of a service may expect while none of its servers may be sent a
- * request freely: each has a limit, or has asked for rest.
+ * Forecasts when a service can take requests while all of its servers are
+ * restricted, by a rate limit or by a backoff that they requested.
  */
 
 import {
@@ -13,72 +13,74 @@
 import type { GatewayContext } from './context.ts'
 import { heldPermitsOf } from './permitGate.ts'
 
-/** When a service's servers may be sent requests. */
+/** When the servers of a service may be sent requests. */
 export interface AvailabilityForecast {
-	/** What keeps the one that may be sent the next. */
+	/** Restriction of the server that is available first. */
 	readonly kind: 'limited' | 'resting'
-	/** When held permits may be used, from now, the soonest first, ms. */
+	/** Times from now at which held permits become valid, ascending, ms. */
 	readonly dueMs: readonly number[]
-	/** From now until more may be sent, ms. */
+	/** Time from now until requests beyond the held permits may be sent, ms. */
 	readonly nextMs: number
-	/** Between two of those, ms. */
+	/** Interval between those further requests, ms. */
 	readonly intervalMs: number
 }
 
-/** One server's part of it. */
-type ServerOutlook = Pick<AvailabilityForecast, 'kind' | 'dueMs' | 'nextMs'>
+/** The forecast for one server. */
+type ServerForecast = Pick<AvailabilityForecast, 'kind' | 'dueMs' | 'nextMs'>
 
-/** What a service's callers may expect; undefined while a server is free to be sent to. */
+/** Returns the forecast for a service; undefined while a server is unrestricted. */
 export function forecastAvailability(
 	ctx: GatewayContext,
 	service: string,
 ): AvailabilityForecast | undefined {
-	const { fleet, rateLimits, backoffs: rests } = ctx
-	if (rateLimits.size + rests.size === 0) return undefined
+	const { fleet, rateLimits, backoffs } = ctx
+	if (rateLimits.size + backoffs.size === 0) return undefined
 	const rows = fleet.rowsByService.get(service) ?? []
 	const now = readElapsed()
-	const all: ServerOutlook[] = []
+	const forecasts: ServerForecast[] = []
 	for (const row of rows) {
-		const one = outlookOfServer(ctx, fleet.servers[row]!.id, now)
-		if (!one) return undefined
-		all.push(one)
+		const forecast = forecastServer(ctx, fleet.servers[row]!.id, now)
+		if (!forecast) return undefined
+		forecasts.push(forecast)
 	}
-	const [first] = all.sort((a, b) => a.nextMs - b.nextMs)
+	const [first] = forecasts.sort((a, b) => a.nextMs - b.nextMs)
 	if (!first) return undefined
-	const { kind, nextMs: moreMs } = first
-	const dueMs = all.flatMap(one => one.dueMs).sort((a, b) => a - b)
+	const { kind, nextMs } = first
+	const dueMs = forecasts
+		.flatMap(forecast => forecast.dueMs)
+		.sort((a, b) => a - b)
 	return {
 		kind,
 		dueMs,
-		nextMs: moreMs,
+		nextMs,
 		intervalMs: kind === 'resting' ? BACKOFF_PROBE_INTERVAL_MS : 0,
 	}
 }
 
-function outlookOfServer(
+function forecastServer(
 	ctx: GatewayContext,
 	server: string,
 	now: number,
-): ServerOutlook | undefined {
-	const restMs = backoffLeftMs(ctx.backoffs, server, now)
+): ServerForecast | undefined {
+	const backoffMs = backoffLeftMs(ctx.backoffs, server, now)
 	if (rateLimitOf(ctx.rateLimits, server) === undefined)
-		return restMs > 0
-			? { kind: 'resting', dueMs: [], nextMs: restMs }
+		return backoffMs > 0
+			? { kind: 'resting', dueMs: [], nextMs: backoffMs }
 			: undefined
 	const held = heldPermitsOf(ctx, server)
-	const { isRequestPending: isAsking, notBefore } = held
-	const moreMs = isAsking ? 0 : Math.max(0, notBefore - now)
+	const { isRequestPending, notBefore } = held
+	const nextMs = isRequestPending ? 0 : Math.max(0, notBefore - now)
 	return {
-		kind: restMs > moreMs ? 'resting' : 'limited',
-		dueMs: listDueMs(held, now).map(ms => Math.max(ms, restMs)),
-		nextMs: Math.max(moreMs, restMs),
+		kind: backoffMs > nextMs ? 'resting' : 'limited',
+		dueMs: listDueMs(held, now).map(ms => Math.max(ms, backoffMs)),
+		nextMs: Math.max(nextMs, backoffMs),
 	}
 }
 
-/** How long the request after `before` others will wait, ms. */
+/** Returns the expected wait of a request with `before` others ahead of it, ms. */
 export function forecastWaitMs(
-	{ dueMs, nextMs: moreMs, intervalMs: gapMs }: AvailabilityForecast,
+	{ dueMs, nextMs, intervalMs }: AvailabilityForecast,
 	before: number,
 ): number {
-	return dueMs[before] ?? moreMs + (before - dueMs.length) * gapMs
+	return dueMs[before] ?? nextMs + (before - dueMs.length) * intervalMs
 }
--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request: which route and team, and how long there is. */
+/** Reads and validates a caller's request: route, team, deadline and body. */
 
 import type { IncomingMessage } from 'node:http'
 import type {
@@ -12,14 +12,14 @@
 import type { GatewayContext } from './context.ts'
 import type { CallerRequest } from './job.ts'
 
-/** A request, or why it is refused before it reaches a server. */
+/** A request, or the error with which it is refused before it reaches a server. */
 export type RequestReadResult =
 	| { readonly kind: 'request'; readonly request: CallerRequest }
 	| { readonly kind: 'refused'; readonly error: ErrorKind }
-	/** The caller's connection ended before the request was whole. */
-	| { readonly kind: 'gone' }
+	/** The caller's connection closed before the request was complete. */
+	| { readonly kind: 'disconnected' }
 
-/** Judges the head of a request and reads its body. */
+/** Validates the head of a request and reads its body. */
 export async function readCallerRequest(
 	ctx: GatewayContext,
 	req: IncomingMessage,
@@ -35,14 +35,14 @@
 		return { kind: 'refused', error: 'badRequest' }
 	const path = req.url ?? '/'
 	const route = findRoute(routes, req.headers.host ?? '', path)
-	if (!route) return refuseUnknown(ctx, routes, 'notFound')
+	if (!route) return refuseUnmatched(ctx, routes, 'notFound')
 	const team = findTeam(routes, req, wire.keyScheme)
 	const needsKey = routes.config.teams.length > 0 && !route.anonymous
-	if (!team && needsKey) return refuseUnknown(ctx, routes, 'unauthorized')
+	if (!team && needsKey) return refuseUnmatched(ctx, routes, 'unauthorized')
 	const deadline = readDeadline(req, wire.deadlineMs, route.timeoutMs)
 	if (deadline === undefined) return { kind: 'refused', error: 'badRequest' }
 	const body = await readBody(req, limits.maxBodyBytes)
-	if (body === 'gone') return { kind: 'gone' }
+	if (body === 'disconnected') return { kind: 'disconnected' }
 	if (body === 'tooLarge') return { kind: 'refused', error: 'tooLarge' }
 	const lastEventId = req.headers[wire.lastEventId]
 	return {
@@ -68,16 +68,17 @@
 }
 
 /**
- * Refuses what this configuration does not know. While a newer one is known to
- * be in force elsewhere, the caller is told to come back: it takes 401 and 404
- * for final, and the newer one may know its route or key.
+ * Refuses a route or key that is missing from this entry's configuration. While a
+ * peer has announced a newer version, the caller gets a retryable error instead:
+ * callers treat 401 and 404 as final, and the newer configuration may contain the
+ * route or the key.
  */
-function refuseUnknown(
-	{ newestPeerVersion: toldVersion }: GatewayContext,
+function refuseUnmatched(
+	{ newestPeerVersion }: GatewayContext,
 	{ config }: RouteTable,
 	error: ErrorKind,
 ): RequestReadResult {
-	const isBehind = toldVersion > config.version
+	const isBehind = newestPeerVersion > config.version
 	return { kind: 'refused', error: isBehind ? 'configBehind' : error }
 }
 
@@ -104,21 +105,21 @@
 	return routes.teamOfKey.get(key)
 }
 
-/** The caller's deadline in ms; `usual` when it names none. */
+/** Returns the caller's deadline, ms: `defaultMs` if absent, undefined if invalid. */
 function readDeadline(
 	req: IncomingMessage,
 	header: string,
-	usual: number,
+	defaultMs: number,
 ): number | undefined {
 	const text = req.headers[header]
-	if (text === undefined) return usual
+	if (text === undefined) return defaultMs
 	const value = Number(text)
 	return value > 0 && Number.isFinite(value) ? value : undefined
 }
 
 function countHeaderBytes(rawHeaders: readonly string[]): number {
 	let bytes = 0
-	// Two more for `: ` or the end of the line.
+	// Two more bytes for `: ` after a name or the line break after a value.
 	for (const part of rawHeaders) bytes += part.length + 2
 	return bytes
 }
@@ -126,7 +127,7 @@
 function readBody(
 	req: IncomingMessage,
 	limit: number,
-): Promise<Buffer | 'gone' | 'tooLarge'> {
+): Promise<Buffer | 'disconnected' | 'tooLarge'> {
 	const length = Number(req.headers['content-length'] ?? 0)
 	if (length > limit) return Promise.resolve('tooLarge')
 	return new Promise(resolve => {
@@ -138,7 +139,7 @@
 			else parts.push(part)
 		})
 		req.on('end', () => resolve(Buffer.concat(parts)))
-		req.on('error', () => resolve('gone'))
-		req.on('close', () => resolve('gone'))
+		req.on('error', () => resolve('disconnected'))
+		req.on('close', () => resolve('disconnected'))
 	})
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,4 +1,4 @@
-/** What all parts of a gateway share. */
+/** Settings and shared state of a gateway. */
 
 import type {
 	BlockageTracker,
@@ -33,37 +33,37 @@
 import type { SuspensionWatch } from './suspensionWatch.ts'
 import type { UnrecognizedSignals } from './unrecognizedSignals.ts'
 
-/** What a gateway is told of its VM. */
+/** Settings of a gateway on its VM. */
 export interface GatewaySettings {
 	readonly name: string
 	readonly ip: string
 	readonly dataCentre: string
-	/** Where callers connect. */
+	/** Address that callers connect to. */
 	readonly callers: string
-	/** Where the platform's balancer asks for readiness. */
+	/** Address of the readiness endpoint for the platform's load balancer. */
 	readonly readiness: string
-	/** Where other entries connect. */
+	/** Address that other entries connect to. */
 	readonly control: string
-	/** Where metrics are served; absent for none. */
+	/** Address of the metrics endpoint; undefined to serve no metrics. */
 	readonly metrics: string | undefined
-	/** Control addresses of some entries; may be stale. */
+	/** Control addresses of some entries, for discovery; may be stale. */
 	readonly seeds: readonly string[]
-	/** From SIGTERM to SIGKILL, ms. */
+	/** Time from SIGTERM to SIGKILL, ms. */
 	readonly stopMs: number
-	/** After trouble, a VM must be up to date again after this time, ms. */
+	/** Time within which a VM must be up to date again after a failure, ms. */
 	readonly contactMs: number
 	readonly retries: RetryAllowance
 	/**
-	 * Part of the time that a caller has left within which it comes back when it is
-	 * told to; later, it gives the request up.
+	 * Share of its remaining time within which a caller honours `Retry-After`; with a
+	 * later time it abandons the request.
 	 */
 	readonly retryAfterShare: number
 	readonly eventTimeout: EventTimeoutPolicy
 }
 
-/** A running gateway's state. */
+/** State of a running gateway. */
 export interface GatewayContext {
-	/** Changed when the settings file does. */
+	/** Replaced when the settings file changes. */
 	settings: GatewaySettings
 	readonly wire: WireNames
 	readonly readStatement: ServerWire['readStatement']
@@ -74,56 +74,59 @@
 	readonly fleet: Fleet
 	readonly pool: ServerPool
 	readonly list: ServerList
-	/** When this entry started, ms; whether a peer has told it its state since. */
+	/** When this entry started, ms of elapsed time. */
 	readonly startedAt: number
+	/** Whether a peer has sent its state since this entry started. */
 	hasPeerState: boolean
-	/** Removals that were doubted, for peers without the source. */
+	/** Deferred removals that were confirmed, for peers that cannot reach the source. */
 	readonly settledRemovals: ServerRecord[]
-	/** Whether the source does not answer this entry. */
+	/** Whether calls of this entry to the source fail. */
 	sourceAway: boolean
-	/** The configuration in force, indexed. */
+	/** Configuration in force, indexed. */
 	routes: RouteTable | undefined
 	published: PublishedConfig | undefined
-	/** Highest version of a configuration that a peer has told of; -1 for none. */
+	/** Highest configuration version that a peer has announced; -1 for none. */
 	newestPeerVersion: number
 	/** When the configuration came into force, ms. */
 	configAppliedAt: number
-	/** Lock-step groups that refuse at every rank. */
+	/** Closures of lock-step groups that refuse requests at every rank. */
 	readonly closures: GroupClosures
 	/**
-	 * Until when a group that refused before it ever served this process is
-	 * expected to open, ms; 0 once it has served.
+	 * When a group that refused before it ever served this process is expected to
+	 * open, ms, by group; 0 once it has served.
 	 */
 	readonly expectedOpenAt: Map<string, number>
 	/** Outages of lock-step groups, by group. */
 	readonly blockages: Map<string, BlockageTracker>
-	/** What is observed of each service that may be full. */
+	/** Load observations, by service. */
 	readonly pressures: Map<string, Pressure>
-	/** Retries to each service. */
+	/** Retry budget windows, by service. */
 	readonly retries: Map<string, RetryWindow>
-	/** Entries that are believed to live, with this one. */
+	/** Entries considered alive, including this one. */
 	entryCount: number
-	/** What servers run for this entry. */
+	/** Requests in flight and requests abandoned at servers. */
 	readonly sentRequests: SentRequests
-	/** Servers that may have ended. */
+	/** Detects crashes of servers. */
 	readonly crashDetector: CrashDetector
-	/** What is known of servers and shared with other entries; what they are to be told. */
+	/** What this entry knows of servers and shares with other entries. */
 	readonly sharedState: SharedState
+	/** Server updates that are still to be sent to other entries. */
 	readonly outbox: Outbox
-	/** What servers say of how many requests a second they take. */
+	/** Rate limits that servers report, over all entries. */
 	readonly rateLimits: RateLimits
-	/** Servers that want nothing from this entry for a while. */
+	/** Backoffs that servers have requested of this entry. */
 	readonly backoffs: ServerBackoffs
-	/** Permits that this entry has, and those that it gives to others. */
+	/** Permits of rate-limited servers that this entry holds. */
 	readonly permits: PermitStore
+	/** Permits that this entry grants to others, as permit home of servers. */
 	readonly permitHomes: PermitHomes
-	/** Requests under which servers ended. */
+	/** Requests suspected of crashing the servers that run them. */
 	readonly quarantineGate: QuarantineGate
-	/** Whether the VM was suspended. */
+	/** Detects suspensions of the VM. */
 	readonly suspension: SuspensionWatch
-	/** Requests being served. */
+	/** Number of requests being served. */
 	openRequests: number
-	/** Gives each request that has no final answer one at once. */
+	/** Ends a request without a server's response, for each open request. */
 	readonly cancelByRequest: Map<CallerRequest, CancelRequest>
 	stopping: boolean
 }
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -1,4 +1,4 @@
-/** When a caller that is turned away is to come back. */
+/** Chooses the `Retry-After` time of refused requests. */
 
 import {
 	currentIntervalMs,
@@ -11,10 +11,13 @@
 import type { GatewayContext } from './context.ts'
 import { pressureOf } from './pressure.ts'
 
-/** For a refusal to reach its caller, who reckons from then on, ms. */
-const WAY_MS = 50
+/** Time for a refusal to reach its caller, whose own clock starts on arrival, ms. */
+const RESPONSE_TRIP_MS = 50
 
-/** Time to tell a refused caller that has `leftMs` until its deadline, ms. */
+/**
+ * Returns the `Retry-After` time for a refused caller that has `leftMs` until its
+ * deadline, ms.
+ */
 export function chooseRetryAfterMs(
 	ctx: GatewayContext,
 	service: string,
@@ -22,32 +25,32 @@
 ): number {
 	const now = readNow()
 	const { flow, full, returns } = pressureOf(ctx.pressures, service)
-	const closedMs = expectedReopenAt(ctx, service, now)
-	const outlook = forecastAvailability(ctx, service)
-	const maxHonoredMs = leftMs * ctx.settings.retryAfterShare - WAY_MS
-	if (outlook?.kind === 'resting') {
-		const { nextMs: moreMs } = outlook
+	const reopenInMs = expectedReopenAt(ctx, service, now)
+	const availability = forecastAvailability(ctx, service)
+	const maxHonoredMs = leftMs * ctx.settings.retryAfterShare - RESPONSE_TRIP_MS
+	if (availability?.kind === 'resting') {
+		const { nextMs } = availability
 		const forecast = {
-			availableInMs: closedMs,
-			notBeforeMs: moreMs,
-			maxHonoredMs: maxHonoredMs,
+			availableInMs: reopenInMs,
+			notBeforeMs: nextMs,
+			maxHonoredMs,
 		}
-		// While nothing is sent, the gaps seen tell nothing of the server.
-		const gapMs = Math.max(flow.intervalMs, outlook.intervalMs)
+		// While nothing is sent, the observed intervals say nothing about the server's rate.
+		const gapMs = Math.max(flow.intervalMs, availability.intervalMs)
 		return scheduleRetryAfter(returns, { ...forecast, gapMs }, now, ctx.random)
 	}
-	const permitMs = outlook?.nextMs ?? 0
+	const permitMs = availability?.nextMs ?? 0
 	const availableInMs = Math.max(
-		closedMs,
+		reopenInMs,
 		estimateBlockageMs(full, now),
 		permitMs,
 	)
 	const gapMs = currentIntervalMs(flow, now)
 	const forecast = {
-		availableInMs: availableInMs,
+		availableInMs,
 		notBeforeMs: 0,
 		gapMs,
-		maxHonoredMs: maxHonoredMs,
+		maxHonoredMs,
 	}
 	return scheduleRetryAfter(returns, forecast, now, ctx.random)
 }
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,19 +1,21 @@
-/** A request on its way to a server. */
+/** A request sent to a server. */
 
 import type { ListedServer } from '@juniperhook/core'
 import type { Job } from './job.ts'
 import type { SentRequest } from './sentRequests.ts'
 
-/** One sending of a request to a server. */
+/** One send of a request to a server. */
 export interface Send {
 	readonly job: Job
 	readonly server: ListedServer
-	readonly run: SentRequest
-	/** When it was sent, ms; on the steady clock, and by elapsed time. */
+	/** The request in the record of requests sent by this entry. */
+	readonly sentRequest: SentRequest
+	/** When it was sent, ms of the steady clock, which stands while the VM is suspended. */
 	readonly sentAt: number
+	/** When it was sent, ms of elapsed time, which includes suspensions. */
 	readonly sentAtElapsed: number
-	/** Whether a server may have run it before. */
+	/** Whether a server may have run the request before this send. */
 	readonly mayHaveRunBefore: boolean
-	/** Gives the place at the server back. */
+	/** Frees the slot at the server. */
 	releaseSlot(): void
 }
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -1,4 +1,4 @@
-/** What the outcome of a send proves, and what it changes for those that follow. */
+/** Evaluates the outcome of a send and updates the state of servers and groups. */
 
 import type { AttemptOutcome } from '@juniperhook/core'
 import { recordAttempt } from '@juniperhook/core'
@@ -28,14 +28,14 @@
 import { dropDisplaced } from './serverRecords.ts'
 import { applyStatement } from './serverStatement.ts'
 
-/** The address belongs to another server now. */
+/** Status with which another server at the same address refuses a request. */
 const MISDIRECTED = 421
-/** How a call fails when no process listens at the address. */
-const REFUSED = 'ECONNREFUSED'
-/** How a call fails when the server closes its connection. */
-const CLOSED_THERE: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE'])
+/** Error code when no process listens at the address. */
+const CONNECTION_REFUSED = 'ECONNREFUSED'
+/** Error codes when the server closes the connection. */
+const CLOSED_BY_SERVER: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE'])
 
-/** Notes a send to which no answer came. */
+/** Records a send without a response. */
 export function recordUnanswered(
 	ctx: GatewayContext,
 	send: Send,
@@ -47,17 +47,17 @@
 	if (isSent) recordLost(ctx, send, reason)
 	send.releaseSlot()
 	if (!job.signal.aborted)
-		noteResult(ctx, send, { kind: isSent ? 'failed' : 'unreached' })
+		recordResult(ctx, send, { kind: isSent ? 'failed' : 'unreached' })
 	if (!isSent) recordNotRun(send)
-	// A rank without a process: its group stands still and will refuse.
-	if (reason === REFUSED && isGrouped(ctx, job.service))
+	// A rank without a process stops its whole group, which will refuse requests.
+	if (reason === CONNECTION_REFUSED && isGrouped(ctx, job.service))
 		handleGroupRefusal(ctx, groupOf(server))
 	logAttempt(ctx, job, server.id, result.kind, reason)
 	return isSent ? result : { kind: 'notRun', reason }
 }
 
-/** Judges the head of an answer; its body is still to come. */
-export function judgeAnswer(
+/** Evaluates the head of a response, before its body is read. */
+export function evaluateAnswer(
 	ctx: GatewayContext,
 	send: Send,
 	answer: ServerAnswer,
@@ -65,7 +65,7 @@
 	const { status, message } = answer
 	const saysNotRun = message.headers[ctx.wire.notRun] !== undefined
 	const isMisdirected = status === MISDIRECTED
-	// What another server says is not said of the one that was asked.
+	// A misdirected response comes from another server than the one addressed.
 	if (!isMisdirected)
 		applyStatement(
 			ctx,
@@ -94,7 +94,7 @@
 		job.groupRefusals++
 		handleGroupRefusal(ctx, groupOf(server))
 	}
-	// A full server is told by its load; it has not failed.
+	// A refusal is not a failure: a full server is recognized by its reported load.
 	const fault = message.headers[ctx.wire.atFault]?.toString() ?? ''
 	logAttempt(ctx, job, server.id, 'notRun', `${status} ${fault}`)
 	return { kind: 'notRun', reason: `status ${status}` }
@@ -128,8 +128,8 @@
 		case 'broken':
 			recordBrokenConnection(ctx, server)
 			break
-		case 'left':
-			leave(ctx, send)
+		case 'abandoned':
+			recordAbandoned(ctx, send)
 			break
 		case 'failed':
 			break
@@ -139,11 +139,15 @@
 	send.releaseSlot()
 	const isPlain = request.route.kind !== 'stream'
 	const tookMs = isPlain ? readNow() - sentAt : undefined
-	const isSound = end === 'good' || end === 'left'
-	noteResult(ctx, send, isSound ? { kind: 'good', tookMs } : { kind: 'failed' })
+	const isSuccess = end === 'good' || end === 'abandoned'
+	recordResult(
+		ctx,
+		send,
+		isSuccess ? { kind: 'good', tookMs } : { kind: 'failed' },
+	)
 }
 
-function noteResult(
+function recordResult(
 	{ fleet }: GatewayContext,
 	{ server }: Send,
 	result: AttemptOutcome,
@@ -152,15 +156,18 @@
 	if (row !== undefined) recordAttempt(fleet.table, row, result, readNow())
 }
 
-/** A connection that the server closed, or that this entry did. */
+/** Records a connection that was closed by the server or by this entry. */
 function recordLost(ctx: GatewayContext, send: Send, reason: string): void {
-	if (CLOSED_THERE.has(reason)) recordBrokenConnection(ctx, send.server)
-	else leave(ctx, send)
+	if (CLOSED_BY_SERVER.has(reason)) recordBrokenConnection(ctx, send.server)
+	else recordAbandoned(ctx, send)
 }
 
-function leave(ctx: GatewayContext, { server, run }: Send): void {
-	trackAbandoned(ctx.sentRequests, server.id, run)
-	if (isSuspected(ctx, run.request)) scheduleCrashCheck(ctx, server)
+function recordAbandoned(
+	ctx: GatewayContext,
+	{ server, sentRequest }: Send,
+): void {
+	trackAbandoned(ctx.sentRequests, server.id, sentRequest)
+	if (isSuspected(ctx, sentRequest.request)) scheduleCrashCheck(ctx, server)
 }
 
 function recordNotRun({ job, mayHaveRunBefore }: Send): void {
--- a/packages/gateway/src/serverQueue.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -1,4 +1,4 @@
-/** Requests that wait for a server with room, by priority and then by team. */
+/** Queues requests for a server with a free slot, by priority and fairly by team. */
 
 import {
 	chooseRow,
@@ -29,95 +29,109 @@
 import type { AcquireOptions, Grant, Waiter } from './waiter.ts'
 
 /**
- * Requests that an engine may hold beyond its slots: none. One that waits there
- * waits for the end of one of a few streams; here, for that of any stream.
+ * Requests that an engine may queue beyond its slots: none. A request queued there
+ * waits until one of that engine's few streams ends; here, until any stream ends.
  */
-const ENGINE_QUEUE_ROOM = 0
-/** Requests that a plain server may hold beyond its slots. */
-const PLAIN_QUEUE_ROOM = 6
+const ENGINE_QUEUE_CAPACITY = 0
+/** Requests that a plain server may queue beyond its slots. */
+const PLAIN_QUEUE_CAPACITY = 6
 
-/** Gets a server with room; the caller gives it back with `noteHeld`. */
+/** Acquires a server with a free slot, to be freed with {@link trackInFlight}. */
 export function acquireServer(
 	ctx: GatewayContext,
-	wish: AcquireOptions,
+	options: AcquireOptions,
 ): Promise<Grant> {
-	const queue = queueOf(ctx.fleet, wish.service)
-	const pressure = pressureOf(ctx.pressures, wish.service)
+	const queue = queueOf(ctx.fleet, options.service)
+	const pressure = pressureOf(ctx.pressures, options.service)
 	const now = readNow()
-	const callers = queue.waiting.length + 1
-	askAhead(ctx, wish.service, callers, 0)
+	const demand = queue.waiting.length + 1
+	requestPermitsAhead(ctx, options.service, demand, 0)
 	if (queue.waiting.length === 0) {
-		const grant = choose(ctx, wish.service, wish.tried, wish.admissionDraw)
+		const grant = chooseServer(
+			ctx,
+			options.service,
+			options.tried,
+			options.admissionDraw,
+		)
 		if (grant.kind === 'server') {
 			recordDispatch(pressure.flow, now)
-			// One that is taken of many that are not does not end a full spell.
-			if (!isRationed(ctx.fleet, wish.service))
+			// A blockage goes on while the service admits only a fraction of requests.
+			if (!isRationed(ctx.fleet, options.service))
 				markUnblocked(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
 	markBlocked(pressure.full, now)
-	askAhead(ctx, wish.service, callers, wish.waitMs)
-	const outlook = forecastAvailability(ctx, wish.service)
-	if (waitsTooLong(queue, wish, pressure, outlook, now))
-		return Promise.resolve({ kind: outlook?.kind ?? 'full' })
-	return waitInQueue(ctx, queue, wish, now)
+	requestPermitsAhead(ctx, options.service, demand, options.waitMs)
+	const forecast = forecastAvailability(ctx, options.service)
+	if (willExceedWait(queue, options, pressure, forecast, now))
+		return Promise.resolve({ kind: forecast?.kind ?? 'full' })
+	return waitInQueue(ctx, queue, options, now)
 }
 
-/** Waits until a server has room, and no longer than is wished. */
+/** Waits in the queue until a server has a free slot, for `waitMs` at most. */
 function waitInQueue(
 	ctx: GatewayContext,
 	queue: FairQueue<Waiter>,
-	wish: AcquireOptions,
+	options: AcquireOptions,
 	now: number,
 ): Promise<Grant> {
 	return new Promise(resolve => {
-		const leave = (grant: Grant) => {
+		const settle = (grant: Grant) => {
 			clearTimeout(timer)
-			wish.signal.removeEventListener('abort', giveUp)
+			options.signal.removeEventListener('abort', stopWaiting)
 			removeQueued(queue, waiter)
 			resolve(grant)
 		}
-		const giveUp = () =>
-			leave({ kind: forecastAvailability(ctx, wish.service)?.kind ?? 'full' })
+		const stopWaiting = () =>
+			settle({
+				kind: forecastAvailability(ctx, options.service)?.kind ?? 'full',
+			})
 		const waiter: Waiter = {
-			...wish,
-			until: now + wish.waitMs,
+			...options,
+			until: now + options.waitMs,
 			weight: 1,
 			virtualStart: 0,
 			order: 0,
-			grant: leave,
+			grant: settle,
 		}
-		const timer = setTimeout(giveUp, wish.waitMs)
-		wish.signal.addEventListener('abort', giveUp)
+		const timer = setTimeout(stopWaiting, options.waitMs)
+		options.signal.addEventListener('abort', stopWaiting)
 		enqueue(queue, waiter)
 	})
 }
 
-/** One that surely waits too long is told so now, not when its time is over. */
-function waitsTooLong(
+/** Predicts whether a request would exceed its maximum wait, to refuse it at once. */
+function willExceedWait(
 	queue: FairQueue<Waiter>,
-	wish: AcquireOptions,
+	options: AcquireOptions,
 	{ flow }: Pressure,
-	outlook: AvailabilityForecast | undefined,
+	forecast: AvailabilityForecast | undefined,
 	now: number,
 ): boolean {
-	const before = queue.waiting.filter(one => one.priority <= wish.priority)
-	if (outlook) return forecastWaitMs(outlook, before.length) > wish.waitMs
-	if (!wish.slotsFreeOneByOne) return wish.waitMs <= 0
-	return predictWaitMs(flow, before.length, now) > wish.waitMs
+	const before = queue.waiting.filter(
+		other => other.priority <= options.priority,
+	)
+	if (forecast) return forecastWaitMs(forecast, before.length) > options.waitMs
+	if (!options.slotsFreeOneByOne) return options.waitMs <= 0
+	return predictWaitMs(flow, before.length, now) > options.waitMs
 }
 
-/** Gives waiting requests the servers that have room now. */
+/** Assigns servers with free slots to waiting requests. */
 export function serveQueues(ctx: GatewayContext): void {
 	for (const queue of ctx.fleet.queues.values()) serveQueue(ctx, queue)
 }
 
 function serveQueue(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
 	for (let next = queue.waiting[0]; next; next = queue.waiting[0]) {
-		const grant = choose(ctx, next.service, next.tried, next.admissionDraw)
+		const grant = chooseServer(
+			ctx,
+			next.service,
+			next.tried,
+			next.admissionDraw,
+		)
 		if (grant.kind === 'full') {
-			refuseHopeless(ctx, queue)
+			refuseLate(ctx, queue)
 			return
 		}
 		dequeue(queue)
@@ -127,37 +141,37 @@
 	}
 }
 
-/** Asks for permits; an answer that comes later finds those who wait. */
-function askAhead(
+/** Requests permits in advance; permits that arrive later go to waiting requests. */
+function requestPermitsAhead(
 	ctx: GatewayContext,
 	service: string,
-	callers: number,
+	demand: number,
 	withinMs: number,
 ): void {
-	requestPermits(ctx, service, { count: callers, withinMs }, () =>
+	requestPermits(ctx, service, { count: demand, withinMs }, () =>
 		serveQueue(ctx, queueOf(ctx.fleet, service)),
 	)
 }
 
-/** Asks for permits for those who wait, and refuses whom no server can take in time. */
-function refuseHopeless(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
+/** Requests permits for the queue and refuses requests that cannot be served in time. */
+function refuseLate(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
 	const waiting = [...queue.waiting]
 	const { service } = waiting[0]!
 	const now = readNow()
 	const longest = Math.max(...waiting.map(({ until }) => until - now))
-	askAhead(ctx, service, waiting.length, longest)
-	const outlook = forecastAvailability(ctx, service)
-	if (!outlook) return
+	requestPermitsAhead(ctx, service, waiting.length, longest)
+	const forecast = forecastAvailability(ctx, service)
+	if (!forecast) return
 	for (const [before, { until, grant }] of waiting.entries())
-		if (forecastWaitMs(outlook, before) > until - now)
-			grant({ kind: outlook.kind })
+		if (forecastWaitMs(forecast, before) > until - now)
+			grant({ kind: forecast.kind })
 }
 
-function choose(
+function chooseServer(
 	ctx: GatewayContext,
 	service: string,
 	triedIds: ReadonlySet<string>,
-	luck: number,
+	admissionDraw: number,
 ): Grant {
 	const { fleet, routes } = ctx
 	const tried = new Set<number>()
@@ -171,8 +185,8 @@
 	const query = {
 		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
-		queueCapacity: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
-		closedGroups: listShutGroups(ctx, luck, now),
+		queueCapacity: isEngine ? ENGINE_QUEUE_CAPACITY : PLAIN_QUEUE_CAPACITY,
+		closedGroups: listUnavailableGroups(ctx, admissionDraw, now),
 		localRows: fleet.localRows,
 		unreportedSends: meterOf(fleet, service).sentSinceReport,
 		permitted,
@@ -190,18 +204,18 @@
 	return { kind: 'server', id }
 }
 
-function listShutGroups(
+function listUnavailableGroups(
 	ctx: GatewayContext,
-	luck: number,
+	admissionDraw: number,
 	now: number,
 ): Set<number> {
-	const shut = new Set<number>()
+	const unavailable = new Set<number>()
 	for (const [number, group] of ctx.fleet.groups.entries())
-		if (isGroupClosed(ctx.closures, group, now)) shut.add(number)
+		if (isGroupClosed(ctx.closures, group, now)) unavailable.add(number)
 	const { fleet } = ctx
-	const isOpen = (group: number, room: number) =>
-		isAdmitted(fleet, group, room, luck)
+	const isOpen = (group: number, freeSlots: number) =>
+		isAdmitted(fleet, group, freeSlots, admissionDraw)
 	const full = listFullGroups(fleet.table, isOpen, fleet.peerScale)
-	for (const number of full) shut.add(number)
-	return shut
+	for (const number of full) unavailable.add(number)
+	return unavailable
 }
