--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -21,7 +21,7 @@
 	PublishedConfig,
 	SourceResult,
 } from './ports.ts'
-import { logRecord, refreshFleet, takeRecords } from './serverRecords.ts'
+import { applyRecords, logRecord, refreshFleet } from './serverRecords.ts'
 import { unlessSuspended } from './suspension.ts'
 
 /**
@@ -70,8 +70,8 @@
 	/** When the source last answered, ms. */
 	answeredAt: number
 	/** Removals are doubted until then, ms. */
-	doubtUntil: number
-	away: boolean
+	deferRemovalsUntil: number
+	isAway: boolean
 	/** Term in which everything was last read; undefined before. */
 	term: number | undefined
 }
@@ -83,8 +83,8 @@
 ): Promise<void> {
 	const follower: CatalogFollower = {
 		answeredAt: readElapsed(),
-		doubtUntil: 0,
-		away: false,
+		deferRemovalsUntil: 0,
+		isAway: false,
 		term: undefined,
 	}
 	let revision: TermRevision | undefined
@@ -143,8 +143,8 @@
 	now: number,
 	reason: string,
 ): void {
-	if (follower.away || now - follower.answeredAt < AWAY_AFTER_MS) return
-	follower.away = true
+	if (follower.isAway || now - follower.answeredAt < AWAY_AFTER_MS) return
+	follower.isAway = true
 	ctx.sourceAway = true
 	ctx.log.write('source lost', {
 		reason,
@@ -157,10 +157,10 @@
 	follower: CatalogFollower,
 	now: number,
 ): void {
-	if (follower.away) {
-		follower.away = false
+	if (follower.isAway) {
+		follower.isAway = false
 		ctx.sourceAway = false
-		follower.doubtUntil = now + LAPSED_GRACE_MS
+		follower.deferRemovalsUntil = now + LAPSED_GRACE_MS
 		ctx.log.write('source back', {
 			awayMs: Math.round(now - follower.answeredAt),
 		})
@@ -180,12 +180,12 @@
 	if (snapshot.config) adoptConfig(ctx, snapshot.config, 'source')
 	const isCopy = whole && isOlderCopy(ctx, follower, snapshot.revision)
 	if (whole) noteTerm(ctx, follower, snapshot.revision)
-	if (isCopy) follower.doubtUntil = now + LAPSED_GRACE_MS
+	if (isCopy) follower.deferRemovalsUntil = now + LAPSED_GRACE_MS
 	const missing = whole ? listMissing(ctx, snapshot) : []
 	const before = ctx.list.revision
-	takeRecords(ctx, [...snapshot.servers, ...missing], {
+	applyRecords(ctx, [...snapshot.servers, ...missing], {
 		from: isCopy ? 'copy' : 'source',
-		doubtUntil: follower.doubtUntil,
+		deferRemovalsUntil: follower.deferRemovalsUntil,
 	})
 	noteRead(ctx.list, snapshot.revision)
 	if (isCopy) logTerm(ctx, before, snapshot, missing.length)
--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -79,7 +79,7 @@
  * Whether a server's group had been closed for a while: its ranks break off what they
  * hold because the group stands still, each by itself lives.
  */
-export function standsStill(
+export function isGroupStalled(
 	{ closures }: GatewayContext,
 	server: ListedServer,
 ): boolean {
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -28,7 +28,7 @@
 }
 
 /** What comes to this entry, by service, for its peers. */
-export function tellFlows(fleet: Fleet): Record<string, RequestFlow> {
+export function reportFlows(fleet: Fleet): Record<string, RequestFlow> {
 	const flows: Record<string, RequestFlow> = {}
 	for (const [service, { flow }] of fleet.meters)
 		flows[service] = { come: round(flow.come), end: round(flow.end) }
@@ -62,7 +62,7 @@
  * Takes stock when peers are told what this entry holds: `elapsedMs` after the
  * last time. Of `unheard` entries only the number is known.
  */
-export function settleDemand(
+export function updateDemand(
 	ctx: GatewayContext,
 	elapsedMs: number,
 	unheard: number,
--- a/packages/gateway/src/news.ts
+++ b/packages/gateway/src/news.ts
@@ -8,11 +8,11 @@
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { drainOutbox } from './outbox.ts'
-import type { NewsItem } from './peerMessages.ts'
-import { noteEndNews } from './quarantineGate.ts'
-import { noteLimits } from './rateLimits.ts'
+import type { WireUpdate } from './peerMessages.ts'
+import { receiveCrashUpdates } from './quarantineGate.ts'
+import { receiveLimits } from './rateLimits.ts'
 import { noteLeaving } from './serverRecords.ts'
-import { noteRests } from './serverRests.ts'
+import { receiveBackoffs } from './serverRests.ts'
 
 /** Ids of servers that left, of which a new link is told the last ones. */
 const MAX_LEFT_TOLD = 512
@@ -20,38 +20,38 @@
 /** Takes what another entry tells. */
 export function takeTold(
 	ctx: GatewayContext,
-	items: readonly NewsItem[],
+	items: readonly WireUpdate[],
 	from: string,
 ): void {
 	const now = readElapsed()
 	const news = items.map(item => fromWire(item, now))
 	const of = <K extends ServerNews['kind']>(...kinds: readonly K[]) =>
 		news.filter((one): one is NewsOf<K> => kinds.some(k => k === one.kind))
-	noteLimits(ctx, of('limit'), from)
+	receiveLimits(ctx, of('limit'), from)
 	noteLeaving(ctx, of('left'), from)
-	noteEndNews(ctx, of('end', 'served'), from)
-	noteRests(ctx, of('rest'), from)
+	receiveCrashUpdates(ctx, of('end', 'served'), from)
+	receiveBackoffs(ctx, of('rest'), from)
 }
 
 /** What has changed since other entries were last told. */
-export function drainNews({ outbox }: GatewayContext): NewsItem[] {
+export function drainUpdates({ outbox }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
 	return drainOutbox(outbox).map(one => toWire(one, now))
 }
 
 /** All that is known, for an entry that may know nothing. */
-export function listNews({ book }: GatewayContext): NewsItem[] {
+export function listAllUpdates({ book }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
 	return listServerNews(book, MAX_LEFT_TOLD).map(one => toWire(one, now))
 }
 
 /** What is known of limits, which is told again and again while they last. */
-export function listLimits({ book }: GatewayContext): NewsItem[] {
+export function listRateLimits({ book }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
 	return listLimitNews(book).map(one => toWire(one, now))
 }
 
-function toWire(news: ServerNews, now: number): NewsItem {
+function toWire(news: ServerNews, now: number): WireUpdate {
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
 	switch (news.kind) {
 		case 'limit': {
@@ -78,7 +78,7 @@
 	}
 }
 
-function fromWire(item: NewsItem, now: number): ServerNews {
+function fromWire(item: WireUpdate, now: number): ServerNews {
 	switch (item.kind) {
 		case 'limit': {
 			const { kind, server, perSecond, agoMs } = item
--- a/packages/gateway/src/outbox.ts
+++ b/packages/gateway/src/outbox.ts
@@ -7,7 +7,10 @@
 export type Outbox = Map<string, ServerNews>
 
 /** Notes news that are to be told. */
-export function postNews(outbox: Outbox, news: readonly ServerNews[]): void {
+export function enqueueUpdates(
+	outbox: Outbox,
+	news: readonly ServerNews[],
+): void {
 	for (const one of news) outbox.set(subjectOf(one), one)
 }
 
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -4,7 +4,7 @@
 import { connectRpc, messageOf, notify, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { chooseLinks } from './peerMesh.ts'
-import type { GroupNews } from './toldGroups.ts'
+import type { GroupReportMessage } from './toldGroups.ts'
 
 /** Before another try to link to an entry, ms; it doubles up to the second. */
 const RECONNECT_MS = 100
@@ -18,18 +18,18 @@
 const CONNECT_MS = 120
 const MAX_CONNECT_MS = 500
 /** Entries named to a coordinator, in case those that it knows are stopped. */
-const SOME = 6
+const MAX_LISTED = 6
 
 /** Links to other entries. */
 export interface PeerLinks {
 	/** Known addresses of entries, and the links to those that are kept. */
 	readonly links: Map<string, RpcLink | undefined>
 	/** Addresses that links are kept to. */
-	kept: ReadonlySet<string>
+	maintained: ReadonlySet<string>
 	/** Addresses that links are wanted to besides those chosen. */
-	readonly wanted: Set<string>
+	readonly requested: Set<string>
 	/** Known and wanted addresses when links were last chosen. */
-	chosenOf: number
+	chosenAtSize: number
 	/** What is served on links, and what follows when one comes up. */
 	readonly methods: Methods
 	onLink(link: RpcLink): void
@@ -42,9 +42,9 @@
 ): PeerLinks {
 	return {
 		links: new Map(),
-		kept: new Set(),
-		wanted: new Set(),
-		chosenOf: 0,
+		maintained: new Set(),
+		requested: new Set(),
+		chosenAtSize: 0,
 		methods,
 		onLink,
 	}
@@ -60,56 +60,59 @@
 }
 
 /** Keeps a link to an entry whether it is chosen or not. */
-export function wantLink({ wanted, kept }: PeerLinks, address: string): void {
+export function requestLink(
+	{ requested: wanted, maintained: kept }: PeerLinks,
+	address: string,
+): void {
 	if (!kept.has(address)) wanted.add(address)
 }
 
 /** Links that are up. */
-export function listOpen({ links }: PeerLinks): RpcLink[] {
+export function listOpenLinks({ links }: PeerLinks): RpcLink[] {
 	return [...links.values()].filter(link => link !== undefined)
 }
 
 /** Addresses of some entries that are linked to, for who knows few. */
-export function listSome({ links }: PeerLinks): string[] {
+export function listLinkedAddresses({ links }: PeerLinks): string[] {
 	return [...links]
 		.filter(([, link]) => link !== undefined)
 		.map(([address]) => address)
-		.slice(0, SOME)
+		.slice(0, MAX_LISTED)
 }
 
 /** Entries that are known and not linked to. */
-export function countUnlinked({ links, kept }: PeerLinks): number {
+export function countUnlinked({ links, maintained: kept }: PeerLinks): number {
 	return links.size - kept.size
 }
 
 /** Chooses links anew when entries have become known. */
-export function keepLinks(ctx: GatewayContext, peers: PeerLinks): void {
+export function updateLinks(ctx: GatewayContext, peers: PeerLinks): void {
 	const { links } = peers
 	const { control, seeds } = ctx.settings
 	noteAddresses(
 		peers,
 		seeds.filter(address => address !== control),
 	)
-	const size = links.size + peers.wanted.size
-	if (size === peers.chosenOf) return
-	peers.chosenOf = size
-	const before = peers.kept
+	const size = links.size + peers.requested.size
+	if (size === peers.chosenAtSize) return
+	peers.chosenAtSize = size
+	const before = peers.maintained
 	const chosen = chooseLinks(control, [...links.keys()])
-	peers.kept = new Set([...chosen, ...peers.wanted])
-	for (const address of peers.kept)
-		if (!before.has(address)) void keepLink(ctx, peers, address)
+	peers.maintained = new Set([...chosen, ...peers.requested])
+	for (const address of peers.maintained)
+		if (!before.has(address)) void maintainLink(ctx, peers, address)
 	for (const address of before)
-		if (!peers.kept.has(address)) links.get(address)?.socket.destroy()
+		if (!peers.maintained.has(address)) links.get(address)?.socket.destroy()
 }
 
-async function keepLink(
+async function maintainLink(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	address: string,
 ): Promise<void> {
 	let pause = RECONNECT_MS
 	let connectMs = CONNECT_MS
-	while (peers.kept.has(address)) {
+	while (peers.maintained.has(address)) {
 		try {
 			const link = await connectRpc(address, peers.methods, connectMs)
 			pause = RECONNECT_MS
@@ -134,13 +137,17 @@
 }
 
 /** Whether each entry hears every other one directly, as far as is known. */
-function isFullMesh({ kept, links }: PeerLinks): boolean {
+function isFullMesh({ maintained: kept, links }: PeerLinks): boolean {
 	return kept.size === links.size
 }
 
 /** Tells peers what a coordinator has told, unless it has reached them all. */
-export function tellOn(peers: PeerLinks, news: GroupNews, from: RpcLink): void {
+export function forwardGroupReport(
+	peers: PeerLinks,
+	news: GroupReportMessage,
+	from: RpcLink,
+): void {
 	if (news.hops > 1 && isFullMesh(peers)) return
-	for (const link of listOpen(peers))
+	for (const link of listOpenLinks(peers))
 		if (link !== from) notify(link, 'paces', news)
 }
--- a/packages/gateway/src/peerMessages.ts
+++ b/packages/gateway/src/peerMessages.ts
@@ -18,7 +18,7 @@
 })
 const CountSchema = v.pipe(v.number(), v.finite())
 /** News of servers; ages and what is left, for clocks differ. */
-const NewsItemSchema = v.variant('kind', [
+const WireUpdateSchema = v.variant('kind', [
 	v.object({
 		kind: v.literal('limit'),
 		server: v.string(),
@@ -49,12 +49,12 @@
 		leftMs: CountSchema,
 	}),
 ])
-/** See {@link NewsSchema}. */
-export type NewsItem = v.InferOutput<typeof NewsItemSchema>
+/** See {@link UpdatesSchema}. */
+export type WireUpdate = v.InferOutput<typeof WireUpdateSchema>
 /** What an entry has learned of servers. */
-export const NewsSchema = v.object({ items: v.array(NewsItemSchema) })
+export const UpdatesSchema = v.object({ items: v.array(WireUpdateSchema) })
 /** Asks a server's home for permits. */
-export const PermitAskSchema = v.object({
+export const PermitQuerySchema = v.object({
 	/** What the asker knows of the server's limit. */
 	limit: v.optional(v.pipe(CountSchema, v.minValue(0))),
 	/** Since the server said so, ms. */
@@ -64,8 +64,8 @@
 	/** How long its callers can wait, ms. */
 	withinMs: v.pipe(v.number(), v.finite()),
 })
-/** See {@link PermitAskSchema}. */
-export type PermitAsk = v.InferOutput<typeof PermitAskSchema>
+/** See {@link PermitQuerySchema}. */
+export type PermitQuery = v.InferOutput<typeof PermitQuerySchema>
 /** Permits, or why there are none. */
 export const PermitReplySchema = v.variant('type', [
 	v.object({
@@ -81,7 +81,7 @@
 /** See {@link PermitReplySchema}. */
 export type PermitReply = v.InferOutput<typeof PermitReplySchema>
 /** What an entry holds, told to its peers. */
-export const StateSchema = v.object({
+export const PeerStateSchema = v.object({
 	name: v.string(),
 	control: v.string(),
 	config: v.number(),
@@ -96,20 +96,20 @@
 	/** Whether it learns of servers from its peers alone. */
 	sourceAway: v.optional(v.boolean(), false),
 	/** Limits of servers; absent while none has one. */
-	limits: v.optional(v.array(NewsItemSchema), []),
+	limits: v.optional(v.array(WireUpdateSchema), []),
 	/** Control addresses of entries; not told each time. */
 	peers: v.optional(v.array(v.string()), []),
 })
 /** What an entry holds at servers where that has changed since it last told. */
-export const HeldNewsSchema = v.object({
+export const InFlightDeltaSchema = v.object({
 	name: v.string(),
 	/** By server; 0 for none any more. */
 	changed: v.record(v.string(), v.number()),
 })
-/** See {@link HeldNewsSchema}. */
-export type HeldNews = v.InferOutput<typeof HeldNewsSchema>
+/** See {@link InFlightDeltaSchema}. */
+export type InFlightDelta = v.InferOutput<typeof InFlightDeltaSchema>
 /** A coordinator's news of its group. */
-export const PacesSchema = v.object({
+export const GroupReportSchema = v.object({
 	group: v.string(),
 	/** Which coordinator tells it, and how many times it has told something. */
 	by: v.string(),
@@ -118,8 +118,8 @@
 	hops: v.number(),
 	...GroupStatusSchema.entries,
 })
-/** See {@link StateSchema}. */
-export type State = v.InferOutput<typeof StateSchema>
+/** See {@link PeerStateSchema}. */
+export type PeerState = v.InferOutput<typeof PeerStateSchema>
 
 const ServerSchema = v.object({
 	id: v.string(),
--- a/packages/gateway/src/peerNews.ts
+++ b/packages/gateway/src/peerNews.ts
@@ -19,14 +19,14 @@
 import { adoptConfig } from './catalog.ts'
 import { fetchConfig } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import type { Records, State } from './peerMessages.ts'
+import type { PeerState, Records } from './peerMessages.ts'
 import {
 	RecordsRequestSchema,
 	RecordsSchema,
 	RemovalsSchema,
 } from './peerMessages.ts'
 import type { CatalogSource } from './ports.ts'
-import { takeRecords } from './serverRecords.ts'
+import { applyRecords } from './serverRecords.ts'
 
 /**
  * Records handed over in one answer; one is some 250 bytes. Those of a single
@@ -41,15 +41,15 @@
 const GRACE_MS = 300
 
 /** Questions to peers that are open. */
-export interface PeerNews {
+export interface PeerPulls {
 	readonly source: CatalogSource
-	readonly asking: Set<PullKind>
+	readonly pending: Set<PullKind>
 	/** What was first seen to be lacking, by kind. */
-	readonly lacking: Map<PullKind, Lack>
+	readonly gaps: Map<PullKind, Gap>
 }
 
 /** Something newer that a peer has. */
-interface Lack {
+interface Gap {
 	readonly newest: TermRevision
 	readonly since: number
 }
@@ -58,32 +58,37 @@
 export type PullKind = 'config' | 'records'
 
 /** Makes an entry's news, with nothing asked for. */
-export function createPeerNews(source: CatalogSource): PeerNews {
-	return { source, asking: new Set(), lacking: new Map() }
+export function createPeerPulls(source: CatalogSource): PeerPulls {
+	return { source, pending: new Set(), gaps: new Map() }
 }
 
 /** Asks a peer that has told its state for what it is ahead with. */
-export function takeNews(
+export function pullIfBehind(
 	ctx: GatewayContext,
-	news: PeerNews,
-	state: State,
+	news: PeerPulls,
+	state: PeerState,
 	link: RpcLink,
 ): void {
 	if (
-		isLacking(news, 'config', asPlace(heldVersion(ctx)), asPlace(state.config))
+		isPullDue(
+			news,
+			'config',
+			asPlace(activeVersion(ctx)),
+			asPlace(state.config),
+		)
 	)
 		void pull(ctx, news, 'config', state, () =>
 			pullConfig(ctx, news.source, state, link),
 		)
-	if (isLacking(news, 'records', ctx.list.revision, state.list))
+	if (isPullDue(news, 'records', ctx.list.revision, state.list))
 		void pull(ctx, news, 'records', state, () =>
 			pullRecords(ctx, state.name, link),
 		)
 }
 
 /** Whether a peer is ahead with something that has not come in time. */
-function isLacking(
-	{ lacking }: PeerNews,
+function isPullDue(
+	{ gaps: lacking }: PeerPulls,
 	kind: PullKind,
 	held: TermRevision,
 	told: TermRevision,
@@ -104,28 +109,28 @@
 }
 
 /** Version of the configuration in force; -1 before the first. */
-export function heldVersion({ routes }: GatewayContext): number {
+export function activeVersion({ routes }: GatewayContext): number {
 	return routes?.config.version ?? -1
 }
 
 async function pull(
 	ctx: GatewayContext,
-	news: PeerNews,
+	news: PeerPulls,
 	kind: PullKind,
-	state: State,
-	fetch: () => Promise<PullEnd>,
+	state: PeerState,
+	fetch: () => Promise<PullResult>,
 ): Promise<void> {
-	if (news.asking.has(kind)) return
-	news.asking.add(kind)
+	if (news.pending.has(kind)) return
+	news.pending.add(kind)
 	const begunAt = readNow()
-	const inputs = { held: heldVersion(ctx), told: state.config }
-	let end: PullEnd
+	const inputs = { held: activeVersion(ctx), told: state.config }
+	let end: PullResult
 	try {
 		end = await fetch()
 	} catch (err) {
 		end = { outcome: 'failed', reason: messageOf(err), bytes: 0 }
 	}
-	news.asking.delete(kind)
+	news.pending.delete(kind)
 	ctx.metrics.pulls.inc({ kind, outcome: end.outcome })
 	ctx.metrics.pulledBytes.inc(end.bytes)
 	ctx.log.write('peer asked', {
@@ -138,7 +143,7 @@
 }
 
 /** How a question ended. */
-interface PullEnd {
+interface PullResult {
 	readonly outcome:
 		| 'taken'
 		| 'known'
@@ -153,14 +158,14 @@
 async function pullConfig(
 	ctx: GatewayContext,
 	source: CatalogSource,
-	state: State,
+	state: PeerState,
 	link: RpcLink,
-): Promise<PullEnd> {
+): Promise<PullResult> {
 	const fetched = await fetchConfig(link, state.config)
 	if (!fetched.ok) return { outcome: fetched.reason, bytes: 0 }
 	const { bytes } = fetched
 	// The source's own answer may have come first.
-	if (state.config <= heldVersion(ctx)) return { outcome: 'known', bytes }
+	if (state.config <= activeVersion(ctx)) return { outcome: 'known', bytes }
 	const published = source.decode(fetched.text)
 	if (!published) return { outcome: 'refused', bytes }
 	const isNews = adoptConfig(ctx, published, state.name)
@@ -171,14 +176,14 @@
 	ctx: GatewayContext,
 	peer: string,
 	link: RpcLink,
-): Promise<PullEnd> {
+): Promise<PullResult> {
 	let after = laterOf(ctx.list.revision, ctx.list.readAt)
 	let count = 0
 	for (;;) {
 		const reply = await call(link, 'records', { after })
 		const page = v.parse(RecordsSchema, reply)
 		const records = page.records.map(readRecord)
-		takeRecords(ctx, records, { from: 'peer', peer })
+		applyRecords(ctx, records, { from: 'peer', peer })
 		count += records.length
 		after = records.reduce((last, one) => laterOf(last, one.revision), after)
 		if (!page.hasMore || records.length === 0) break
@@ -201,9 +206,9 @@
 }
 
 /** Takes removals that a peer had doubted, where the source is out of reach. */
-export function takeRemovals(ctx: GatewayContext, params: unknown): void {
+export function receiveRemovals(ctx: GatewayContext, params: unknown): void {
 	const { records } = v.parse(RemovalsSchema, params)
-	takeRecords(ctx, records.map(readRecord), { from: 'peer', peer: 'a peer' })
+	applyRecords(ctx, records.map(readRecord), { from: 'peer', peer: 'a peer' })
 }
 
 function readRecord({
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -23,15 +23,15 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
-import { settleDemand, tellFlows } from './entryDemand.ts'
+import { reportFlows, updateDemand } from './entryDemand.ts'
 import { dropPeerLoad, notePeerLoad } from './fleet.ts'
-import { listLimits, listNews, takeTold } from './news.ts'
+import { listAllUpdates, listRateLimits, takeTold } from './news.ts'
 import type { PeerLinks } from './peerLinks.ts'
-import { countUnlinked, listOpen, noteAddresses } from './peerLinks.ts'
-import type { HeldNews, State } from './peerMessages.ts'
-import { HeldNewsSchema, StateSchema } from './peerMessages.ts'
-import type { PeerNews } from './peerNews.ts'
-import { heldVersion, takeNews } from './peerNews.ts'
+import { countUnlinked, listOpenLinks, noteAddresses } from './peerLinks.ts'
+import type { InFlightDelta, PeerState } from './peerMessages.ts'
+import { InFlightDeltaSchema, PeerStateSchema } from './peerMessages.ts'
+import type { PeerPulls } from './peerNews.ts'
+import { activeVersion, pullIfBehind } from './peerNews.ts'
 
 /**
  * Between states told to peers while something changes, ms: so much at least, and
@@ -53,7 +53,7 @@
 export interface PeerStates {
 	/** When each peer, by name, was last heard, ms. */
 	readonly heardAt: Map<string, number>
-	readonly news: PeerNews
+	readonly pulls: PeerPulls
 	/** Links to peers that learn of servers from their peers alone. */
 	readonly withoutSource: Set<RpcLink>
 	/** When what is held was last settled, and last told whole, ms. */
@@ -61,74 +61,77 @@
 	heartbeatAt: number
 	rosterAt: number
 	/** Known addresses when they were last told. */
-	rosterOf: number
+	rosterSize: number
 	/** What peers were last told. */
-	told: ToldState
+	lastSent: SentState
 }
 
 /** What a peer that has heard everything knows of this entry. */
-interface ToldState {
+interface SentState {
 	readonly config: number
 	readonly list: TermRevision
 	readonly held: ReadonlyMap<string, number>
 }
 
 /** Makes an entry's states, with nothing told or heard. */
-export function createPeerStates(news: PeerNews): PeerStates {
+export function createPeerStates(news: PeerPulls): PeerStates {
 	return {
 		heardAt: new Map(),
-		news,
+		pulls: news,
 		withoutSource: new Set(),
 		settledAt: readNow(),
 		heartbeatAt: 0,
 		rosterAt: 0,
-		rosterOf: 0,
-		told: { config: -1, list: NO_REVISION, held: new Map() },
+		rosterSize: 0,
+		lastSent: { config: -1, list: NO_REVISION, held: new Map() },
 	}
 }
 
 /** Tells a peer everything, on a link that is new or behind. */
-export function tellAll(
+export function sendFullState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	link: RpcLink,
 ): void {
-	const items = listNews(ctx)
+	const items = listAllUpdates(ctx)
 	if (items.length > 0) notify(link, 'news', { items })
 	// Last: by a state an entry that has started knows that it was told all.
-	tell(ctx, link, { ...loadOf(ctx), peers: [...peers.links.keys()] })
+	sendState(ctx, link, {
+		...describeState(ctx),
+		peers: [...peers.links.keys()],
+	})
 }
 
 /** What an entry tells each time: all of its state but its peers. */
-function loadOf(ctx: GatewayContext): Omit<State, 'peers'> {
+function describeState(ctx: GatewayContext): Omit<PeerState, 'peers'> {
 	return {
 		name: ctx.settings.name,
 		control: ctx.settings.control,
-		config: heldVersion(ctx),
+		config: activeVersion(ctx),
 		list: ctx.list.revision,
 		sourceAway: ctx.sourceAway,
 		held: Object.fromEntries(ctx.fleet.held),
 		dataCentre: ctx.settings.dataCentre,
-		flows: tellFlows(ctx.fleet),
-		limits: listLimits(ctx),
+		flows: reportFlows(ctx.fleet),
+		limits: listRateLimits(ctx),
 	}
 }
 
 /** Tells all peers what is new, if it is time. */
-export function tellPeers(
+export function broadcastState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	states: PeerStates,
 ): void {
 	const now = readNow()
-	const links = listOpen(peers)
+	const links = listOpenLinks(peers)
 	const elapsedMs = now - states.settledAt
 	if (elapsedMs < Math.max(TELL_MS, TELL_PER_LINK_MS * links.length)) return
 	states.settledAt = now
-	settleDemand(ctx, elapsedMs, countUnlinked(peers), now)
-	const { told } = states
-	const state = loadOf(ctx)
-	states.told = {
+	updateDemand(ctx, elapsedMs, countUnlinked(peers), now)
+	const { lastSent: told } = states
+	const state = describeState(ctx)
+	states.lastSent = {
 		config: state.config,
 		list: state.list,
 		held: new Map(ctx.fleet.held),
@@ -137,26 +140,26 @@
 		state.config !== told.config || !isSameRevision(state.list, told.list)
 	if (isNews || now - states.heartbeatAt >= HEARTBEAT_MS) {
 		states.heartbeatAt = now
-		const whole = { ...state, peers: rosterNow(peers, states, now) }
-		for (const link of links) tell(ctx, link, whole)
+		const whole = { ...state, peers: listDueRoster(peers, states, now) }
+		for (const link of links) sendState(ctx, link, whole)
 		return
 	}
-	const changed = findChanged(told.held, states.told.held)
+	const changed = findChanged(told.held, states.lastSent.held)
 	if (Object.keys(changed).length === 0) return
-	const news: HeldNews = { name: state.name, changed }
+	const news: InFlightDelta = { name: state.name, changed }
 	for (const link of links) notify(link, 'held', news)
 }
 
 /** Addresses of known entries when they are to be told, none otherwise. */
-function rosterNow(
+function listDueRoster(
 	{ links }: PeerLinks,
 	states: PeerStates,
 	now: number,
 ): string[] {
 	const isDue = now - states.rosterAt >= ROSTER_MS
-	if (links.size === states.rosterOf && !isDue) return []
+	if (links.size === states.rosterSize && !isDue) return []
 	states.rosterAt = now
-	states.rosterOf = links.size
+	states.rosterSize = links.size
 	return [...links.keys()]
 }
 
@@ -172,7 +175,7 @@
 	return changed
 }
 
-function tell(ctx: GatewayContext, link: RpcLink, state: State): void {
+function sendState(ctx: GatewayContext, link: RpcLink, state: PeerState): void {
 	call(link, 'state', state, CONFIRM_MS).catch(err => {
 		if (link.socket.destroyed) return
 		// Without a reset, only the missing answer tells of a link gone silent.
@@ -182,14 +185,14 @@
 }
 
 /** Takes a peer's whole state, and asks for what this entry lacks. */
-export function takeState(
+export function receiveState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	states: PeerStates,
 	params: unknown,
 	link: RpcLink,
 ): void {
-	const state = v.parse(StateSchema, params)
+	const state = v.parse(PeerStateSchema, params)
 	const now = readNow()
 	states.heardAt.set(state.name, readElapsed())
 	const addresses = [state.control, ...state.peers].filter(address =>
@@ -212,14 +215,17 @@
 	ctx.toldVersion = Math.max(ctx.toldVersion, state.config)
 	// A peer that is behind may not be reached from here but by its own link.
 	const isBehind =
-		state.config < heldVersion(ctx) || isLater(ctx.list.revision, state.list)
-	if (isBehind && link.opened === 'there') tellAll(ctx, peers, link)
-	takeNews(ctx, states.news, state, link)
+		state.config < activeVersion(ctx) || isLater(ctx.list.revision, state.list)
+	if (isBehind && link.opened === 'there') sendFullState(ctx, peers, link)
+	pullIfBehind(ctx, states.pulls, state, link)
 }
 
 /** Takes what has changed since a peer's last words. */
-export function takeHeld(ctx: GatewayContext, params: unknown): void {
-	const { name, changed } = v.parse(HeldNewsSchema, params)
+export function receiveInFlightDelta(
+	ctx: GatewayContext,
+	params: unknown,
+): void {
+	const { name, changed } = v.parse(InFlightDeltaSchema, params)
 	const known = ctx.fleet.heldByPeer.get(name)
 	// Without a whole state before, the changes alone say nothing.
 	if (!known) return
@@ -238,7 +244,10 @@
 }
 
 /** Forgets peers that have gone silent. */
-export function forgetSilent(ctx: GatewayContext, states: PeerStates): void {
+export function expireSilentPeers(
+	ctx: GatewayContext,
+	states: PeerStates,
+): void {
 	const now = readElapsed()
 	for (const [name, heardAt] of states.heardAt) {
 		if (now - heardAt > PEER_SILENT_MS) dropPeerLoad(ctx.fleet, name, readNow())
@@ -249,7 +258,7 @@
 }
 
 /** Tells removals that were doubted here to peers that cannot learn of them otherwise. */
-export function tellRemovals(ctx: GatewayContext, states: PeerStates): void {
+export function sendRemovals(ctx: GatewayContext, states: PeerStates): void {
 	const records = ctx.settledRemovals.splice(0)
 	if (records.length === 0) return
 	for (const link of states.withoutSource)
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -15,35 +15,35 @@
 import * as v from 'valibot'
 import { answerPiece, createConfigServer } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import { drainNews, takeTold } from './news.ts'
+import { drainUpdates, takeTold } from './news.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import {
 	createPeerLinks,
-	keepLinks,
-	listOpen,
-	listSome,
-	tellOn,
-	wantLink,
+	forwardGroupReport,
+	listLinkedAddresses,
+	listOpenLinks,
+	requestLink,
+	updateLinks,
 } from './peerLinks.ts'
-import type { PermitAsk, PermitReply } from './peerMessages.ts'
+import type { PermitQuery, PermitReply } from './peerMessages.ts'
 import {
-	NewsSchema,
 	PermitReplySchema,
 	PieceRequestSchema,
+	UpdatesSchema,
 } from './peerMessages.ts'
-import { answerRecords, createPeerNews, takeRemovals } from './peerNews.ts'
+import { answerRecords, createPeerPulls, receiveRemovals } from './peerNews.ts'
 import {
+	broadcastState,
 	createPeerStates,
-	forgetSilent,
-	takeHeld,
-	takeState,
-	tellAll,
-	tellPeers,
-	tellRemovals,
+	expireSilentPeers,
+	receiveInFlightDelta,
+	receiveState,
+	sendFullState,
+	sendRemovals,
 } from './peerStates.ts'
-import { answerPermits, lookAtHomes } from './permitHome.ts'
+import { answerPermits, updateHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
-import { forgetGroups, takePaces } from './toldGroups.ts'
+import { expireGroupReports, takePaces } from './toldGroups.ts'
 
 /** Between looks at whether peers are to be told, ms. */
 const LOOK_MS = 50
@@ -55,20 +55,20 @@
 	ctx: GatewayContext,
 	source: CatalogSource,
 ): Promise<void> {
-	const states = createPeerStates(createPeerNews(source))
+	const states = createPeerStates(createPeerPulls(source))
 	const configs = createConfigServer()
 	const methods: Methods = {
 		state: (params: unknown, link: RpcLink) => {
 			try {
-				takeState(ctx, peers, states, params, link)
+				receiveState(ctx, peers, states, params, link)
 			} catch (err) {
 				ctx.log.write('peer state refused', { reason: messageOf(err) })
 			}
 			return true
 		},
-		held: (params: unknown) => takeHeld(ctx, params),
+		held: (params: unknown) => receiveInFlightDelta(ctx, params),
 		news: (params: unknown) =>
-			takeTold(ctx, v.parse(NewsSchema, params).items, 'peer'),
+			takeTold(ctx, v.parse(UpdatesSchema, params).items, 'peer'),
 		permits: (params: unknown) => answerPermits(ctx, params),
 		configPiece: (params: unknown, link: RpcLink) =>
 			answerPiece(
@@ -78,29 +78,29 @@
 				link,
 			),
 		records: (params: unknown) => answerRecords(ctx, params),
-		removals: (params: unknown) => takeRemovals(ctx, params),
+		removals: (params: unknown) => receiveRemovals(ctx, params),
 		paces: (params: unknown, link: RpcLink) => {
 			const news = takePaces(ctx, params)
-			if (news) tellOn(peers, news, link)
-			return listSome(peers)
+			if (news) forwardGroupReport(peers, news, link)
+			return listLinkedAddresses(peers)
 		},
 	}
 	const peers = createPeerLinks(methods, link => {
-		tellAll(ctx, peers, link)
+		sendFullState(ctx, peers, link)
 	})
-	ctx.permits.askHome = (home, ask) => askHome(peers, home, ask)
+	ctx.permits.queryHome = (home, ask) => askHome(peers, home, ask)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
 			noteEntryNamed(ctx.permitHomes.roster, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
-		keepLinks(ctx, peers)
-		lookAtHomes(ctx, address => peers.kept.has(address))
+		updateLinks(ctx, peers)
+		updateHomes(ctx, address => peers.maintained.has(address))
 		tellNews(ctx, peers)
-		tellRemovals(ctx, states)
-		tellPeers(ctx, peers, states)
-		forgetSilent(ctx, states)
-		forgetGroups(ctx, readElapsed())
+		sendRemovals(ctx, states)
+		broadcastState(ctx, peers, states)
+		expireSilentPeers(ctx, states)
+		expireGroupReports(ctx, readElapsed())
 	}, LOOK_MS)
 }
 
@@ -108,20 +108,20 @@
 function askHome(
 	peers: PeerLinks,
 	home: string,
-	ask: PermitAsk,
+	ask: PermitQuery,
 ): Promise<PermitReply> | undefined {
 	const link = peers.links.get(home)
 	if (link)
 		return call(link, 'permits', ask, ASK_MS).then(reply =>
 			v.parse(PermitReplySchema, reply),
 		)
-	wantLink(peers, home)
+	requestLink(peers, home)
 	return undefined
 }
 
 /** What is news to this entry is told to all, whoever it came from. */
 function tellNews(ctx: GatewayContext, peers: PeerLinks): void {
-	const items = drainNews(ctx)
+	const items = drainUpdates(ctx)
 	if (items.length === 0) return
-	for (const link of listOpen(peers)) notify(link, 'news', { items })
+	for (const link of listOpenLinks(peers)) notify(link, 'news', { items })
 }
--- a/packages/gateway/src/permitAsk.ts
+++ b/packages/gateway/src/permitAsk.ts
@@ -9,7 +9,7 @@
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
 import { heldOf, listLimited } from './permitGate.ts'
-import { givePermits, homeOf } from './permitHome.ts'
+import { grantFromPool, homeOf } from './permitHome.ts'
 
 /** Permits that one question asks for at most. */
 const MAX_ASKED = 16
@@ -51,12 +51,17 @@
 	const { perSecond, at } = known
 	const home = homeOf(ctx, server)
 	if (home === ctx.settings.control) {
-		keepPermits(ctx, held, perSecond, givePermits(ctx, server, perSecond, wish))
+		keepPermits(
+			ctx,
+			held,
+			perSecond,
+			grantFromPool(ctx, server, perSecond, wish),
+		)
 		return
 	}
 	const limitAgoMs = readElapsed() - at
 	const ask = { server, limit: perSecond, limitAgoMs, ...wish }
-	const reply = ctx.permits.askHome(home, ask)
+	const reply = ctx.permits.queryHome(home, ask)
 	if (!reply) {
 		noteNone(ctx, held, 'unlinked')
 		return
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -16,11 +16,11 @@
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
-import { PermitAskSchema } from './peerMessages.ts'
-import { noteLimits } from './rateLimits.ts'
+import { PermitQuerySchema } from './peerMessages.ts'
+import { receiveLimits } from './rateLimits.ts'
 
 /** Takes stock of the entries that are heard; homes move with them. */
-export function lookAtHomes(
+export function updateHomes(
 	ctx: GatewayContext,
 	isLinked: (address: string) => boolean,
 ): void {
@@ -49,7 +49,7 @@
 }
 
 /** Gives permits of a server that this entry is home to. */
-export function givePermits(
+export function grantFromPool(
 	ctx: GatewayContext,
 	server: string,
 	perSecond: number,
@@ -67,14 +67,14 @@
 	ctx: GatewayContext,
 	params: unknown,
 ): PermitReply {
-	const ask = v.parse(PermitAskSchema, params)
+	const ask = v.parse(PermitQuerySchema, params)
 	const { server, limit, limitAgoMs, count, withinMs } = ask
 	const at = readElapsed() - limitAgoMs
-	noteLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
+	receiveLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
 	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
 	const perSecond = perSecondOf(ctx.rateLimits, server)
 	// What is believed to have no limit any more: the asker will hear of it.
 	if (perSecond === undefined) return { type: 'notHome' }
-	const permits = givePermits(ctx, server, perSecond, { count, withinMs })
+	const permits = grantFromPool(ctx, server, perSecond, { count, withinMs })
 	return { type: 'permits', ...permits, dueMs: [...permits.dueMs] }
 }
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -2,12 +2,12 @@
 
 import type { EntryRoster, HeldPermits, PermitPool } from '@juniperhook/core'
 import { createEntryRoster } from '@juniperhook/core'
-import type { PermitAsk, PermitReply } from './peerMessages.ts'
+import type { PermitQuery, PermitReply } from './peerMessages.ts'
 
 /** Asks a home; undefined while there is no link to it. */
-export type AskHome = (
+export type QueryHome = (
 	home: string,
-	ask: PermitAsk,
+	ask: PermitQuery,
 ) => Promise<PermitReply> | undefined
 
 /** What this entry has of the permits of all servers with a limit. */
@@ -15,12 +15,12 @@
 	/** By server id. */
 	readonly held: Map<string, HeldPermits>
 	/** What other entries are asked by; set once there are any. */
-	askHome: AskHome
+	queryHome: QueryHome
 }
 
 /** Makes a gate that has nothing. */
 export function createPermitGate(): PermitGate {
-	return { held: new Map(), askHome: () => undefined }
+	return { held: new Map(), queryHome: () => undefined }
 }
 
 /** Homes, and the pools of those servers that this entry is home to. */
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -15,7 +15,7 @@
 import type { GatewayContext } from './context.ts'
 import { bodyLengthOf, fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
-import { postNews } from './outbox.ts'
+import { enqueueUpdates } from './outbox.ts'
 import type { RunningRequest } from './runs.ts'
 
 /**
@@ -69,11 +69,11 @@
 	if (!isSuspected(ctx, request)) return
 	const fingerprint = fingerprintOf(request)
 	const news = { kind: 'served', fingerprint, at: readElapsed() } as const
-	noteEndNews(ctx, [news], 'here')
+	receiveCrashUpdates(ctx, [news], 'here')
 }
 
 /** Notes that a server ended, and what it was running for this entry. */
-export function noteServerEnd(
+export function noteServerCrash(
 	ctx: GatewayContext,
 	server: string,
 	at: number,
@@ -84,7 +84,7 @@
 		const ranMs = Math.max(0, at - since)
 		ran.set(fingerprint, Math.min(ranMs, ran.get(fingerprint) ?? ranMs))
 	}
-	noteEndNews(ctx, [{ kind: 'end', server, at, ran }], 'here')
+	receiveCrashUpdates(ctx, [{ kind: 'end', server, at, ran }], 'here')
 }
 
 function shutFor(ctx: GatewayContext, id: string): void {
@@ -93,7 +93,7 @@
 }
 
 /** Takes news of servers that ended, and of requests that others have served. */
-export function noteEndNews(
+export function receiveCrashUpdates(
 	ctx: GatewayContext,
 	told: readonly NewsOf<'end' | 'served'>[],
 	from: string,
@@ -101,7 +101,7 @@
 	const now = readElapsed()
 	const fresh = takeServerNews(ctx.book, told, now)
 	if (fresh.length === 0) return
-	postNews(ctx.outbox, fresh)
+	enqueueUpdates(ctx.outbox, fresh)
 	judgeAnew(ctx, from)
 	if (from === 'here') return
 	for (const one of fresh)
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -11,7 +11,7 @@
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { postNews } from './outbox.ts'
+import { enqueueUpdates } from './outbox.ts'
 import { dropPermits } from './permitGate.ts'
 import type { Heard } from './ports.ts'
 
@@ -28,11 +28,11 @@
 		// An answer to a request from before the limit says nothing of its end.
 		if (sentAt <= known.since) return
 	}
-	noteLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
+	receiveLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
 }
 
 /** Takes news of limits. */
-export function noteLimits(
+export function receiveLimits(
 	ctx: GatewayContext,
 	told: readonly NewsOf<'limit'>[],
 	from: string,
@@ -50,7 +50,7 @@
 	const before = perSecondOf(rateLimits, server)
 	const fresh = takeServerNews(book, [news], readElapsed())
 	if (fresh.length === 0) return
-	postNews(outbox, fresh)
+	enqueueUpdates(outbox, fresh)
 	dropPermits(ctx, server)
 	ctx.log.write('server limit', { server, perSecond, before, from })
 	const inForce = [...rateLimits.keys()].filter(
--- a/packages/gateway/src/serverEnds.ts
+++ b/packages/gateway/src/serverEnds.ts
@@ -8,10 +8,10 @@
 import type { ListedServer } from '@juniperhook/core'
 import { MAX_NAMED, splitAddress } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
-import { noteRankGone, standsStill } from './closedGroups.ts'
+import { isGroupStalled, noteRankGone } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import type { Doubt } from './endWatch.ts'
-import { noteServerEnd } from './quarantineGate.ts'
+import { noteServerCrash } from './quarantineGate.ts'
 import { listRunning } from './runs.ts'
 
 /** Servers that are asked at the same time; each takes one round trip. */
@@ -30,7 +30,7 @@
 const MAX_DOUBTS = 512
 
 /** How it is known that a server has ended. */
-export type EndWitness = 'refused' | 'list'
+export type CrashWitness = 'refused' | 'list'
 
 /**
  * Notes that a server closed a connection before its answer was whole. Nothing is
@@ -38,7 +38,7 @@
  * connection to every rank.
  */
 export function noteBroken(ctx: GatewayContext, server: ListedServer): void {
-	if (standsStill(ctx, server)) return
+	if (isGroupStalled(ctx, server)) return
 	const { doubts, queue } = ctx.ends
 	const running = listRunning(ctx.runs, server.id)
 	const known = doubts.get(server.id)
@@ -138,7 +138,7 @@
  * Settles doubts by a list that no longer names a server's life, though it had not said
  * that it leaves. One that says so later has lived on.
  */
-export function settleByList(ctx: GatewayContext): void {
+export function resolveChecksByList(ctx: GatewayContext): void {
 	const { ends, list } = ctx
 	for (const [id, doubt] of [...ends.answered, ...ends.doubts]) {
 		const listed = list.records.get(doubt.server.name)?.server
@@ -177,7 +177,7 @@
 function believeEnd(
 	ctx: GatewayContext,
 	doubt: Doubt,
-	witness: EndWitness,
+	witness: CrashWitness,
 ): void {
 	const { server, at } = doubt
 	dropDoubt(ctx, doubt)
@@ -193,6 +193,6 @@
 		requests: running.map(one => one.id),
 		fingerprints: [...new Set(running.map(one => one.fingerprint))],
 	})
-	noteServerEnd(ctx, server.id, at, running)
+	noteServerCrash(ctx, server.id, at, running)
 	if (witness === 'refused') noteRankGone(ctx, server)
 }
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -16,18 +16,18 @@
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { applyServerList } from './fleet.ts'
-import { postNews } from './outbox.ts'
-import { settleByList } from './serverEnds.ts'
+import { enqueueUpdates } from './outbox.ts'
+import { resolveChecksByList } from './serverEnds.ts'
 import { closeIdle } from './serverPool.ts'
 import { serveWaiting } from './waiting.ts'
 
 /** Where records come from: the source, an older copy of it, or another entry. */
 export type RecordOrigin =
-	| { readonly from: 'source' | 'copy'; readonly doubtUntil: number }
+	| { readonly from: 'source' | 'copy'; readonly deferRemovalsUntil: number }
 	| { readonly from: 'peer'; readonly peer: string }
 
 /** Takes records of servers. */
-export function takeRecords(
+export function applyRecords(
 	ctx: GatewayContext,
 	records: readonly ServerRecord[],
 	origin: RecordOrigin,
@@ -48,8 +48,8 @@
 ): boolean {
 	if (origin.from === 'peer') return takeTold(list, record, now)
 	const mayHaveLapsed = !record.server && record.fault === undefined
-	if (mayHaveLapsed && now < origin.doubtUntil) {
-		doubtRemoval(list, record, origin.doubtUntil)
+	if (mayHaveLapsed && now < origin.deferRemovalsUntil) {
+		doubtRemoval(list, record, origin.deferRemovalsUntil)
 		return false
 	}
 	return origin.from === 'copy'
@@ -93,7 +93,7 @@
 ): void {
 	const fresh = takeServerNews(ctx.book, told, readElapsed())
 	if (fresh.length === 0) return
-	postNews(ctx.outbox, fresh)
+	enqueueUpdates(ctx.outbox, fresh)
 	for (const { server } of fresh)
 		ctx.log.write('server', { server, state: 'leaving', from })
 	refreshFleet(ctx)
@@ -112,7 +112,7 @@
 	const before = fleet.servers
 	applyServerList(fleet, list, settings.dataCentre, routes)
 	closeEnded(ctx, before)
-	settleByList(ctx)
+	resolveChecksByList(ctx)
 	serveWaiting(ctx)
 }
 
--- a/packages/gateway/src/serverRests.ts
+++ b/packages/gateway/src/serverRests.ts
@@ -12,7 +12,7 @@
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { postNews } from './outbox.ts'
+import { enqueueUpdates } from './outbox.ts'
 
 /** Takes a server's word that it wants nothing from this entry for `forMs`. */
 export function takeRest(
@@ -22,21 +22,21 @@
 ): void {
 	const entry = ctx.settings.control
 	const endsAt = readElapsed() + Math.min(forMs, MAX_REST_MS)
-	noteRests(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
+	receiveBackoffs(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
 }
 
 /**
  * Takes news of rests. Those of other entries are kept for them: one that starts again
  * is told them.
  */
-export function noteRests(
+export function receiveBackoffs(
 	ctx: GatewayContext,
 	told: readonly NewsOf<'rest'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
 	const fresh = takeServerNews(ctx.book, told, now)
-	if (from === 'answer') postNews(ctx.outbox, fresh)
+	if (from === 'answer') enqueueUpdates(ctx.outbox, fresh)
 	for (const { entry, server, endsAt } of fresh)
 		if (entry === ctx.settings.control) keepRest(ctx, server, endsAt, from)
 }
--- a/packages/gateway/src/toldGroups.ts
+++ b/packages/gateway/src/toldGroups.ts
@@ -9,7 +9,7 @@
 import { openGroup, shutGroup } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import { applyToldGroups, serviceOf } from './fleet.ts'
-import { PacesSchema } from './peerMessages.ts'
+import { GroupReportSchema } from './peerMessages.ts'
 import { serveWaiting } from './waiting.ts'
 
 /** Coordinators repeat what they tell each second; older is forgotten, ms. */
@@ -21,14 +21,14 @@
 const HEARD_MS = 30_000
 
 /** News of a group, as they are told on. */
-export type GroupNews = v.InferOutput<typeof PacesSchema>
+export type GroupReportMessage = v.InferOutput<typeof GroupReportSchema>
 
 /** Takes news of a group; gives them for others if they are new here. */
 export function takePaces(
 	ctx: GatewayContext,
 	params: unknown,
-): GroupNews | undefined {
-	const news = v.parse(PacesSchema, params)
+): GroupReportMessage | undefined {
+	const news = v.parse(GroupReportSchema, params)
 	const { group, by, number, slow, limit, broken, hops } = news
 	const { toldGroups, heardNews } = ctx.fleet
 	const key = `${group} ${by}`
@@ -62,7 +62,7 @@
 }
 
 /** What has not been told again is no longer believed. */
-export function forgetGroups(ctx: GatewayContext, now: number): void {
+export function expireGroupReports(ctx: GatewayContext, now: number): void {
 	const { toldGroups, heardNews } = ctx.fleet
 	for (const [key, { at }] of heardNews)
 		if (now - at > HEARD_MS) heardNews.delete(key)
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -23,10 +23,10 @@
 test('a server that says that it leaves is sent nothing more', async () => {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
-	server.leaves = true
+	server.isLeaving = true
 	await askSteadily(world, { perSecond: 60, forMs: 2_000 })
 	closeWorld(world)
-	const late = server.told.map(
+	const late = server.notices.map(
 		({ entry, at: from }) =>
 			server.arrivals.filter(
 				one => one.entry === entry && one.at > from + LEAVE_MS,
@@ -42,7 +42,7 @@
 async function openLeaving(): Promise<[LimitedWorld, LimitedServer]> {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
-	server.leaves = true
+	server.isLeaving = true
 	await askSteadily(world, { ...ASKED, pick: () => 0 })
 	await pause(NEWS_MS)
 	assert.is(server.arrivals.filter(({ entry }) => entry !== '0').length, 0)
@@ -94,7 +94,7 @@
 		name: 'its next life is listed',
 		happen: (world, server) => {
 			const { listed } = server
-			server.leaves = false
+			server.isLeaving = false
 			relist(world, { ...listed, id: `${listed.id}@2` }, listed.name)
 		},
 		sent: true,
@@ -126,7 +126,7 @@
 
 test('while all servers leave, callers are refused at once', async () => {
 	const world = await openWorld(1, 1)
-	world.servers[0]!.leaves = true
+	world.servers[0]!.isLeaving = true
 	const [first, ...others] = await askSteadily(world, ASKED)
 	closeWorld(world)
 	// What was taken is answered whole.
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -41,14 +41,14 @@
 	/** Requests a second that its answers name; undefined for none. */
 	perSecond: number | undefined
 	/** Whether it refuses everything. */
-	refuses: boolean
+	refusesAll: boolean
 	/** How it answers what an entry sends. */
 	answer: (entry: string) => Answer
 	/** Whether its answers say that it leaves. */
-	leaves: boolean
+	isLeaving: boolean
 	readonly arrivals: Arrival[]
 	/** Answers that told an entry to stay away or that the server leaves. */
-	readonly told: Told[]
+	readonly notices: Notice[]
 }
 
 /** An answer's status, and its `Retry-After`, if any. */
@@ -69,8 +69,8 @@
 }
 
 /** An answer that spoke of its server. */
-export interface Told extends Arrival {
-	readonly word: 'rest' | 'leaving'
+export interface Notice extends Arrival {
+	readonly kind: 'rest' | 'leaving'
 }
 
 /** Names the entry that a request goes to; entries pass it on. */
@@ -155,19 +155,19 @@
 		},
 		server,
 		perSecond: undefined,
-		refuses: false,
+		refusesAll: false,
 		answer: () => TAKEN,
-		leaves: false,
+		isLeaving: false,
 		arrivals: [],
-		told: [],
+		notices: [],
 	}
 	server.on('request', (req, res) => {
 		const entry = String(req.headers[ENTRY_HEADER])
 		limited.arrivals.push({ entry, at: performance.now() })
-		const { perSecond, leaves, told } = limited
+		const { perSecond, isLeaving: leaves, notices: told } = limited
 		const answer = limited.answer(entry)
 		const { retryAfter } = answer
-		const status = limited.refuses ? 503 : answer.status
+		const status = limited.refusesAll ? 503 : answer.status
 		const headers: Record<string, string> = {
 			[WIRE.requestId]: String(req.headers[WIRE.requestId]),
 			[status === 503 ? WIRE.notRun : WIRE.seal]: '1',
@@ -181,8 +181,8 @@
 			const at = performance.now()
 			// An entry that has closed the connection has not been told.
 			const isOpen = !res.destroyed
-			if (asksRest && isOpen) told.push({ entry, at, word: 'rest' })
-			if (leaves && isOpen) told.push({ entry, at, word: 'leaving' })
+			if (asksRest && isOpen) told.push({ entry, at, kind: 'rest' })
+			if (leaves && isOpen) told.push({ entry, at, kind: 'leaving' })
 			res.writeHead(status, headers).end('done')
 		}, WORK_MS)
 	})
--- a/packages/gateway/test/newsTimes.test.ts
+++ b/packages/gateway/test/newsTimes.test.ts
@@ -14,7 +14,7 @@
 import * as assert from 'uvu/assert'
 import { chooseLinks } from '../src/index.ts'
 import type { Outbox } from '../src/outbox.ts'
-import { drainOutbox, postNews } from '../src/outbox.ts'
+import { drainOutbox, enqueueUpdates } from '../src/outbox.ts'
 
 /** Entries look for what is new so often, ms. */
 const LOOK_MS = 50
@@ -78,7 +78,7 @@
 		if (fresh.length === 0) return
 		known++
 		lastAt = now
-		postNews(outbox, fresh)
+		enqueueUpdates(outbox, fresh)
 		const looksIn = (LOOK_MS + phaseMs - (now % LOOK_MS)) % LOOK_MS
 		tell(to, now + looksIn)
 	}
--- a/packages/gateway/test/rateLimits.test.ts
+++ b/packages/gateway/test/rateLimits.test.ts
@@ -158,7 +158,7 @@
 	const world = await openWorld(3, 3)
 	const [limited, ...others] = world.servers
 	limited!.perSecond = 1
-	for (const server of others) server.refuses = true
+	for (const server of others) server.refusesAll = true
 	await askSteadily(world, { perSecond: 20, forMs: FOR_MS })
 	closeWorld(world)
 	const most = mostInSpan(limited!, limited!.arrivals[0]!.at + CONTACT_MS)
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/rest.test.ts
@@ -43,8 +43,11 @@
 }
 
 /** When an entry was first asked for rest, ms. */
-function firstTold({ told }: LimitedServer, entry: string): number | undefined {
-	return told.find(one => one.entry === entry && one.word === 'rest')?.at
+function firstTold(
+	{ notices: told }: LimitedServer,
+	entry: string,
+): number | undefined {
+	return told.find(one => one.entry === entry && one.kind === 'rest')?.at
 }
 
 /** Requests of one entry within the rest that it was asked for, the most. */
@@ -182,10 +185,10 @@
 	const server = world.servers[0]!
 	askForRest(server, 3)
 	await askSteadily(world, { perSecond: 100, forMs: 300 })
-	for (const other of world.servers.slice(1)) other.refuses = true
+	for (const other of world.servers.slice(1)) other.refusesAll = true
 	await askSteadily(world, { perSecond: 40, forMs: 3_000 })
 	closeWorld(world)
-	assert.ok(server.told.length > 0)
+	assert.ok(server.notices.length > 0)
 	assert.ok(mostInRest(server, 3) <= MAX_IN_REST)
 	assert.ok(world.entries[0]!.ctx.outages.size > 0)
 })
@@ -224,7 +227,7 @@
 	server.answer = entry => ({ ...rest(entry), status: 503 })
 	await askSteadily(world, { perSecond: 200, forMs: 1_600 })
 	closeWorld(world)
-	const from = server.told[0]!.at + 0.6 * SECOND_MS
+	const from = server.notices[0]!.at + 0.6 * SECOND_MS
 	const after = server.arrivals.filter(({ at }) => at >= from)
 	const spanMs = after.at(-1)!.at - from
 	assert.ok(after.length <= spanMs / TRY_GAP_MS + 2, `${after.length}`)
