--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the published configuration and server list: by watching the source,
- * and by what peers pass on. What is newer wins, whoever tells it.
+ * Follows the published configuration and server list by watching the source. Values
+ * also arrive from peers; the newer version wins, whatever its origin.
  */
 
 import type { ServerRecord, TermRevision } from '@juniperhook/core'
@@ -25,39 +25,38 @@
 import { unlessSuspended } from './suspension.ts'
 
 /**
- * Part of the contact time that a watch waits. One whose path was cut and healed,
- * or whose answer was lost, says nothing until then and a while more; when the
- * contact time is over, this entry must know all changes again.
+ * Timeout of a watch, as a share of the contact time. A watch whose answer was lost, or
+ * whose path was interrupted, only ends at its timeout. The rest of the contact time is
+ * left for catching up, since all changes must be known again when it is over.
  */
-const WATCH_SHARE = 0.6
+const WATCH_TIMEOUT_SHARE = 0.6
 /**
- * After news, before the next watch, ms: changes often come many at a time, and
- * each call has its price. It adds to the time until a change is in force. While
- * news come without a pause, as while a fleet starts, it doubles, up to this part of the
- * contact time.
+ * Delay between a change and the next watch, ms. Changes often arrive in bursts, and
+ * batching them saves calls, at the price of a later activation. During a burst, such
+ * as the start of a fleet, the delay doubles up to this share of the contact time.
  */
-const GATHER_MS = 100
-const MAX_GATHER_SHARE = 0.15
-/** A watch that brings news within this time brings those of a series, ms. */
-const SERIES_MS = 300
+const BATCH_DELAY_MS = 100
+const MAX_BATCH_DELAY_SHARE = 0.15
+/** A watch that reports a change within this time continues a burst, ms. */
+const BURST_MS = 300
 /**
- * A watch after one that failed asks for what has changed until now, ms. Reading
- * everything instead would bring the whole configuration once more, a megabyte
- * on a link that may have been too slow for the change itself.
+ * Timeout of the first watch after a failed call, ms: it fetches what has changed so
+ * far. A full read would transfer the whole configuration again, up to a megabyte, over
+ * a link that may have been too slow for the change itself.
  */
 const CATCH_UP_WAIT_MS = 1
-/** Between calls to a source that failed, ms; it grows up to the second. */
-const MIN_PAUSE_MS = 100
-const MAX_PAUSE_MS = 400
-/** The source counts as away when it has not answered for this long, ms. */
-const AWAY_AFTER_MS = 1_000
+/** Exponential backoff between calls to a failing source, ms. */
+const MIN_BACKOFF_MS = 100
+const MAX_BACKOFF_MS = 400
+/** The source counts as unavailable after this time without an answer, ms. */
+const SOURCE_TIMEOUT_MS = 1_000
 /**
- * How long entries that ran out while the source was away are still believed
- * after its return, ms: the servers write theirs again within two seconds.
+ * How long records that expired during an outage of the source stay valid after its
+ * return, ms: the servers renew theirs within two seconds.
  */
-const LAPSED_GRACE_MS = 1_900
+const REMOVAL_GRACE_MS = 1_900
 
-/** Instead of a watch that was open while the VM was suspended. */
+/** Result of a watch during which the VM was suspended. */
 const SUSPENDED: SourceResult<CatalogSnapshot> = {
 	ok: false,
 	lostHistory: false,
@@ -65,18 +64,18 @@
 	bytes: 0,
 }
 
-/** How a catalog is being followed. */
+/** State of following a source. */
 export interface CatalogFollower {
 	/** When the source last answered, ms. */
 	answeredAt: number
-	/** Removals are doubted until then, ms. */
+	/** Removals are deferred until this time, ms. */
 	deferRemovalsUntil: number
 	isAway: boolean
-	/** Term in which everything was last read; undefined before. */
+	/** Term of the last full read; undefined before the first. */
 	term: number | undefined
 }
 
-/** Follows a source until the process ends. */
+/** Follows a source until the process exits. */
 export async function followCatalog(
 	ctx: GatewayContext,
 	source: CatalogSource,
@@ -89,16 +88,19 @@
 	}
 	let revision: TermRevision | undefined
 	let hasFailed = false
-	let pause = MIN_PAUSE_MS
-	let gatherMs = GATHER_MS
+	let backoffMs = MIN_BACKOFF_MS
+	let batchDelayMs = BATCH_DELAY_MS
 	for (;;) {
-		const whole = revision === undefined
-		const begunAt = readElapsed()
-		const result: SourceResult<CatalogSnapshot> = whole
+		const isFullRead = revision === undefined
+		const startedAt = readElapsed()
+		const result: SourceResult<CatalogSnapshot> = isFullRead
 			? await source.read()
 			: await unlessSuspended(
 					ctx,
-					source.watch(revision!, hasFailed ? CATCH_UP_WAIT_MS : watchMs(ctx)),
+					source.watch(
+						revision!,
+						hasFailed ? CATCH_UP_WAIT_MS : watchTimeoutMs(ctx),
+					),
 					SUSPENDED,
 				)
 		const now = readElapsed()
@@ -107,43 +109,47 @@
 		hasFailed = !result.ok
 		if (!result.ok) {
 			ctx.log.write('source call failed', {
-				call: whole ? 'read' : 'watch',
+				call: isFullRead ? 'read' : 'watch',
 				after: revision && formatRevision(revision),
 				reason: result.reason,
 				bytes: result.bytes,
-				tookMs: Math.round(now - begunAt),
+				tookMs: Math.round(now - startedAt),
 			})
-			noteAway(ctx, follower, now, result.reason)
+			markSourceLost(ctx, follower, now, result.reason)
 			if (result.lostHistory) {
 				revision = undefined
-				pause = MIN_PAUSE_MS
+				backoffMs = MIN_BACKOFF_MS
 			}
-			await sleep(pause * (0.5 + ctx.random()))
-			pause = Math.min(pause * 2, MAX_PAUSE_MS)
+			await sleep(backoffMs * (0.5 + ctx.random()))
+			backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS)
 			continue
 		}
-		pause = MIN_PAUSE_MS
-		noteBack(ctx, follower, now)
-		takeSnapshot(ctx, result.value, whole, follower, now)
-		const isNews = !whole && !isSameRevision(result.value.revision, revision!)
+		backoffMs = MIN_BACKOFF_MS
+		markSourceBack(ctx, follower, now)
+		applySnapshot(ctx, result.value, isFullRead, follower, now)
+		const isChanged =
+			!isFullRead && !isSameRevision(result.value.revision, revision!)
 		revision = result.value.revision
-		if (!isNews) continue
-		gatherMs = now - begunAt < SERIES_MS ? gatherMs * 2 : GATHER_MS
-		await sleep(Math.min(gatherMs, ctx.settings.contactMs * MAX_GATHER_SHARE))
+		if (!isChanged) continue
+		batchDelayMs =
+			now - startedAt < BURST_MS ? batchDelayMs * 2 : BATCH_DELAY_MS
+		await sleep(
+			Math.min(batchDelayMs, ctx.settings.contactMs * MAX_BATCH_DELAY_SHARE),
+		)
 	}
 }
 
-function watchMs({ settings }: GatewayContext): number {
-	return Math.round(settings.contactMs * WATCH_SHARE)
+function watchTimeoutMs({ settings }: GatewayContext): number {
+	return Math.round(settings.contactMs * WATCH_TIMEOUT_SHARE)
 }
 
-function noteAway(
+function markSourceLost(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
 	reason: string,
 ): void {
-	if (follower.isAway || now - follower.answeredAt < AWAY_AFTER_MS) return
+	if (follower.isAway || now - follower.answeredAt < SOURCE_TIMEOUT_MS) return
 	follower.isAway = true
 	ctx.sourceAway = true
 	ctx.log.write('source lost', {
@@ -152,7 +158,7 @@
 	})
 }
 
-function noteBack(
+function markSourceBack(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
@@ -160,7 +166,7 @@
 	if (follower.isAway) {
 		follower.isAway = false
 		ctx.sourceAway = false
-		follower.deferRemovalsUntil = now + LAPSED_GRACE_MS
+		follower.deferRemovalsUntil = now + REMOVAL_GRACE_MS
 		ctx.log.write('source back', {
 			awayMs: Math.round(now - follower.answeredAt),
 		})
@@ -168,30 +174,31 @@
 	follower.answeredAt = now
 }
 
-function takeSnapshot(
+function applySnapshot(
 	ctx: GatewayContext,
 	snapshot: CatalogSnapshot,
-	whole: boolean,
+	isFullRead: boolean,
 	follower: CatalogFollower,
 	now: number,
 ): void {
 	for (const reason of snapshot.faults)
 		ctx.log.write('published value refused', { reason })
 	if (snapshot.config) adoptConfig(ctx, snapshot.config, 'source')
-	const isCopy = whole && isOlderCopy(ctx, follower, snapshot.revision)
-	if (whole) noteTerm(ctx, follower, snapshot.revision)
-	if (isCopy) follower.deferRemovalsUntil = now + LAPSED_GRACE_MS
-	const missing = whole ? listMissing(ctx, snapshot) : []
+	const isRollback =
+		isFullRead && isRestoredCopy(ctx, follower, snapshot.revision)
+	if (isFullRead) recordTerm(ctx, follower, snapshot.revision)
+	if (isRollback) follower.deferRemovalsUntil = now + REMOVAL_GRACE_MS
+	const missing = isFullRead ? findMissingRecords(ctx, snapshot) : []
 	const before = ctx.list.revision
 	applyRecords(ctx, [...snapshot.servers, ...missing], {
-		from: isCopy ? 'copy' : 'source',
+		from: isRollback ? 'copy' : 'source',
 		deferRemovalsUntil: follower.deferRemovalsUntil,
 	})
 	noteRead(ctx.list, snapshot.revision)
-	if (isCopy) logTerm(ctx, before, snapshot, missing.length)
+	if (isRollback) logRollback(ctx, before, snapshot, missing.length)
 }
 
-function noteTerm(
+function recordTerm(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	{ term }: TermRevision,
@@ -200,7 +207,7 @@
 	ctx.metrics.sourceTerm.set(term)
 }
 
-function listMissing(
+function findMissingRecords(
 	{ list }: GatewayContext,
 	{ servers, revision }: CatalogSnapshot,
 ): ServerRecord[] {
@@ -208,18 +215,18 @@
 	return findMissing(list, present, revision)
 }
 
-/** Whether the source has come back from an older copy since it was last read. */
-function isOlderCopy(
+/** Whether the source was restored from an older copy since the last full read. */
+function isRestoredCopy(
 	{ list }: GatewayContext,
 	follower: CatalogFollower,
 	{ term }: TermRevision,
 ): boolean {
 	if (follower.term !== undefined) return term > follower.term
-	const told = [...list.records.values()]
-	return told.some(({ server, revision }) => server && revision.term < term)
+	const known = [...list.records.values()]
+	return known.some(({ server, revision }) => server && revision.term < term)
 }
 
-function logTerm(
+function logRollback(
 	ctx: GatewayContext,
 	before: TermRevision,
 	{ revision, servers }: CatalogSnapshot,
@@ -237,7 +244,7 @@
 	})
 }
 
-/** Believes removals whose time has come. */
+/** Applies deferred removals and returns that are due. */
 export function tickCatalog(ctx: GatewayContext): void {
 	const settled = settleRemovals(ctx.list, readElapsed())
 	for (const { name } of settled)
@@ -248,22 +255,25 @@
 	if (settled.length + returned.length > 0) refreshFleet(ctx)
 }
 
-/** Puts a configuration in force unless it is older; true when it is news. */
+/**
+ * Activates a configuration unless the active one is at least as new. Returns whether
+ * it was activated.
+ */
 export function adoptConfig(
 	ctx: GatewayContext,
 	published: PublishedConfig,
 	from: string,
 ): boolean {
 	const { version } = published.config
-	const held = ctx.routes?.config.version
-	if (held !== undefined && version <= held) return false
+	const active = ctx.routes?.config.version
+	if (active !== undefined && version <= active) return false
 	ctx.routes = createRouteTable(published.config)
 	ctx.published = published
 	ctx.configSince = readNow()
 	ctx.metrics.configVersion.set(version)
 	ctx.log.write('configuration in force', {
 		version,
-		before: held,
+		before: active,
 		from,
 		routes: published.config.routes.length,
 	})
--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -1,4 +1,4 @@
-/** Lock-step groups that are broken and refuse at every rank. */
+/** Lock-step groups that are broken: all of their ranks refuse requests. */
 
 import type { ListedServer, Spell, TrafficRoute } from '@juniperhook/core'
 import {
@@ -17,22 +17,22 @@
 
 const UNAVAILABLE = 503
 /**
- * Part of a caller's patience for which a request is kept while its group forms;
- * the rest is for the way and the prompt.
+ * Share of the caller's timeout during which a request waits while its group re-forms;
+ * the rest is left for the network and for processing the prompt.
  */
-const PATIENCE_SHARE = 0.85
+const WAIT_SHARE = 0.85
 /**
- * How long a group is assumed to be away before an outage was seen, besides its
- * forming, ms: for a process to be started again and to load its weights.
+ * Assumed duration of a group's first outage in addition to its re-forming, ms: the time
+ * to restart a process and to load its weights.
  */
 const FIRST_OUTAGE_MS = 2_000
 
-/** Ranks that end together, as on one VM, are seen to within this time, ms. */
-const OLD_CLOSURE_MS = 500
+/** Crashes of ranks that fail together, as on one VM, are detected within this time, ms. */
+const STALLED_AFTER_MS = 500
 
 /**
- * Whether a refusal speaks for all ranks of a lock-step group; that of a rank which has
- * asked for rest speaks for itself.
+ * Whether a refusal applies to all ranks of a lock-step group; a rank that has requested
+ * a backoff refuses for itself only.
  */
 export function isGroupRefusal(
 	ctx: GatewayContext,
@@ -44,20 +44,20 @@
 
 /** Whether the service's servers are ranks of lock-step groups. */
 export function isGrouped(ctx: GatewayContext, service: string): boolean {
-	return layoutOf(ctx, service) !== undefined
+	return expertLayoutOf(ctx, service) !== undefined
 }
 
-function layoutOf(ctx: GatewayContext, service: string) {
+function expertLayoutOf(ctx: GatewayContext, service: string) {
 	return ctx.routes?.services.get(service)?.engine?.experts
 }
 
-/** Notes that a group refuses, as one of its ranks has answered. */
+/** Marks a group as closed because one of its ranks has refused a request. */
 export function closeGroup(ctx: GatewayContext, group: string): void {
 	beginOutage(ctx, group, 'answer')
 	noteClosed(ctx.closures, group, readNow())
 }
 
-/** Notes that a group is broken, as its coordinator or the end of a rank says. */
+/** Marks a group as closed because of its coordinator's report or a rank's crash. */
 export function shutGroup(
 	ctx: GatewayContext,
 	group: string,
@@ -68,26 +68,26 @@
 }
 
 /**
- * The ranks of a group stand still when one has ended, and hold what they are sent
- * until they refuse it: what is known of the end keeps requests from them.
+ * Closes the group of a crashed rank at once. The other ranks are stalled, and would hold
+ * requests sent to them until they refuse them.
  */
 export function noteRankGone(ctx: GatewayContext, server: ListedServer): void {
 	if (isGrouped(ctx, server.service)) shutGroup(ctx, groupOf(server), 'end')
 }
 
 /**
- * Whether a server's group had been closed for a while: its ranks break off what they
- * hold because the group stands still, each by itself lives.
+ * Whether a server's group has been closed for a while. Its ranks then abort the requests
+ * that they hold because the group is stalled, not because they have crashed.
  */
 export function isGroupStalled(
 	{ closures }: GatewayContext,
 	server: ListedServer,
 ): boolean {
 	const since = closures.get(groupOf(server))?.since
-	return since !== undefined && readNow() - since > OLD_CLOSURE_MS
+	return since !== undefined && readNow() - since > STALLED_AFTER_MS
 }
 
-/** Who says that a group is closed or open. */
+/** Evidence that a group is closed or open. */
 type Witness = 'answer' | 'coordinator' | 'end'
 
 function beginOutage(ctx: GatewayContext, group: string, from: Witness): void {
@@ -98,7 +98,7 @@
 	ctx.openUntil.set(group, now + FIRST_OUTAGE_MS + reformMsOf(ctx, group))
 }
 
-/** Notes that a group takes requests; true if it did not before. */
+/** Marks a group as open. Returns whether it was closed before. */
 export function openGroup(
 	ctx: GatewayContext,
 	group: string,
@@ -114,14 +114,14 @@
 	return true
 }
 
-/** Whether all servers of a service belong to groups that refuse. */
+/** Whether all servers of a service belong to closed groups. */
 export function isServiceClosed(ctx: GatewayContext, service: string): boolean {
 	const rows = ctx.fleet.rowsOf.get(service) ?? []
 	if (rows.length === 0 || ctx.closures.size === 0) return false
 	return rows.every(row => ctx.closures.has(groupOf(ctx.fleet.servers[row]!)))
 }
 
-/** Outages of a group. */
+/** Returns the outage history of a group. */
 function outageOf(ctx: GatewayContext, group: string): Spell {
 	const known = ctx.outages.get(group)
 	if (known) return known
@@ -131,10 +131,10 @@
 }
 
 function reformMsOf(ctx: GatewayContext, group: string): number {
-	return layoutOf(ctx, serviceOf(group))?.reformMs ?? 0
+	return expertLayoutOf(ctx, serviceOf(group))?.reformMs ?? 0
 }
 
-/** When the first group of a service that refuses is expected to open, ms. */
+/** Returns when the first group of a closed service is expected to open, ms. */
 export function expectOpenMs(
 	ctx: GatewayContext,
 	service: string,
@@ -148,7 +148,7 @@
 	return Math.min(...outages.map(outage => expectSpellEnd(outage, now)))
 }
 
-/** How long a request may wait for a service that refuses, ms. */
+/** Returns how long a request may wait for a closed service, ms. */
 export function closedWaitMs(
 	ctx: GatewayContext,
 	service: string,
@@ -158,13 +158,13 @@
 	const groups = new Set(rows.map(row => groupOf(ctx.fleet.servers[row]!)))
 	const expected = [...groups].map(group => ctx.openUntil.get(group) ?? 0)
 	const now = readNow()
-	const keptUntil =
-		now - (readElapsed() - arrivedAt) + PATIENCE_SHARE * patienceMs(ctx, route)
-	return Math.min(Math.max(0, ...expected), keptUntil) - now
+	const waitUntil =
+		now - (readElapsed() - arrivedAt) + WAIT_SHARE * eventTimeoutMs(ctx, route)
+	return Math.min(Math.max(0, ...expected), waitUntil) - now
 }
 
-/** How long a caller waits for the first event of a stream, ms. */
-function patienceMs(
+/** Returns how long a caller waits for the first event of a stream, ms. */
+function eventTimeoutMs(
 	{ settings }: GatewayContext,
 	{ targetMs, maxPauseMs }: TrafficRoute,
 ): number {
--- a/packages/gateway/src/configTransfer.ts
+++ b/packages/gateway/src/configTransfer.ts
@@ -1,8 +1,7 @@
 /**
- * Hands the published configuration from entry to entry: compressed, in pieces
- * of bounded size, one piece at a time. However large the text is, each call
- * carries little enough for its time limit, and other messages on the same link
- * wait for one piece at most.
+ * Transfers the published configuration between entries: compressed, in pieces of
+ * bounded size, one piece at a time. Whatever the size of the text, each call fits its
+ * timeout, and other messages on the same link are delayed by one piece at most.
  */
 
 import { promisify } from 'node:util'
@@ -15,84 +14,88 @@
 import type { PublishedConfig } from './ports.ts'
 
 /**
- * Compressed bytes in a piece; base64 adds a third. One piece passes a link of
- * 28 Mbit/s, the narrowest of an entry, in 13 ms.
+ * Compressed bytes per piece; base64 adds a third. One piece takes 13 ms on a link of
+ * 28 Mbit/s, the slowest of an entry.
  */
 const PIECE_BYTES = 32_768
-/** A piece that takes longer is given up, ms: the link carries under 30 KB/s. */
-const PIECE_MS = 1_500
+/** Timeout for one piece, ms; a link that exceeds it carries less than 30 KB/s. */
+const PIECE_TIMEOUT_MS = 1_500
 /**
- * Entries that are handed pieces at a time: 4 share 28 Mbit/s for 0.1 s where a
- * text of 0.94 MB packs to 0.06 MB, as one of 4,250 routes did. Each that has the
- * text hands it on, so the rest have it sooner than if all shared one link.
+ * Concurrent transfers. A text of 4,250 routes, 0.94 MB, compresses to 0.06 MB, which 4
+ * entries receive in 0.1 s over a shared link of 28 Mbit/s. Each receiver serves the
+ * text in turn, so all entries have it sooner than if they shared one link.
  */
-const MAX_SERVED = 4
-/** An entry that has not asked for its next piece by then has gone, ms. */
-const SERVED_MS = 1_500
-/** Largest text that is unpacked, bytes; a published one is up to 1 MB. */
+const MAX_TRANSFERS = 4
+/** A transfer without a request for this long counts as abandoned, ms. */
+const TRANSFER_IDLE_MS = 1_500
+/** Maximum size of a decompressed text, bytes; a published one has up to 1 MB. */
 const MAX_TEXT_BYTES = 16_777_216
 
-const pack = promisify(gzip)
-const unpack = promisify(gunzip)
+const compress = promisify(gzip)
+const decompress = promisify(gunzip)
 
-/** What an entry hands out, and to whom. */
+/** Serves the published configuration to other entries. */
 export interface ConfigServer {
-	packed: PackedConfig | undefined
-	/** When each link was last given a piece, ms. */
-	readonly served: Map<RpcLink, number>
+	compressed: CompressedConfig | undefined
+	/** Transfers in progress, with the time of the last piece sent, ms. */
+	readonly transfers: Map<RpcLink, number>
 }
 
-interface PackedConfig {
+interface CompressedConfig {
 	readonly published: PublishedConfig
 	readonly data: Promise<Buffer>
 }
 
-/** A text that a peer handed over, or why it did not. */
+/** The text fetched from a peer, or the reason why there is none. */
 export type FetchResult =
 	| { readonly ok: true; readonly text: string; readonly bytes: number }
 	| { readonly ok: false; readonly reason: 'busy' | 'changed' }
 
-/** Makes a server that has handed out nothing yet. */
+/** Creates a server without transfers. */
 export function createConfigServer(): ConfigServer {
-	return { packed: undefined, served: new Map() }
+	return { compressed: undefined, transfers: new Map() }
 }
 
-/** Answers a peer that asks for a piece of what is published. */
+/** Answers a peer's request for a piece of the published configuration. */
 export async function answerPiece(
 	server: ConfigServer,
 	published: PublishedConfig | undefined,
-	asked: PieceRequest,
+	request: PieceRequest,
 	link: RpcLink,
 ): Promise<Piece> {
-	if (published?.config.version !== asked.version) return { type: 'changed' }
-	if (!isServed(server, link, readNow())) return { type: 'busy' }
-	const data = await packOnce(server, published)
-	const piece = data.subarray(asked.from, asked.from + PIECE_BYTES)
-	const end = asked.from + piece.length
-	if (end >= data.length) server.served.delete(link)
+	if (published?.config.version !== request.version) return { type: 'changed' }
+	if (!admitTransfer(server, link, readNow())) return { type: 'busy' }
+	const data = await compressOnce(server, published)
+	const piece = data.subarray(request.from, request.from + PIECE_BYTES)
+	const end = request.from + piece.length
+	if (end >= data.length) server.transfers.delete(link)
 	return { type: 'piece', data: piece.toString('base64'), size: data.length }
 }
 
-/** Whether a link may have a piece now. */
-function isServed(server: ConfigServer, link: RpcLink, now: number): boolean {
-	const { served } = server
-	for (const [other, at] of served)
-		if (now - at > SERVED_MS) served.delete(other)
-	if (!served.has(link) && served.size >= MAX_SERVED) return false
-	served.set(link, now)
+/** Starts or continues a link's transfer; false when too many are in progress. */
+function admitTransfer(
+	server: ConfigServer,
+	link: RpcLink,
+	now: number,
+): boolean {
+	const { transfers } = server
+	for (const [other, at] of transfers)
+		if (now - at > TRANSFER_IDLE_MS) transfers.delete(other)
+	if (!transfers.has(link) && transfers.size >= MAX_TRANSFERS) return false
+	transfers.set(link, now)
 	return true
 }
 
-function packOnce(
+function compressOnce(
 	server: ConfigServer,
 	published: PublishedConfig,
 ): Promise<Buffer> {
-	if (server.packed?.published !== published)
-		server.packed = { published, data: pack(published.text) }
-	return server.packed.data
+	if (server.compressed?.published !== published)
+		server.compressed = { published, data: compress(published.text) }
+	return server.compressed.data
 }
 
-/** Fetches the text of a version from a peer; rejects if the peer is silent. */
+/** Fetches a version's text from a peer; rejects when the peer does not answer in time. */
 export async function fetchConfig(
 	link: RpcLink,
 	version: number,
@@ -100,8 +103,8 @@
 	const parts: Buffer[] = []
 	let bytes = 0
 	for (;;) {
-		const asked: PieceRequest = { version, from: bytes }
-		const reply = await call(link, 'configPiece', asked, PIECE_MS)
+		const request: PieceRequest = { version, from: bytes }
+		const reply = await call(link, 'configPiece', request, PIECE_TIMEOUT_MS)
 		const piece = v.parse(PieceSchema, reply)
 		if (piece.type !== 'piece') return { ok: false, reason: piece.type }
 		const data = Buffer.from(piece.data, 'base64')
@@ -109,7 +112,7 @@
 		bytes += data.length
 		if (data.length === 0 || bytes >= piece.size) break
 	}
-	const packed = Buffer.concat(parts)
-	const text = await unpack(packed, { maxOutputLength: MAX_TEXT_BYTES })
+	const compressed = Buffer.concat(parts)
+	const text = await decompress(compressed, { maxOutputLength: MAX_TEXT_BYTES })
 	return { ok: true, text: text.toString('utf8'), bytes }
 }
--- a/packages/gateway/src/endWatch.ts
+++ b/packages/gateway/src/endWatch.ts
@@ -1,39 +1,42 @@
-/** State of the watch for servers that may have ended. */
+/** State of the detection of server crashes. */
 
 import type { ListedServer } from '@juniperhook/core'
 import type { RunningRequest } from './runs.ts'
 
-/** A server whose connections broke. */
+/** A check whether a server has crashed, opened when one of its connections broke. */
 export interface Doubt {
 	readonly server: ListedServer
-	/** When the first one broke, ms. */
+	/** When the first connection broke, ms. */
 	readonly at: number
-	/** Whether its life was known to be over by then, or to leave. */
+	/** Whether the server was already known to be leaving or gone. */
 	readonly hadLeft: boolean
-	/** What it was running then, by request id. */
+	/** Requests in flight at the server at that time, by request id. */
 	readonly running: Map<string, RunningRequest>
-	tries: number
-	/** Resolved once it is known, or given up to know, whether the server ended. */
+	/** Probes without a conclusive result. */
+	attempts: number
+	/** Resolves when the check has a result or the probes are used up. */
 	readonly settled: Promise<void>
 	settle(): void
 }
 
-/** Servers in doubt. */
+/** Checks of servers that may have crashed. */
 export interface EndWatch {
-	/** By server id. */
+	/** Checks in progress, by server id. */
 	readonly doubts: Map<string, Doubt>
 	/**
-	 * Of servers at whose address a process listened, which may be something in
-	 * between: the first since the server last answered. What it was sent after that
-	 * may not have reached it.
+	 * Checks that found a listening process, by server id. It may be a middlebox rather
+	 * than the server, so the server list can still confirm the crash. Only the first
+	 * check since the server's last answer is kept: requests sent later may not have
+	 * reached it.
 	 */
 	readonly answered: Map<string, Doubt>
-	/** Ids that wait to be asked. */
+	/** Ids of servers to be probed. */
 	readonly queue: string[]
+	/** Probes in progress. */
 	probing: number
 }
 
-/** Makes a watch with no doubts. */
+/** Creates a crash detector without checks. */
 export function createEndWatch(): EndWatch {
 	return { doubts: new Map(), answered: new Map(), queue: [], probing: 0 }
 }
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -1,7 +1,7 @@
 /**
- * What comes to this entry and to its peers, and what follows for each service:
- * which part of the requests is taken while its groups are nearly full, and which
- * servers this entry turns to first.
+ * Measures the request rates of this entry and its peers, and derives two things for each
+ * service: the share of requests to admit while its groups are nearly full, and the
+ * servers that this entry prefers.
  */
 
 import type { EntryDemand } from '@juniperhook/core'
@@ -11,23 +11,23 @@
 import { meterOf, serviceOfGroup, settlePeerLoads } from './fleet.ts'
 
 /**
- * Demand of the last second counts most: callers that move to another data centre
- * are to be known there a second later.
+ * Time constant of the exponential smoothing of request rates, ms: callers that move to
+ * another data centre must be reflected there a second later.
  */
-const FORGET_MS = 1_000
+const SMOOTHING_MS = 1_000
 const SECOND_MS = 1_000
 /**
- * Places that are free are taken within so many times that in which entries tell
- * each other what they hold: sooner, and all take what is not free any more.
+ * Free slots are filled over this many report intervals. A shorter horizon makes entries
+ * claim slots that others have taken since the last report.
  */
-const HORIZON_TIMES = 2
+const HORIZON_INTERVALS = 2
 
-/** Counts a request that has come. */
+/** Counts an arriving request. */
 export function countRequest(fleet: Fleet, service: string): void {
 	meterOf(fleet, service).come++
 }
 
-/** What comes to this entry, by service, for its peers. */
+/** Returns the request rates of this entry by service, for its peers. */
 export function reportFlows(fleet: Fleet): Record<string, RequestFlow> {
 	const flows: Record<string, RequestFlow> = {}
 	for (const [service, { flow }] of fleet.meters)
@@ -39,53 +39,56 @@
 	return Math.round(value * 10) / 10
 }
 
-/** Whether a request is taken by a group that has `room` places free. */
+/**
+ * Whether a request is admitted to a group with `room` free slots; `draw` is the
+ * request's random number in [0, 1).
+ */
 export function isTaken(
 	fleet: Fleet,
 	group: number,
 	room: number,
-	luck: number,
+	draw: number,
 ): boolean {
 	const meter = meterOf(fleet, serviceOfGroup(fleet, group))
 	if (!meter.intake) return room >= 1
-	const part = partTaken(room, meter.intake)
-	meter.taken = Math.min(meter.taken, part)
-	return luck < part
+	const share = partTaken(room, meter.intake)
+	meter.taken = Math.min(meter.taken, share)
+	return draw < share
 }
 
-/** Whether a service's groups take only a part of what comes. */
+/** Whether the groups of a service admit only a share of the requests. */
 export function isRationed(fleet: Fleet, service: string): boolean {
 	return meterOf(fleet, service).taken < 1
 }
 
 /**
- * Takes stock when peers are told what this entry holds: `elapsedMs` after the
- * last time. Of `unheard` entries only the number is known.
+ * Updates rates and assignments with each report to peers, `elapsedMs` after the last
+ * one. The demand of `unlinked` entries is unknown and extrapolated from the peers.
  */
 export function updateDemand(
 	ctx: GatewayContext,
 	elapsedMs: number,
-	unheard: number,
+	unlinked: number,
 	now: number,
 ): void {
 	const { fleet } = ctx
 	settlePeerLoads(fleet, now)
-	const heard = fleet.peerDemand.size
-	fleet.othersTimes = 1 + Math.max(0, unheard) / Math.max(1, heard)
+	const reporting = fleet.peerDemand.size
+	fleet.othersTimes = 1 + Math.max(0, unlinked) / Math.max(1, reporting)
 	for (const service of fleet.rowsOf.keys()) {
 		const meter = meterOf(fleet, service)
-		settleMeter(meter, elapsedMs)
-		if (fleet.peerDemand.size > 0) settleService(ctx, service, meter, elapsedMs)
-		else settleAlone(fleet, service, meter)
+		updateMeter(meter, elapsedMs)
+		if (fleet.peerDemand.size > 0) updateService(ctx, service, meter, elapsedMs)
+		else assignAllToSelf(fleet, service, meter)
 	}
 }
 
-function settleMeter(meter: FlowMeter, elapsedMs: number): void {
-	const kept = Math.exp(-elapsedMs / FORGET_MS)
-	const lately = (count: number) => (count * SECOND_MS) / elapsedMs
+function updateMeter(meter: FlowMeter, elapsedMs: number): void {
+	const decay = Math.exp(-elapsedMs / SMOOTHING_MS)
+	const perSecond = (count: number) => (count * SECOND_MS) / elapsedMs
 	meter.flow = {
-		come: meter.flow.come * kept + lately(meter.come) * (1 - kept),
-		end: meter.flow.end * kept + lately(meter.end) * (1 - kept),
+		come: meter.flow.come * decay + perSecond(meter.come) * (1 - decay),
+		end: meter.flow.end * decay + perSecond(meter.end) * (1 - decay),
 	}
 	meter.come = 0
 	meter.end = 0
@@ -93,14 +96,18 @@
 	meter.taken = 1
 }
 
-/** Without peers, every server is this entry's own. */
-function settleAlone(fleet: Fleet, service: string, meter: FlowMeter): void {
+/** Assigns all servers of a service to this entry, as there are no peers. */
+function assignAllToSelf(
+	fleet: Fleet,
+	service: string,
+	meter: FlowMeter,
+): void {
 	meter.intake = undefined
 	for (const row of fleet.rowsOf.get(service) ?? [])
 		fleet.table.dealtElsewhere[row] = 0
 }
 
-function settleService(
+function updateService(
 	ctx: GatewayContext,
 	service: string,
 	meter: FlowMeter,
@@ -108,17 +115,17 @@
 ): void {
 	const { fleet, settings } = ctx
 	const peers = [...fleet.peerDemand]
-	const sum = (part: keyof RequestFlow) =>
-		meter.flow[part] +
+	const sum = (rate: keyof RequestFlow) =>
+		meter.flow[rate] +
 		fleet.othersTimes *
 			peers.reduce(
-				(total, [, peer]) => total + (peer.flows[service]?.[part] ?? 0),
+				(total, [, peer]) => total + (peer.flows[service]?.[rate] ?? 0),
 				0,
 			)
 	meter.intake = {
 		perSecond: sum('come'),
 		endedPerSecond: sum('end'),
-		horizonMs: HORIZON_TIMES * elapsedMs,
+		horizonMs: HORIZON_INTERVALS * elapsedMs,
 	}
 	const { name, dataCentre } = settings
 	const own: EntryDemand = { name, dataCentre, perSecond: meter.flow.come }
@@ -129,7 +136,7 @@
 	}))
 	const rows = fleet.rowsOf.get(service) ?? []
 	const servers = rows.map(row => fleet.servers[row]!)
-	const dealt = new Set(dealServers(own, others, servers))
-	for (const [place, row] of rows.entries())
-		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 1
+	const assigned = new Set(dealServers(own, others, servers))
+	for (const [index, row] of rows.entries())
+		fleet.table.dealtElsewhere[row] = assigned.has(index) ? 0 : 1
 }
--- a/packages/gateway/src/news.ts
+++ b/packages/gateway/src/news.ts
@@ -1,6 +1,7 @@
 /**
- * News of servers between entries: told on change, all of it on a new link, and passed on
- * by whoever they are news to, until all know.
+ * Gossip about servers between entries: changes are sent at once, the whole state on a
+ * new link, and each entry forwards the updates that change its state, until all entries
+ * have them.
  */
 
 import type { NewsOf, ServerNews } from '@juniperhook/core'
@@ -14,67 +15,68 @@
 import { noteLeaving } from './serverRecords.ts'
 import { receiveBackoffs } from './serverRests.ts'
 
-/** Ids of servers that left, of which a new link is told the last ones. */
-const MAX_LEFT_TOLD = 512
+/** Maximum number of departed servers, the most recent, that are sent on a new link. */
+const MAX_DEPARTED_SENT = 512
 
-/** Takes what another entry tells. */
+/** Merges updates from another entry. */
 export function takeTold(
 	ctx: GatewayContext,
 	items: readonly WireUpdate[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const news = items.map(item => fromWire(item, now))
+	const updates = items.map(item => fromWire(item, now))
 	const of = <K extends ServerNews['kind']>(...kinds: readonly K[]) =>
-		news.filter((one): one is NewsOf<K> => kinds.some(k => k === one.kind))
+		updates.filter((one): one is NewsOf<K> => kinds.some(k => k === one.kind))
 	receiveLimits(ctx, of('limit'), from)
 	noteLeaving(ctx, of('left'), from)
 	receiveCrashUpdates(ctx, of('end', 'served'), from)
 	receiveBackoffs(ctx, of('rest'), from)
 }
 
-/** What has changed since other entries were last told. */
+/** Takes the updates that have not been sent to other entries yet. */
 export function drainUpdates({ outbox }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
 	return drainOutbox(outbox).map(one => toWire(one, now))
 }
 
-/** All that is known, for an entry that may know nothing. */
+/** Lists the whole state as updates, for an entry that may have none of it. */
 export function listAllUpdates({ book }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
-	return listServerNews(book, MAX_LEFT_TOLD).map(one => toWire(one, now))
+	return listServerNews(book, MAX_DEPARTED_SENT).map(one => toWire(one, now))
 }
 
-/** What is known of limits, which is told again and again while they last. */
+/** Lists the known rate limits, lifted ones included; each state message repeats them. */
 export function listRateLimits({ book }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
 	return listLimitNews(book).map(one => toWire(one, now))
 }
 
-function toWire(news: ServerNews, now: number): WireUpdate {
+/** Converts times to ages and remaining times, as the clocks of entries differ. */
+function toWire(update: ServerNews, now: number): WireUpdate {
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
-	switch (news.kind) {
+	switch (update.kind) {
 		case 'limit': {
-			const { kind, server, perSecond, at } = news
+			const { kind, server, perSecond, at } = update
 			return { kind, server, perSecond, agoMs: agoMs(at) }
 		}
 		case 'left':
-			return news
+			return update
 		case 'end': {
-			const { kind, server, at } = news
-			const ran = [...news.ran].map(([one, ms]) => [one, Math.round(ms)])
+			const { kind, server, at } = update
+			const ran = [...update.ran].map(([one, ms]) => [one, Math.round(ms)])
 			return { kind, server, agoMs: agoMs(at), ran: Object.fromEntries(ran) }
 		}
 		case 'served': {
-			const { kind, fingerprint, at } = news
+			const { kind, fingerprint, at } = update
 			return { kind, fingerprint, agoMs: agoMs(at) }
 		}
 		case 'rest': {
-			const { kind, server, entry, endsAt } = news
+			const { kind, server, entry, endsAt } = update
 			return { kind, server, entry, leftMs: Math.round(endsAt - now) }
 		}
 		default:
-			return news satisfies never
+			return update satisfies never
 	}
 }
 
--- a/packages/gateway/src/outbox.ts
+++ b/packages/gateway/src/outbox.ts
@@ -1,22 +1,22 @@
-/** What other entries are to be told. */
+/** Updates that are queued for other entries. */
 
 import type { ServerNews } from '@juniperhook/core'
 import { subjectOf } from '@juniperhook/core'
 
-/** The last news of each subject that have not been told yet. */
+/** The latest unsent update of each subject. */
 export type Outbox = Map<string, ServerNews>
 
-/** Notes news that are to be told. */
+/** Queues updates; an update replaces a queued one of the same subject. */
 export function enqueueUpdates(
 	outbox: Outbox,
-	news: readonly ServerNews[],
+	updates: readonly ServerNews[],
 ): void {
-	for (const one of news) outbox.set(subjectOf(one), one)
+	for (const one of updates) outbox.set(subjectOf(one), one)
 }
 
-/** Takes out what is to be told. */
+/** Removes and returns all queued updates. */
 export function drainOutbox(outbox: Outbox): ServerNews[] {
-	const news = [...outbox.values()]
+	const updates = [...outbox.values()]
 	outbox.clear()
-	return news
+	return updates
 }
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -1,4 +1,4 @@
-/** Links to other entries: which are kept, and that they come up again. */
+/** Links to other entries: choosing, connecting and reconnecting them. */
 
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { connectRpc, messageOf, notify, sleep } from '@juniperhook/runtime'
@@ -6,36 +6,37 @@
 import { chooseLinks } from './peerMesh.ts'
 import type { GroupReportMessage } from './toldGroups.ts'
 
-/** Before another try to link to an entry, ms; it doubles up to the second. */
+/** Exponential backoff between connection attempts to an entry, ms. */
 const RECONNECT_MS = 100
 const MAX_RECONNECT_MS = 1_500
 /**
- * How long a link may take to come up, ms; it doubles up to the second. What is sent
- * to a VM without power is lost without a word: where entries started before the ones
- * that they were told of, waits of 500 ms made them know each other 0.7 s after the
- * last had started, about when groups opened to what waited at all of them.
+ * Connection timeout, ms; it doubles up to the maximum. Connection attempts to a VM that
+ * is not running yet are dropped silently. With a fixed timeout of 500 ms, entries that
+ * started before their seeds were linked only 0.7 s after the last had started, about
+ * when groups opened to the requests queued at all of them.
  */
 const CONNECT_MS = 120
 const MAX_CONNECT_MS = 500
-/** Entries named to a coordinator, in case those that it knows are stopped. */
+/** Maximum number of addresses returned to a coordinator, whose own list may be stale. */
 const MAX_LISTED = 6
 
 /** Links to other entries. */
 export interface PeerLinks {
-	/** Known addresses of entries, and the links to those that are kept. */
+	/** Open links by address; undefined for known entries without one. */
 	readonly links: Map<string, RpcLink | undefined>
-	/** Addresses that links are kept to. */
+	/** Addresses that links are maintained to. */
 	maintained: ReadonlySet<string>
-	/** Addresses that links are wanted to besides those chosen. */
+	/** Addresses that need a link in addition to the chosen ones. */
 	readonly requested: Set<string>
-	/** Known and wanted addresses when links were last chosen. */
+	/** Number of known and requested addresses when links were last chosen. */
 	chosenAtSize: number
-	/** What is served on links, and what follows when one comes up. */
+	/** RPC methods served on links. */
 	readonly methods: Methods
+	/** Called when a link has been opened. */
 	onLink(link: RpcLink): void
 }
 
-/** Makes links to nobody yet. */
+/** Creates an empty set of links. */
 export function createPeerLinks(
 	methods: Methods,
 	onLink: PeerLinks['onLink'],
@@ -50,7 +51,7 @@
 	}
 }
 
-/** Notes addresses of entries. */
+/** Adds addresses to the known entries. */
 export function noteAddresses(
 	{ links }: PeerLinks,
 	addresses: readonly string[],
@@ -59,20 +60,20 @@
 		if (!links.has(address)) links.set(address, undefined)
 }
 
-/** Keeps a link to an entry whether it is chosen or not. */
+/** Maintains a link to an entry even if the topology does not include it. */
 export function requestLink(
-	{ requested: wanted, maintained: kept }: PeerLinks,
+	{ requested, maintained }: PeerLinks,
 	address: string,
 ): void {
-	if (!kept.has(address)) wanted.add(address)
+	if (!maintained.has(address)) requested.add(address)
 }
 
-/** Links that are up. */
+/** Lists the open links. */
 export function listOpenLinks({ links }: PeerLinks): RpcLink[] {
 	return [...links.values()].filter(link => link !== undefined)
 }
 
-/** Addresses of some entries that are linked to, for who knows few. */
+/** Lists the addresses of some linked entries, for a process that knows few. */
 export function listLinkedAddresses({ links }: PeerLinks): string[] {
 	return [...links]
 		.filter(([, link]) => link !== undefined)
@@ -80,12 +81,12 @@
 		.slice(0, MAX_LISTED)
 }
 
-/** Entries that are known and not linked to. */
-export function countUnlinked({ links, maintained: kept }: PeerLinks): number {
-	return links.size - kept.size
+/** Counts known entries without a maintained link. */
+export function countUnlinked({ links, maintained }: PeerLinks): number {
+	return links.size - maintained.size
 }
 
-/** Chooses links anew when entries have become known. */
+/** Chooses links again when entries have been discovered. */
 export function updateLinks(ctx: GatewayContext, peers: PeerLinks): void {
 	const { links } = peers
 	const { control, seeds } = ctx.settings
@@ -110,12 +111,12 @@
 	peers: PeerLinks,
 	address: string,
 ): Promise<void> {
-	let pause = RECONNECT_MS
+	let backoffMs = RECONNECT_MS
 	let connectMs = CONNECT_MS
 	while (peers.maintained.has(address)) {
 		try {
 			const link = await connectRpc(address, peers.methods, connectMs)
-			pause = RECONNECT_MS
+			backoffMs = RECONNECT_MS
 			connectMs = CONNECT_MS
 			peers.links.set(address, link)
 			ctx.log.write('peer linked', { peer: address })
@@ -124,30 +125,30 @@
 			peers.links.set(address, undefined)
 			ctx.log.write('peer lost', { peer: address })
 		} catch (err) {
-			if (pause === RECONNECT_MS)
+			if (backoffMs === RECONNECT_MS)
 				ctx.log.write('peer not reached', {
 					peer: address,
 					reason: messageOf(err),
 				})
 		}
-		await sleep(pause * (0.5 + ctx.random()))
-		pause = Math.min(pause * 2, MAX_RECONNECT_MS)
+		await sleep(backoffMs * (0.5 + ctx.random()))
+		backoffMs = Math.min(backoffMs * 2, MAX_RECONNECT_MS)
 		connectMs = Math.min(connectMs * 2, MAX_CONNECT_MS)
 	}
 }
 
-/** Whether each entry hears every other one directly, as far as is known. */
-function isFullMesh({ maintained: kept, links }: PeerLinks): boolean {
-	return kept.size === links.size
+/** Whether this entry maintains links to all known entries. */
+function isFullMesh({ maintained, links }: PeerLinks): boolean {
+	return maintained.size === links.size
 }
 
-/** Tells peers what a coordinator has told, unless it has reached them all. */
+/** Forwards a coordinator's report to peers, unless all of them have received it. */
 export function forwardGroupReport(
 	peers: PeerLinks,
-	news: GroupReportMessage,
+	report: GroupReportMessage,
 	from: RpcLink,
 ): void {
-	if (news.hops > 1 && isFullMesh(peers)) return
+	if (report.hops > 1 && isFullMesh(peers)) return
 	for (const link of listOpenLinks(peers))
-		if (link !== from) notify(link, 'paces', news)
+		if (link !== from) notify(link, 'paces', report)
 }
--- a/packages/gateway/src/peerMessages.ts
+++ b/packages/gateway/src/peerMessages.ts
@@ -1,39 +1,39 @@
-/** What entries tell each other, and what coordinators tell entries. */
+/** Schemas of the messages between entries, and from coordinators to entries. */
 
 import * as v from 'valibot'
 
-/** A place in what the source has published. */
+/** A position in the history of the source. */
 const TermRevisionSchema = v.object({
 	term: v.number(),
 	revision: v.number(),
 })
-/** Whether a lock-step group runs, its slow ranks and its limit. */
+/** Status of a lock-step group. */
 const GroupStatusSchema = v.object({
-	/** Whether it refuses at every rank. */
+	/** Whether all ranks refuse requests. */
 	broken: v.optional(v.boolean(), false),
-	/** How slow the slow ranks are, by address. */
+	/** Slowdown factors of the slow ranks, by address. */
 	slow: v.record(v.string(), v.number()),
-	/** Requests that each rank may hold. */
+	/** Maximum number of requests in flight per rank. */
 	limit: v.optional(v.number()),
 })
 const CountSchema = v.pipe(v.number(), v.finite())
-/** News of servers; ages and what is left, for clocks differ. */
+/** An update about a server; ages and remaining times, as the clocks of entries differ. */
 const WireUpdateSchema = v.variant('kind', [
 	v.object({
 		kind: v.literal('limit'),
 		server: v.string(),
-		/** Requests a second; absent for as many as come. */
+		/** Requests a second; absent for no limit. */
 		perSecond: v.optional(v.pipe(CountSchema, v.minValue(0))),
-		/** Since the server said so, ms. */
+		/** Age of the server's statement, ms. */
 		agoMs: CountSchema,
 	}),
 	v.object({ kind: v.literal('left'), server: v.string() }),
 	v.object({
 		kind: v.literal('end'),
 		server: v.string(),
-		/** Since it ended, ms. */
+		/** Time since the crash, ms. */
 		agoMs: CountSchema,
-		/** For how long each request had been there, ms, by fingerprint. */
+		/** How long each request had been in flight, ms, by fingerprint. */
 		ran: v.record(v.string(), CountSchema),
 	}),
 	v.object({
@@ -44,43 +44,43 @@
 	v.object({
 		kind: v.literal('rest'),
 		server: v.string(),
-		/** Control address of the entry that is to leave it alone. */
+		/** Control address of the entry that has to back off. */
 		entry: v.string(),
 		leftMs: CountSchema,
 	}),
 ])
-/** See {@link UpdatesSchema}. */
+/** See {@link WireUpdateSchema}. */
 export type WireUpdate = v.InferOutput<typeof WireUpdateSchema>
-/** What an entry has learned of servers. */
+/** A batch of updates. */
 export const UpdatesSchema = v.object({ items: v.array(WireUpdateSchema) })
-/** Asks a server's home for permits. */
+/** A request for permits, sent to a server's home. */
 export const PermitQuerySchema = v.object({
-	/** What the asker knows of the server's limit. */
+	/** The server's limit as known to the sender, requests a second. */
 	limit: v.optional(v.pipe(CountSchema, v.minValue(0))),
-	/** Since the server said so, ms. */
+	/** Age of the server's statement of it, ms. */
 	limitAgoMs: CountSchema,
 	server: v.string(),
 	count: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(1_000)),
-	/** How long its callers can wait, ms. */
+	/** How long the sender's callers can wait, ms. */
 	withinMs: v.pipe(v.number(), v.finite()),
 })
 /** See {@link PermitQuerySchema}. */
 export type PermitQuery = v.InferOutput<typeof PermitQuerySchema>
-/** Permits, or why there are none. */
+/** Granted permits, or the reason why there are none. */
 export const PermitReplySchema = v.variant('type', [
 	v.object({
 		type: v.literal('permits'),
-		/** When each may be used, from now, ms. */
+		/** Time until each permit becomes valid, ms. */
 		dueMs: v.array(v.pipe(v.number(), v.finite())),
-		/** Until more may be given, ms. */
+		/** Time until more may be granted, ms. */
 		waitMs: v.pipe(v.number(), v.finite()),
 	}),
-	/** Another entry gives them, as far as the one that was asked knows. */
+	/** In the receiver's view of the membership, another entry is the server's home. */
 	v.object({ type: v.literal('notHome') }),
 ])
 /** See {@link PermitReplySchema}. */
 export type PermitReply = v.InferOutput<typeof PermitReplySchema>
-/** What an entry holds, told to its peers. */
+/** An entry's state, sent to its peers. */
 export const PeerStateSchema = v.object({
 	name: v.string(),
 	control: v.string(),
@@ -88,33 +88,33 @@
 	list: TermRevisionSchema,
 	held: v.record(v.string(), v.number()),
 	dataCentre: v.optional(v.string(), ''),
-	/** Requests a second that come to it and that end, by service. */
+	/** Rates of arriving and finished requests, a second, by service. */
 	flows: v.optional(
 		v.record(v.string(), v.object({ come: v.number(), end: v.number() })),
 		{},
 	),
-	/** Whether it learns of servers from its peers alone. */
+	/** Whether it has lost the source and depends on its peers. */
 	sourceAway: v.optional(v.boolean(), false),
-	/** Limits of servers; absent while none has one. */
+	/** Rate limits of servers; absent while there are none. */
 	limits: v.optional(v.array(WireUpdateSchema), []),
-	/** Control addresses of entries; not told each time. */
+	/** Control addresses of known entries; not part of every message. */
 	peers: v.optional(v.array(v.string()), []),
 })
-/** What an entry holds at servers where that has changed since it last told. */
+/** Changes in an entry's in-flight requests since its last message. */
 export const InFlightDeltaSchema = v.object({
 	name: v.string(),
-	/** By server; 0 for none any more. */
+	/** Number of requests in flight by server id; 0 for none any more. */
 	changed: v.record(v.string(), v.number()),
 })
 /** See {@link InFlightDeltaSchema}. */
 export type InFlightDelta = v.InferOutput<typeof InFlightDeltaSchema>
-/** A coordinator's news of its group. */
+/** A coordinator's report on its group. */
 export const GroupReportSchema = v.object({
 	group: v.string(),
-	/** Which coordinator tells it, and how many times it has told something. */
+	/** The coordinator, and the sequence number of its report. */
 	by: v.string(),
 	number: v.number(),
-	/** Entries on the way from the coordinator to the one that is told. */
+	/** Number of entries that have forwarded the report. */
 	hops: v.number(),
 	...GroupStatusSchema.entries,
 })
@@ -132,31 +132,31 @@
 	coldMs: v.number(),
 	group: v.optional(v.string()),
 })
-/** Asks for a piece of a configuration's text. */
+/** A request for a piece of a configuration's text. */
 export const PieceRequestSchema = v.object({
 	version: v.number(),
-	/** Packed bytes that the asker has. */
+	/** Compressed bytes received so far. */
 	from: v.pipe(v.number(), v.integer(), v.minValue(0)),
 })
 /** See {@link PieceRequestSchema}. */
 export type PieceRequest = v.InferOutput<typeof PieceRequestSchema>
-/** A piece of a configuration's text, or why there is none. */
+/** A piece of a configuration's text, or the reason why there is none. */
 export const PieceSchema = v.variant('type', [
 	v.object({
 		type: v.literal('piece'),
-		/** Gzip as base64. */
+		/** Gzip data in base64. */
 		data: v.string(),
-		/** Bytes of the whole, packed. */
+		/** Compressed size of the whole text, bytes. */
 		size: v.number(),
 	}),
-	/** Others are being served: ask somebody else, or later. */
+	/** Too many transfers in progress; retry later or at another entry. */
 	v.object({ type: v.literal('busy') }),
-	/** Another version is in force by now. */
+	/** Another version is active. */
 	v.object({ type: v.literal('changed') }),
 ])
 /** See {@link PieceSchema}. */
 export type Piece = v.InferOutput<typeof PieceSchema>
-/** Asks for records of servers that are newer than a revision. */
+/** A request for server records newer than a revision. */
 export const RecordsRequestSchema = v.object({ after: TermRevisionSchema })
 const RecordSchema = v.object({
 	name: v.string(),
@@ -164,13 +164,13 @@
 	server: v.optional(ServerSchema),
 	fault: v.optional(v.string()),
 })
-/** Newer records, oldest first. */
+/** A page of newer records, oldest first. */
 export const RecordsSchema = v.object({
-	/** Whether there are more after these. */
+	/** Whether another page follows. */
 	hasMore: v.boolean(),
 	records: v.array(RecordSchema),
 })
-/** Removals that were doubted for a while, for an entry without the source. */
+/** Deferred removals that were confirmed, for an entry without the source. */
 export const RemovalsSchema = v.object({ records: v.array(RecordSchema) })
 /** See {@link RecordsSchema}. */
 export type Records = v.InferOutput<typeof RecordsSchema>
--- a/packages/gateway/src/peerNews.ts
+++ b/packages/gateway/src/peerNews.ts
@@ -1,9 +1,8 @@
 /**
- * Takes from peers what they have and this entry lacks. One question of a kind
- * is open at a time, whatever the number of peers that are ahead: the answers
- * share one link, and asking all of them makes each come later than it is
- * waited for. A peer that fails is followed by the next that tells its state,
- * each does so twice a second.
+ * Pulls configurations and server records from peers that are ahead. At most one pull of
+ * each kind is in progress, whatever the number of such peers: the answers share one
+ * link, and parallel pulls delay each other beyond their timeouts. After a failure, the
+ * next peer that sends its state is tried; each sends it twice a second.
  */
 
 import type { ServerRecord, TermRevision } from '@juniperhook/core'
@@ -29,120 +28,124 @@
 import { applyRecords } from './serverRecords.ts'
 
 /**
- * Records handed over in one answer; one is some 250 bytes. Those of a single
- * revision stay together, so that none is passed over between two answers.
+ * Records per page, of about 250 bytes each. A page is extended to the end of its last
+ * revision: the next page starts after that revision and would skip the rest of it.
  */
 const PAGE_RECORDS = 200
 
 /**
- * What a peer has and this entry lacks is asked for after this time, ms: mostly
- * the source's own answer is on its way.
+ * Delay before pulling what a peer is ahead with, ms: in most cases the answer of the
+ * source itself is already on its way.
  */
 const GRACE_MS = 300
 
-/** Questions to peers that are open. */
+/** Pulls in progress, and what peers are ahead with. */
 export interface PeerPulls {
 	readonly source: CatalogSource
 	readonly pending: Set<PullKind>
-	/** What was first seen to be lacking, by kind. */
+	/** Gaps to peers that are ahead, by kind. */
 	readonly gaps: Map<PullKind, Gap>
 }
 
-/** Something newer that a peer has. */
+/** A newer version seen at a peer. */
 interface Gap {
+	/** The version that opened the gap. */
 	readonly newest: TermRevision
 	readonly since: number
 }
 
-/** What an entry asks peers for. */
+/** What an entry pulls from peers. */
 export type PullKind = 'config' | 'records'
 
-/** Makes an entry's news, with nothing asked for. */
+/** Creates a state without pulls. */
 export function createPeerPulls(source: CatalogSource): PeerPulls {
 	return { source, pending: new Set(), gaps: new Map() }
 }
 
-/** Asks a peer that has told its state for what it is ahead with. */
+/** Pulls from a peer what it is ahead with according to its state. */
 export function pullIfBehind(
 	ctx: GatewayContext,
-	news: PeerPulls,
+	pulls: PeerPulls,
 	state: PeerState,
 	link: RpcLink,
 ): void {
 	if (
 		isPullDue(
-			news,
+			pulls,
 			'config',
-			asPlace(activeVersion(ctx)),
-			asPlace(state.config),
+			asRevision(activeVersion(ctx)),
+			asRevision(state.config),
 		)
 	)
-		void pull(ctx, news, 'config', state, () =>
-			pullConfig(ctx, news.source, state, link),
+		void pull(ctx, pulls, 'config', state, () =>
+			pullConfig(ctx, pulls.source, state, link),
 		)
-	if (isPullDue(news, 'records', ctx.list.revision, state.list))
-		void pull(ctx, news, 'records', state, () =>
+	if (isPullDue(pulls, 'records', ctx.list.revision, state.list))
+		void pull(ctx, pulls, 'records', state, () =>
 			pullRecords(ctx, state.name, link),
 		)
 }
 
-/** Whether a peer is ahead with something that has not come in time. */
+/**
+ * Whether a peer is ahead, and the grace period for the source's own answer is over. An
+ * entry without any version does not wait.
+ */
 function isPullDue(
-	{ gaps: lacking }: PeerPulls,
+	{ gaps }: PeerPulls,
 	kind: PullKind,
-	held: TermRevision,
-	told: TermRevision,
+	own: TermRevision,
+	ofPeer: TermRevision,
 ): boolean {
-	if (!isLater(told, held)) return false
+	if (!isLater(ofPeer, own)) return false
 	const now = readNow()
-	const lack = lacking.get(kind)
-	const hasNothing = !isLater(held, NO_REVISION)
-	if (lack && isLater(lack.newest, held))
-		return hasNothing || now - lack.since >= GRACE_MS
-	lacking.set(kind, { newest: told, since: now })
+	const gap = gaps.get(kind)
+	const hasNothing = !isLater(own, NO_REVISION)
+	if (gap && isLater(gap.newest, own))
+		return hasNothing || now - gap.since >= GRACE_MS
+	gaps.set(kind, { newest: ofPeer, since: now })
 	return hasNothing
 }
 
-/** A configuration's version; its order knows no terms. */
-function asPlace(version: number): TermRevision {
+/** Converts a configuration's version, which has no term. */
+function asRevision(version: number): TermRevision {
 	return { term: 0, revision: version }
 }
 
-/** Version of the configuration in force; -1 before the first. */
+/** Returns the version of the active configuration; -1 before the first. */
 export function activeVersion({ routes }: GatewayContext): number {
 	return routes?.config.version ?? -1
 }
 
 async function pull(
 	ctx: GatewayContext,
-	news: PeerPulls,
+	pulls: PeerPulls,
 	kind: PullKind,
 	state: PeerState,
 	fetch: () => Promise<PullResult>,
 ): Promise<void> {
-	if (news.pending.has(kind)) return
-	news.pending.add(kind)
-	const begunAt = readNow()
+	if (pulls.pending.has(kind)) return
+	pulls.pending.add(kind)
+	const startedAt = readNow()
 	const inputs = { held: activeVersion(ctx), told: state.config }
-	let end: PullResult
+	let result: PullResult
 	try {
-		end = await fetch()
+		result = await fetch()
 	} catch (err) {
-		end = { outcome: 'failed', reason: messageOf(err), bytes: 0 }
+		result = { outcome: 'failed', reason: messageOf(err), bytes: 0 }
 	}
-	news.pending.delete(kind)
-	ctx.metrics.pulls.inc({ kind, outcome: end.outcome })
-	ctx.metrics.pulledBytes.inc(end.bytes)
+	pulls.pending.delete(kind)
+	ctx.metrics.pulls.inc({ kind, outcome: result.outcome })
+	ctx.metrics.pulledBytes.inc(result.bytes)
 	ctx.log.write('peer asked', {
 		peer: state.name,
 		kind,
 		...inputs,
-		...end,
-		tookMs: Math.round(readNow() - begunAt),
+		...result,
+		tookMs: Math.round(readNow() - startedAt),
 	})
 }
 
-/** How a question ended. */
+/** Result of a pull. */
 interface PullResult {
 	readonly outcome:
 		| 'taken'
@@ -164,12 +167,12 @@
 	const fetched = await fetchConfig(link, state.config)
 	if (!fetched.ok) return { outcome: fetched.reason, bytes: 0 }
 	const { bytes } = fetched
-	// The source's own answer may have come first.
+	// The source's own answer may have arrived first.
 	if (state.config <= activeVersion(ctx)) return { outcome: 'known', bytes }
 	const published = source.decode(fetched.text)
 	if (!published) return { outcome: 'refused', bytes }
-	const isNews = adoptConfig(ctx, published, state.name)
-	return { outcome: isNews ? 'taken' : 'known', bytes }
+	const isActivated = adoptConfig(ctx, published, state.name)
+	return { outcome: isActivated ? 'taken' : 'known', bytes }
 }
 
 async function pullRecords(
@@ -182,7 +185,7 @@
 	for (;;) {
 		const reply = await call(link, 'records', { after })
 		const page = v.parse(RecordsSchema, reply)
-		const records = page.records.map(readRecord)
+		const records = page.records.map(toRecord)
 		applyRecords(ctx, records, { from: 'peer', peer })
 		count += records.length
 		after = records.reduce((last, one) => laterOf(last, one.revision), after)
@@ -191,7 +194,7 @@
 	return { outcome: count > 0 ? 'taken' : 'known', bytes: 0 }
 }
 
-/** Answers a peer that asks for newer records. */
+/** Answers a peer's request for newer records. */
 export function answerRecords(ctx: GatewayContext, params: unknown): Records {
 	const { after } = v.parse(RecordsRequestSchema, params)
 	const newer = [...ctx.list.records.values()]
@@ -205,13 +208,13 @@
 	return { hasMore: records.length < newer.length, records }
 }
 
-/** Takes removals that a peer had doubted, where the source is out of reach. */
+/** Applies removals confirmed by a peer, while this entry has lost the source. */
 export function receiveRemovals(ctx: GatewayContext, params: unknown): void {
 	const { records } = v.parse(RemovalsSchema, params)
-	applyRecords(ctx, records.map(readRecord), { from: 'peer', peer: 'a peer' })
+	applyRecords(ctx, records.map(toRecord), { from: 'peer', peer: 'a peer' })
 }
 
-function readRecord({
+function toRecord({
 	name,
 	revision,
 	server,
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -1,6 +1,6 @@
 /**
- * What entries tell each other of themselves, and what they take of it: versions
- * held, what comes to each, and how many requests each has at every server.
+ * Exchange of state between entries: versions, request rates, and the number of requests
+ * in flight at each server.
  */
 
 import type { TermRevision } from '@juniperhook/core'
@@ -34,60 +34,59 @@
 import { activeVersion, pullIfBehind } from './peerNews.ts'
 
 /**
- * Between states told to peers while something changes, ms: so much at least, and
- * so much for each link. A message to or from a peer takes a small entry some
- * 0.2 ms of its core.
+ * Minimum interval between broadcasts while something changes, ms, and its increase for
+ * each link. A message to or from a peer costs a small entry about 0.2 ms of CPU time.
  */
-const TELL_MS = 150
-const TELL_PER_LINK_MS = 6
-/** A whole state is told at least this often, ms; in between, what has changed. */
+const BROADCAST_MS = 150
+const BROADCAST_PER_LINK_MS = 6
+/** Interval between full states, ms; only changes are sent in between. */
 const HEARTBEAT_MS = 500
-/** Addresses of all known entries are told this often, and when one is new, ms. */
-const ROSTER_MS = 5_000
-/** A peer counts as an entry for this long after its last word, ms. */
-const REMEMBERED_MS = 10_000
-/** A peer that has not confirmed a state by then is told on a new link, ms. */
-const CONFIRM_MS = 1_500
+/** Interval between address lists, ms; a discovered entry triggers one at once. */
+const ADDRESSES_MS = 5_000
+/** How long a silent peer is counted as an entry, ms. */
+const MEMBER_TTL_MS = 10_000
+/** Timeout for a peer's confirmation of a state, ms; the link is then reopened. */
+const CONFIRM_TIMEOUT_MS = 1_500
 
-/** What this entry has told, and when it heard of others. */
+/** State of the exchange with peers. */
 export interface PeerStates {
-	/** When each peer, by name, was last heard, ms. */
-	readonly heardAt: Map<string, number>
+	/** When the last state of each peer arrived, by name, ms. */
+	readonly lastSeenAt: Map<string, number>
 	readonly pulls: PeerPulls
-	/** Links to peers that learn of servers from their peers alone. */
+	/** Links to peers that have lost the source. */
 	readonly withoutSource: Set<RpcLink>
-	/** When what is held was last settled, and last told whole, ms. */
-	settledAt: number
+	/** Time of the last broadcast, of the last full state and of the last address list, ms. */
+	broadcastAt: number
 	heartbeatAt: number
-	rosterAt: number
-	/** Known addresses when they were last told. */
-	rosterSize: number
-	/** What peers were last told. */
+	addressesAt: number
+	/** Number of known addresses in the last address list. */
+	addressCount: number
+	/** State at the last broadcast. */
 	lastSent: SentState
 }
 
-/** What a peer that has heard everything knows of this entry. */
+/** The part of a state that broadcasts compare. */
 interface SentState {
 	readonly config: number
 	readonly list: TermRevision
 	readonly held: ReadonlyMap<string, number>
 }
 
-/** Makes an entry's states, with nothing told or heard. */
-export function createPeerStates(news: PeerPulls): PeerStates {
+/** Creates a state without messages sent or received. */
+export function createPeerStates(pulls: PeerPulls): PeerStates {
 	return {
-		heardAt: new Map(),
-		pulls: news,
+		lastSeenAt: new Map(),
+		pulls,
 		withoutSource: new Set(),
-		settledAt: readNow(),
+		broadcastAt: readNow(),
 		heartbeatAt: 0,
-		rosterAt: 0,
-		rosterSize: 0,
+		addressesAt: 0,
+		addressCount: 0,
 		lastSent: { config: -1, list: NO_REVISION, held: new Map() },
 	}
 }
 
-/** Tells a peer everything, on a link that is new or behind. */
+/** Sends everything to a peer whose link is new or whose state is behind. */
 export function sendFullState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
@@ -95,14 +94,14 @@
 ): void {
 	const items = listAllUpdates(ctx)
 	if (items.length > 0) notify(link, 'news', { items })
-	// Last: by a state an entry that has started knows that it was told all.
+	// Sent last: a starting entry takes the first state as the end of the initial sync.
 	sendState(ctx, link, {
 		...describeState(ctx),
 		peers: [...peers.links.keys()],
 	})
 }
 
-/** What an entry tells each time: all of its state but its peers. */
+/** Returns this entry's state without the addresses of peers. */
 function describeState(ctx: GatewayContext): Omit<PeerState, 'peers'> {
 	return {
 		name: ctx.settings.name,
@@ -117,7 +116,7 @@
 	}
 }
 
-/** Tells all peers what is new, if it is time. */
+/** Sends a full state or the changes to all peers when a broadcast is due. */
 export function broadcastState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
@@ -125,45 +124,47 @@
 ): void {
 	const now = readNow()
 	const links = listOpenLinks(peers)
-	const elapsedMs = now - states.settledAt
-	if (elapsedMs < Math.max(TELL_MS, TELL_PER_LINK_MS * links.length)) return
-	states.settledAt = now
+	const elapsedMs = now - states.broadcastAt
+	if (elapsedMs < Math.max(BROADCAST_MS, BROADCAST_PER_LINK_MS * links.length))
+		return
+	states.broadcastAt = now
 	updateDemand(ctx, elapsedMs, countUnlinked(peers), now)
-	const { lastSent: told } = states
+	const { lastSent } = states
 	const state = describeState(ctx)
 	states.lastSent = {
 		config: state.config,
 		list: state.list,
 		held: new Map(ctx.fleet.held),
 	}
-	const isNews =
-		state.config !== told.config || !isSameRevision(state.list, told.list)
-	if (isNews || now - states.heartbeatAt >= HEARTBEAT_MS) {
+	const isVersionChanged =
+		state.config !== lastSent.config ||
+		!isSameRevision(state.list, lastSent.list)
+	if (isVersionChanged || now - states.heartbeatAt >= HEARTBEAT_MS) {
 		states.heartbeatAt = now
-		const whole = { ...state, peers: listDueRoster(peers, states, now) }
-		for (const link of links) sendState(ctx, link, whole)
+		const fullState = { ...state, peers: listDueAddresses(peers, states, now) }
+		for (const link of links) sendState(ctx, link, fullState)
 		return
 	}
-	const changed = findChanged(told.held, states.lastSent.held)
+	const changed = findChanged(lastSent.held, states.lastSent.held)
 	if (Object.keys(changed).length === 0) return
-	const news: InFlightDelta = { name: state.name, changed }
-	for (const link of links) notify(link, 'held', news)
+	const delta: InFlightDelta = { name: state.name, changed }
+	for (const link of links) notify(link, 'held', delta)
 }
 
-/** Addresses of known entries when they are to be told, none otherwise. */
-function listDueRoster(
+/** Returns the addresses of known entries when a list is due, otherwise none. */
+function listDueAddresses(
 	{ links }: PeerLinks,
 	states: PeerStates,
 	now: number,
 ): string[] {
-	const isDue = now - states.rosterAt >= ROSTER_MS
-	if (links.size === states.rosterSize && !isDue) return []
-	states.rosterAt = now
-	states.rosterSize = links.size
+	const isDue = now - states.addressesAt >= ADDRESSES_MS
+	if (links.size === states.addressCount && !isDue) return []
+	states.addressesAt = now
+	states.addressCount = links.size
 	return [...links.keys()]
 }
 
-/** Servers whose number of requests has changed; 0 for none any more. */
+/** Returns the numbers of requests that have changed, by server id; 0 for none any more. */
 function findChanged(
 	before: ReadonlyMap<string, number>,
 	after: ReadonlyMap<string, number>,
@@ -176,15 +177,15 @@
 }
 
 function sendState(ctx: GatewayContext, link: RpcLink, state: PeerState): void {
-	call(link, 'state', state, CONFIRM_MS).catch(err => {
+	call(link, 'state', state, CONFIRM_TIMEOUT_MS).catch(err => {
 		if (link.socket.destroyed) return
-		// Without a reset, only the missing answer tells of a link gone silent.
+		// A half-open connection is never reset; the missing answer is the only sign of it.
 		ctx.log.write('peer silent', { reason: messageOf(err) })
 		link.socket.destroy()
 	})
 }
 
-/** Takes a peer's whole state, and asks for what this entry lacks. */
+/** Applies a peer's full state, and pulls what this entry is behind with. */
 export function receiveState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
@@ -194,7 +195,7 @@
 ): void {
 	const state = v.parse(PeerStateSchema, params)
 	const now = readNow()
-	states.heardAt.set(state.name, readElapsed())
+	states.lastSeenAt.set(state.name, readElapsed())
 	const addresses = [state.control, ...state.peers].filter(address =>
 		isOtherEntry(ctx, address),
 	)
@@ -213,21 +214,21 @@
 	ctx.fleet.peerDemand.set(state.name, { dataCentre, flows })
 	notePeerLoad(ctx.fleet, state.name, held, now)
 	ctx.toldVersion = Math.max(ctx.toldVersion, state.config)
-	// A peer that is behind may not be reached from here but by its own link.
+	// A peer that is behind may only be reachable through the link that it has opened.
 	const isBehind =
 		state.config < activeVersion(ctx) || isLater(ctx.list.revision, state.list)
 	if (isBehind && link.opened === 'there') sendFullState(ctx, peers, link)
 	pullIfBehind(ctx, states.pulls, state, link)
 }
 
-/** Takes what has changed since a peer's last words. */
+/** Applies the changes since a peer's last message. */
 export function receiveInFlightDelta(
 	ctx: GatewayContext,
 	params: unknown,
 ): void {
 	const { name, changed } = v.parse(InFlightDeltaSchema, params)
 	const known = ctx.fleet.heldByPeer.get(name)
-	// Without a whole state before, the changes alone say nothing.
+	// Changes are relative to a full state, which has not arrived yet.
 	if (!known) return
 	const held = new Map(known)
 	for (const [id, count] of Object.entries(changed))
@@ -236,28 +237,29 @@
 	notePeerLoad(ctx.fleet, name, held, readNow())
 }
 
-/** Peers listen on the same control port everywhere. */
+/** Whether an address belongs to another entry: all use the same control port. */
 function isOtherEntry(ctx: GatewayContext, address: string): boolean {
 	const { control } = ctx.settings
-	const own = splitAddress(control).port
-	return address !== control && splitAddress(address).port === own
+	const ownPort = splitAddress(control).port
+	return address !== control && splitAddress(address).port === ownPort
 }
 
-/** Forgets peers that have gone silent. */
+/** Expires the state of silent peers. */
 export function expireSilentPeers(
 	ctx: GatewayContext,
 	states: PeerStates,
 ): void {
 	const now = readElapsed()
-	for (const [name, heardAt] of states.heardAt) {
-		if (now - heardAt > PEER_SILENT_MS) dropPeerLoad(ctx.fleet, name, readNow())
-		if (now - heardAt > REMEMBERED_MS) states.heardAt.delete(name)
+	for (const [name, lastSeenAt] of states.lastSeenAt) {
+		if (now - lastSeenAt > PEER_SILENT_MS)
+			dropPeerLoad(ctx.fleet, name, readNow())
+		if (now - lastSeenAt > MEMBER_TTL_MS) states.lastSeenAt.delete(name)
 	}
 	const seeds = ctx.settings.seeds.length
-	ctx.entries = Math.max(states.heardAt.size + 1, seeds)
+	ctx.entries = Math.max(states.lastSeenAt.size + 1, seeds)
 }
 
-/** Tells removals that were doubted here to peers that cannot learn of them otherwise. */
+/** Sends confirmed removals to peers that have lost the source. */
 export function sendRemovals(ctx: GatewayContext, states: PeerStates): void {
 	const records = ctx.settledRemovals.splice(0)
 	if (records.length === 0) return
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -1,7 +1,4 @@
-/**
- * The side of an entry that other entries and coordinators speak to, and its links
- * to other entries.
- */
+/** RPC server of an entry for other entries and coordinators, and its links to entries. */
 
 import { noteEntryNamed } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
@@ -45,12 +42,12 @@
 import type { CatalogSource } from './ports.ts'
 import { expireGroupReports, takePaces } from './toldGroups.ts'
 
-/** Between looks at whether peers are to be told, ms. */
-const LOOK_MS = 50
-/** A home that has not answered by then stands still or is gone, ms. */
-const ASK_MS = 300
+/** Interval of the periodic work on links and messages, ms. */
+const TICK_MS = 50
+/** Timeout for a home's answer, ms; a home that exceeds it is suspended or gone. */
+const PERMIT_TIMEOUT_MS = 300
 
-/** Serves peers and keeps links to them. */
+/** Serves peers and maintains links to them. */
 export async function startPeers(
 	ctx: GatewayContext,
 	source: CatalogSource,
@@ -80,15 +77,15 @@
 		records: (params: unknown) => answerRecords(ctx, params),
 		removals: (params: unknown) => receiveRemovals(ctx, params),
 		paces: (params: unknown, link: RpcLink) => {
-			const news = takePaces(ctx, params)
-			if (news) forwardGroupReport(peers, news, link)
+			const report = takePaces(ctx, params)
+			if (report) forwardGroupReport(peers, report, link)
 			return listLinkedAddresses(peers)
 		},
 	}
 	const peers = createPeerLinks(methods, link => {
 		sendFullState(ctx, peers, link)
 	})
-	ctx.permits.queryHome = (home, ask) => askHome(peers, home, ask)
+	ctx.permits.queryHome = (home, query) => queryHome(peers, home, query)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
 			noteEntryNamed(ctx.permitHomes.roster, seed, readElapsed())
@@ -96,31 +93,31 @@
 	setInterval(() => {
 		updateLinks(ctx, peers)
 		updateHomes(ctx, address => peers.maintained.has(address))
-		tellNews(ctx, peers)
+		broadcastUpdates(ctx, peers)
 		sendRemovals(ctx, states)
 		broadcastState(ctx, peers, states)
 		expireSilentPeers(ctx, states)
 		expireGroupReports(ctx, readElapsed())
-	}, LOOK_MS)
+	}, TICK_MS)
 }
 
-/** Asks a server's home for permits; without a link, one is made from now on. */
-function askHome(
+/** Requests permits from a server's home; without a link, requests the link instead. */
+function queryHome(
 	peers: PeerLinks,
 	home: string,
-	ask: PermitQuery,
+	query: PermitQuery,
 ): Promise<PermitReply> | undefined {
 	const link = peers.links.get(home)
 	if (link)
-		return call(link, 'permits', ask, ASK_MS).then(reply =>
+		return call(link, 'permits', query, PERMIT_TIMEOUT_MS).then(reply =>
 			v.parse(PermitReplySchema, reply),
 		)
 	requestLink(peers, home)
 	return undefined
 }
 
-/** What is news to this entry is told to all, whoever it came from. */
-function tellNews(ctx: GatewayContext, peers: PeerLinks): void {
+/** Sends updates that changed this entry's state to all peers, whatever their origin. */
+function broadcastUpdates(ctx: GatewayContext, peers: PeerLinks): void {
 	const items = drainUpdates(ctx)
 	if (items.length === 0) return
 	for (const link of listOpenLinks(peers)) notify(link, 'news', { items })
--- a/packages/gateway/src/permitAsk.ts
+++ b/packages/gateway/src/permitAsk.ts
@@ -1,6 +1,6 @@
 /**
- * Asks servers' homes for permits. A request does not wait for one while another server
- * has room; the next request finds it.
+ * Requests permits from the homes of rate-limited servers. The caller's request does not
+ * wait for the answer while another server has room; a later request uses the permit.
  */
 
 import type { HeldPermits, Permits, PermitWish } from '@juniperhook/core'
@@ -11,14 +11,14 @@
 import { heldOf, listLimited } from './permitGate.ts'
 import { grantFromPool, homeOf } from './permitHome.ts'
 
-/** Permits that one question asks for at most. */
-const MAX_ASKED = 16
-/** Before a home is asked again that did not give an answer, ms. */
-const ASK_AGAIN_MS = 100
+/** Maximum number of permits per request. */
+const MAX_REQUESTED = 16
+/** Delay before another request to a home that granted no permits, ms. */
+const RETRY_MS = 100
 
 /**
- * Asks for permits of a service's servers that have none left. `onAnswer` follows
- * answers that come later.
+ * Requests permits for the rate-limited servers of a service that have none left.
+ * `onAnswer` is called after each answer of another entry.
  */
 export function askForPermits(
 	ctx: GatewayContext,
@@ -27,7 +27,7 @@
 	onAnswer: () => void,
 ): void {
 	if (ctx.rateLimits.size === 0) return
-	const count = Math.min(MAX_ASKED, wish.count)
+	const count = Math.min(MAX_REQUESTED, wish.count)
 	const { withinMs } = wish
 	for (const row of listLimited(ctx, service).spent) {
 		const { id } = ctx.fleet.servers[row]!
@@ -35,11 +35,11 @@
 		const now = readElapsed()
 		if (restLeftMs(ctx.rests, id, now) > withinMs) continue
 		if (isAskDue(held, withinMs, now))
-			askFor(ctx, id, held, { count, withinMs }, onAnswer)
+			requestFor(ctx, id, held, { count, withinMs }, onAnswer)
 	}
 }
 
-function askFor(
+function requestFor(
 	ctx: GatewayContext,
 	server: string,
 	held: HeldPermits,
@@ -51,7 +51,7 @@
 	const { perSecond, at } = known
 	const home = homeOf(ctx, server)
 	if (home === ctx.settings.control) {
-		keepPermits(
+		addPermits(
 			ctx,
 			held,
 			perSecond,
@@ -60,23 +60,23 @@
 		return
 	}
 	const limitAgoMs = readElapsed() - at
-	const ask = { server, limit: perSecond, limitAgoMs, ...wish }
-	const reply = ctx.permits.queryHome(home, ask)
+	const query = { server, limit: perSecond, limitAgoMs, ...wish }
+	const reply = ctx.permits.queryHome(home, query)
 	if (!reply) {
-		noteNone(ctx, held, 'unlinked')
+		noteNotGranted(ctx, held, 'unlinked')
 		return
 	}
 	held.isAsking = true
 	void reply
 		.then(
-			got => takeReply(ctx, held, perSecond, got),
+			answer => applyReply(ctx, held, perSecond, answer),
 			err => {
 				ctx.log.write('permit not given', {
 					server,
 					home,
 					reason: messageOf(err),
 				})
-				noteNone(ctx, held, 'failed')
+				noteNotGranted(ctx, held, 'failed')
 			},
 		)
 		.finally(() => {
@@ -85,7 +85,7 @@
 		})
 }
 
-function takeReply(
+function applyReply(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
@@ -93,17 +93,17 @@
 ): void {
 	switch (reply.type) {
 		case 'permits':
-			keepPermits(ctx, held, perSecond, reply)
+			addPermits(ctx, held, perSecond, reply)
 			return
 		case 'notHome':
-			noteNone(ctx, held, 'notHome')
+			noteNotGranted(ctx, held, 'notHome')
 			return
 		default:
 			reply satisfies never
 	}
 }
 
-function keepPermits(
+function addPermits(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
@@ -114,11 +114,11 @@
 	ctx.metrics.permits.inc({ outcome })
 }
 
-function noteNone(
+function noteNotGranted(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	outcome: 'unlinked' | 'failed' | 'notHome',
 ): void {
-	held.notBefore = readElapsed() + ASK_AGAIN_MS
+	held.notBefore = readElapsed() + RETRY_MS
 	ctx.metrics.permits.inc({ outcome })
 }
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -1,7 +1,4 @@
-/**
- * The permits that an entry has been given: a server with a limit is sent nothing without
- * one.
- */
+/** Permits granted to this entry: each request to a rate-limited server consumes one. */
 
 import type { HeldPermits } from '@juniperhook/core'
 import {
@@ -13,17 +10,17 @@
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 
-/** Rows of servers with a limit. */
+/** Rows of rate-limited servers. */
 export interface LimitedRows {
-	/** For which there is a permit. */
+	/** Rows with a usable permit. */
 	readonly permitted: ReadonlySet<number>
-	/** For which there is none now. */
+	/** Rows without a usable permit. */
 	readonly spent: ReadonlySet<number>
 }
 
 const NO_ROWS: ReadonlySet<number> = new Set()
 
-/** Which of a service's servers have a limit, and whether they may be sent to. */
+/** Lists the rate-limited servers of a service, with and without a usable permit. */
 export function listLimited(ctx: GatewayContext, service: string): LimitedRows {
 	if (ctx.rateLimits.size === 0) return { permitted: NO_ROWS, spent: NO_ROWS }
 	const { fleet, rateLimits, permits } = ctx
@@ -40,13 +37,13 @@
 	return { permitted, spent }
 }
 
-/** Uses a permit for a request that is about to be sent, where it needs one. */
+/** Consumes a permit for a request about to be sent, if the server is rate-limited. */
 export function spendPermit({ permits }: GatewayContext, server: string): void {
 	const held = permits.held.get(server)
 	if (held) usePermit(held, readElapsed())
 }
 
-/** What is held of a server's permits. */
+/** Returns the permits held for a server. */
 export function heldOf(
 	{ permits }: GatewayContext,
 	server: string,
@@ -58,15 +55,15 @@
 	return held
 }
 
-/** Drops what is held of a server whose limit has changed. */
+/** Drops the permits of a server whose limit has changed. */
 export function dropPermits({ permits }: GatewayContext, server: string): void {
 	permits.held.delete(server)
 }
 
-/** Forgets permits, given and held, of servers that have no limit any more. */
+/** Drops permits held, pools and homes of servers that have no limit any more. */
 export function forgetPermits(ctx: GatewayContext): void {
 	const { permits, permitHomes, rateLimits } = ctx
-	for (const known of [permits.held, permitHomes.pools, permitHomes.homes])
-		for (const server of known.keys())
-			if (perSecondOf(rateLimits, server) === undefined) known.delete(server)
+	for (const map of [permits.held, permitHomes.pools, permitHomes.homes])
+		for (const server of map.keys())
+			if (perSecondOf(rateLimits, server) === undefined) map.delete(server)
 }
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -1,6 +1,7 @@
 /**
- * The side of an entry that hands out the permits of servers with a limit. All entries
- * that hear each other take the same one of them for a server's home.
+ * Grants permits for rate-limited servers. Each such server has a home, the entry that
+ * grants its permits. It is chosen by rendezvous hashing, so that entries with the same
+ * view of the membership choose the same home.
  */
 
 import type { Permits, PermitWish } from '@juniperhook/core'
@@ -19,7 +20,7 @@
 import { PermitQuerySchema } from './peerMessages.ts'
 import { receiveLimits } from './rateLimits.ts'
 
-/** Takes stock of the entries that are heard; homes move with them. */
+/** Updates the membership, and moves homes when the reachable entries have changed. */
 export function updateHomes(
 	ctx: GatewayContext,
 	isLinked: (address: string) => boolean,
@@ -38,7 +39,7 @@
 	}
 }
 
-/** Control address of a server's home. */
+/** Returns the control address of a server's home. */
 export function homeOf(ctx: GatewayContext, server: string): string {
 	const { homes, roster } = ctx.permitHomes
 	const known = homes.get(server)
@@ -48,7 +49,7 @@
 	return home
 }
 
-/** Gives permits of a server that this entry is home to. */
+/** Grants permits for a server whose home is this entry. */
 export function grantFromPool(
 	ctx: GatewayContext,
 	server: string,
@@ -58,22 +59,22 @@
 	const { pools, roster } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
-	const pace = paceOfHome(perSecond, roster.count)
-	return takePermits(pool, pace, wish, readElapsed())
+	const schedule = paceOfHome(perSecond, roster.count)
+	return takePermits(pool, schedule, wish, readElapsed())
 }
 
-/** Answers another entry that asks for permits. */
+/** Answers another entry's request for permits. */
 export function answerPermits(
 	ctx: GatewayContext,
 	params: unknown,
 ): PermitReply {
-	const ask = v.parse(PermitQuerySchema, params)
-	const { server, limit, limitAgoMs, count, withinMs } = ask
+	const query = v.parse(PermitQuerySchema, params)
+	const { server, limit, limitAgoMs, count, withinMs } = query
 	const at = readElapsed() - limitAgoMs
 	receiveLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
 	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
 	const perSecond = perSecondOf(ctx.rateLimits, server)
-	// What is believed to have no limit any more: the asker will hear of it.
+	// The limit has been lifted; the sender learns that by gossip.
 	if (perSecond === undefined) return { type: 'notHome' }
 	const permits = grantFromPool(ctx, server, perSecond, { count, withinMs })
 	return { type: 'permits', ...permits, dueMs: [...permits.dueMs] }
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -1,38 +1,38 @@
-/** What an entry knows of permits to send to servers with a limit. */
+/** State of the permits for rate-limited servers. */
 
 import type { EntryRoster, HeldPermits, PermitPool } from '@juniperhook/core'
 import { createEntryRoster } from '@juniperhook/core'
 import type { PermitQuery, PermitReply } from './peerMessages.ts'
 
-/** Asks a home; undefined while there is no link to it. */
+/** Sends a query to a home; returns undefined while there is no link to it. */
 export type QueryHome = (
 	home: string,
 	ask: PermitQuery,
 ) => Promise<PermitReply> | undefined
 
-/** What this entry has of the permits of all servers with a limit. */
+/** Permits granted to this entry. */
 export interface PermitGate {
-	/** By server id. */
+	/** Permits by server id. */
 	readonly held: Map<string, HeldPermits>
-	/** What other entries are asked by; set once there are any. */
+	/** Sends queries to other entries; set when the exchange with peers starts. */
 	queryHome: QueryHome
 }
 
-/** Makes a gate that has nothing. */
+/** Creates an empty store. */
 export function createPermitGate(): PermitGate {
 	return { held: new Map(), queryHome: () => undefined }
 }
 
-/** Homes, and the pools of those servers that this entry is home to. */
+/** Homes of rate-limited servers, and the pools of those with this entry as their home. */
 export interface PermitHomes {
 	readonly roster: EntryRoster
-	/** By server id. */
+	/** Pools by server id. */
 	readonly pools: Map<string, PermitPool>
-	/** Control address of each server's home, by server id. */
+	/** Control addresses of homes, by server id. */
 	readonly homes: Map<string, string>
 }
 
-/** Makes an entry's homes while it knows of itself only. */
+/** Creates the state of an entry that has not discovered others. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
 		roster: createEntryRoster(own),
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that end servers from all servers: what this entry sees of them and
- * hears from others, and whom it refuses.
+ * Quarantines poison requests, which crash the servers that run them: collects evidence
+ * from this entry and its peers, and refuses quarantined requests.
  */
 
 import type { NewsOf } from '@juniperhook/core'
@@ -19,14 +19,14 @@
 import type { RunningRequest } from './runs.ts'
 
 /**
- * For which each entry has the turn to try a request again, ms: longer than a server takes
- * to end under it, and than the news of that take.
+ * Time between the entries' turns to retry a quarantined request, ms: longer than the
+ * server takes to crash and the evidence to reach all entries.
  */
 const TURN_MS = 10_000
-/** An end that is told later than this may be over for its group, ms. */
+/** A crash reported later than this no longer closes a group, which may run again, ms. */
 const FRESH_MS = 500
 
-/** Whether a request is to be sent to no server. */
+/** Whether a request must not be sent to any server. */
 export function isQuarantined(
 	ctx: GatewayContext,
 	request: CallerRequest,
@@ -37,7 +37,7 @@
 	return quarantinedForMs(ctx, request) > 0
 }
 
-/** For how long it is, ms; 0 if it is not. */
+/** Returns how long a request stays quarantined, ms; 0 if it is not. */
 export function quarantinedForMs(
 	ctx: GatewayContext,
 	request: CallerRequest,
@@ -48,14 +48,14 @@
 	return barredForMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
-/** How many other entries try a request again before this one. */
+/** Returns how many other entries retry a request before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
 	const { heard } = permitHomes.roster
 	const order = topByRendezvous(key, heard, heard.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
 
-/** Whether a server ended under a request that no other has answered since. */
+/** Whether a server crashed under a request that no server has answered since. */
 export function isSuspected(
 	{ gate }: GatewayContext,
 	request: CallerRequest,
@@ -64,15 +64,15 @@
 	return gate.quarantine.suspects.has(fingerprintOf(request))
 }
 
-/** Notes that a server gave a request its whole answer. */
+/** Records that a server answered a request completely. */
 export function noteServed(ctx: GatewayContext, request: CallerRequest): void {
 	if (!isSuspected(ctx, request)) return
 	const fingerprint = fingerprintOf(request)
-	const news = { kind: 'served', fingerprint, at: readElapsed() } as const
-	receiveCrashUpdates(ctx, [news], 'here')
+	const update = { kind: 'served', fingerprint, at: readElapsed() } as const
+	receiveCrashUpdates(ctx, [update], 'here')
 }
 
-/** Notes that a server ended, and what it was running for this entry. */
+/** Records a server's crash with the requests that it was running for this entry. */
 export function noteServerCrash(
 	ctx: GatewayContext,
 	server: string,
@@ -87,28 +87,29 @@
 	receiveCrashUpdates(ctx, [{ kind: 'end', server, at, ran }], 'here')
 }
 
-function shutFor(ctx: GatewayContext, id: string): void {
+function closeGroupOf(ctx: GatewayContext, id: string): void {
 	const row = ctx.fleet.table.rowOf.get(id)
 	if (row !== undefined) noteRankGone(ctx, ctx.fleet.servers[row]!)
 }
 
-/** Takes news of servers that ended, and of requests that others have served. */
+/** Merges updates of crashes and of requests that were answered. */
 export function receiveCrashUpdates(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'end' | 'served'>[],
+	updates: readonly NewsOf<'end' | 'served'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, told, now)
+	const fresh = takeServerNews(ctx.book, updates, now)
 	if (fresh.length === 0) return
 	enqueueUpdates(ctx.outbox, fresh)
-	judgeAnew(ctx, from)
+	updateQuarantine(ctx, from)
 	if (from === 'here') return
 	for (const one of fresh)
-		if (one.kind === 'end' && now - one.at < FRESH_MS) shutFor(ctx, one.server)
+		if (one.kind === 'end' && now - one.at < FRESH_MS)
+			closeGroupOf(ctx, one.server)
 }
 
-function judgeAnew(ctx: GatewayContext, from: string): void {
+function updateQuarantine(ctx: GatewayContext, from: string): void {
 	const { gate } = ctx
 	const { quarantine } = gate
 	const suspects = [...quarantine.suspects.keys()]
@@ -117,14 +118,21 @@
 	gate.barred = new Set(listBarred(quarantine))
 	ctx.metrics.quarantined.set(gate.barred.size)
 	for (const fingerprint of gate.barred)
-		if (!before.has(fingerprint)) bar(ctx, fingerprint, from)
+		if (!before.has(fingerprint)) cancelQuarantined(ctx, fingerprint, from)
 	for (const fingerprint of before)
 		if (!gate.barred.has(fingerprint))
 			ctx.log.write('request released', { fingerprint, from })
 }
 
-/** Whatever of it is under way is ended: its server may still be saved. */
-function bar(ctx: GatewayContext, fingerprint: string, from: string): void {
+/**
+ * Logs a newly quarantined request and cancels its instances in flight, which may still
+ * prevent the crash of their servers.
+ */
+function cancelQuarantined(
+	ctx: GatewayContext,
+	fingerprint: string,
+	from: string,
+): void {
 	const suspicion = ctx.gate.quarantine.suspects.get(fingerprint)
 	ctx.log.write('request quarantined', {
 		fingerprint,
--- a/packages/gateway/src/quarantineState.ts
+++ b/packages/gateway/src/quarantineState.ts
@@ -1,17 +1,18 @@
-/** State of the gate that keeps requests from all servers. */
+/** State of the quarantine of poison requests. */
 
 import type { Quarantine } from '@juniperhook/core'
 import { createQuarantine } from '@juniperhook/core'
 
-/** What an entry knows of requests under which servers ended. */
+/** Evidence against requests under which servers crashed, and the quarantined ones. */
 export interface QuarantineGate {
 	readonly quarantine: Quarantine
-	/** Lengths of their bodies: no other request needs a fingerprint. */
+	/** Body lengths of suspected requests; requests of other lengths need no fingerprint. */
 	lengths: ReadonlySet<number>
+	/** Fingerprints of quarantined requests. */
 	barred: ReadonlySet<string>
 }
 
-/** Makes a gate that lets everything pass. */
+/** Creates a gate that quarantines no request. */
 export function createQuarantineGate(
 	quarantine = createQuarantine(),
 ): QuarantineGate {
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -1,7 +1,4 @@
-/**
- * What servers say, in their answers, of how many requests a second they take; entries
- * tell each other.
- */
+/** Rate limits that servers announce in their answers, and that entries gossip. */
 
 import type { NewsOf } from '@juniperhook/core'
 import {
@@ -15,7 +12,7 @@
 import { dropPermits } from './permitGate.ts'
 import type { Heard } from './ports.ts'
 
-/** Takes the limit that an answer names, or that it names none. */
+/** Applies the limit that an answer announces, or the absence of one. */
 export function noteNamedLimit(
 	ctx: GatewayContext,
 	{ server, sentAt, ran }: Heard,
@@ -25,30 +22,30 @@
 	const known = ctx.rateLimits.get(server)
 	if (perSecond === undefined) {
 		if (known?.perSecond === undefined || !ran) return
-		// An answer to a request from before the limit says nothing of its end.
+		// A request sent before the limit began cannot show that it has ended.
 		if (sentAt <= known.since) return
 	}
 	receiveLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
 }
 
-/** Takes news of limits. */
+/** Merges updates of limits. */
 export function receiveLimits(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'limit'>[],
+	updates: readonly NewsOf<'limit'>[],
 	from: string,
 ): void {
-	for (const news of told) noteLimit(ctx, news, from)
+	for (const update of updates) applyLimit(ctx, update, from)
 }
 
-function noteLimit(
+function applyLimit(
 	ctx: GatewayContext,
-	news: NewsOf<'limit'>,
+	update: NewsOf<'limit'>,
 	from: string,
 ): void {
 	const { rateLimits, book, outbox } = ctx
-	const { server, perSecond } = news
+	const { server, perSecond } = update
 	const before = perSecondOf(rateLimits, server)
-	const fresh = takeServerNews(book, [news], readElapsed())
+	const fresh = takeServerNews(book, [update], readElapsed())
 	if (fresh.length === 0) return
 	enqueueUpdates(outbox, fresh)
 	dropPermits(ctx, server)
@@ -59,7 +56,7 @@
 	ctx.metrics.limitedServers.set(inForce.length)
 }
 
-/** Forgets old notices of servers. */
+/** Drops expired notices of limits. */
 export function forgetRates({ rateLimits, fleet }: GatewayContext): void {
 	if (rateLimits.size === 0) return
 	const isListed = (id: string) => fleet.table.rowOf.has(id)
--- a/packages/gateway/src/runs.ts
+++ b/packages/gateway/src/runs.ts
@@ -1,30 +1,30 @@
-/** Which requests each server runs for this entry, and which were left there. */
+/** Requests of this entry that are in flight at servers or were abandoned there. */
 
 import { readElapsed } from '@juniperhook/runtime'
 import { fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
 
 /**
- * A server may go on with a request for some time after its connection was closed,
- * ms: what ends within it may have ended under that request.
+ * Retention of abandoned requests, ms. A server may go on with a request for some time
+ * after its connection was closed, so a crash within this time may be due to it.
  */
-const LEFT_MS = 1_000
-/** Requests left at one server that are remembered; the last ones. */
-const MAX_LEFT = 8
+const ABANDONED_TTL_MS = 1_000
+/** Maximum number of abandoned requests, the most recent, that are kept per server. */
+const MAX_ABANDONED = 8
 
-/** A request at a server. */
+/** A request in flight at a server. */
 export interface Run {
 	readonly request: CallerRequest
 	/** When it was sent, ms. */
 	readonly since: number
 }
 
-/** A request whose connection this entry closed before its answer was whole. */
-interface LeftRun extends RunningRequest {
-	readonly leftAt: number
+/** A request whose connection this entry closed before its answer was complete. */
+interface AbandonedRequest extends RunningRequest {
+	readonly abandonedAt: number
 }
 
-/** What is told of a request at a server. */
+/** Identifies a request that a server was running. */
 export interface RunningRequest {
 	readonly id: string
 	readonly fingerprint: string
@@ -32,60 +32,64 @@
 	readonly since: number
 }
 
-/** Requests at servers, by server id. */
+/** Requests at servers, both by server id. */
 export interface Runs {
 	readonly running: Map<string, Set<Run>>
-	readonly left: Map<string, LeftRun[]>
+	readonly left: Map<string, AbandonedRequest[]>
 }
 
-/** Makes a record of no requests. */
+/** Creates an empty record. */
 export function createRuns(): Runs {
 	return { running: new Map(), left: new Map() }
 }
 
-/** Notes that a request is sent to a server. */
+/** Records that a request is sent to a server. */
 export function beginRun(
-	runs: Runs,
+	requests: Runs,
 	server: string,
 	request: CallerRequest,
 ): Run {
-	const run = { request, since: readElapsed() }
-	const there = runs.running.get(server)
-	if (there) there.add(run)
-	else runs.running.set(server, new Set([run]))
-	return run
+	const sent = { request, since: readElapsed() }
+	const atServer = requests.running.get(server)
+	if (atServer) atServer.add(sent)
+	else requests.running.set(server, new Set([sent]))
+	return sent
 }
 
-/** Notes that a request is no longer waited for at its server. */
-export function endRun(runs: Runs, server: string, run: Run): void {
-	const there = runs.running.get(server)
-	there?.delete(run)
-	if (there?.size === 0) runs.running.delete(server)
+/** Removes a request that this entry no longer waits for. */
+export function endRun(requests: Runs, server: string, sent: Run): void {
+	const atServer = requests.running.get(server)
+	atServer?.delete(sent)
+	if (atServer?.size === 0) requests.running.delete(server)
 }
 
-/** Notes that this entry closed a request's connection; its server may go on. */
-export function leaveRun(runs: Runs, server: string, run: Run): void {
-	const leftAt = readElapsed()
-	const left = (runs.left.get(server) ?? []).filter(
-		one => leftAt - one.leftAt < LEFT_MS,
+/** Records that this entry closed a request's connection; the server may go on with it. */
+export function leaveRun(requests: Runs, server: string, sent: Run): void {
+	const abandonedAt = readElapsed()
+	const left = (requests.left.get(server) ?? []).filter(
+		one => abandonedAt - one.abandonedAt < ABANDONED_TTL_MS,
 	)
-	left.push({ ...describe(run), leftAt })
-	runs.left.set(server, left.slice(-MAX_LEFT))
+	left.push({ ...describe(sent), abandonedAt })
+	requests.left.set(server, left.slice(-MAX_ABANDONED))
 }
 
-/** Requests that a server may be running for this entry. */
-export function listRunning(runs: Runs, server: string): RunningRequest[] {
+/** Lists the requests that a server may be running for this entry. */
+export function listRunning(requests: Runs, server: string): RunningRequest[] {
 	const now = readElapsed()
-	const running = [...(runs.running.get(server) ?? [])].map(describe)
-	const left = runs.left.get(server) ?? []
-	return [...left.filter(one => now - one.leftAt < LEFT_MS), ...running]
+	const running = [...(requests.running.get(server) ?? [])].map(describe)
+	const left = requests.left.get(server) ?? []
+	return [
+		...left.filter(one => now - one.abandonedAt < ABANDONED_TTL_MS),
+		...running,
+	]
 }
 
-/** Forgets what was left at servers long ago. */
-export function forgetLeft(runs: Runs): void {
+/** Drops expired records of abandoned requests. */
+export function forgetLeft(requests: Runs): void {
 	const now = readElapsed()
-	for (const [server, left] of runs.left)
-		if (now - left.at(-1)!.leftAt >= LEFT_MS) runs.left.delete(server)
+	for (const [server, left] of requests.left)
+		if (now - left.at(-1)!.abandonedAt >= ABANDONED_TTL_MS)
+			requests.left.delete(server)
 }
 
 function describe({ request, since }: Run): RunningRequest {
--- a/packages/gateway/src/serverEnds.ts
+++ b/packages/gateway/src/serverEnds.ts
@@ -1,7 +1,8 @@
 /**
- * Notices that a server has ended, and which requests it was running. A connection
- * that breaks says little: servers also break off single answers, and the ranks of a
- * group that stands still cut theirs. Whether a process still listens there tells.
+ * Detects server crashes and the requests in flight at that time. A broken connection
+ * alone proves nothing: servers also abort single answers, and the ranks of a stalled
+ * group close theirs. Therefore a probe checks whether a process still listens at the
+ * server's address.
  */
 
 import { connect } from 'node:net'
@@ -14,52 +15,55 @@
 import { noteServerCrash } from './quarantineGate.ts'
 import { listRunning } from './runs.ts'
 
-/** Servers that are asked at the same time; each takes one round trip. */
+/** Maximum number of concurrent probes; each takes one round trip. */
 const MAX_PROBES = 4
-/** A server that does not say whether a process listens is asked again, ms. */
-const PROBE_MS = 250
-const MAX_TRIES = 3
+/** Timeout of a probe, ms, and the maximum number of inconclusive probes per check. */
+const PROBE_TIMEOUT_MS = 250
+const MAX_ATTEMPTS = 3
 /**
- * What stays unclear is settled by the list, in which a server that has ended
- * stays for three of its heartbeats; some seconds, ms.
+ * How long an inconclusive check waits for the server list, ms. A crashed server stays
+ * listed for three heartbeats, some seconds.
  */
-const DOUBT_MS = 6_000
-/** After a suspected request was left at a server, ms; within what is remembered. */
-const LEFT_LOOK_MS = 900
-/** Servers in doubt at the same time; more than fail with a data centre. */
-const MAX_DOUBTS = 512
+const CHECK_TTL_MS = 6_000
+/**
+ * Delay between abandoning a suspected request and the check of its server, ms; shorter
+ * than the retention of abandoned requests.
+ */
+const ABANDONED_CHECK_MS = 900
+/** Maximum number of concurrent checks; more servers than fail with a data centre. */
+const MAX_CHECKS = 512
 
-/** How it is known that a server has ended. */
+/** Evidence of a crash: a refused connection, or the server list. */
 export type CrashWitness = 'refused' | 'list'
 
 /**
- * Notes that a server closed a connection before its answer was whole. Nothing is
- * asked of the ranks of a group that is known to stand still: each entry would open a
- * connection to every rank.
+ * Starts a crash check for a server that closed a connection before its answer was
+ * complete. Ranks of a group known to be stalled are not probed: each entry would open
+ * a connection to every rank.
  */
 export function noteBroken(ctx: GatewayContext, server: ListedServer): void {
 	if (isGroupStalled(ctx, server)) return
 	const { doubts, queue } = ctx.ends
 	const running = listRunning(ctx.runs, server.id)
 	const known = doubts.get(server.id)
-	if (!known && doubts.size >= MAX_DOUBTS) return
-	const doubt = known ?? createDoubt(ctx, server)
-	for (const one of running) doubt.running.set(one.id, one)
+	if (!known && doubts.size >= MAX_CHECKS) return
+	const check = known ?? createCheck(ctx, server)
+	for (const one of running) check.running.set(one.id, one)
 	if (known) return
-	doubts.set(server.id, doubt)
+	doubts.set(server.id, check)
 	queue.push(server.id)
-	askNext(ctx)
+	probeNext(ctx)
 }
 
 /**
- * Looks later whether a server has ended under a request that this entry left there:
- * no connection of its own will tell. Only for requests that are suspected already.
+ * Schedules a crash check for a server at which this entry abandoned a request: no
+ * connection is left that would break. Used only for requests already under suspicion.
  */
 export function watchLeft(ctx: GatewayContext, server: ListedServer): void {
-	setTimeout(() => noteBroken(ctx, server), LEFT_LOOK_MS).unref()
+	setTimeout(() => noteBroken(ctx, server), ABANDONED_CHECK_MS).unref()
 }
 
-function createDoubt({ list }: GatewayContext, server: ListedServer): Doubt {
+function createCheck({ list }: GatewayContext, server: ListedServer): Doubt {
 	let settle = () => {}
 	const settled = new Promise<void>(resolve => {
 		settle = resolve
@@ -69,41 +73,41 @@
 		at: readElapsed(),
 		hadLeft: list.left.has(server.id),
 		running: new Map(),
-		tries: 0,
+		attempts: 0,
 		settled,
 		settle,
 	}
 }
 
-function askNext(ctx: GatewayContext): void {
+function probeNext(ctx: GatewayContext): void {
 	const { ends } = ctx
 	while (ends.probing < MAX_PROBES) {
 		const id = ends.queue.shift()
 		if (id === undefined) return
-		const doubt = ends.doubts.get(id)
-		if (!doubt) continue
+		const check = ends.doubts.get(id)
+		if (!check) continue
 		ends.probing++
-		void probe(doubt.server.address).then(listens => {
+		void probe(check.server.address).then(result => {
 			ends.probing--
-			judgeProbe(ctx, doubt, listens)
-			askNext(ctx)
+			applyProbe(ctx, check, result)
+			probeNext(ctx)
 		})
 	}
 }
 
 /** Whether a process listens at an address. */
-type Listens = 'yes' | 'no' | 'unclear'
+type ProbeResult = 'yes' | 'no' | 'unclear'
 
-function probe(address: string): Promise<Listens> {
+function probe(address: string): Promise<ProbeResult> {
 	const { ip, port } = splitAddress(address)
 	return new Promise(resolve => {
 		const socket = connect({ host: ip, port })
-		const settleWith = (listens: Listens) => {
+		const settleWith = (result: ProbeResult) => {
 			clearTimeout(timer)
 			socket.destroy()
-			resolve(listens)
+			resolve(result)
 		}
-		const timer = setTimeout(() => settleWith('unclear'), PROBE_MS)
+		const timer = setTimeout(() => settleWith('unclear'), PROBE_TIMEOUT_MS)
 		socket.on('connect', () => settleWith('yes'))
 		socket.on('error', (err: NodeJS.ErrnoException) =>
 			settleWith(err.code === 'ECONNREFUSED' ? 'no' : 'unclear'),
@@ -111,62 +115,66 @@
 	})
 }
 
-function judgeProbe(ctx: GatewayContext, doubt: Doubt, listens: Listens): void {
+function applyProbe(
+	ctx: GatewayContext,
+	check: Doubt,
+	result: ProbeResult,
+): void {
 	const { doubts, answered, queue } = ctx.ends
-	const { id } = doubt.server
-	if (doubts.get(id) !== doubt) return
-	switch (listens) {
+	const { id } = check.server
+	if (doubts.get(id) !== check) return
+	switch (result) {
 		case 'yes':
 			doubts.delete(id)
-			if (!answered.has(id)) answered.set(id, doubt)
-			doubt.settle()
+			if (!answered.has(id)) answered.set(id, check)
+			check.settle()
 			return
 		case 'no':
-			believeEnd(ctx, doubt, 'refused')
+			confirmCrash(ctx, check, 'refused')
 			return
 		case 'unclear':
-			doubt.tries++
-			if (doubt.tries < MAX_TRIES) queue.push(id)
-			else doubt.settle()
+			check.attempts++
+			if (check.attempts < MAX_ATTEMPTS) queue.push(id)
+			else check.settle()
 			return
 		default:
-			listens satisfies never
+			result satisfies never
 	}
 }
 
 /**
- * Settles doubts by a list that no longer names a server's life, though it had not said
- * that it leaves. One that says so later has lived on.
+ * Resolves checks with the server list. A server that disappeared without having
+ * announced its leaving has crashed; one that is listed as leaving has not.
  */
 export function resolveChecksByList(ctx: GatewayContext): void {
 	const { ends, list } = ctx
-	for (const [id, doubt] of [...ends.answered, ...ends.doubts]) {
-		const listed = list.records.get(doubt.server.name)?.server
+	for (const [id, check] of [...ends.answered, ...ends.doubts]) {
+		const listed = list.records.get(check.server.name)?.server
 		const isListed = listed?.id === id
-		if (isListed && listed.leaving) dropDoubt(ctx, doubt)
-		else if (!isListed && !doubt.hadLeft) believeEnd(ctx, doubt, 'list')
+		if (isListed && listed.leaving) closeCheck(ctx, check)
+		else if (!isListed && !check.hadLeft) confirmCrash(ctx, check, 'list')
 	}
 }
 
-function dropDoubt({ ends }: GatewayContext, { server, settle }: Doubt): void {
+function closeCheck({ ends }: GatewayContext, { server, settle }: Doubt): void {
 	ends.doubts.delete(server.id)
 	ends.answered.delete(server.id)
 	settle()
 }
 
-/** Forgets doubts that nothing has settled. */
+/** Drops checks that got no result. */
 export function forgetDoubts(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const some of [ctx.ends.doubts, ctx.ends.answered])
-		for (const [id, { at }] of some) if (now - at >= DOUBT_MS) some.delete(id)
+	for (const map of [ctx.ends.doubts, ctx.ends.answered])
+		for (const [id, { at }] of map) if (now - at >= CHECK_TTL_MS) map.delete(id)
 }
 
-/** Notes that a server gave a whole answer: it has not ended before. */
+/** Records a complete answer, which proves that the server has not crashed before. */
 export function noteAlive({ ends }: GatewayContext, server: string): void {
 	ends.answered.delete(server)
 }
 
-/** Waits until it is known whether a server that broke off has ended. */
+/** Waits for the result of a server's crash check, if one is in progress. */
 export async function awaitDoubt(
 	{ ends }: GatewayContext,
 	server: string,
@@ -174,14 +182,14 @@
 	await ends.doubts.get(server)?.settled
 }
 
-function believeEnd(
+function confirmCrash(
 	ctx: GatewayContext,
-	doubt: Doubt,
+	check: Doubt,
 	witness: CrashWitness,
 ): void {
-	const { server, at } = doubt
-	dropDoubt(ctx, doubt)
-	const running = [...doubt.running.values()]
+	const { server, at } = check
+	closeCheck(ctx, check)
+	const running = [...check.running.values()]
 		.sort((a, b) => b.since - a.since)
 		.slice(0, MAX_NAMED)
 	ctx.metrics.serverEnds.inc({ witness })
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -1,7 +1,4 @@
-/**
- * What is believed of servers by what the source and other entries tell, and what follows
- * from it.
- */
+/** Applies server records from the source and from other entries to the server list. */
 
 import type { ListedServer, NewsOf, ServerRecord } from '@juniperhook/core'
 import {
@@ -21,12 +18,12 @@
 import { closeIdle } from './serverPool.ts'
 import { serveWaiting } from './waiting.ts'
 
-/** Where records come from: the source, an older copy of it, or another entry. */
+/** Origin of records: the source, an older copy that it was restored from, or a peer. */
 export type RecordOrigin =
 	| { readonly from: 'source' | 'copy'; readonly deferRemovalsUntil: number }
 	| { readonly from: 'peer'; readonly peer: string }
 
-/** Takes records of servers. */
+/** Applies server records. */
 export function applyRecords(
 	ctx: GatewayContext,
 	records: readonly ServerRecord[],
@@ -34,21 +31,21 @@
 ): void {
 	const now = readElapsed()
 	const from = origin.from === 'peer' ? origin.peer : origin.from
-	const news = records.filter(record => takeFrom(ctx, record, origin, now))
-	for (const record of news) logRecord(ctx, record, from)
-	if (news.length > 0) refreshFleet(ctx)
+	const changes = records.filter(record => applyFrom(ctx, record, origin, now))
+	for (const record of changes) logRecord(ctx, record, from)
+	if (changes.length > 0) refreshFleet(ctx)
 }
 
-/** Takes a record as far as its origin is believed; true when it is news. */
-function takeFrom(
+/** Applies a record as its origin permits. Returns whether it changed the list. */
+function applyFrom(
 	{ list }: GatewayContext,
 	record: ServerRecord,
 	origin: RecordOrigin,
 	now: number,
 ): boolean {
 	if (origin.from === 'peer') return takeTold(list, record, now)
-	const mayHaveLapsed = !record.server && record.fault === undefined
-	if (mayHaveLapsed && now < origin.deferRemovalsUntil) {
+	const isRemoval = !record.server && record.fault === undefined
+	if (isRemoval && now < origin.deferRemovalsUntil) {
 		doubtRemoval(list, record, origin.deferRemovalsUntil)
 		return false
 	}
@@ -57,7 +54,7 @@
 		: takeRecord(list, record)
 }
 
-/** Writes what has become of a server. */
+/** Logs the state of a server. */
 export function logRecord(
 	ctx: GatewayContext,
 	record: ServerRecord,
@@ -83,15 +80,15 @@
 }
 
 /**
- * Takes news of servers that leave or have left. Nothing that the source tells of the
- * same lives brings them back.
+ * Merges updates of servers that leave or have left. This is final: later records of the
+ * same incarnation from the source do not bring it back.
  */
 export function noteLeaving(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'left'>[],
+	updates: readonly NewsOf<'left'>[],
 	from: string,
 ): void {
-	const fresh = takeServerNews(ctx.book, told, readElapsed())
+	const fresh = takeServerNews(ctx.book, updates, readElapsed())
 	if (fresh.length === 0) return
 	enqueueUpdates(ctx.outbox, fresh)
 	for (const { server } of fresh)
@@ -99,36 +96,36 @@
 	refreshFleet(ctx)
 }
 
-/** Takes a server out that has said that it is another one. */
+/** Removes a server whose address answered with another server's identity. */
 export function dropDisplaced(ctx: GatewayContext, id: string): void {
 	noteDisplaced(ctx.list, id)
 	ctx.log.write('server', { server: id, state: 'displaced', from: 'answer' })
 	refreshFleet(ctx)
 }
 
-/** Fits what depends on the list and the configuration to them. */
+/** Updates everything that depends on the server list and the configuration. */
 export function refreshFleet(ctx: GatewayContext): void {
 	const { fleet, list, routes, settings } = ctx
 	const before = fleet.servers
 	applyServerList(fleet, list, settings.dataCentre, routes)
-	closeEnded(ctx, before)
+	closeStaleConnections(ctx, before)
 	resolveChecksByList(ctx)
 	serveWaiting(ctx)
 }
 
 /**
- * Closes idle connections to former lives of servers: behind a cut they stay open
- * without a word, and what is sent on one is lost.
+ * Closes idle connections to former incarnations of servers. After a network partition
+ * these stay half-open, and a request sent on one is lost.
  */
-function closeEnded(
+function closeStaleConnections(
 	{ fleet, list, pool, log }: GatewayContext,
 	before: readonly ListedServer[],
 ): void {
 	for (const { id, name, address } of before) {
 		if (fleet.table.rowOf.has(id)) continue
 		closeIdle(pool, address)
-		const now = list.records.get(name)?.server
-		if (now && now.id !== id)
-			log.write('server started again', { server: now.id, before: id })
+		const current = list.records.get(name)?.server
+		if (current && current.id !== id)
+			log.write('server started again', { server: current.id, before: id })
 	}
 }
--- a/packages/gateway/src/serverRests.ts
+++ b/packages/gateway/src/serverRests.ts
@@ -1,4 +1,4 @@
-/** Rests that servers have asked this entry for. */
+/** Backoffs that servers have requested from this entry with `Retry-After`. */
 
 import type { NewsOf } from '@juniperhook/core'
 import {
@@ -14,7 +14,7 @@
 import type { GatewayContext } from './context.ts'
 import { enqueueUpdates } from './outbox.ts'
 
-/** Takes a server's word that it wants nothing from this entry for `forMs`. */
+/** Starts a backoff of `forMs` that a server has requested. */
 export function takeRest(
 	ctx: GatewayContext,
 	server: string,
@@ -26,22 +26,22 @@
 }
 
 /**
- * Takes news of rests. Those of other entries are kept for them: one that starts again
- * is told them.
+ * Merges updates of backoffs. Those of other entries are kept as well: an entry that
+ * restarts gets its own back from its peers.
  */
 export function receiveBackoffs(
 	ctx: GatewayContext,
-	told: readonly NewsOf<'rest'>[],
+	updates: readonly NewsOf<'rest'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, told, now)
+	const fresh = takeServerNews(ctx.book, updates, now)
 	if (from === 'answer') enqueueUpdates(ctx.outbox, fresh)
 	for (const { entry, server, endsAt } of fresh)
-		if (entry === ctx.settings.control) keepRest(ctx, server, endsAt, from)
+		if (entry === ctx.settings.control) applyBackoff(ctx, server, endsAt, from)
 }
 
-function keepRest(
+function applyBackoff(
 	ctx: GatewayContext,
 	server: string,
 	endsAt: number,
@@ -52,10 +52,10 @@
 	const forMs = Math.round(endsAt - now)
 	if (!noteRest(ctx.rests, server, forMs, now)) return
 	ctx.log.write('server rests', { server, forMs, before, from })
-	countResting(ctx, now)
+	updateBackoffMetric(ctx, now)
 }
 
-/** Notes that a server took a request that was sent at `sentAt`. */
+/** Ends a server's backoff when it accepted a request that was sent after it, at `sentAt`. */
 export function noteTaken(
 	ctx: GatewayContext,
 	server: string,
@@ -64,10 +64,10 @@
 	if (ctx.rests.size === 0) return
 	if (!noteTakenAfterRest(ctx.rests, server, sentAt)) return
 	ctx.log.write('server rested', { server })
-	countResting(ctx, readElapsed())
+	updateBackoffMetric(ctx, readElapsed())
 }
 
-/** Rows of a service's servers that are to be left alone now. */
+/** Lists the rows of a service's servers that must not be sent requests now. */
 export function listResting(
 	{ rests, fleet }: GatewayContext,
 	service: string,
@@ -78,15 +78,18 @@
 	return rows.filter(row => restLeftMs(rests, fleet.servers[row]!.id, now) > 0)
 }
 
-/** Forgets rests that are long over. */
+/** Drops expired backoffs. */
 export function tickRests(ctx: GatewayContext): void {
 	const now = readElapsed()
 	forgetRests(ctx.rests, now)
 	forgetNews(ctx.book, now)
-	countResting(ctx, now)
+	updateBackoffMetric(ctx, now)
 }
 
-function countResting({ rests, metrics }: GatewayContext, now: number): void {
+function updateBackoffMetric(
+	{ rests, metrics }: GatewayContext,
+	now: number,
+): void {
 	const resting = [...rests.values()].filter(({ endsAt }) => now < endsAt)
 	metrics.restingServers.set(resting.length)
 }
--- a/packages/gateway/src/toldGroups.ts
+++ b/packages/gateway/src/toldGroups.ts
@@ -1,7 +1,7 @@
 /**
- * Lock-step groups that are broken, have slow ranks or a limit. A coordinator tells
- * some entries, and news go on from entry to entry until all know them: a limit that
- * some keep and others do not turns callers away for nothing.
+ * Reports of coordinators on lock-step groups that are broken, have slow ranks or a
+ * limit. A coordinator sends a report to some entries, which forward it until all have
+ * it: a limit that only some entries apply rejects callers needlessly.
  */
 
 import { readElapsed } from '@juniperhook/runtime'
@@ -12,24 +12,24 @@
 import { GroupReportSchema } from './peerMessages.ts'
 import { serveWaiting } from './waiting.ts'
 
-/** Coordinators repeat what they tell each second; older is forgotten, ms. */
-const PACES_MS = 2_500
+/** Lifetime of a report, ms; coordinators repeat theirs each second. */
+const REPORT_TTL_MS = 2_500
 /**
- * News that have been heard are known again for this long, ms: far more than any
- * way from entry to entry takes, so that none of them goes round for ever.
+ * Retention of sequence numbers, ms: far longer than a report takes on any path between
+ * entries, so that no report circulates forever.
  */
-const HEARD_MS = 30_000
+const SEQUENCE_TTL_MS = 30_000
 
-/** News of a group, as they are told on. */
+/** A report as it is forwarded between entries. */
 export type GroupReportMessage = v.InferOutput<typeof GroupReportSchema>
 
-/** Takes news of a group; gives them for others if they are new here. */
+/** Applies a report. Returns it for forwarding, or undefined if it was known already. */
 export function takePaces(
 	ctx: GatewayContext,
 	params: unknown,
 ): GroupReportMessage | undefined {
-	const news = v.parse(GroupReportSchema, params)
-	const { group, by, number, slow, limit, broken, hops } = news
+	const report = v.parse(GroupReportSchema, params)
+	const { group, by, number, slow, limit, broken, hops } = report
 	const { toldGroups, heardNews } = ctx.fleet
 	const key = `${group} ${by}`
 	const heard = heardNews.get(key)
@@ -38,36 +38,39 @@
 	heardNews.set(key, { number, at })
 	const ranks = Object.keys(slow)
 	const wasBroken = toldGroups.get(group)?.broken
-	const isWell = ranks.length === 0 && limit === undefined && !broken
-	if (isWell) toldGroups.delete(group)
+	const isHealthy = ranks.length === 0 && limit === undefined && !broken
+	if (isHealthy) toldGroups.delete(group)
 	else toldGroups.set(group, { slow, limit, broken, at })
 	const { log } = ctx
 	log.write('paces told', { group, slow: ranks, limit, broken, by, hops })
 	applyToldGroups(ctx.fleet)
 	if (broken) shutGroup(ctx, group, 'coordinator')
-	// Older news of a group that runs may come after a rank's refusal.
+	// An outdated report of a healthy group may arrive after a rank's refusal.
 	else if (wasBroken && openGroup(ctx, group, 'coordinator'))
-		serveOpened(ctx, group)
-	return { ...news, hops: hops + 1 }
+		dispatchQueued(ctx, group)
+	return { ...report, hops: hops + 1 }
 }
 
 /**
- * Grants what waits for a group that has opened. Groups that broke together open
- * within some ms, and the first one would be given what all of them are to serve. While another one is closed, the next look at the queues does it.
+ * Dispatches the requests that wait for a group that has opened. Groups that broke
+ * together open within some ms, and the first one would get the requests meant for all
+ * of them; while another one is closed, dispatch is left to the next periodic run.
  */
-function serveOpened(ctx: GatewayContext, group: string): void {
+function dispatchQueued(ctx: GatewayContext, group: string): void {
 	const service = serviceOf(group)
 	const closed = [...ctx.closures.keys()]
 	if (!closed.some(other => serviceOf(other) === service)) serveWaiting(ctx)
 }
 
-/** What has not been told again is no longer believed. */
+/** Drops reports that were not repeated in time. */
 export function expireGroupReports(ctx: GatewayContext, now: number): void {
 	const { toldGroups, heardNews } = ctx.fleet
 	for (const [key, { at }] of heardNews)
-		if (now - at > HEARD_MS) heardNews.delete(key)
-	const old = [...toldGroups].filter(([, { at }]) => now - at > PACES_MS)
-	if (old.length === 0) return
-	for (const [group] of old) toldGroups.delete(group)
+		if (now - at > SEQUENCE_TTL_MS) heardNews.delete(key)
+	const expired = [...toldGroups].filter(
+		([, { at }]) => now - at > REPORT_TTL_MS,
+	)
+	if (expired.length === 0) return
+	for (const [group] of expired) toldGroups.delete(group)
 	applyToldGroups(ctx.fleet)
 }
--- a/packages/gateway/test/configTransfer.test.ts
+++ b/packages/gateway/test/configTransfer.test.ts
@@ -1,4 +1,4 @@
-/** How a configuration is handed from entry to entry. */
+/** Tests the transfer of a configuration between entries. */
 
 import { randomBytes } from 'node:crypto'
 import type { RpcLink } from '@juniperhook/runtime'
@@ -16,24 +16,24 @@
 
 const ADDRESS = '127.0.0.1:21980'
 const VERSION = CONFIG.version
-/** Entries that are served at a time. */
-const SERVED = 4
+/** Concurrent transfers. */
+const MAX_TRANSFERS = 4
 const MEGABYTE = 1_048_576
 
 let published: PublishedConfig | undefined
 let server = createConfigServer()
-/** Longest answer so far, as text. */
+/** Length of the longest answer so far, as JSON. */
 let longest = 0
 
 const listener = await serveRpc(ADDRESS, {
-	configPiece: async (asked: PieceRequest, link: RpcLink) => {
-		const piece = await answerPiece(server, published, asked, link)
+	configPiece: async (request: PieceRequest, link: RpcLink) => {
+		const piece = await answerPiece(server, published, request, link)
 		longest = Math.max(longest, JSON.stringify(piece).length)
 		return piece
 	},
 })
 const links = await Promise.all(
-	Array.from({ length: SERVED + 1 }, () => connectRpc(ADDRESS, {})),
+	Array.from({ length: MAX_TRANSFERS + 1 }, () => connectRpc(ADDRESS, {})),
 )
 const [link] = links as [RpcLink]
 
@@ -44,25 +44,25 @@
 }
 
 const TEXTS = [
-	{ says: 'an empty one', text: '' },
-	{ says: 'a small one', text: JSON.stringify(CONFIG) },
-	{ says: 'letters beyond ASCII', text: 'Hütte ⛷ '.repeat(50_000) },
+	{ name: 'an empty text', text: '' },
+	{ name: 'a small text', text: JSON.stringify(CONFIG) },
+	{ name: 'a text beyond ASCII', text: 'Hütte ⛷ '.repeat(50_000) },
 	{
-		says: 'a megabyte that packs badly',
+		name: 'a poorly compressible megabyte',
 		text: randomBytes(MEGABYTE / 2).toString('hex'),
 	},
 ]
 
-for (const { says, text } of TEXTS)
-	test(`transfer: ${says} comes whole, in answers of bounded size`, async () => {
+for (const { name, text } of TEXTS)
+	test(`transfer: ${name} arrives intact, in answers of bounded size`, async () => {
 		publish(text)
 		const fetched = await fetchConfig(link, VERSION)
 		assert.ok(fetched.ok && fetched.text === text)
-		assert.ok(longest < 50_000, `${longest} in one answer`)
-		assert.is(server.served.size, 0)
+		assert.ok(longest < 50_000, `${longest} characters in one answer`)
+		assert.is(server.transfers.size, 0)
 	})
 
-test('transfer: another version than the one in force is not handed out', async () => {
+test('transfer: a version other than the active one is refused', async () => {
 	publish('{}')
 	const fetched = await fetchConfig(link, VERSION + 1)
 	assert.equal(fetched, { ok: false, reason: 'changed' })
@@ -73,15 +73,15 @@
 	})
 })
 
-test('transfer: a few are served at a time, the rest are told at once', async () => {
+test('transfer: further requests are refused at once while the maximum is served', async () => {
 	publish(randomBytes(MEGABYTE / 8).toString('hex'))
 	const last = links.at(-1)!
 	const first = { version: VERSION, from: 0 }
-	for (const other of links.slice(0, SERVED))
+	for (const other of links.slice(0, MAX_TRANSFERS))
 		await other.peer.request('configPiece', first)
 	assert.equal(await fetchConfig(last, VERSION), { ok: false, reason: 'busy' })
-	assert.ok((await fetchConfig(link, VERSION)).ok, 'who has begun goes on')
-	assert.ok((await fetchConfig(last, VERSION)).ok, 'then there is room')
+	assert.ok((await fetchConfig(link, VERSION)).ok, 'a started one continues')
+	assert.ok((await fetchConfig(last, VERSION)).ok, 'a finished one makes room')
 })
 
 test.after(() => {
--- a/packages/gateway/test/deadlyRequests.test.ts
+++ b/packages/gateway/test/deadlyRequests.test.ts
@@ -1,11 +1,10 @@
 /**
- * Requests under which servers end.
+ * Tests the quarantine of poison requests, which crash the servers that run them.
  *
- * Seen: a request ended eight servers, one each time its caller asked again, by
- * whichever entry. How: a broken connection was a failure of its server; the request
- * itself was sent on, and nobody remembered it when it came again. Cause: what was
- * running when a server ended was neither kept nor told to other entries. Proof: the
- * same request at three entries in turn ends a server at each try.
+ * Guards against a request that crashes one server per retry of its caller, at whichever
+ * entry: one request crashed eight servers. A broken connection counted as a failure of
+ * the server only, and the requests in flight at a crash were neither recorded nor shared
+ * with other entries. The same request sent to three entries in turn reproduces it.
  */
 
 import { test } from 'uvu'
@@ -16,89 +15,89 @@
 import { CONTACT_MS } from './openGateway.ts'
 import { WIRE } from './standIns.ts'
 
-/** Sends after the third end that are allowed, once the contact time is over. */
-const MOST_AFTER = 3
-const MOST_ENDS = 3
-/** Tries of a deadly request: while entries learn, and after the contact time. */
-const TRIES = 12
-/** Between two tries, ms: servers are back by then. */
-const PAUSE_MS = 250
+/** Maximum number of sends after the contact time that follows the third crash. */
+const MAX_LATE_SENDS = 3
+const MAX_CRASHES = 3
+/** Attempts at a poison request: half of them before and half after the contact time. */
+const ATTEMPTS = 12
+/** Delay between two attempts, ms: servers have restarted by then. */
+const ATTEMPT_DELAY_MS = 250
 
 const openWorld = createWorlds(23_300)
 
-/** Asks again and again, at one entry after the other. */
-async function askAgain(
+/** Sends a request repeatedly, to one entry after the other. */
+async function sendRepeatedly(
 	{ entries }: World,
 	path: string,
 	body: string,
-	tries: number,
+	attempts: number,
 	headers: (attempt: number) => object = () => ({}),
 ): Promise<number[]> {
 	const statuses: number[] = []
-	for (let at = 0; at < tries; at++) {
-		const entry = entries[at % entries.length]!
-		const got = await ask(entry, path, body, headers(at))
-		statuses.push(got.status)
-		await pause(PAUSE_MS)
+	for (let attempt = 0; attempt < attempts; attempt++) {
+		const entry = entries[attempt % entries.length]!
+		const response = await ask(entry, path, body, headers(attempt))
+		statuses.push(response.status)
+		await pause(ATTEMPT_DELAY_MS)
 	}
 	return statuses
 }
 
 const BIG = `${'x'.repeat(300_000)} ${DEADLY}`
-interface DeadlyCase {
+interface PoisonCase {
 	readonly name: string
 	readonly entries: number
 	readonly path: string
 	readonly body: string
 	readonly headers?: (attempt: number) => object
 }
-const CASES: readonly DeadlyCase[] = [
+const CASES: readonly PoisonCase[] = [
 	{ name: 'one entry', entries: 1, path: '/o/x', body: DEADLY },
 	{ name: 'three entries', entries: 3, path: '/o/x', body: DEADLY },
-	{ name: 'repeated by entries', entries: 3, path: '/r/x', body: DEADLY },
+	{ name: 'retried by entries', entries: 3, path: '/r/x', body: DEADLY },
 	{
-		name: 'a stream that is resumed by entries and by its caller',
+		name: 'a stream resumed by entries and by its caller',
 		entries: 3,
 		path: '/s/x',
 		body: DEADLY,
-		headers: at => (at % 2 === 0 ? {} : { [WIRE.lastEventId]: '1' }),
+		headers: attempt => (attempt % 2 === 0 ? {} : { [WIRE.lastEventId]: '1' }),
 	},
 	{
-		name: 'a large body in chunks or with a length',
+		name: 'a large body, chunked or with a length',
 		entries: 3,
 		path: '/o/x',
 		body: BIG,
-		headers: at =>
-			at % 2 === 0
+		headers: attempt =>
+			attempt % 2 === 0
 				? { 'transfer-encoding': 'chunked' }
 				: { 'content-length': String(BIG.length) },
 	},
 ]
 
-/** What a case shows that must not be; empty for nothing. */
+/** Runs a case and describes the violation of its bounds, if any. */
 async function findFault({
 	name,
 	entries,
 	path,
 	body,
 	headers,
-}: DeadlyCase): Promise<string[]> {
+}: PoisonCase): Promise<string[]> {
 	const world = await openWorld(entries)
 	const { ends, runs } = world.servers
-	const early = await askAgain(world, path, body, TRIES / 2, headers)
+	const early = await sendRepeatedly(world, path, body, ATTEMPTS / 2, headers)
 	await pause(CONTACT_MS)
-	const late = await askAgain(world, path, body, TRIES / 2, headers)
+	const late = await sendRepeatedly(world, path, body, ATTEMPTS / 2, headers)
 	world.servers.close()
-	const judgedFrom = (ends[MOST_ENDS - 1] ?? ends.at(-1)!).at + CONTACT_MS
-	const after = runs.filter(run => run.at > judgedFrom)
-	if (after.length <= MOST_AFTER && ends.length <= MOST_ENDS) return []
+	const countedFrom = (ends[MAX_CRASHES - 1] ?? ends.at(-1)!).at + CONTACT_MS
+	const after = runs.filter(run => run.at > countedFrom)
+	if (after.length <= MAX_LATE_SENDS && ends.length <= MAX_CRASHES) return []
 	const statuses = [...early, ...late].join()
 	return [
-		`${name}: ${ends.length} ends, ${after.length} sends late, statuses ${statuses}`,
+		`${name}: ${ends.length} crashes, ${after.length} late sends, statuses ${statuses}`,
 	]
 }
 
-test('a deadly request ends three servers and no more', async () => {
+test('a poison request crashes at most three servers', async () => {
 	const faults = await Promise.all(CASES.map(findFault))
 	assert.equal(faults.flat(), [])
 })
--- a/packages/gateway/test/deadlyWorld.ts
+++ b/packages/gateway/test/deadlyWorld.ts
@@ -1,4 +1,4 @@
-/** Entries before servers that end under some requests, for tests. */
+/** Test setup: entries in front of servers that crash under poison requests. */
 
 import type { EngineProfile, TrafficConfig } from '@juniperhook/core'
 import type { MortalServers } from './mortalServers.ts'
@@ -9,24 +9,24 @@
 import { CONFIG, callGateway, createCatalog, WIRE } from './standIns.ts'
 
 const PORTS_EACH = 4
-/** For entries to find each other, ms. */
-const PAUSE_MS = 250
-/** Longer than a busy machine takes to end a server and to tell of it, ms. */
+/** Time for entries to link to each other, ms. */
+const LINK_MS = 250
+/** Longer than a busy machine takes to crash a server and to gossip about it, ms. */
 const TIMEOUT_MS = 6_000
 const ROUTES = CONFIG.routes.map(one => ({ ...one, timeoutMs: TIMEOUT_MS }))
 const LIMITS = { ...CONFIG.limits, maxBodyBytes: 2_000_000 }
 let nextId = 1
 
-/** Entries that know each other, before servers that end and come back. */
+/** Linked entries in front of servers that crash and restart. */
 export interface World {
 	readonly servers: MortalServers
 	readonly entries: OpenGateway[]
-	/** First port of all entries; each has an address of its own. */
+	/** First port of all entries, which differ in their IP addresses. */
 	readonly port: number
 	readonly config: TrafficConfig
 }
 
-/** Opens worlds whose entries listen from `firstPort` on. */
+/** Creates a function that opens worlds, whose entries listen from `firstPort` on. */
 export function createWorlds(firstPort: number) {
 	let nextPort = firstPort
 	return async (
@@ -52,18 +52,18 @@
 	const config = { ...CONFIG, routes: ROUTES, services, limits: LIMITS }
 	const world = { servers: mortals, entries, port, config }
 	for (let at = 0; at < entryCount; at++) await openEntry(world)
-	await pause(PAUSE_MS)
+	await pause(LINK_MS)
 	return world
 }
 
-/** Opens one more entry, which finds the others. */
+/** Opens another entry, which discovers the existing ones. */
 export async function openEntry(world: World): Promise<OpenGateway> {
 	const { servers, entries, port, config } = world
 	const listed = servers.mortals.map(one => one.listed)
 	const catalog = createCatalog(config, listed)
 	servers.catalogs.push(catalog)
 	const seeds = [`127.0.0.1:${port + 2}`, `127.0.0.2:${port + 2}`]
-	// Entries find each other by the port that they share.
+	// Entries recognize each other by their common port.
 	const ip = `127.0.0.${entries.length + 1}`
 	const entry = await openGatewayAt(port, catalog, seeds, ip)
 	entries.push(entry)
@@ -71,7 +71,6 @@
 	return entry
 }
 
-/** Waits. */
 export function pause(ms: number): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -1,4 +1,4 @@
-/** Servers that say in their answers that they leave. */
+/** Tests servers that announce in their answers that they are leaving. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -16,11 +16,11 @@
 const openWorld = createLimitedWorlds(26_100)
 const ASKED = { perSecond: 60, forMs: 500 }
 
-/** For what was under way when an answer said that its server leaves, ms. */
-const LEAVE_MS = 200
+/** Allowance for requests in flight at the time of the announcement, ms. */
+const IN_FLIGHT_MS = 200
 
-// A server that said in its answers that it leaves got requests until it was gone.
-test('a server that says that it leaves is sent nothing more', async () => {
+// Guards against requests sent to a leaving server until the source removes it.
+test('a server that announces its leaving gets no more requests', async () => {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
 	server.isLeaving = true
@@ -29,51 +29,51 @@
 	const late = server.notices.map(
 		({ entry, at: from }) =>
 			server.arrivals.filter(
-				one => one.entry === entry && one.at > from + LEAVE_MS,
+				one => one.entry === entry && one.at > from + IN_FLIGHT_MS,
 			).length,
 	)
 	assert.is(Math.max(...late), 0)
 })
 
-/** For what entries tell each other, ms. */
-const NEWS_MS = 300
+/** Time for updates to reach all entries, ms. */
+const GOSSIP_MS = 300
 
-/** A world of three entries, whose first one has heard that a server leaves. */
+/** Opens a world of three entries, the first of which got a server's announcement. */
 async function openLeaving(): Promise<[LimitedWorld, LimitedServer]> {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
 	server.isLeaving = true
 	await askSteadily(world, { ...ASKED, pick: () => 0 })
-	await pause(NEWS_MS)
+	await pause(GOSSIP_MS)
 	assert.is(server.arrivals.filter(({ entry }) => entry !== '0').length, 0)
 	return [world, server]
 }
 
 interface LaterCase {
 	readonly name: string
-	/** What the source says or does after the server's word. */
-	happen(world: LimitedWorld, server: LimitedServer): void
-	/** Whether the server is sent to after that. */
-	readonly sent: boolean
+	/** Changes the source after the server's announcement. */
+	change(world: LimitedWorld, server: LimitedServer): void
+	/** Whether the server gets requests afterwards. */
+	readonly getsRequests: boolean
 }
-const LATER: readonly LaterCase[] = [
-	{ name: 'nothing more is told', happen: () => {}, sent: false },
+const LATER_CASES: readonly LaterCase[] = [
+	{ name: 'the source does not change', change: () => {}, getsRequests: false },
 	{
-		name: 'the source lists it as serving, again',
-		happen: (world, { listed }) => relist(world, listed, listed.name),
-		sent: false,
+		name: 'the source lists it as serving again',
+		change: (world, { listed }) => relist(world, listed, listed.name),
+		getsRequests: false,
 	},
 	{
-		name: 'the source loses and lists it, again',
-		happen: (world, { listed }) => {
+		name: 'the source removes it and lists it again',
+		change: (world, { listed }) => {
 			relist(world, undefined, listed.name)
 			relist(world, listed, listed.name)
 		},
-		sent: false,
+		getsRequests: false,
 	},
 	{
-		name: 'the source comes back from an older copy',
-		happen: ({ catalogs }) => {
+		name: 'the source is restored from an older copy',
+		change: ({ catalogs }) => {
 			for (const catalog of catalogs) {
 				const revision = { term: 2, revision: 1 }
 				const { servers } = catalog.snapshot
@@ -81,38 +81,38 @@
 				catalog.tell({ servers: copied })
 			}
 		},
-		sent: false,
+		getsRequests: false,
 	},
 	{
-		name: 'the source is away',
-		happen: ({ catalogs }) => {
+		name: 'the source is unavailable',
+		change: ({ catalogs }) => {
 			for (const catalog of catalogs) catalog.down = true
 		},
-		sent: false,
+		getsRequests: false,
 	},
 	{
-		name: 'its next life is listed',
-		happen: (world, server) => {
+		name: 'its next incarnation is listed',
+		change: (world, server) => {
 			const { listed } = server
 			server.isLeaving = false
 			relist(world, { ...listed, id: `${listed.id}@2` }, listed.name)
 		},
-		sent: true,
+		getsRequests: true,
 	},
 ]
-for (const { name, happen, sent } of LATER)
-	test(`all entries leave a leaving server alone when ${name}: ${!sent}`, async () => {
+for (const { name, change, getsRequests } of LATER_CASES)
+	test(`a leaving server gets requests when ${name}: ${getsRequests}`, async () => {
 		const [world, server] = await openLeaving()
 		const before = server.arrivals.length
-		happen(world, server)
-		await pause(NEWS_MS)
+		change(world, server)
+		await pause(GOSSIP_MS)
 		const asked = await askSteadily(world, ASKED)
 		closeWorld(world)
 		assert.ok(asked.every(({ got }) => got.status === 200))
-		assert.is(server.arrivals.length > before, sent)
+		assert.is(server.arrivals.length > before, getsRequests)
 	})
 
-test('an entry that starts knows which servers leave before it is ready', async () => {
+test('a starting entry knows leaving servers before it is ready', async () => {
 	const [world, server] = await openLeaving()
 	const started = await openEntry(world)
 	while ((await callGateway(started.readiness, '/')).status !== 200)
@@ -124,12 +124,12 @@
 	assert.is(server.arrivals.length, before)
 })
 
-test('while all servers leave, callers are refused at once', async () => {
+test('callers are refused at once while all servers are leaving', async () => {
 	const world = await openWorld(1, 1)
 	world.servers[0]!.isLeaving = true
 	const [first, ...others] = await askSteadily(world, ASKED)
 	closeWorld(world)
-	// What was taken is answered whole.
+	// An accepted request is answered completely.
 	assert.is(first!.got.status, 200)
 	const refused = others.slice(10)
 	for (const { got } of refused) assert.match(got.body, 'noServer')
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -194,8 +194,8 @@
 	{
 		name: 'newsOfGroups',
 		file: 'packages/gateway/src/peerLinks.ts',
-		on: '	if (news.hops > 1 && isFullMesh(peers)) return',
-		off: '	if (news.hops > 0 || isFullMesh(peers)) return',
+		on: '	if (report.hops > 1 && isFullMesh(peers)) return',
+		off: '	if (report.hops > 0 || isFullMesh(peers)) return',
 	},
 	{
 		name: 'partTaken',
@@ -206,8 +206,8 @@
 	{
 		name: 'dealtServers',
 		file: ENTRY_DEMAND,
-		on: '		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 1',
-		off: '		fleet.table.dealtElsewhere[row] = dealt.has(place) ? 0 : 0',
+		on: '		fleet.table.dealtElsewhere[row] = assigned.has(index) ? 0 : 1',
+		off: '		fleet.table.dealtElsewhere[row] = assigned.has(index) ? 0 : 0',
 	},
 	{
 		name: 'engineRoom',
@@ -260,8 +260,8 @@
 	{
 		name: 'gathering',
 		file: 'packages/gateway/src/catalog.ts',
-		on: '		gatherMs = now - begunAt < SERIES_MS ? gatherMs * 2 : GATHER_MS',
-		off: '		gatherMs = now - begunAt < SERIES_MS ? gatherMs : GATHER_MS',
+		on: '			now - startedAt < BURST_MS ? batchDelayMs * 2 : BATCH_DELAY_MS',
+		off: '			now - startedAt < BURST_MS ? batchDelayMs : BATCH_DELAY_MS',
 	},
 	{
 		name: 'rests',
