--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -246,13 +246,13 @@
 
 /** Applies deferred removals and returns that are due. */
 export function tickCatalog(ctx: GatewayContext): void {
-	const settled = settleRemovals(ctx.list, readElapsed())
-	for (const { name } of settled)
+	const removals = settleRemovals(ctx.list, readElapsed())
+	for (const { name } of removals)
 		ctx.log.write('server', { server: name, state: 'gone', from: 'not back' })
-	ctx.settledRemovals.push(...settled)
-	const returned = settleReturns(ctx.list, readElapsed())
-	for (const record of returned) logRecord(ctx, record, 'still listed')
-	if (settled.length + returned.length > 0) refreshFleet(ctx)
+	ctx.settledRemovals.push(...removals)
+	const returns = settleReturns(ctx.list, readElapsed())
+	for (const record of returns) logRecord(ctx, record, 'still listed')
+	if (removals.length + returns.length > 0) refreshFleet(ctx)
 }
 
 /**
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -7,7 +7,7 @@
 /** Sends a query to a home; returns undefined while there is no link to it. */
 export type QueryHome = (
 	home: string,
-	ask: PermitQuery,
+	query: PermitQuery,
 ) => Promise<PermitReply> | undefined
 
 /** Permits granted to this entry. */
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -99,12 +99,12 @@
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, updates, now)
-	if (fresh.length === 0) return
-	enqueueUpdates(ctx.outbox, fresh)
+	const changes = takeServerNews(ctx.book, updates, now)
+	if (changes.length === 0) return
+	enqueueUpdates(ctx.outbox, changes)
 	updateQuarantine(ctx, from)
 	if (from === 'here') return
-	for (const one of fresh)
+	for (const one of changes)
 		if (one.kind === 'end' && now - one.at < FRESH_MS)
 			closeGroupOf(ctx, one.server)
 }
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -45,9 +45,9 @@
 	const { rateLimits, book, outbox } = ctx
 	const { server, perSecond } = update
 	const before = perSecondOf(rateLimits, server)
-	const fresh = takeServerNews(book, [update], readElapsed())
-	if (fresh.length === 0) return
-	enqueueUpdates(outbox, fresh)
+	const changes = takeServerNews(book, [update], readElapsed())
+	if (changes.length === 0) return
+	enqueueUpdates(outbox, changes)
 	dropPermits(ctx, server)
 	ctx.log.write('server limit', { server, perSecond, before, from })
 	const inForce = [...rateLimits.keys()].filter(
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -88,10 +88,10 @@
 	updates: readonly NewsOf<'left'>[],
 	from: string,
 ): void {
-	const fresh = takeServerNews(ctx.book, updates, readElapsed())
-	if (fresh.length === 0) return
-	enqueueUpdates(ctx.outbox, fresh)
-	for (const { server } of fresh)
+	const changes = takeServerNews(ctx.book, updates, readElapsed())
+	if (changes.length === 0) return
+	enqueueUpdates(ctx.outbox, changes)
+	for (const { server } of changes)
 		ctx.log.write('server', { server, state: 'leaving', from })
 	refreshFleet(ctx)
 }
--- a/packages/gateway/src/serverRests.ts
+++ b/packages/gateway/src/serverRests.ts
@@ -35,9 +35,9 @@
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = takeServerNews(ctx.book, updates, now)
-	if (from === 'answer') enqueueUpdates(ctx.outbox, fresh)
-	for (const { entry, server, endsAt } of fresh)
+	const changes = takeServerNews(ctx.book, updates, now)
+	if (from === 'answer') enqueueUpdates(ctx.outbox, changes)
+	for (const { entry, server, endsAt } of changes)
 		if (entry === ctx.settings.control) applyBackoff(ctx, server, endsAt, from)
 }
 
--- a/packages/gateway/src/toldGroups.ts
+++ b/packages/gateway/src/toldGroups.ts
@@ -32,8 +32,8 @@
 	const { group, by, number, slow, limit, broken, hops } = report
 	const { toldGroups, heardNews } = ctx.fleet
 	const key = `${group} ${by}`
-	const heard = heardNews.get(key)
-	if (heard && heard.number >= number) return undefined
+	const last = heardNews.get(key)
+	if (last && last.number >= number) return undefined
 	const at = readElapsed()
 	heardNews.set(key, { number, at })
 	const ranks = Object.keys(slow)
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -4,17 +4,17 @@
 import * as assert from 'uvu/assert'
 import type { LimitedServer, LimitedWorld } from './limitedServers.ts'
 import {
-	askSteadily,
 	closeWorld,
 	createLimitedWorlds,
 	openEntry,
 	pause,
 	relist,
+	sendSteadily,
 } from './limitedServers.ts'
 import { callGateway } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(26_100)
-const ASKED = { perSecond: 60, forMs: 500 }
+const LOAD = { perSecond: 60, forMs: 500 }
 
 /** Allowance for requests in flight at the time of the announcement, ms. */
 const IN_FLIGHT_MS = 200
@@ -24,7 +24,7 @@
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
 	server.isLeaving = true
-	await askSteadily(world, { perSecond: 60, forMs: 2_000 })
+	await sendSteadily(world, { perSecond: 60, forMs: 2_000 })
 	closeWorld(world)
 	const late = server.notices.map(
 		({ entry, at: from }) =>
@@ -43,7 +43,7 @@
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
 	server.isLeaving = true
-	await askSteadily(world, { ...ASKED, pick: () => 0 })
+	await sendSteadily(world, { ...LOAD, pick: () => 0 })
 	await pause(GOSSIP_MS)
 	assert.is(server.arrivals.filter(({ entry }) => entry !== '0').length, 0)
 	return [world, server]
@@ -101,14 +101,14 @@
 	},
 ]
 for (const { name, change, getsRequests } of LATER_CASES)
-	test(`a leaving server gets requests when ${name}: ${getsRequests}`, async () => {
+	test(`a leaving server gets no requests when ${name}: ${!getsRequests}`, async () => {
 		const [world, server] = await openLeaving()
 		const before = server.arrivals.length
 		change(world, server)
 		await pause(GOSSIP_MS)
-		const asked = await askSteadily(world, ASKED)
+		const responses = await sendSteadily(world, LOAD)
 		closeWorld(world)
-		assert.ok(asked.every(({ got }) => got.status === 200))
+		assert.ok(responses.every(({ response }) => response.status === 200))
 		assert.is(server.arrivals.length > before, getsRequests)
 	})
 
@@ -119,7 +119,7 @@
 		await pause(5)
 	assert.ok(started.ctx.list.left.has(server.listed.id))
 	const before = server.arrivals.length
-	await askSteadily(world, ASKED)
+	await sendSteadily(world, LOAD)
 	closeWorld(world)
 	assert.is(server.arrivals.length, before)
 })
@@ -127,12 +127,12 @@
 test('callers are refused at once while all servers are leaving', async () => {
 	const world = await openWorld(1, 1)
 	world.servers[0]!.isLeaving = true
-	const [first, ...others] = await askSteadily(world, ASKED)
+	const [first, ...others] = await sendSteadily(world, LOAD)
 	closeWorld(world)
 	// An accepted request is answered completely.
-	assert.is(first!.got.status, 200)
+	assert.is(first!.response.status, 200)
 	const refused = others.slice(10)
-	for (const { got } of refused) assert.match(got.body, 'noServer')
+	for (const { response } of refused) assert.match(response.body, 'noServer')
 })
 
 test.after(() => {
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -1,4 +1,4 @@
-/** Entries before servers that say what they take: a limit, a rest, or that they leave. */
+/** Test setup: entries in front of servers that announce a limit, a backoff or leaving. */
 
 import type { Server } from 'node:http'
 import { createServer } from 'node:http'
@@ -17,83 +17,87 @@
 	WIRE,
 } from './standIns.ts'
 
-/** Spans over which requests are counted, and what is allowed beside the limit, ms. */
+/** Window over which requests are counted, ms. */
 export const SPAN_MS = 4_000
 const SPAN_SECONDS = SPAN_MS / 1_000
-const TIMES = 1.5
-const BESIDES = 5
-/** How long a server takes for a request, ms. */
+/** Requests allowed in a window: the limit times a factor, plus a constant. */
+const ALLOWED_FACTOR = 1.5
+const ALLOWED_EXTRA = 5
+/** Service time of a request, ms. */
 const WORK_MS = 10
 const SLOTS = 64
-/** Answers that a busy machine delays are still heard, ms. */
-const PATIENT_MS = 6_000
-/** Entries give up nothing that is only late: what is judged is what they decide. */
-export const PATIENT_CONFIG: TrafficConfig = {
+/** Timeout of the routes, ms: answers delayed by a busy machine must not time out. */
+const LONG_TIMEOUT_MS = 6_000
+/** Configuration without time-outs, so that tests see the decisions of entries only. */
+export const LONG_TIMEOUT_CONFIG: TrafficConfig = {
 	...CONFIG,
-	routes: CONFIG.routes.map(route => ({ ...route, timeoutMs: PATIENT_MS })),
+	routes: CONFIG.routes.map(route => ({
+		...route,
+		timeoutMs: LONG_TIMEOUT_MS,
+	})),
 }
 const PORTS_EACH = 4
 
-/** A server and what came to it. */
+/** A server and the requests that arrived at it. */
 export interface LimitedServer {
 	readonly listed: ListedServer
 	readonly server: Server
-	/** Requests a second that its answers name; undefined for none. */
+	/** Limit announced in its answers, requests a second; undefined for none. */
 	perSecond: number | undefined
-	/** Whether it refuses everything. */
+	/** Whether it refuses all requests. */
 	refusesAll: boolean
-	/** How it answers what an entry sends. */
+	/** Returns its answer to a request of an entry. */
 	answer: (entry: string) => Answer
-	/** Whether its answers say that it leaves. */
+	/** Whether its answers announce that it is leaving. */
 	isLeaving: boolean
 	readonly arrivals: Arrival[]
-	/** Answers that told an entry to stay away or that the server leaves. */
+	/** Answers that requested a backoff or announced that it is leaving. */
 	readonly notices: Notice[]
 }
 
-/** An answer's status, and its `Retry-After`, if any. */
+/** Status of an answer, and its `Retry-After`, if any. */
 export interface Answer {
 	readonly status: 200 | 421 | 503
 	readonly retryAfter?: string
 }
 
-/** An answer to a request that a server takes. */
-export const TAKEN: Answer = { status: 200 }
+/** Answer to an accepted request. */
+export const ACCEPTED: Answer = { status: 200 }
 
-/** A request that came. */
+/** A request that arrived. */
 export interface Arrival {
-	/** Which entry sent it. */
+	/** The entry that sent it. */
 	readonly entry: string
-	/** When, ms. */
+	/** Time of arrival, ms. */
 	readonly at: number
 }
 
-/** An answer that spoke of its server. */
+/** An answer that requested a backoff or announced that the server is leaving. */
 export interface Notice extends Arrival {
 	readonly kind: 'rest' | 'leaving'
 }
 
-/** Names the entry that a request goes to; entries pass it on. */
+/** Header with the entry that a request is sent to; entries forward it. */
 const ENTRY_HEADER = 'x-asked'
 
-/** Entries that know each other, before such servers. */
+/** Linked entries in front of such servers. */
 export interface LimitedWorld {
 	readonly servers: LimitedServer[]
 	readonly entries: OpenGateway[]
-	/** First port of all entries; each has an address of its own. */
+	/** First port of all entries, which differ in their IP addresses. */
 	readonly port: number
 	readonly config: TrafficConfig
-	/** What each entry follows. */
+	/** Catalog of each entry. */
 	readonly catalogs: StandInCatalog[]
 }
 
-/** Opens worlds whose entries listen from `firstPort` on. */
+/** Creates a function that opens worlds, whose entries listen from `firstPort` on. */
 export function createLimitedWorlds(firstPort: number) {
 	let nextPort = firstPort
 	return async (
 		entryCount: number,
 		serverCount: number,
-		config: TrafficConfig = PATIENT_CONFIG,
+		config: TrafficConfig = LONG_TIMEOUT_CONFIG,
 	): Promise<LimitedWorld> => {
 		const servers: LimitedServer[] = []
 		for (let at = 0; at < serverCount; at++)
@@ -112,7 +116,7 @@
 	}
 }
 
-/** Opens one more entry, which finds the others. */
+/** Opens another entry, which discovers the existing ones. */
 export async function openEntry(world: LimitedWorld): Promise<OpenGateway> {
 	const { servers, entries, port, config } = world
 	const listed = servers.map(one => one.listed)
@@ -126,7 +130,7 @@
 	return entry
 }
 
-/** Lists a server anew at all entries. */
+/** Publishes a new record of a server to all entries. */
 export function relist(
 	{ catalogs }: LimitedWorld,
 	server: ListedServer | undefined,
@@ -156,7 +160,7 @@
 		server,
 		perSecond: undefined,
 		refusesAll: false,
-		answer: () => TAKEN,
+		answer: () => ACCEPTED,
 		isLeaving: false,
 		arrivals: [],
 		notices: [],
@@ -164,7 +168,7 @@
 	server.on('request', (req, res) => {
 		const entry = String(req.headers[ENTRY_HEADER])
 		limited.arrivals.push({ entry, at: performance.now() })
-		const { perSecond, isLeaving: leaves, notices: told } = limited
+		const { perSecond, isLeaving, notices } = limited
 		const answer = limited.answer(entry)
 		const { retryAfter } = answer
 		const status = limited.refusesAll ? 503 : answer.status
@@ -174,22 +178,22 @@
 		}
 		if (perSecond !== undefined) headers[SIGNALS.perSecond] = String(perSecond)
 		if (retryAfter) headers[SIGNALS.restMs] = retryAfter
-		const asksRest = status === 503 && retryAfter !== undefined
-		if (leaves) headers[SIGNALS.leaving] = '1'
+		const requestsBackoff = status === 503 && retryAfter !== undefined
+		if (isLeaving) headers[SIGNALS.leaving] = '1'
 		req.resume()
 		setTimeout(() => {
 			const at = performance.now()
-			// An entry that has closed the connection has not been told.
+			// An entry that has closed the connection does not receive the answer.
 			const isOpen = !res.destroyed
-			if (asksRest && isOpen) told.push({ entry, at, kind: 'rest' })
-			if (leaves && isOpen) told.push({ entry, at, kind: 'leaving' })
+			if (requestsBackoff && isOpen) notices.push({ entry, at, kind: 'rest' })
+			if (isLeaving && isOpen) notices.push({ entry, at, kind: 'leaving' })
 			res.writeHead(status, headers).end('done')
 		}, WORK_MS)
 	})
 	return limited
 }
 
-/** Ends a world's servers. */
+/** Closes the servers of a world. */
 export function closeWorld({ servers }: LimitedWorld): void {
 	for (const { server } of servers) {
 		server.close()
@@ -197,76 +201,80 @@
 	}
 }
 
-/** Most requests in any span from `from` to `to`, ms. */
-export function mostInSpan(
+/** Returns the largest number of requests in any window between `from` and `to`, ms. */
+export function maxInSpan(
 	{ arrivals }: LimitedServer,
 	from: number,
 	to = Number.POSITIVE_INFINITY,
 ): number {
 	const times = arrivals.map(({ at }) => at)
-	const judged = times.filter(at => at >= from && at < to)
-	const counts = judged.map(
-		first => judged.filter(at => at >= first && at < first + SPAN_MS).length,
+	const counted = times.filter(at => at >= from && at < to)
+	const counts = counted.map(
+		first => counted.filter(at => at >= first && at < first + SPAN_MS).length,
 	)
 	return Math.max(0, ...counts)
 }
 
-/** Requests that a server with a limit may get in a span. */
+/** Returns the maximum number of requests that a limit allows in a window. */
 export function allowedInSpan(perSecond: number): number {
-	return TIMES * SPAN_SECONDS * perSecond + BESIDES
+	return ALLOWED_FACTOR * SPAN_SECONDS * perSecond + ALLOWED_EXTRA
 }
 
-/** How a request ended. */
-export interface Asked {
-	readonly got: Got
-	/** After how long, without what this process itself was late, ms. */
+/** Response to a request. */
+export interface TimedResponse {
+	readonly response: Got
+	/** Response time without delays of this process's event loop, ms. */
 	readonly tookMs: number
 }
 
-/** What callers ask. */
+/** Load generated by callers. */
 export interface Demand {
 	readonly perSecond: number
 	readonly forMs: number
 	readonly path?: string
-	/** Which entry is asked, of those that are open. */
-	pick?(at: number, entries: number): number
+	/** Chooses the entry for a request by its index. */
+	pick?(index: number, entries: number): number
 }
 
 let nextId = 1
 
-/** Asks at an even pace; resolves when all are answered. */
-export async function askSteadily(
+/** Sends requests at a constant rate; resolves when all are answered. */
+export async function sendSteadily(
 	{ entries }: LimitedWorld,
-	{ perSecond, forMs, path = '/r/x', pick = (at, all) => at % all }: Demand,
-): Promise<Asked[]> {
-	const asked: Promise<Asked>[] = []
+	{
+		perSecond,
+		forMs,
+		path = '/r/x',
+		pick = (index, all) => index % all,
+	}: Demand,
+): Promise<TimedResponse[]> {
+	const responses: Promise<TimedResponse>[] = []
 	const count = Math.round((perSecond * forMs) / 1_000)
-	const begunAt = performance.now()
-	for (let at = 0; at < count; at++) {
-		const dueAt = begunAt + (at * 1_000) / perSecond
+	const startedAt = performance.now()
+	for (let index = 0; index < count; index++) {
+		const dueAt = startedAt + (index * 1_000) / perSecond
 		await pause(dueAt - performance.now())
-		asked.push(ask(entries, pick(at, entries.length), path))
+		responses.push(send(entries, pick(index, entries.length), path))
 	}
-	return await Promise.all(asked)
+	return await Promise.all(responses)
 }
 
-async function ask(
+async function send(
 	entries: readonly OpenGateway[],
 	entry: number,
 	path: string,
-): Promise<Asked> {
-	const begunAt = performance.now()
+): Promise<TimedResponse> {
+	const startedAt = performance.now()
 	const headers = {
 		[WIRE.requestId]: `l${nextId++}`,
 		[ENTRY_HEADER]: String(entry),
 	}
-	const got = await callGateway(entries[entry]!.callers, path, headers)
+	const response = await callGateway(entries[entry]!.callers, path, headers)
 	const endedAt = performance.now()
-	const tookMs = endedAt - begunAt - delaysBetween(begunAt, endedAt)
-	return { got, tookMs }
+	const tookMs = endedAt - startedAt - delaysBetween(startedAt, endedAt)
+	return { response, tookMs }
 }
 
-/** Waits. */
 export function pause(ms: number): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, Math.max(0, ms)))
 }
--- a/packages/gateway/test/mortalServers.ts
+++ b/packages/gateway/test/mortalServers.ts
@@ -1,4 +1,4 @@
-/** Servers that end under some requests and start again as others. */
+/** Test servers that crash under poison requests and restart under another identity. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createServer } from 'node:http'
@@ -7,46 +7,47 @@
 import type { StandInCatalog } from './standIns.ts'
 import { nextRevision, WIRE } from './standIns.ts'
 
-/** A body with this in it ends the server that begins to run it. */
+/** A body that contains this text crashes the server that runs it. */
 export const DEADLY = 'deadly'
-/** A body with this in it is run until its server ends or `release` is called. */
+/** A body that contains this text runs until its server crashes or `release` is called. */
 export const SLOW = 'slow'
-/** From the beginning of a deadly run to the end of its server, ms. */
-const ENDS_AFTER_MS = 20
-/** Until a server that has ended is there again, ms. */
-const BACK_AFTER_MS = 150
+/** Time from the start of a poison request to the crash, ms. */
+const CRASH_AFTER_MS = 20
+/** Time from a crash to the restart, ms. */
+const RESTART_AFTER_MS = 150
 
-/** A run of a request. */
+/** A request as run by a server. */
 export interface MortalRun {
 	readonly body: string
 	readonly server: string
 	readonly at: number
 }
 
-/** Servers that run, end and come back. */
+/** Servers that run requests, crash and restart. */
 export interface MortalServers {
-	/** What is told of changes. */
+	/** Catalogs that publish restarts. */
 	readonly catalogs: StandInCatalog[]
 	readonly runs: MortalRun[]
-	/** When servers ended, ms. */
+	/** Crashes, with their times, ms. */
 	readonly ends: { readonly server: string; readonly at: number }[]
 	readonly mortals: Mortal[]
-	/** Lets all slow requests end well. */
+	/** Completes all slow requests. */
 	release(): void
 	close(): void
 }
 
-/** One server, in whichever life. */
+/** A server across its incarnations. */
 interface Mortal {
 	readonly port: number
-	life: number
-	server: Server
+	/** Number of restarts. */
+	restarts: number
+	http: Server
 	listed: ListedServer
 	readonly sockets: Set<Socket>
 	readonly slow: Set<() => void>
 }
 
-/** Starts `count` servers of the service `plain`. */
+/** Starts `count` servers of a service. */
 export async function startMortals(
 	count: number,
 	service = 'plain',
@@ -64,18 +65,18 @@
 		},
 	}
 	for (let at = 0; at < count; at++)
-		all.mortals.push(await startMortal(all, at, service))
+		all.mortals.push(await startCrashingServer(all, at, service))
 	return all
 }
 
-async function startMortal(
+async function startCrashingServer(
 	all: MortalServers,
 	at: number,
 	service: string,
 ): Promise<Mortal> {
-	const server = createServer()
-	await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
-	const { port } = server.address() as AddressInfo
+	const http = createServer()
+	await new Promise<void>(resolve => http.listen(0, '127.0.0.1', resolve))
+	const { port } = http.address() as AddressInfo
 	const listed: ListedServer = {
 		id: `m${at}`,
 		name: `m${at}`,
@@ -86,33 +87,33 @@
 		leaving: false,
 		coldMs: 0,
 	}
-	const mortal: Mortal = {
+	const server: Mortal = {
 		port,
-		life: 0,
-		server,
+		restarts: 0,
+		http,
 		listed,
 		sockets: new Set(),
 		slow: new Set(),
 	}
-	serve(all, mortal)
-	return mortal
+	serve(all, server)
+	return server
 }
 
-function serve(all: MortalServers, mortal: Mortal): void {
-	mortal.server.on('connection', socket => {
-		mortal.sockets.add(socket)
-		socket.on('close', () => mortal.sockets.delete(socket))
+function serve(all: MortalServers, server: Mortal): void {
+	server.http.on('connection', socket => {
+		server.sockets.add(socket)
+		socket.on('close', () => server.sockets.delete(socket))
 	})
-	mortal.server.on('request', (req, res) => void run(all, mortal, req, res))
+	server.http.on('request', (req, res) => void run(all, server, req, res))
 }
 
 async function run(
 	all: MortalServers,
-	mortal: Mortal,
+	server: Mortal,
 	req: IncomingMessage,
 	res: ServerResponse,
 ): Promise<void> {
-	const { name } = mortal.listed
+	const { name } = server.listed
 	const id = String(req.headers[WIRE.requestId])
 	if (req.headers[WIRE.expectServer] !== name) {
 		res.writeHead(421).end()
@@ -129,46 +130,46 @@
 	const answer = isStream ? event(2) : `answer to ${id}`
 	if (isStream) res.writeHead(200, head).write(event(1))
 	if (body.includes(DEADLY)) {
-		setTimeout(() => end(all, mortal, name), ENDS_AFTER_MS)
+		setTimeout(() => end(all, server, name), CRASH_AFTER_MS)
 		return
 	}
 	const finish = () => {
-		mortal.slow.delete(finish)
+		server.slow.delete(finish)
 		if (!res.headersSent) res.writeHead(200, head)
 		res.end(answer)
 	}
-	if (body.includes(SLOW)) mortal.slow.add(finish)
+	if (body.includes(SLOW)) server.slow.add(finish)
 	else finish()
 }
 
-/** Ends a server as a crash does, if it still is in that life. */
-export function end(all: MortalServers, mortal: Mortal, name: string): void {
-	if (mortal.listed.name !== name || !mortal.server.listening) return
+/** Crashes a server unless it has restarted since. */
+export function end(all: MortalServers, server: Mortal, name: string): void {
+	if (server.listed.name !== name || !server.http.listening) return
 	all.ends.push({ server: name, at: performance.now() })
-	stop(mortal)
-	setTimeout(() => comeBack(all, mortal), BACK_AFTER_MS)
+	stop(server)
+	setTimeout(() => restart(all, server), RESTART_AFTER_MS)
 }
 
-function stop(mortal: Mortal): void {
-	mortal.server.close()
-	for (const socket of mortal.sockets) socket.resetAndDestroy()
-	mortal.slow.clear()
+function stop(server: Mortal): void {
+	server.http.close()
+	for (const socket of server.sockets) socket.resetAndDestroy()
+	server.slow.clear()
 }
 
-function comeBack(all: MortalServers, mortal: Mortal): void {
-	const before = mortal.listed.name
-	mortal.life++
-	const name = `${before.split('-')[0]}-${mortal.life}`
-	mortal.listed = { ...mortal.listed, id: name, name }
-	mortal.server = createServer()
-	serve(all, mortal)
-	mortal.server.listen(mortal.port, '127.0.0.1')
+function restart(all: MortalServers, server: Mortal): void {
+	const before = server.listed.name
+	server.restarts++
+	const name = `${before.split('-')[0]}-${server.restarts}`
+	server.listed = { ...server.listed, id: name, name }
+	server.http = createServer()
+	serve(all, server)
+	server.http.listen(server.port, '127.0.0.1')
 	for (const catalog of all.catalogs) {
 		const revision = nextRevision(catalog)
 		catalog.tell({
 			servers: [
 				{ name: before, revision, server: undefined },
-				{ name, revision, server: mortal.listed },
+				{ name, revision, server: server.listed },
 			],
 		})
 	}
--- a/packages/gateway/test/newsTimes.test.ts
+++ b/packages/gateway/test/newsTimes.test.ts
@@ -1,6 +1,6 @@
 /**
- * How long news of servers take until all entries know, and how many bytes they cost, in
- * virtual time: the real merge, outbox and choice of links, over links that take time.
+ * Tests how long an update takes to reach all entries, and how many bytes it costs, in
+ * virtual time: the production merge, outbox and topology, over links with latency.
  */
 
 import type { NewsBook, Random, ServerNews } from '@juniperhook/core'
@@ -16,25 +16,25 @@
 import type { Outbox } from '../src/outbox.ts'
 import { drainOutbox, enqueueUpdates } from '../src/outbox.ts'
 
-/** Entries look for what is new so often, ms. */
-const LOOK_MS = 50
-/** One way over a link: within a data centre, and between regions, ms. */
-const WAY_MS = [1, 80] as const
+/** Interval at which entries send their outboxes, ms. */
+const TICK_MS = 50
+/** One-way latency of a link, ms: within a data centre, and between regions. */
+const LATENCY_MS = [1, 80] as const
 const SEEDS = 5
 
 interface Entry {
 	readonly book: NewsBook
 	readonly outbox: Outbox
-	/** Entries that it has a link with, whoever opened it. */
+	/** Linked entries, whichever side opened the link. */
 	readonly links: number[]
-	/** When it looks for what is new, ms after each full period. */
+	/** Offset of its ticks within the interval, ms. */
 	readonly phaseMs: number
 }
 
-interface Spread {
-	/** From the word to the last entry that hears of it, ms. */
+interface Dissemination {
+	/** Time from the first entry's update to the last entry that gets it, ms. */
 	readonly tookMs: number
-	/** Bytes that an entry sends, on average. */
+	/** Average number of bytes sent per entry. */
 	readonly bytesEach: number
 }
 
@@ -43,99 +43,99 @@
 		{ length: count },
 		(_, at) => `10.${at % 5}.0.${at}:8229`,
 	)
-	const placeOf = new Map(addresses.map((address, at) => [address, at]))
+	const indexOf = new Map(addresses.map((address, at) => [address, at]))
 	const entries = addresses.map(
 		(): Entry => ({
 			book: createNewsBook(),
 			outbox: new Map(),
 			links: [],
-			phaseMs: random() * LOOK_MS,
+			phaseMs: random() * TICK_MS,
 		}),
 	)
 	for (const [at, own] of addresses.entries())
 		for (const other of chooseLinks(own, addresses)) {
-			const to = placeOf.get(other)!
+			const to = indexOf.get(other)!
 			if (!entries[at]!.links.includes(to)) entries[at]!.links.push(to)
 			if (!entries[to]!.links.includes(at)) entries[to]!.links.push(at)
 		}
 	return entries
 }
 
-/** Lets one entry hear a word of a server and gives how it spreads. */
-function spread(
+/** Gives an update to one entry and simulates its dissemination. */
+function disseminate(
 	entries: readonly Entry[],
-	news: ServerNews,
+	update: ServerNews,
 	random: Random,
-): Spread {
-	// By the ms in which messages come.
-	const underWay = new Map<number, { to: number; news: ServerNews[] }[]>()
+): Dissemination {
+	// Messages in flight, by the time of their arrival in ms.
+	const inFlight = new Map<number, { to: number; updates: ServerNews[] }[]>()
 	let bytes = 0
 	let lastAt = 0
-	let known = 0
-	const take = (to: number, told: readonly ServerNews[], now: number) => {
+	let reached = 0
+	const receive = (to: number, updates: readonly ServerNews[], now: number) => {
 		const { book, outbox, phaseMs } = entries[to]!
-		const fresh = takeServerNews(book, told, now)
-		if (fresh.length === 0) return
-		known++
+		const changes = takeServerNews(book, updates, now)
+		if (changes.length === 0) return
+		reached++
 		lastAt = now
-		enqueueUpdates(outbox, fresh)
-		const looksIn = (LOOK_MS + phaseMs - (now % LOOK_MS)) % LOOK_MS
-		tell(to, now + looksIn)
+		enqueueUpdates(outbox, changes)
+		const ticksIn = (TICK_MS + phaseMs - (now % TICK_MS)) % TICK_MS
+		send(to, now + ticksIn)
 	}
-	const tell = (from: number, now: number) => {
+	const send = (from: number, now: number) => {
 		const { outbox, links } = entries[from]!
-		const told = drainOutbox(outbox)
-		const [least, most] = WAY_MS
+		const updates = drainOutbox(outbox)
+		const [least, most] = LATENCY_MS
 		for (const to of links) {
-			bytes += JSON.stringify(told).length
+			bytes += JSON.stringify(updates).length
 			const at = Math.ceil(now + least + random() * (most - least))
-			const due = underWay.get(at) ?? []
-			underWay.set(at, due)
-			due.push({ to, news: told })
+			const due = inFlight.get(at) ?? []
+			inFlight.set(at, due)
+			due.push({ to, updates })
 		}
 	}
-	take(drawIndex(random, entries.length), [news], 0)
-	for (let now = 0; underWay.size > 0; now++) {
-		for (const { to, news: told } of underWay.get(now) ?? [])
-			take(to, told, now)
-		underWay.delete(now)
+	receive(drawIndex(random, entries.length), [update], 0)
+	for (let now = 0; inFlight.size > 0; now++) {
+		for (const { to, updates } of inFlight.get(now) ?? [])
+			receive(to, updates, now)
+		inFlight.delete(now)
 	}
-	assert.is(known, entries.length, 'all know')
+	assert.is(reached, entries.length, 'all entries are reached')
 	return { tookMs: lastAt, bytesEach: bytes / entries.length }
 }
 
-const NEWS: readonly { name: string; news: ServerNews }[] = [
+const UPDATES: readonly { name: string; update: ServerNews }[] = [
 	{
 		name: 'a limit',
-		news: { kind: 'limit', server: 'a', perSecond: 1, at: 0 },
+		update: { kind: 'limit', server: 'a', perSecond: 1, at: 0 },
 	},
-	{ name: 'a leaving', news: { kind: 'left', server: 'a' } },
+	{ name: 'a departure', update: { kind: 'left', server: 'a' } },
 	{
-		name: 'an end',
-		news: { kind: 'end', server: 'a', at: 0, ran: new Map([['x', 40]]) },
+		name: 'a crash',
+		update: { kind: 'end', server: 'a', at: 0, ran: new Map([['x', 40]]) },
 	},
 ]
-/** Until all know, ms. */
+/** Fleet sizes, with the bound on the time until all entries are reached, ms. */
 const SIZES = [
-	{ entries: 3, mostMs: 300 },
-	{ entries: 36, mostMs: 500 },
-	{ entries: 330, mostMs: 1_000 },
+	{ entries: 3, maxMs: 300 },
+	{ entries: 36, maxMs: 500 },
+	{ entries: 330, maxMs: 1_000 },
 ]
 
-for (const { entries: count, mostMs } of SIZES)
-	for (const { name, news } of NEWS)
-		test(`news: ${name} is known to ${count} entries within ${mostMs} ms`, () => {
-			const spreads: Spread[] = []
+for (const { entries: count, maxMs } of SIZES)
+	for (const { name, update } of UPDATES)
+		test(`gossip: ${name} reaches ${count} entries within ${maxMs} ms`, () => {
+			const results: Dissemination[] = []
 			for (let seed = 1; seed <= SEEDS; seed++) {
 				const random = createRandom(seed)
 				const entries = createEntries(count, random)
-				spreads.push(spread(entries, news, random))
+				results.push(disseminate(entries, update, random))
 			}
-			const longest = Math.max(...spreads.map(({ tookMs }) => tookMs))
-			const bytes = Math.max(...spreads.map(({ bytesEach }) => bytesEach))
+			const longest = Math.max(...results.map(({ tookMs }) => tookMs))
+			const bytes = Math.max(...results.map(({ bytesEach }) => bytesEach))
 			if (process.env.SHOW)
 				console.log(count, name, Math.round(longest), Math.round(bytes))
-			assert.ok(longest <= mostMs, `${longest} ms`)
+			assert.ok(longest <= maxMs, `${longest} ms`)
 		})
 
 test.run()
--- a/packages/gateway/test/peerMesh.test.ts
+++ b/packages/gateway/test/peerMesh.test.ts
@@ -1,10 +1,10 @@
-/** Which links entries keep: news reach all of them, and nobody has many links. */
+/** Tests the topology: messages reach all entries, and no entry has too many links. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { chooseLinks, MAX_LINKS } from '../src/index.ts'
 
-/** Seeds that a coordinator tells, as entries of the fleet. */
+/** Number of entries that a coordinator sends its report to. */
 const SEEDS = 3
 
 const FLEETS = [
@@ -18,7 +18,7 @@
 	return Array.from({ length: entries }, (_, at) => `10.${at % 5}.0.${at}:8229`)
 }
 
-/** Hops until news that some were told have come to all, over links as kept. */
+/** Counts the hops until a message sent to the first entries has reached all. */
 function countHops(links: ReadonlyMap<string, readonly string[]>): number {
 	const reached = new Set([...links.keys()].slice(0, SEEDS))
 	for (let hops = 0; ; hops++) {
@@ -31,7 +31,7 @@
 }
 
 for (const { entries, hops } of FLEETS)
-	test(`mesh: news reach ${entries} entries in ${hops} hops`, () => {
+	test(`mesh: a message reaches ${entries} entries in ${hops} hops`, () => {
 		const all = addressesOf(entries)
 		const links = new Map(all.map(own => [own, chooseLinks(own, all)]))
 		assert.is(countHops(links), hops)
@@ -41,11 +41,11 @@
 			for (const other of chosen)
 				incoming.set(other, (incoming.get(other) ?? 0) + 1)
 		}
-		assert.is(incoming.size, entries, 'each is linked to by somebody')
+		assert.is(incoming.size, entries, 'each entry has an incoming link')
 		assert.ok(Math.max(...incoming.values()) <= MAX_LINKS)
 	})
 
-test('mesh: nobody links to itself', () => {
+test('mesh: an entry does not link to itself', () => {
 	const all = addressesOf(100)
 	assert.not(chooseLinks(all[7]!, all).includes(all[7]!))
 })
--- a/packages/gateway/test/peers.test.ts
+++ b/packages/gateway/test/peers.test.ts
@@ -1,4 +1,4 @@
-/** What gateways tell each other, and what coordinators tell them. */
+/** Tests the messages between gateways, and from coordinators to gateways. */
 
 import { createServer as createTcpServer } from 'node:net'
 import { call, connectRpc, serveRpc } from '@juniperhook/runtime'
@@ -18,7 +18,7 @@
 const backends = await startBackends(3)
 const openGateway = createOpener(21_900, backends.listed)
 const gateway = await openGateway()
-/** Entries that find each other listen on the same ports. */
+/** Entries that discover each other listen on the same ports. */
 const MESH_PORT = 21_700
 
 function reset(script: readonly Deed[] = []): void {
@@ -26,10 +26,10 @@
 	backends.arrivals.length = 0
 }
 
-test('gateway: a link to a peer that goes silent is made anew', async () => {
+test('gateway: a link to a silent peer is reopened', async () => {
 	let links = 0
 	const control = '127.0.0.1:21598'
-	// It takes connections and what is sent on them, and never says a word.
+	// Accepts connections, reads everything and never answers.
 	const silent = createTcpServer(socket => {
 		links++
 		socket.on('error', () => {})
@@ -47,7 +47,7 @@
 	silent.close()
 })
 
-test('gateway: what the source turns away comes from peers', async () => {
+test('gateway: peers replace an unavailable source', async () => {
 	const catalog = createCatalog(undefined, [])
 	catalog.down = true
 	const cut = await openGateway(catalog, [gateway.control])
@@ -64,13 +64,13 @@
 		config: { config: CONFIG, text: JSON.stringify(CONFIG) },
 	})
 	await new Promise(resolve => setTimeout(resolve, 200))
-	assert.is(gateway.ctx.routes?.config.version, 9, 'never back')
+	assert.is(gateway.ctx.routes?.config.version, 9, 'no older version')
 })
 
-/** A peer that has a newer configuration and keeps it to itself. */
-function startSecretivePeer(control: string, version: number) {
+/** Starts a peer that announces a newer configuration and does not serve it. */
+function startUnhelpfulPeer(control: string, version: number) {
 	const state = {
-		name: 'secretive',
+		name: 'unhelpful',
 		control,
 		config: version,
 		list: { term: 0, revision: 0 },
@@ -86,44 +86,53 @@
 	})
 }
 
-const JUDGED_BEHIND = [
+const REFUSAL_CASES = [
 	{ path: '/new/x', key: 'key-1', behind: 503, upToDate: 404 },
 	{ path: '/r/x', key: 'key-new', behind: 503, upToDate: 401 },
 	{ path: '/r/x', key: 'key-1', behind: 200, upToDate: 200 },
 ]
 
-test('gateway: what only a newer configuration may know is not refused for good', async () => {
+test('gateway: requests that a newer configuration may allow get a retryable refusal', async () => {
 	const control = '127.0.0.1:21594'
-	const peer = await startSecretivePeer(control, CONFIG.version + 1)
+	const peer = await startUnhelpfulPeer(control, CONFIG.version + 1)
 	const catalog = createCatalog(CONFIG, backends.listed)
 	const behind = await openGateway(catalog, [control])
 	reset()
-	const ask = async (expected: 'behind' | 'upToDate') => {
-		for (const [at, judged] of JUDGED_BEHIND.entries()) {
+	const checkStatuses = async (expected: 'behind' | 'upToDate') => {
+		for (const [at, refusalCase] of REFUSAL_CASES.entries()) {
 			const headers = {
 				[WIRE.requestId]: `${expected}-${at}`,
-				authorization: `Key ${judged.key}`,
+				authorization: `Key ${refusalCase.key}`,
 			}
-			const got = await callGateway(behind.callers, judged.path, headers)
-			assert.is(got.status, judged[expected], `${expected} ${judged.path}`)
-			if (got.status === 503) assert.ok(Number(got.headers['retry-after']) > 0)
+			const response = await callGateway(
+				behind.callers,
+				refusalCase.path,
+				headers,
+			)
+			assert.is(
+				response.status,
+				refusalCase[expected],
+				`${expected} ${refusalCase.path}`,
+			)
+			if (response.status === 503)
+				assert.ok(Number(response.headers['retry-after']) > 0)
 		}
 	}
-	const isTold = async () => {
+	const isBehind = async () => {
 		const id = { [WIRE.requestId]: 'look' }
 		return (await callGateway(behind.callers, '/new/x', id)).status === 503
 	}
-	for (let look = 0; look < 100 && !(await isTold()); look++)
+	for (let look = 0; look < 100 && !(await isBehind()); look++)
 		await new Promise(resolve => setTimeout(resolve, 20))
-	await ask('behind')
+	await checkStatuses('behind')
 	const newer = { ...CONFIG, version: CONFIG.version + 1 }
 	catalog.tell({ config: { config: newer, text: JSON.stringify(newer) } })
 	await until(() => behind.ctx.routes?.config.version === newer.version)
-	await ask('upToDate')
+	await checkStatuses('upToDate')
 	peer.close()
 })
 
-test('gateway: what a coordinator tells one entry reaches all, and ends', async () => {
+test('gateway: a group report sent to one entry reaches all, and expires', async () => {
 	const seeds = [`127.0.0.31:${MESH_PORT + 2}`]
 	const all = await Promise.all(
 		['127.0.0.31', '127.0.0.32', '127.0.0.33'].map(ip => {
@@ -131,22 +140,22 @@
 			return openGatewayAt(MESH_PORT, catalog, seeds, ip)
 		}),
 	)
-	const told = all[0]!
+	const first = all[0]!
 	await until(() => all.every(one => one.ctx.fleet.heldByPeer.size === 2))
-	const link = await connectRpc(told.control, {})
+	const link = await connectRpc(first.control, {})
 	const limitOf = (entry: OpenGateway) =>
 		entry.ctx.fleet.toldGroups.get('s/g')?.limit
-	const tell = (by: string, number: number, limit: number) =>
+	const sendReport = (by: string, number: number, limit: number) =>
 		call(link, 'paces', { group: 's/g', by, number, hops: 0, slow: {}, limit })
-	await tell('first', 1, 2.5)
+	await sendReport('first', 1, 2.5)
 	await until(() => all.every(one => limitOf(one) === 2.5))
 	assert.equal(all.map(limitOf), [2.5, 2.5, 2.5])
-	await tell('second', 1, 3.5)
+	await sendReport('second', 1, 3.5)
 	await until(() => all.every(one => limitOf(one) === 3.5))
-	// News that were overtaken on their way change nothing.
-	await tell('first', 1, 1.5)
+	// An outdated report changes nothing.
+	await sendReport('first', 1, 1.5)
 	const seen = new Set<number | undefined>()
-	// Each forgets what is not told again by its own clock.
+	// Each entry expires a report that is not repeated, by its own clock.
 	await until(() => {
 		for (const one of all) seen.add(limitOf(one))
 		return all.every(one => limitOf(one) === undefined)
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/rest.test.ts
@@ -1,4 +1,4 @@
-/** Servers that turn requests away and ask for rest. */
+/** Tests servers that refuse requests and request a backoff with `Retry-After`. */
 
 import type { Rests, TrafficConfig } from '@juniperhook/core'
 import {
@@ -11,76 +11,76 @@
 import * as assert from 'uvu/assert'
 import type { LimitedServer } from './limitedServers.ts'
 import {
-	askSteadily,
+	ACCEPTED,
 	closeWorld,
 	createLimitedWorlds,
-	PATIENT_CONFIG,
+	LONG_TIMEOUT_CONFIG,
 	pause,
 	relist,
-	TAKEN,
+	sendSteadily,
 } from './limitedServers.ts'
 import { ENGINE } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(25_900)
-/** What was under way when a server asked for rest still comes, ms. */
-const UNDER_WAY_MS = 500
-/** Requests that an entry may send to a server at rest after that. */
-const MAX_IN_REST = 2
+/** Allowance for requests in flight when a server requests a backoff, ms. */
+const IN_FLIGHT_MS = 500
+/** Requests that an entry may send to a server during its backoff after that. */
+const MAX_IN_BACKOFF = 2
 const SECOND_MS = 1_000
 
 /**
- * Makes a server turn away what each entry sends it from now on, and ask each for
- * `seconds` from the first such answer; then it serves.
+ * Makes a server refuse the requests of each entry, with a backoff that ends `seconds`
+ * after the first refusal; afterwards it serves them.
  */
-function askForRest(server: LimitedServer, seconds: number): void {
+function requestBackoff(server: LimitedServer, seconds: number): void {
 	server.answer = entry => {
 		const now = performance.now()
-		const toldAt = firstTold(server, entry) ?? now
-		const leftSeconds = seconds - (now - toldAt) / SECOND_MS
-		if (leftSeconds <= 0) return TAKEN
+		const refusedAt = firstRefusalAt(server, entry) ?? now
+		const leftSeconds = seconds - (now - refusedAt) / SECOND_MS
+		if (leftSeconds <= 0) return ACCEPTED
 		return { status: 503, retryAfter: leftSeconds.toFixed(3) }
 	}
 }
 
-/** When an entry was first asked for rest, ms. */
-function firstTold(
-	{ notices: told }: LimitedServer,
+/** Returns when an entry was first refused with a backoff, ms. */
+function firstRefusalAt(
+	{ notices }: LimitedServer,
 	entry: string,
 ): number | undefined {
-	return told.find(one => one.entry === entry && one.kind === 'rest')?.at
+	return notices.find(one => one.entry === entry && one.kind === 'rest')?.at
 }
 
-/** Requests of one entry within the rest that it was asked for, the most. */
-function mostInRest(server: LimitedServer, seconds: number): number {
+/** Returns the maximum number of requests that an entry sent during its backoff. */
+function maxInBackoff(server: LimitedServer, seconds: number): number {
 	const entries = new Set(server.arrivals.map(({ entry }) => entry))
 	const counts = [...entries].map(entry => {
-		const from = firstTold(server, entry) ?? Number.POSITIVE_INFINITY
+		const from = firstRefusalAt(server, entry) ?? Number.POSITIVE_INFINITY
 		return server.arrivals.filter(
 			one =>
 				one.entry === entry &&
-				one.at >= from + UNDER_WAY_MS &&
+				one.at >= from + IN_FLIGHT_MS &&
 				one.at < from + seconds * SECOND_MS,
 		).length
 	})
 	return Math.max(0, ...counts)
 }
 
-interface RestCase {
+interface BackoffCase {
 	readonly name: string
 	readonly entries: number
 	readonly servers: number
-	/** Of those, how many ask for rest, the first ones. */
-	readonly resting: number
+	/** Number of servers, the first ones, that request a backoff. */
+	readonly backingOff: number
 	readonly seconds: number
-	/** Requests a second. */
+	/** Load, requests a second. */
 	readonly perSecond: number
 }
-const REST_CASES: readonly RestCase[] = [
+const BACKOFF_CASES: readonly BackoffCase[] = [
 	{
 		name: 'one entry, one of two servers',
 		entries: 1,
 		servers: 2,
-		resting: 1,
+		backingOff: 1,
 		seconds: 3,
 		perSecond: 30,
 	},
@@ -88,15 +88,15 @@
 		name: 'three entries, two of four servers',
 		entries: 3,
 		servers: 4,
-		resting: 2,
+		backingOff: 2,
 		seconds: 3,
 		perSecond: 60,
 	},
 	{
-		name: 'twelve entries, little to do',
+		name: 'twelve entries, low load',
 		entries: 12,
 		servers: 2,
-		resting: 1,
+		backingOff: 1,
 		seconds: 3,
 		perSecond: 20,
 	},
@@ -104,7 +104,7 @@
 		name: 'less than a second',
 		entries: 1,
 		servers: 2,
-		resting: 1,
+		backingOff: 1,
 		seconds: 0.8,
 		perSecond: 60,
 	},
@@ -112,169 +112,178 @@
 		name: 'all servers',
 		entries: 3,
 		servers: 2,
-		resting: 2,
+		backingOff: 2,
 		seconds: 3,
 		perSecond: 30,
 	},
 ]
 
-/** What a case shows that must not be; empty for nothing. */
-async function findRestFault(restCase: RestCase): Promise<string[]> {
-	const { name, entries, servers, resting, seconds, perSecond } = restCase
+/** Runs a case and describes requests sent during backoffs. */
+async function findBackoffFault(backoffCase: BackoffCase): Promise<string[]> {
+	const { name, entries, servers, backingOff, seconds, perSecond } = backoffCase
 	const world = await openWorld(entries, servers)
-	const some = world.servers.slice(0, resting)
-	for (const server of some) askForRest(server, seconds)
-	await askSteadily(world, { perSecond, forMs: (seconds + 1) * SECOND_MS })
+	const refusing = world.servers.slice(0, backingOff)
+	for (const server of refusing) requestBackoff(server, seconds)
+	await sendSteadily(world, { perSecond, forMs: (seconds + 1) * SECOND_MS })
 	closeWorld(world)
-	return some
-		.map(server => mostInRest(server, seconds))
-		.filter(most => most > MAX_IN_REST)
-		.map(most => `${name}: ${most} in a rest of ${seconds} s`)
+	return refusing
+		.map(server => maxInBackoff(server, seconds))
+		.filter(max => max > MAX_IN_BACKOFF)
+		.map(max => `${name}: ${max} requests in a backoff of ${seconds} s`)
 }
 
-// A server that had asked an entry for rest got its share of requests all the same.
-test('a server is left alone for as long as it asks for', async () => {
+// Guards against entries that ignore a backoff and send the server its usual share.
+test('a server gets no requests during its backoff', async () => {
 	const faults: string[] = []
-	// One after the other: together their entries starve each other of this process.
-	for (const one of REST_CASES) faults.push(...(await findRestFault(one)))
+	// Run one after the other: concurrent cases would compete for this process's CPU time.
+	for (const one of BACKOFF_CASES) faults.push(...(await findBackoffFault(one)))
 	assert.equal(faults, [])
 })
 
-/** Target time of the routes, ms. */
+/** Target latency of the routes, ms. */
 const TARGET_MS = 200
-/** Part of those who come back when told to that may do so in vain. */
-const MOST_IN_VAIN = 0.05
-/** A single request. */
+/** Share of retries after `Retry-After` that may fail. */
+const MAX_FAILED_RETRIES = 0.05
+/** Load of a single request. */
 const ONE = { perSecond: 100, forMs: 10 }
-/** After its rest a server is sent one request after the other, so far apart, ms. */
-const TRY_GAP_MS = 50
+/** Interval between the probes that a server gets after its backoff, ms. */
+const PROBE_INTERVAL_MS = 50
 
-test('others serve at once while a server rests', async () => {
+test('other servers take over at once during a backoff', async () => {
 	const world = await openWorld(3, 3)
-	askForRest(world.servers[0]!, 2)
-	const asked = await askSteadily(world, { perSecond: 60, forMs: 1_500 })
+	requestBackoff(world.servers[0]!, 2)
+	const responses = await sendSteadily(world, { perSecond: 60, forMs: 1_500 })
 	closeWorld(world)
-	const served = asked.filter(({ got }) => got.status === 200)
-	assert.is(served.length, asked.length)
-	const late = asked.filter(({ tookMs }) => tookMs > TARGET_MS)
-	assert.ok(late.length <= asked.length * 0.05, `${late.length} late`)
+	const served = responses.filter(({ response }) => response.status === 200)
+	assert.is(served.length, responses.length)
+	const late = responses.filter(({ tookMs }) => tookMs > TARGET_MS)
+	assert.ok(
+		late.length <= responses.length * 0.05,
+		`${late.length} late answers`,
+	)
 })
 
-/** The servers as ranks of one lock-step group. */
+/** Configuration with the servers as ranks of one lock-step group. */
 const GROUPED: TrafficConfig = {
-	...PATIENT_CONFIG,
-	services: PATIENT_CONFIG.services.map(service => ({
+	...LONG_TIMEOUT_CONFIG,
+	services: LONG_TIMEOUT_CONFIG.services.map(service => ({
 		...service,
 		engine: ENGINE,
 	})),
 }
 
-// A rank's refusal was taken for its group's, and callers were refused with ranks free.
-test('the other ranks of a group serve while one rests', async () => {
+// Guards against closing the group, which refuses callers while other ranks are free.
+test('the other ranks of a group serve during the backoff of one', async () => {
 	const world = await openWorld(2, 4, GROUPED)
-	askForRest(world.servers[0]!, 2)
-	const asked = await askSteadily(world, { perSecond: 60, forMs: 1_500 })
+	requestBackoff(world.servers[0]!, 2)
+	const responses = await sendSteadily(world, { perSecond: 60, forMs: 1_500 })
 	closeWorld(world)
-	const failed = asked.filter(({ got }) => got.status !== 200)
+	const failed = responses.filter(({ response }) => response.status !== 200)
 	assert.is(failed.length, 0)
 	for (const { ctx } of world.entries) assert.is(ctx.outages.size, 0)
 })
 
-test('a closed group is tried at ranks that do not rest', async () => {
+test('a closed group is probed at ranks without a backoff', async () => {
 	const world = await openWorld(1, 4, GROUPED)
 	const server = world.servers[0]!
-	askForRest(server, 3)
-	await askSteadily(world, { perSecond: 100, forMs: 300 })
+	requestBackoff(server, 3)
+	await sendSteadily(world, { perSecond: 100, forMs: 300 })
 	for (const other of world.servers.slice(1)) other.refusesAll = true
-	await askSteadily(world, { perSecond: 40, forMs: 3_000 })
+	await sendSteadily(world, { perSecond: 40, forMs: 3_000 })
 	closeWorld(world)
 	assert.ok(server.notices.length > 0)
-	assert.ok(mostInRest(server, 3) <= MAX_IN_REST)
+	assert.ok(maxInBackoff(server, 3) <= MAX_IN_BACKOFF)
 	assert.ok(world.entries[0]!.ctx.outages.size > 0)
 })
 
-test('while all servers rest, callers are refused at once and told a time that comes true', async () => {
+test('during the backoff of all servers, callers are refused with an accurate Retry-After', async () => {
 	const world = await openWorld(1, 2)
-	for (const server of world.servers) askForRest(server, 2)
-	const askOnce = async () => (await askSteadily(world, ONE))[0]!
-	const askAgain = async (): Promise<string> => {
-		const { got, tookMs } = await askOnce()
-		if (got.status === 200) return 'served'
-		if (!got.body.includes('resting')) return got.body
+	for (const server of world.servers) requestBackoff(server, 2)
+	const sendOnce = async () => (await sendSteadily(world, ONE))[0]!
+	const sendAndRetry = async (): Promise<string> => {
+		const { response, tookMs } = await sendOnce()
+		if (response.status === 200) return 'served'
+		if (!response.body.includes('resting')) return response.body
 		if (tookMs > TARGET_MS) return `refused after ${tookMs} ms`
-		await pause(Number(got.headers['retry-after']) * SECOND_MS)
-		const again = await askOnce()
-		return again.got.status === 200 ? 'served' : again.got.body
+		await pause(Number(response.headers['retry-after']) * SECOND_MS)
+		const again = await sendOnce()
+		return again.response.status === 200 ? 'served' : again.response.body
 	}
-	// The first ones find out that the servers rest.
-	await askSteadily(world, { perSecond: 20, forMs: 200 })
-	const asked: Promise<string>[] = []
+	// The first requests make the servers request their backoffs.
+	await sendSteadily(world, { perSecond: 20, forMs: 200 })
+	const responses: Promise<string>[] = []
 	for (let at = 0; at < 40; at++) {
-		asked.push(askAgain())
+		responses.push(sendAndRetry())
 		await pause(30)
 	}
-	const ends = await Promise.all(asked)
+	const outcomes = await Promise.all(responses)
 	closeWorld(world)
-	const others = ends.filter(end => end !== 'served')
-	assert.ok(others.length <= MOST_IN_VAIN * ends.length, others.join('\n'))
+	const others = outcomes.filter(end => end !== 'served')
+	assert.ok(
+		others.length <= MAX_FAILED_RETRIES * outcomes.length,
+		others.join('\n'),
+	)
 })
 
-test('a server that has rested and still refuses gets no herd', async () => {
+test('a server that still refuses after its backoff gets single probes', async () => {
 	const world = await openWorld(1, 1)
 	const server = world.servers[0]!
-	askForRest(server, 0.6)
+	requestBackoff(server, 0.6)
 	const rest = server.answer
 	server.answer = entry => ({ ...rest(entry), status: 503 })
-	await askSteadily(world, { perSecond: 200, forMs: 1_600 })
+	await sendSteadily(world, { perSecond: 200, forMs: 1_600 })
 	closeWorld(world)
 	const from = server.notices[0]!.at + 0.6 * SECOND_MS
 	const after = server.arrivals.filter(({ at }) => at >= from)
 	const spanMs = after.at(-1)!.at - from
-	assert.ok(after.length <= spanMs / TRY_GAP_MS + 2, `${after.length}`)
+	assert.ok(
+		after.length <= spanMs / PROBE_INTERVAL_MS + 2,
+		`${after.length} probes`,
+	)
 	assert.ok(after.length > 0)
 })
 
-test('a shorter rest ends no longer one, and one beyond all bounds is bounded', () => {
-	const rests: Rests = new Map()
-	assert.ok(noteRest(rests, 'one', 5_000, 0))
+test('a backoff is not shortened by a later one, and has a maximum', () => {
+	const backoffs: Rests = new Map()
+	assert.ok(noteRest(backoffs, 'one', 5_000, 0))
 	for (const forMs of [0, 1_000, 5_000])
-		assert.not(noteRest(rests, 'one', forMs, 0))
-	assert.is(restLeftMs(rests, 'one', 0), 5_000)
-	assert.ok(noteRest(rests, 'one', Number.POSITIVE_INFINITY, 0))
-	assert.is(restLeftMs(rests, 'one', 0), 600_000)
+		assert.not(noteRest(backoffs, 'one', forMs, 0))
+	assert.is(restLeftMs(backoffs, 'one', 0), 5_000)
+	assert.ok(noteRest(backoffs, 'one', Number.POSITIVE_INFINITY, 0))
+	assert.is(restLeftMs(backoffs, 'one', 0), 600_000)
 })
 
-test('a rest is not ended by what was under way before it', () => {
-	const rests: Rests = new Map()
-	noteRest(rests, 'one', 1_000, 100)
-	assert.not(noteTakenAfterRest(rests, 'one', 50))
-	assert.not(noteTakenAfterRest(rests, 'one', 1_050))
-	assert.is(restLeftMs(rests, 'one', 500), 600)
-	noteSentAfterRest(rests, 'one', 1_200)
-	assert.ok(restLeftMs(rests, 'one', 1_210) > 0)
-	assert.ok(noteTakenAfterRest(rests, 'one', 1_200))
-	assert.is(restLeftMs(rests, 'one', 1_210), 0)
+test('a backoff is not ended by requests sent before it', () => {
+	const backoffs: Rests = new Map()
+	noteRest(backoffs, 'one', 1_000, 100)
+	assert.not(noteTakenAfterRest(backoffs, 'one', 50))
+	assert.not(noteTakenAfterRest(backoffs, 'one', 1_050))
+	assert.is(restLeftMs(backoffs, 'one', 500), 600)
+	noteSentAfterRest(backoffs, 'one', 1_200)
+	assert.ok(restLeftMs(backoffs, 'one', 1_210) > 0)
+	assert.ok(noteTakenAfterRest(backoffs, 'one', 1_200))
+	assert.is(restLeftMs(backoffs, 'one', 1_210), 0)
 })
 
-test('a rest ends with its server: the next life under that name is sent to', async () => {
+test('the next incarnation of a server has no backoff', async () => {
 	const world = await openWorld(1, 1)
 	const server = world.servers[0]!
-	askForRest(server, 60)
-	await askSteadily(world, { perSecond: 50, forMs: 300 })
-	server.answer = () => TAKEN
+	requestBackoff(server, 60)
+	await sendSteadily(world, { perSecond: 50, forMs: 300 })
+	server.answer = () => ACCEPTED
 	const { listed } = server
 	relist(world, { ...listed, id: `${listed.id}@2` }, listed.name)
 	await pause(300)
-	const asked = await askSteadily(world, { perSecond: 50, forMs: 300 })
+	const responses = await sendSteadily(world, { perSecond: 50, forMs: 300 })
 	closeWorld(world)
-	assert.ok(asked.every(({ got }) => got.status === 200))
+	assert.ok(responses.every(({ response }) => response.status === 200))
 })
 
 for (const status of [200, 421] as const)
-	test(`an answer with status ${status} asks for no rest`, async () => {
+	test(`Retry-After in an answer with status ${status} starts no backoff`, async () => {
 		const world = await openWorld(1, 1)
 		world.servers[0]!.answer = () => ({ status, retryAfter: '5' })
-		await askSteadily(world, { perSecond: 20, forMs: 300 })
+		await sendSteadily(world, { perSecond: 20, forMs: 300 })
 		closeWorld(world)
 		assert.is(world.entries[0]!.ctx.rests.size, 0)
 		assert.ok(world.servers[0]!.arrivals.length > 0)
