--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -27,7 +27,7 @@
  */
 const FIRST_OUTAGE_MS = 2_000
 
-/** Crashes of ranks that fail together, as on one VM, are detected within this time, ms. */
+/** Ranks that crash together, as on one VM, are all detected within this time, ms. */
 const STALLED_AFTER_MS = 500
 
 /**
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -55,7 +55,7 @@
 	readonly pulls: PeerPulls
 	/** Links to peers that have lost the source. */
 	readonly withoutSource: Set<RpcLink>
-	/** Time of the last broadcast, of the last full state and of the last address list, ms. */
+	/** Times of the last broadcast, the last full state and the last address list, ms. */
 	broadcastAt: number
 	heartbeatAt: number
 	addressesAt: number
@@ -164,7 +164,7 @@
 	return [...links.keys()]
 }
 
-/** Returns the numbers of requests that have changed, by server id; 0 for none any more. */
+/** Returns the changed numbers of requests, by server id; 0 for none any more. */
 function findChanged(
 	before: ReadonlyMap<string, number>,
 	after: ReadonlyMap<string, number>,
@@ -179,7 +179,7 @@
 function sendState(ctx: GatewayContext, link: RpcLink, state: PeerState): void {
 	call(link, 'state', state, CONFIRM_TIMEOUT_MS).catch(err => {
 		if (link.socket.destroyed) return
-		// A half-open connection is never reset; the missing answer is the only sign of it.
+		// A half-open connection is not reset; only the missing answer reveals it.
 		ctx.log.write('peer silent', { reason: messageOf(err) })
 		link.socket.destroy()
 	})
--- a/packages/gateway/src/quarantineState.ts
+++ b/packages/gateway/src/quarantineState.ts
@@ -6,7 +6,7 @@
 /** Evidence against requests under which servers crashed, and the quarantined ones. */
 export interface QuarantineGate {
 	readonly quarantine: Quarantine
-	/** Body lengths of suspected requests; requests of other lengths need no fingerprint. */
+	/** Body lengths of suspected requests; others need not be fingerprinted. */
 	lengths: ReadonlySet<number>
 	/** Fingerprints of quarantined requests. */
 	barred: ReadonlySet<string>
--- a/packages/gateway/src/serverRests.ts
+++ b/packages/gateway/src/serverRests.ts
@@ -55,7 +55,7 @@
 	updateBackoffMetric(ctx, now)
 }
 
-/** Ends a server's backoff when it accepted a request that was sent after it, at `sentAt`. */
+/** Ends a server's backoff if the accepted request was sent after it, at `sentAt`. */
 export function noteTaken(
 	ctx: GatewayContext,
 	server: string,
