--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -7,10 +7,10 @@
 import { readFileSync } from 'node:fs'
 import {
 	chooseServer,
+	createGossipNode,
 	createLayer,
 	createRandom,
 	createServerTable,
-	createSpreadNode,
 	planLayer,
 	readConfig,
 	setMembers,
@@ -99,7 +99,7 @@
 			name: `vm-${String(n).padStart(5, '0')}`,
 			region: `region-${n % 5}`,
 		}))
-		const node = createSpreadNode('vm-00007', 'region-2', 0)
+		const node = createGossipNode('vm-00007', 'region-2', 0)
 		const ms = timeOf(() => setMembers(node, members, 0), 5)
 		points.push({ x: size, y: ms })
 		return [String(size), ms.toFixed(2), String(node.neighbours.length)]
--- a/bench/config.ts
+++ b/bench/config.ts
@@ -4,7 +4,7 @@
  * memory. Baseline: every process watches the service itself.
  */
 
-import type { SpreadNet } from '../packages/core/test/models/spreadNet.ts'
+import type { GossipNet } from '../packages/core/test/models/gossipNet.ts'
 import {
 	createNet,
 	killNode,
@@ -13,7 +13,7 @@
 	publishChange,
 	restartNode,
 	runNet,
-} from '../packages/core/test/models/spreadNet.ts'
+} from '../packages/core/test/models/gossipNet.ts'
 import { isQuick, print, printTable } from './output.ts'
 
 const SIZES = [50, 500, 4_230]
@@ -26,7 +26,7 @@
 const CHANGES_PER_SECOND = 2_500 / 86_400
 const SERVER_BYTES = 150
 
-const FAILURES: { name: string; loss: number; fail(net: SpreadNet): void }[] = [
+const FAILURES: { name: string; loss: number; fail(net: GossipNet): void }[] = [
 	{ name: 'none', loss: 0, fail: () => {} },
 	{ name: '2% of messages lost', loss: 0.02, fail: () => {} },
 	{
@@ -60,7 +60,7 @@
 		const document = 'key = value of a server\n'.repeat(
 			Math.ceil((size * SERVER_BYTES) / 24),
 		)
-		let like: SpreadNet | undefined
+		let like: GossipNet | undefined
 		for (const { name, loss, fail } of FAILURES) {
 			const options = { size, regions: REGIONS, seed: 1, loss, document }
 			const net = createNet(options, false, like)
@@ -104,7 +104,7 @@
 	)
 }
 
-function measureCalm(net: SpreadNet): string[] {
+function measureCalm(net: GossipNet): string[] {
 	const size = net.nodes.length
 	runNet(net, SETTLE_MS)
 	const before = { ...net }
--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -4,12 +4,12 @@
  * called unknown.
  */
 
-import { createRandom, drawIndex } from '@juniperhook/core'
-import { createFateModel } from '../packages/core/test/models/fateModel.ts'
+import { createRandom, randomIndex } from '@juniperhook/core'
+import { createLifecycleModel } from '../packages/core/test/models/lifecycleModel.ts'
 import type {
-	FateBounds,
-	FateModelEvent,
-} from '../packages/core/test/models/fateModelState.ts'
+	LifecycleBounds,
+	LifecycleModelEvent,
+} from '../packages/core/test/models/lifecycleModelState.ts'
 import { isQuick, print, printTable } from './output.ts'
 
 const REQUESTS = 20_000
@@ -20,7 +20,7 @@
 const FAILURE_WEIGHT = 0.25
 const FAILURES = ['linkLost', 'silent', 'restart', 'pause', 'leave']
 
-const BASE: FateBounds = {
+const BASE: LifecycleBounds = {
 	entries: 1,
 	repeatable: false,
 	keyed: true,
@@ -33,7 +33,7 @@
 	silences: 0,
 }
 
-const CASES: { name: string; bounds: FateBounds }[] = [
+const CASES: { name: string; bounds: LifecycleBounds }[] = [
 	{ name: 'lost links', bounds: { ...BASE, losses: 2 } },
 	{ name: 'silence (late offers)', bounds: { ...BASE, silences: 2 } },
 	{ name: 'pauses of the agent', bounds: { ...BASE, pauses: 2 } },
@@ -100,8 +100,8 @@
 	print(`doubled runs and false "not run" in ${total} requests: ${broken}`)
 }
 
-function runCase(bounds: FateBounds, count: number, seed: number): Tally {
-	const model = createFateModel(bounds)
+function runCase(bounds: LifecycleBounds, count: number, seed: number): Tally {
+	const model = createLifecycleModel(bounds)
 	const random = createRandom(seed)
 	const tally: Tally = {
 		answered: 0,
@@ -117,12 +117,12 @@
 		for (let step = 0; step < MAX_EVENTS; step++) {
 			const event = pickEvent(model.list(state), random)
 			if (!event) break
-			const open = state.fates[0]!.state.at !== 'settled'
+			const open = state.lifecycles[0]!.state.at !== 'settled'
 			if (open && state.asked[0] && FAILURES.includes(event.do)) failed = true
 			state = model.apply(state, event)
 		}
 		if (model.findFault(state) !== undefined) tally.broken++
-		const fate = state.fates[0]!.state
+		const fate = state.lifecycles[0]!.state
 		if (fate.at === 'settled') tally[fate.outcome.outcome]++
 		else tally.unsettled++
 		if (failed) tally.baseline++
@@ -131,12 +131,12 @@
 }
 
 function pickEvent(
-	events: readonly FateModelEvent[],
+	events: readonly LifecycleModelEvent[],
 	random: () => number,
-): FateModelEvent | undefined {
+): LifecycleModelEvent | undefined {
 	const usual = events.filter(event => !FAILURES.includes(event.do))
 	const failures = events.filter(event => FAILURES.includes(event.do))
 	const fails = failures.length > 0 && random() < FAILURE_WEIGHT
 	const from = fails || usual.length === 0 ? failures : usual
-	return from[drawIndex(random, from.length)]
+	return from[randomIndex(random, from.length)]
 }
--- a/bench/model.ts
+++ b/bench/model.ts
@@ -16,7 +16,7 @@
 	steps: 3,
 	restarts: 0,
 	timeouts: 0,
-	doubles: 0,
+	duplicates: 0,
 	losses: 0,
 	late: 0,
 }
@@ -31,7 +31,7 @@
 	},
 	{
 		name: '2 steps, a doubled request',
-		bounds: { ...BASE, steps: 2, doubles: 1 },
+		bounds: { ...BASE, steps: 2, duplicates: 1 },
 	},
 	{
 		name: '2 steps, a late reply',
--- a/bench/overloadWorld.ts
+++ b/bench/overloadWorld.ts
@@ -11,8 +11,8 @@
 	createAdmission,
 	createRandom,
 	createServerTable,
-	noteResult,
-	noteSent,
+	recordResult,
+	recordSent,
 	stepAdmission,
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
@@ -145,7 +145,7 @@
 		startPlain(world, row, now)
 		return
 	}
-	noteSent(world.table, row, 1)
+	recordSent(world.table, row, 1)
 	const reqId = String(job.id)
 	world.jobs.set(`${reqId}/${job.tries}`, job)
 	const offer = {
@@ -194,7 +194,7 @@
 		if (effect.do === 'start') schedule(world, row, id, now)
 		if (effect.do !== 'refuse') continue
 		world.jobs.delete(id)
-		noteSent(world.table, row, -1)
+		recordSent(world.table, row, -1)
 		if (job.tries < TRIES) place(world, job, now)
 		else world.refused++
 	}
@@ -234,8 +234,8 @@
 		startPlain(world, row, now)
 		return
 	}
-	noteSent(world.table, row, -1)
-	if (job) noteResult(world.table, row, now - job.bornAt <= DEADLINE_MS, now)
+	recordSent(world.table, row, -1)
+	if (job) recordResult(world.table, row, now - job.bornAt <= DEADLINE_MS, now)
 	const [reqId = '', attempt] = id.split('/')
 	const name = { reqId, attempt: Number(attempt) }
 	stepAgent(world, row, { type: 'finish', name, how: 'whole' }, now)
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -2,14 +2,14 @@
 
 import type { LayerPlacement } from '@juniperhook/core'
 import {
-	createEstimate,
-	EMPTY,
-	expectedHorizon,
+	computeRankLoads,
+	computeSkew,
+	createExpertEstimate,
+	EMPTY_SLOT,
+	expectedHorizonMs,
 	expectedShares,
-	loadsOf,
 	observeTokens,
 	planLayer,
-	skewOf,
 } from '@juniperhook/core'
 import { EXPERT_SHARE, LOAD_LOSS } from './rebalance.ts'
 
@@ -50,8 +50,12 @@
 		plan(current, tokens) {
 			const worst = Math.max(
 				...current.map((layer, at) =>
-					skewOf(
-						loadsOf(layer, toShares(tokens, layers, experts), at * experts),
+					computeSkew(
+						computeRankLoads(
+							layer,
+							toShares(tokens, layers, experts),
+							at * experts,
+						),
 					),
 				),
 			)
@@ -80,7 +84,7 @@
 	windowMs: number,
 	loadMs: number,
 ): Policy {
-	const estimate = createEstimate(layers, experts, windowMs)
+	const estimate = createExpertEstimate(layers, experts, windowMs)
 	return {
 		name,
 		observe(tokens) {
@@ -91,7 +95,7 @@
 			const terms = {
 				skewWeight,
 				moveWeight,
-				horizonMs: expectedHorizon(estimate),
+				horizonMs: expectedHorizonMs(estimate),
 				loadMs,
 				loadLoss: LOAD_LOSS,
 				expertShare: EXPERT_SHARE,
@@ -121,7 +125,7 @@
 	layer: LayerPlacement,
 	share: Float64Array,
 ): LayerPlacement {
-	const { ranks, experts, width } = layer
+	const { ranks, experts, slotsPerRank: width } = layer
 	const copies = new Uint16Array(experts).fill(1)
 	for (let spare = ranks * width - experts; spare > 0; spare--) {
 		let hottest = 0
@@ -131,7 +135,7 @@
 		if (copies[hottest]! >= ranks) break
 		copies[hottest]!++
 	}
-	const slots = new Int16Array(ranks * width).fill(EMPTY)
+	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
 	const placed = new Uint16Array(experts)
 	const loads = new Float64Array(ranks)
 	const used = new Uint16Array(ranks)
@@ -153,7 +157,7 @@
 		placed[expert]!++
 		loads[target]! += share[expert]! / copies[expert]!
 	}
-	return { ranks, experts, width, slots, copies: placed }
+	return { ranks, experts, slotsPerRank: width, slots, copies: placed }
 }
 
 function toShares(
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -7,9 +7,9 @@
 import {
 	createQuarantine,
 	createRandom,
-	drawIndex,
-	listBarred,
-	takeEndNews,
+	listQuarantined,
+	mergeCrashEvidence,
+	randomIndex,
 } from '@juniperhook/core'
 import { bodyLengthOf } from '../packages/gateway/src/fingerprint.ts'
 import type { CallerRequest } from '../packages/gateway/src/job.ts'
@@ -76,9 +76,9 @@
 		const hit = new Set<string>()
 		let again: string[] = []
 		for (let round = 0; round < MOST_ROUNDS; round++) {
-			if (listBarred(quarantine).includes('deadly')) break
+			if (listQuarantined(quarantine).includes('deadly')) break
 			const at = round * TRY_MS
-			const here = again.filter(() => drawIndex(random, servers) === 0)
+			const here = again.filter(() => randomIndex(random, servers) === 0)
 			const answered = again.filter(one => !here.includes(one))
 			const fresh = Array.from(
 				{ length: NEW_BESIDE },
@@ -88,17 +88,19 @@
 			const ran = new Map(running.map(one => [one, 100 + random() * 1_500]))
 			ran.set('deadly', 40 + random() * 1_900)
 			const end = { server: `server-${round}`, at, ran }
-			takeEndNews(quarantine, { ends: [end], served: [] }, at)
-			for (const one of listBarred(quarantine))
+			mergeCrashEvidence(quarantine, { ends: [end], served: [] }, at)
+			for (const one of listQuarantined(quarantine))
 				if (one !== 'deadly') hit.add(one)
 			const served = answered.map(fingerprint => ({ fingerprint, at: at + 10 }))
-			takeEndNews(quarantine, { ends: [], served }, at + 20)
+			mergeCrashEvidence(quarantine, { ends: [], served }, at + 20)
 			ends++
 			beside += fresh.length
 			again = running
 		}
 		barred += hit.size
-		stillBarred += listBarred(quarantine).filter(one => one !== 'deadly').length
+		stillBarred += listQuarantined(quarantine).filter(
+			one => one !== 'deadly',
+		).length
 	}
 	return [servers, (ends / TRIALS).toFixed(2), beside, barred, stillBarred].map(
 		String,
@@ -119,9 +121,9 @@
 			]),
 		),
 	}))
-	takeEndNews(gate.quarantine, { ends, served: [] }, ENDS * APART_MS)
+	mergeCrashEvidence(gate.quarantine, { ends, served: [] }, ENDS * APART_MS)
 	gate.lengths = new Set([...gate.quarantine.suspects.keys()].map(bodyLengthOf))
-	gate.barred = new Set(listBarred(gate.quarantine))
+	gate.barred = new Set(listQuarantined(gate.quarantine))
 	return gate
 }
 
@@ -142,7 +144,7 @@
 		const at = (ENDS + round) * APART_MS
 		const ran = new Map([[`x.${round}`, 50]])
 		const ends = [{ server: `more-${round}`, at, ran }]
-		takeEndNews(quarantine, { ends, served: [] }, at)
+		mergeCrashEvidence(quarantine, { ends, served: [] }, at)
 	}
 	return ((performance.now() - startedAt) / rounds).toFixed(2)
 }
--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -9,12 +9,12 @@
 import type { LayerPlacement } from '@juniperhook/core'
 import {
 	cloneLayer,
+	computeRankLoads,
+	computeSkew,
 	createLayer,
 	createRandom,
-	listLoads,
-	loadsOf,
-	loadTimeOf,
-	skewOf,
+	expertLoadMs,
+	listExpertLoads,
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
 import { isQuick, print, printTable } from './output.ts'
@@ -106,7 +106,7 @@
 }
 
 function loadMs(): number {
-	return LAYERS_EACH * loadTimeOf(BYTES_PER_EXPERT, STORE_BYTES_PER_SECOND)
+	return LAYERS_EACH * expertLoadMs(BYTES_PER_EXPERT, STORE_BYTES_PER_SECOND)
 }
 
 function runPolicy(
@@ -172,7 +172,7 @@
 	share: Float64Array,
 ): number {
 	const skews = layers.map((layer, at) =>
-		skewOf(loadsOf(layer, share, at * EXPERTS)),
+		computeSkew(computeRankLoads(layer, share, at * EXPERTS)),
 	)
 	return meanOf(skews)
 }
@@ -191,7 +191,7 @@
 	planned: readonly LayerPlacement[],
 ): number {
 	return planned.reduce(
-		(sum, layer, at) => sum + listLoads(active[at]!, layer, at).length,
+		(sum, layer, at) => sum + listExpertLoads(active[at]!, layer, at).length,
 		0,
 	)
 }
--- a/bench/rewind.ts
+++ b/bench/rewind.ts
@@ -132,8 +132,8 @@
 		stopMs: 2_000,
 		contactMs: CONTACT_MS,
 		retries: { ratio: 0.2, slack: 40, windowMs: 10_000 },
-		heededShare: 1 / 3,
-		patience: { leastMs: 2_000, targetTimes: 4, pauseTimes: 8 },
+		retryAfterShare: 1 / 3,
+		eventTimeout: { minMs: 2_000, targetFactor: 4, pauseFactor: 8 },
 	}
 	const log = { ...createEventLog('bench'), write: () => {}, flush: () => {} }
 	const source = createStoreSource(createClient(fleet))
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -5,7 +5,7 @@
 
 import { writeFileSync } from 'node:fs'
 import type { GroupMap, SetPlan } from '@juniperhook/core'
-import { passFactor, planMap, planSet, skewOfSet } from '@juniperhook/core'
+import { computeSetSkew, passFactor, planMap, planSet } from '@juniperhook/core'
 import type { ExpertDay, ExpertGroup } from '@juniperhook/fakes'
 import {
 	createExpertGroup,
@@ -147,7 +147,7 @@
 	for (const [set, share] of shares.entries())
 		flat.set(share, set * layout.experts)
 	const skews = group.map.map((placement, set) =>
-		skewOfSet(placement, shares[set]!, layout),
+		computeSetSkew(placement, shares[set]!, layout),
 	)
 	const factor = passFactor(skews, layout.expertShare)
 	switch (policy) {
--- a/bench/teamLimits.ts
+++ b/bench/teamLimits.ts
@@ -6,10 +6,10 @@
 import type { TeamConfig } from '@juniperhook/core'
 import {
 	admitAtHome,
-	admitTeam,
+	admitWithinShare,
 	createLimits,
 	createRandom,
-	isKeptAtHome,
+	isEnforcedAtHome,
 	readConfig,
 	releaseTeam,
 } from '@juniperhook/core'
@@ -51,7 +51,7 @@
 ): number {
 	const random = createRandom(5)
 	const tables = Array.from({ length: entries }, createLimits)
-	const isTogether = isKeptAtHome(limit, seen)
+	const isTogether = isEnforcedAtHome(limit, seen)
 	const demand = limit.ratePerSecond * 1.5
 	const seconds = 60
 	const burst = 5
@@ -65,7 +65,14 @@
 		const place = at % seen
 		const refused = isTogether
 			? admitAtHome(keeper, 't', limit, 0, now)
-			: admitTeam(keeper, 't', limit, 0, { count: seen, place }, now)
+			: admitWithinShare(
+					keeper,
+					't',
+					limit,
+					0,
+					{ count: seen, index: place },
+					now,
+				)
 		if (refused) continue
 		releaseTeam(keeper, 't')
 		if (now >= burst * 1_000) admitted++
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,10 +1,10 @@
 /** An agent: one small process beside each backend server. */
 
 import { randomBytes } from 'node:crypto'
-import type { HeldConfig } from '@juniperhook/core'
+import type { ActiveConfig } from '@juniperhook/core'
 import {
 	listServiceServers,
-	noteServerSet,
+	recordServerSet,
 	splitAddress,
 } from '@juniperhook/core'
 import type { Hello, RpcLink, Settings, Vm } from '@juniperhook/runtime'
@@ -98,7 +98,7 @@
 	return agent
 }
 
-function adopt(agent: AgentProcess, held: HeldConfig): void {
+function adopt(agent: AgentProcess, held: ActiveConfig): void {
 	const name = agent.settings.process.name
 	const server = held.config.server[name]
 	if (!server) {
@@ -124,12 +124,12 @@
 	joinOrFollow(agent, held)
 	if (server.service) {
 		const servers = listServiceServers(held.config, server.service)
-		noteServerSet(table.homes, servers, Date.now())
+		recordServerSet(table.homes, servers, Date.now())
 	}
 	pushReports(agent)
 }
 
-function joinOrFollow(agent: AgentProcess, held: HeldConfig): void {
+function joinOrFollow(agent: AgentProcess, held: ActiveConfig): void {
 	const { name } = agent.settings.process
 	const { port } = splitAddress(agent.settings.listen.control)
 	agent.group ??= joinGroup(name, held.config, port)
--- a/packages/agent/src/io/group.ts
+++ b/packages/agent/src/io/group.ts
@@ -12,9 +12,9 @@
 	RankRequest,
 } from '@juniperhook/core'
 import {
-	createCoordinator,
-	createEstimate,
-	listByRank,
+	createExpertEstimate,
+	createMapCoordinator,
+	listExpertsByRank,
 	observeTokens,
 } from '@juniperhook/core'
 import { createLog, messageOf, readNow, sleep } from '@juniperhook/runtime'
@@ -79,10 +79,10 @@
 		rank: group.ranks.indexOf(name),
 		port: createRankPort(server.backend, checksFences, Date.now(), now),
 		controlPort,
-		coordinator: createCoordinator(size, FIRST_MAP),
+		coordinator: createMapCoordinator(size, FIRST_MAP),
 		fenceId: randomBytes(FENCE_BYTES).readUInt32LE(),
 		links: new Map(),
-		estimate: createEstimate(layers, experts, planSeconds * MS),
+		estimate: createExpertEstimate(layers, experts, planSeconds * MS),
 		config,
 		group,
 		report: undefined,
@@ -209,7 +209,7 @@
 ): Promise<void> {
 	const fence = takeFence(member)
 	const mapId = `map-${fence}`
-	const byLayer = plans.map(plan => listByRank(plan.placement))
+	const byLayer = plans.map(plan => listExpertsByRank(plan.placement))
 	const staged = await stageAll(member, mapId, rank =>
 		byLayer.map(layer => layer[rank] ?? []),
 	)
--- a/packages/agent/src/io/groupMember.ts
+++ b/packages/agent/src/io/groupMember.ts
@@ -2,9 +2,9 @@
 
 import type {
 	Config,
-	CoordinatorState,
 	ExpertEstimate,
 	GroupConfig,
+	MapCoordinatorState,
 } from '@juniperhook/core'
 import { splitAddress } from '@juniperhook/core'
 import type { RpcLink } from '@juniperhook/runtime'
@@ -20,7 +20,7 @@
 	readonly rank: number
 	readonly port: RankPort
 	readonly controlPort: number
-	readonly coordinator: CoordinatorState
+	readonly coordinator: MapCoordinatorState
 	readonly fenceId: number
 	readonly links: Map<string, RpcLink>
 	readonly estimate: ExpertEstimate
--- a/packages/agent/src/io/groupPlan.ts
+++ b/packages/agent/src/io/groupPlan.ts
@@ -3,11 +3,11 @@
 import { setImmediate as nextTurn } from 'node:timers/promises'
 import type { LayerPlacement, LayerPlan } from '@juniperhook/core'
 import {
-	expectedHorizon,
+	createLayerFromRanks,
+	expectedHorizonMs,
 	expectedShares,
-	layerFrom,
-	loadTimeOf,
-	netOf,
+	expertLoadMs,
+	netBenefitMs,
 	planLayer,
 } from '@juniperhook/core'
 import * as v from 'valibot'
@@ -96,7 +96,7 @@
 	const { layers, experts, spareSlots } = member.group
 	return Array.from({ length: layers }, (_, layer) => {
 		const byRank = reports.map(report => report.slots[layer] ?? [])
-		return layerFrom(byRank, experts, spareSlots)
+		return createLayerFromRanks(byRank, experts, spareSlots)
 	})
 }
 
@@ -110,8 +110,8 @@
 	const terms = {
 		skewWeight: group.skewWeight,
 		moveWeight: group.moveWeight,
-		horizonMs: expectedHorizon(estimate),
-		loadMs: loadTimeOf(group.bytesPerExpert, group.storeBytesPerSecond),
+		horizonMs: expectedHorizonMs(estimate),
+		loadMs: expertLoadMs(group.bytesPerExpert, group.storeBytesPerSecond),
 		loadLoss: group.loadLoss,
 		expertShare: group.expertShare,
 		layers: group.layers,
@@ -142,7 +142,7 @@
 	const moving = plans
 		.map((plan, layer) => ({ plan, layer }))
 		.filter(({ plan }) => plan.loads.length > 0)
-	moving.sort((a, b) => netOf(b.plan) - netOf(a.plan))
+	moving.sort((a, b) => netBenefitMs(b.plan) - netBenefitMs(a.plan))
 	return moving.slice(0, SHOWN_LAYERS).map(({ plan, layer }) => ({
 		layer,
 		loads: plan.loads.map(load => `${load.expert}>${load.rank}`),
--- a/packages/agent/src/io/mapRound.ts
+++ b/packages/agent/src/io/mapRound.ts
@@ -1,11 +1,15 @@
 /** Runs rounds of the map protocol over control connections. */
 
-import type { RankOrder, RankReply, RankRequest } from '@juniperhook/core'
+import type {
+	AddressedRequest,
+	RankReply,
+	RankRequest,
+} from '@juniperhook/core'
 import {
+	handleRankReply,
+	handleRoundTimeout,
 	nextFence,
-	repeatRound,
-	startRound,
-	takeRankReply,
+	startMapRound,
 } from '@juniperhook/core'
 import { createLog, messageOf, readNow, sleep } from '@juniperhook/runtime'
 import type { GroupMember } from './groupMember.ts'
@@ -32,18 +36,18 @@
 ): Promise<boolean> {
 	const { coordinator } = member
 	const before = coordinator.finished
-	send(member, startRound(coordinator, fence, wanted, lead))
+	send(member, startMapRound(coordinator, fence, wanted, lead))
 	for (let repeat = 0; repeat <= MAX_REPEATS; repeat++) {
 		const end = readNow() + REPEAT_MS * 2 ** repeat
 		while (coordinator.phase !== 'idle' && readNow() < end) await sleep(POLL_MS)
 		if (coordinator.phase === 'idle') break
-		send(member, repeatRound(coordinator))
+		send(member, handleRoundTimeout(coordinator))
 	}
 	// A round that cannot end is left to a later one with a higher fence.
 	return coordinator.finished > before
 }
 
-function send(member: GroupMember, orders: readonly RankOrder[]): void {
+function send(member: GroupMember, orders: readonly AddressedRequest[]): void {
 	for (const { rank, req } of orders) void deliver(member, rank, req)
 }
 
@@ -55,7 +59,7 @@
 	const name = member.group.ranks[rank]!
 	try {
 		const reply = await ask<RankReply>(member, name, 'mapRequest', req)
-		send(member, takeRankReply(member.coordinator, rank, reply))
+		send(member, handleRankReply(member.coordinator, rank, reply))
 	} catch (err) {
 		log({ msg: 'rank not reached', server: name, detail: messageOf(err) })
 	}
--- a/packages/agent/src/io/offerTerms.ts
+++ b/packages/agent/src/io/offerTerms.ts
@@ -1,7 +1,7 @@
 /** Turns an offer as it travels into the terms that admission judges it by. */
 
 import type { KeyClaim, Offer } from '@juniperhook/core'
-import { findHomeSince, readKeyTime, scopeKey } from '@juniperhook/core'
+import { findKeyHomeSince, readKeyTime, scopeKey } from '@juniperhook/core'
 import type { OfferMeta } from '@juniperhook/runtime'
 import type { RequestTable } from './requestTable.ts'
 
@@ -31,6 +31,6 @@
 		wallTime: readKeyTime(meta.key) ?? 0,
 		windowMs: (service?.keyWindowSeconds ?? 0) * SECOND_MS,
 		fresh: meta.freshKey === true,
-		homeSinceWall: findHomeSince(table.homes, key, table.serverName),
+		homeSinceWall: findKeyHomeSince(table.homes, key, table.serverName),
 	}
 }
--- a/packages/agent/src/io/rankPort.ts
+++ b/packages/agent/src/io/rankPort.ts
@@ -5,7 +5,7 @@
  */
 
 import type { RankReply, RankRequest, RankState } from '@juniperhook/core'
-import { restartRank, takeRankRequest } from '@juniperhook/core'
+import { createRestartedRank, handleRankRequest } from '@juniperhook/core'
 import { giveOrder } from './engine.ts'
 
 /** How long an order of an earlier agent may still be on its way, ms. */
@@ -35,7 +35,7 @@
 	return {
 		kind: 'unfenced',
 		address,
-		rank: restartRank(incarnation),
+		rank: createRestartedRank(incarnation),
 		quietUntil: now + ORDER_LIFE_MS,
 		turn: giveOrder(address, { order: 'hold' }).catch(() => {}),
 	}
@@ -72,9 +72,9 @@
 	const { address } = port
 	const seen = await giveOrder(address, { order: 'look' })
 	const forgotten = port.rank.joined && !seen.joined
-	if (forgotten) port.rank = restartRank(port.rank.incarnation + 1)
+	if (forgotten) port.rank = createRestartedRank(port.rank.incarnation + 1)
 	const rank = { ...port.rank, mapId: seen.mapId, step: seen.step }
-	const reply = takeRankRequest(rank, req)
+	const reply = handleRankRequest(rank, req)
 	const carried = await carryOut(port, req, reply)
 	if (!carried)
 		return {
--- a/packages/agent/src/io/requestTable.ts
+++ b/packages/agent/src/io/requestTable.ts
@@ -4,10 +4,10 @@
 import type {
 	AdmissionState,
 	Config,
-	HomeHistory,
+	KeyHomeHistory,
 	ServerConfig,
 } from '@juniperhook/core'
-import { createAdmission, findHold } from '@juniperhook/core'
+import { createAdmission, findStartDelay } from '@juniperhook/core'
 import type { LoadFields, Metrics } from '@juniperhook/runtime'
 import { readMoment } from '@juniperhook/runtime'
 import type { RunRequest } from './runs.ts'
@@ -31,7 +31,7 @@
 	readonly open: Map<string, OpenRequest>
 	readonly metrics: Metrics
 	/** Configured servers of this one's service, over time. */
-	readonly homes: HomeHistory
+	readonly homes: KeyHomeHistory
 	config: Config
 	server: ServerConfig
 	/** Own step time over the group's mean; 1 outside a group. */
@@ -86,7 +86,7 @@
 export function readLoad(table: RequestTable): LoadFields {
 	const { admission } = table
 	const { waiting } = admission.queue
-	const held = findHold(admission, waiting.length, readMoment().now)
+	const held = findStartDelay(admission, waiting.length, readMoment().now)
 	return {
 		load: admission.running + waiting.length,
 		heldMs: Math.ceil(held.forMs),
--- a/packages/agent/src/io/serverEnd.ts
+++ b/packages/agent/src/io/serverEnd.ts
@@ -1,6 +1,6 @@
 /** Which requests a backend server was running when it ended. */
 
-import { MAX_NAMED } from '@juniperhook/core'
+import { MAX_REQUESTS_PER_CRASH } from '@juniperhook/core'
 import { computeFingerprint } from '@juniperhook/gateway'
 import type { ServerEndNotice } from '@juniperhook/runtime'
 import { readMoment } from '@juniperhook/runtime'
@@ -26,7 +26,7 @@
 	)
 	return requests
 		.sort((a, b) => b.startedAt! - a.startedAt!)
-		.slice(0, MAX_NAMED)
+		.slice(0, MAX_REQUESTS_PER_CRASH)
 }
 
 /** What entries are told of the end; a request may have come twice. */
--- a/packages/agent/src/io/serverSignals.ts
+++ b/packages/agent/src/io/serverSignals.ts
@@ -4,7 +4,7 @@
  */
 
 import type { AdmissionEvent, AdmissionState } from '@juniperhook/core'
-import { parseDecimal, parseRestMs } from '@juniperhook/core'
+import { parseDecimal, parseRetryAfterMs } from '@juniperhook/core'
 import { readMoment } from '@juniperhook/runtime'
 
 const TOO_MANY = 429
@@ -37,7 +37,7 @@
 /** Elsewhere `Retry-After` does not speak of the server. */
 function readRest(headers: AnswerHeaders): AdmissionEvent | undefined {
 	const text = textOf(headers, REST)
-	const forMs = text === undefined ? undefined : parseRestMs(text)
+	const forMs = text === undefined ? undefined : parseRetryAfterMs(text)
 	return forMs === undefined ? undefined : { type: 'rest', forMs }
 }
 
@@ -64,7 +64,7 @@
 
 /** What an agent holds of its backend server's words, for logs and operators. */
 export function describeServer({
-	restsUntil,
+	backoffUntil: restsUntil,
 	limit,
 	serverLeaves,
 }: AdmissionState): string {
--- a/packages/agent/test/serverSignals.test.ts
+++ b/packages/agent/test/serverSignals.test.ts
@@ -143,7 +143,7 @@
 	const next = await startBackend(address.port)
 	await lookForNextLife(table, () => {})
 	assert.is(stateOf(table), 'serving')
-	assert.is(table.admission.restsUntil, Number.NEGATIVE_INFINITY)
+	assert.is(table.admission.backoffUntil, Number.NEGATIVE_INFINITY)
 	assert.is(changes, 1)
 	next.close()
 })
@@ -174,7 +174,7 @@
 	const next = await startBackend(address.port)
 	look()
 	await until(() => table.life === 'up')
-	assert.is(table.admission.restsUntil, Number.NEGATIVE_INFINITY)
+	assert.is(table.admission.backoffUntil, Number.NEGATIVE_INFINITY)
 	next.close()
 })
 
--- a/packages/core/src/core/admission.ts
+++ b/packages/core/src/core/admission.ts
@@ -12,10 +12,10 @@
 	AdmissionEvent,
 	AdmissionState,
 	AttemptName,
-	AttemptRow,
+	AttemptRecord,
+	CompletionKind,
 	ErrorKind,
-	FinishHow,
-	KeyRow,
+	KeyRecord,
 	Moment,
 	NotRun,
 	Offer,
@@ -23,29 +23,29 @@
 	VoidAnswer,
 } from '../internal.ts'
 import {
-	ATTEMPT_MEMORY_MS,
+	ATTEMPT_RETENTION_MS,
+	applyBackoff,
+	applyStartLimit,
 	attemptKey,
+	attemptNameOf,
+	checkKeyAge,
+	checkKeyClaim,
 	createFairQueue,
 	enqueue,
 	estimateWait,
-	findHold,
-	judgeAge,
-	judgeClaim,
-	nameOf,
-	noteRestAsked,
-	noteStartLimit,
+	findStartDelay,
 	notRun,
+	recordKey,
 	refuseWaiting,
-	rememberKey,
-	shedHopeless,
+	shedUnstartable,
 	startNext,
 	unknown,
 } from '../internal.ts'
 
 /** What one process lets pass before it treats itself as paused, in ms. */
-export const PAUSE_MS = 1_000
+export const PAUSE_THRESHOLD_MS = 1_000
 /** After a pause, offers that may have waited in a socket are refused, in ms. */
-export const WAKE_GRACE_MS = 100
+export const PAUSE_GRACE_MS = 100
 /** Most requests that wait at an agent. */
 export const MAX_WAITING = 4_096
 const SERVICE_TIME_DECAY = 0.1
@@ -53,13 +53,13 @@
 /** Makes the state of an agent that has just started. */
 export function createAdmission(at: Moment, slots: number): AdmissionState {
 	return {
-		bornWall: at.wall,
+		startedWall: at.wall,
 		slots,
 		mode: 'serving',
 		lastSeen: at,
-		wokeAt: Number.NEGATIVE_INFINITY,
-		restsUntil: Number.NEGATIVE_INFINITY,
-		nextTryAt: undefined,
+		pauseEndedAt: Number.NEGATIVE_INFINITY,
+		backoffUntil: Number.NEGATIVE_INFINITY,
+		nextProbeAt: undefined,
 		limit: undefined,
 		serverLeaves: false,
 		running: 0,
@@ -98,14 +98,14 @@
 			if (state.mode === 'serving') state.mode = 'suspect'
 			break
 		case 'rest':
-			noteRestAsked(state, event.forMs, at.now)
+			applyBackoff(state, event.forMs, at.now)
 			break
 		case 'taken':
 			// One from before the rest was under way then.
-			if (event.startedAt >= state.restsUntil) state.nextTryAt = undefined
+			if (event.startedAt >= state.backoffUntil) state.nextProbeAt = undefined
 			break
 		case 'limit':
-			noteStartLimit(state, event.perSecond, event.startedAt, at.now)
+			applyStartLimit(state, event.perSecond, event.startedAt, at.now)
 			break
 		case 'serverLeaves':
 			state.serverLeaves = true
@@ -120,7 +120,7 @@
 		default:
 			event satisfies never
 	}
-	effects.push(...shedHopeless(state, at))
+	effects.push(...shedUnstartable(state, at))
 	effects.push(...startNext(state, at))
 	return effects
 }
@@ -142,8 +142,8 @@
 	state.lastSeen = at
 	// A suspended VM's steady clock stands still; a time of day set ahead looks alike.
 	const gap = Math.max(at.now - lastSeen.now, at.wall - lastSeen.wall)
-	if (gap <= PAUSE_MS) return []
-	state.wokeAt = at.now
+	if (gap <= PAUSE_THRESHOLD_MS) return []
+	state.pauseEndedAt = at.now
 	return refuseAll(state, 'paused', at)
 }
 
@@ -160,8 +160,8 @@
 function beginLife(state: AdmissionState): void {
 	state.serverLeaves = false
 	state.limit = undefined
-	state.restsUntil = Number.NEGATIVE_INFINITY
-	state.nextTryAt = undefined
+	state.backoffUntil = Number.NEGATIVE_INFINITY
+	state.nextProbeAt = undefined
 }
 
 function admit(
@@ -175,18 +175,18 @@
 	const known = offer.claim && state.keys.get(offer.claim.key)
 	if (known) return [attach(state, offer, known)]
 	const outcome = findRefusal(state, offer, at)
-	if (outcome) return [{ do: 'refuse', name: nameOf(offer), outcome }]
-	const row: AttemptRow = {
+	if (outcome) return [{ do: 'refuse', name: attemptNameOf(offer), outcome }]
+	const row: AttemptRecord = {
 		...offer,
 		phase: 'waiting',
 		startBy: at.now + offer.startBudgetMs,
 		startedAt: 0,
-		forgetAt: Number.POSITIVE_INFINITY,
+		evictAt: Number.POSITIVE_INFINITY,
 		virtualStart: 0,
 		order: 0,
 	}
 	state.attempts.set(id, row)
-	if (offer.claim) rememberKey(state, offer, offer.claim)
+	if (offer.claim) recordKey(state, offer, offer.claim)
 	enqueue(state.queue, row)
 	return []
 }
@@ -195,9 +195,9 @@
 function attach(
 	state: AdmissionState,
 	offer: Offer,
-	known: KeyRow,
+	known: KeyRecord,
 ): AdmissionEffect {
-	const name = nameOf(offer)
+	const name = attemptNameOf(offer)
 	const phase = state.attempts.get(attemptKey(known.first))?.phase
 	switch (phase) {
 		case 'waiting':
@@ -219,16 +219,16 @@
 	at: Moment,
 ): NotRun | Unknown | undefined {
 	// First: a key that may have run before is never said not to have run.
-	const forgotten = offer.claim && judgeAge(state, offer.claim, at)
+	const forgotten = offer.claim && checkKeyAge(state, offer.claim, at)
 	if (forgotten) return forgotten
 	if (state.voided.has(attemptKey(offer))) return notRun('voided')
 	if (state.mode === 'leaving' || state.serverLeaves) return notRun('leaving')
 	if (state.mode === 'suspect') return notRun('groupSplit')
-	if (at.now - state.wokeAt < WAKE_GRACE_MS) return notRun('paused')
+	if (at.now - state.pauseEndedAt < PAUSE_GRACE_MS) return notRun('paused')
 	if (state.queue.waiting.length >= MAX_WAITING) return notRun('overloaded')
-	const claimed = offer.claim && judgeClaim(state, offer.claim, at)
+	const claimed = offer.claim && checkKeyClaim(state, offer.claim, at)
 	if (claimed) return claimed
-	const held = findHold(state, state.queue.waiting.length, at.now)
+	const held = findStartDelay(state, state.queue.waiting.length, at.now)
 	const patienceMs = offer.mayWait ? offer.startBudgetMs : 0
 	if (held.forMs > patienceMs) return notRun(held.kind, Math.ceil(held.forMs))
 	const wait = estimateWait(state, offer.priority)
@@ -244,7 +244,7 @@
 	const id = attemptKey(name)
 	const row = state.attempts.get(id)
 	if (row && row.phase !== 'waiting' && row.phase !== 'refused') return []
-	state.voided.set(id, at.now + ATTEMPT_MEMORY_MS)
+	state.voided.set(id, at.now + ATTEMPT_RETENTION_MS)
 	if (row?.phase !== 'waiting') return []
 	return [refuseWaiting(state, row, 'voided', at)]
 }
@@ -259,19 +259,19 @@
 		return [refuseWaiting(state, row, 'callerGone', at)]
 	// Work that may not be repeated goes on: its caller may ask again by key.
 	if (row?.phase !== 'running' || row.claim) return []
-	return [{ do: 'cancel', name: nameOf(row) }]
+	return [{ do: 'cancel', name: attemptNameOf(row) }]
 }
 
 function finish(
 	state: AdmissionState,
 	name: AttemptName,
-	how: FinishHow,
+	how: CompletionKind,
 	at: Moment,
 ): void {
 	const row = state.attempts.get(attemptKey(name))
 	if (row?.phase !== 'running') return
 	state.running--
-	row.forgetAt = at.now + ATTEMPT_MEMORY_MS
+	row.evictAt = at.now + ATTEMPT_RETENTION_MS
 	row.phase = how === 'unstarted' ? 'refused' : how
 	if (how === 'unstarted') {
 		if (row.claim) state.keys.delete(row.claim.key)
@@ -287,9 +287,9 @@
 	for (const [id, until] of state.voided)
 		if (until <= at.now) state.voided.delete(id)
 	for (const [key, row] of state.keys)
-		if (row.forgetWall <= at.wall) state.keys.delete(key)
+		if (row.evictWall <= at.wall) state.keys.delete(key)
 	for (const [id, row] of state.attempts) {
 		const kept = row.claim && state.keys.has(row.claim.key)
-		if (row.forgetAt <= at.now && !kept) state.attempts.delete(id)
+		if (row.evictAt <= at.now && !kept) state.attempts.delete(id)
 	}
 }
--- a/packages/core/src/core/admissionQueue.ts
+++ b/packages/core/src/core/admissionQueue.ts
@@ -7,27 +7,27 @@
 	AdmissionEffect,
 	AdmissionState,
 	AttemptName,
-	AttemptRow,
+	AttemptRecord,
 	ErrorKind,
 	Moment,
 } from '../internal.ts'
 import {
 	dequeue,
-	findHold,
+	findStartDelay,
 	notRun,
-	removeWaiting,
-	takeStart,
+	removeQueued,
+	tryAcquireStart,
 } from '../internal.ts'
 
 /** How long a void order and a finished attempt are remembered, in ms. */
-export const ATTEMPT_MEMORY_MS = 120_000
+export const ATTEMPT_RETENTION_MS = 120_000
 /** One string for a try, as a table key. */
 export function attemptKey(name: AttemptName): string {
 	return `${name.reqId}/${name.attempt}`
 }
 
 /** The name alone of what has more. */
-export function nameOf(name: AttemptName): AttemptName {
+export function attemptNameOf(name: AttemptName): AttemptName {
 	return { reqId: name.reqId, attempt: name.attempt }
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** Gives up, at once, what can no longer start in time. */
-export function shedHopeless(
+export function shedUnstartable(
 	state: AdmissionState,
 	at: Moment,
 ): AdmissionEffect[] {
@@ -50,7 +50,7 @@
 	for (const row of [...state.queue.waiting]) {
 		const full = state.running + ahead >= state.slots
 		const turnMs = full ? ((ahead + 1) / state.slots) * state.serviceMs : 0
-		const held = findHold(state, ahead, at.now)
+		const held = findStartDelay(state, ahead, at.now)
 		const wait = Math.max(turnMs, held.forMs)
 		const late = at.now >= row.startBy
 		const hopeless = at.now + wait > row.startBy
@@ -73,13 +73,13 @@
 ): AdmissionEffect[] {
 	const effects: AdmissionEffect[] = []
 	while (state.running < state.slots && state.queue.waiting.length > 0) {
-		if (!takeStart(state, at.now)) break
+		if (!tryAcquireStart(state, at.now)) break
 		const row = dequeue(state.queue)
 		if (!row) break
 		row.phase = 'running'
 		row.startedAt = at.now
 		state.running++
-		effects.push({ do: 'start', name: nameOf(row) })
+		effects.push({ do: 'start', name: attemptNameOf(row) })
 	}
 	return effects
 }
@@ -87,16 +87,16 @@
 /** Refuses one that waits. */
 export function refuseWaiting(
 	state: AdmissionState,
-	row: AttemptRow,
+	row: AttemptRecord,
 	kind: ErrorKind,
 	at: Moment,
 	retryAfterMs = 0,
 ): AdmissionEffect {
-	removeWaiting(state.queue, row)
+	removeQueued(state.queue, row)
 	row.phase = 'refused'
-	row.forgetAt = at.now + ATTEMPT_MEMORY_MS
+	row.evictAt = at.now + ATTEMPT_RETENTION_MS
 	// It never started, so its key is free for another try.
 	if (row.claim) state.keys.delete(row.claim.key)
 	const outcome = notRun(kind, retryAfterMs)
-	return { do: 'refuse', name: nameOf(row), outcome }
+	return { do: 'refuse', name: attemptNameOf(row), outcome }
 }
--- a/packages/core/src/core/affinity.ts
+++ b/packages/core/src/core/affinity.ts
@@ -10,14 +10,14 @@
 const HALF_LIFE_MS = 60_000
 const MAX_MARKS = 16_384
 
-interface Mark {
+interface PrefixRecord {
 	readonly server: string
 	readonly at: number
 }
 
 /** Marks of prefixes seen, oldest first. */
 export interface AffinityTable {
-	readonly marks: Map<number, Mark>
+	readonly marks: Map<number, PrefixRecord>
 }
 
 /** Makes an empty table. */
@@ -31,7 +31,7 @@
 }
 
 /** Notes that `server` has just worked on this prefix. */
-export function notePrefix(
+export function recordPrefix(
 	table: AffinityTable,
 	prefix: number,
 	server: string,
--- a/packages/core/src/core/config.ts
+++ b/packages/core/src/core/config.ts
@@ -9,7 +9,7 @@
 import { ConfigSchema, findLine, indexLines } from '../internal.ts'
 
 /** The verdict on a document. */
-export type ConfigVerdict =
+export type ConfigResult =
 	| { readonly valid: true; readonly config: Config }
 	| { readonly valid: false; readonly faults: readonly Fault[] }
 
@@ -17,7 +17,7 @@
 export const MAX_DOCUMENT_BYTES = 1_048_576
 
 /** Judges `text`; lists all faults at once, in order of their lines. */
-export function readConfig(text: string): ConfigVerdict {
+export function readConfig(text: string): ConfigResult {
 	return readDocument(text, ConfigSchema, findLooseEnds)
 }
 
--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -6,10 +6,10 @@
 
 import type { Random, ServerTable } from '../internal.ts'
 import {
-	drawIndex,
-	expectElsewhere,
+	estimateUnreportedLoad,
 	isEjected,
-	noteResult,
+	randomIndex,
+	recordResult,
 } from '../internal.ts'
 
 /** What a choice is made from. */
@@ -19,13 +19,13 @@
 	/** Rows that this request has been to. */
 	readonly tried: ReadonlySet<number>
 	/** Requests that a server may hold beyond its slots. */
-	readonly queueRoom: number
+	readonly queueCapacity: number
 	/** Numbers of the lock-step groups that take nothing now. */
-	readonly shutGroups: ReadonlySet<number>
+	readonly closedGroups: ReadonlySet<number>
 	/** This entry's data centre is where these rows are. */
-	readonly near: ReadonlySet<number>
+	readonly localRows: ReadonlySet<number>
 	/** Requests sent to the service since entries told each other what they hold. */
-	readonly untold: number
+	readonly unreportedSends: number
 	/** Servers that may be sent so many requests a second, with a permit for one now. */
 	readonly permitted: ReadonlySet<number>
 	/** Servers that may be sent nothing now: without a permit, or at rest. */
@@ -76,7 +76,7 @@
 const UNREACHED_FAILURES = 3
 
 /** How a try on a server went. */
-export type TryResult =
+export type AttemptOutcome =
 	/** With the time of a whole answer; a stream's tells nothing. */
 	| { readonly kind: 'good'; readonly tookMs: number | undefined }
 	| { readonly kind: 'failed' }
@@ -84,10 +84,10 @@
 	| { readonly kind: 'unreached' }
 
 /** Notes how a try went. */
-export function noteTry(
+export function recordAttempt(
 	table: ServerTable,
 	row: number,
-	result: TryResult,
+	result: AttemptOutcome,
 	now: number,
 ): void {
 	forgive(table, row, now)
@@ -96,30 +96,30 @@
 	table.failureRate[row] = rate + RESULT_WEIGHT * (failed - rate)
 	switch (result.kind) {
 		case 'good':
-			if (result.tookMs !== undefined) noteTime(table, row, result.tookMs)
-			noteResult(table, row, true, now)
+			if (result.tookMs !== undefined) recordTime(table, row, result.tookMs)
+			recordResult(table, row, true, now)
 			return
 		case 'failed':
-			noteResult(table, row, false, now)
+			recordResult(table, row, false, now)
 			return
 		case 'unreached':
 			for (let count = 0; count < UNREACHED_FAILURES; count++)
-				noteResult(table, row, false, now)
+				recordResult(table, row, false, now)
 			return
 		default:
 			result satisfies never
 	}
 }
 
-function noteTime(table: ServerTable, row: number, tookMs: number): void {
+function recordTime(table: ServerTable, row: number, tookMs: number): void {
 	const usual = table.serviceMs[row]! || tookMs
 	table.serviceMs[row] = usual + RESULT_WEIGHT * (tookMs - usual)
 }
 
 /** Lets what is held against a server grow old, so that it is tried again. */
 function forgive(table: ServerTable, row: number, now: number): void {
-	const age = now - table.ratedAt[row]!
-	table.ratedAt[row] = now
+	const age = now - table.smoothedAt[row]!
+	table.smoothedAt[row] = now
 	table.failureRate[row]! *= 0.5 ** (age / FORGIVE_MS)
 }
 
@@ -130,7 +130,7 @@
 	now: number,
 ): Map<number, number> {
 	const rates = rows.map(row => {
-		const age = now - table.ratedAt[row]!
+		const age = now - table.smoothedAt[row]!
 		return table.failureRate[row]! * 0.5 ** (age / FORGIVE_MS)
 	})
 	const times = rows.map(row => table.serviceMs[row]!).filter(time => time > 0)
@@ -153,7 +153,7 @@
 	const time = table.serviceMs[row]!
 	if (time === 0) return 0
 	const times = Math.min(MAX_SLOW, time / fastest)
-	const age = now - table.ratedAt[row]!
+	const age = now - table.smoothedAt[row]!
 	return SLOW_LOAD * (times - 1) * 0.5 ** (age / FORGIVE_MS)
 }
 
@@ -172,7 +172,10 @@
 	const own = listOwn(table, query)
 	// Where none of its own is free, what it has sent says nothing of other entries.
 	const isOwnFree = own.length === 0 || own.some(row => free.includes(row))
-	const elsewhere = expectElsewhere(isOwnFree ? query.untold : 0, own.length)
+	const elsewhere = estimateUnreportedLoad(
+		isOwnFree ? query.unreportedSends : 0,
+		own.length,
+	)
 	const withRoom = candidates.filter(row =>
 		hasRoom(table, query, row, elsewhere),
 	)
@@ -181,9 +184,10 @@
 	let best = -1
 	let bestLoad = Number.POSITIVE_INFINITY
 	for (const row of drawCompared(table, query, withRoom, random)) {
-		const far = query.near.has(row) ? 0 : FAR_LOAD
+		const far = query.localRows.has(row) ? 0 : FAR_LOAD
 		const slow = slownessOfRank(table, row)
-		const held = heldBy(table, row) + elsewhere * table.dealtElsewhere[row]!
+		const held =
+			countInFlight(table, row) + elsewhere * table.assignedElsewhere[row]!
 		const load = held / table.slots[row]! + far + slow + penalties.get(row)!
 		if (load >= bestLoad) continue
 		best = row
@@ -193,8 +197,10 @@
 }
 
 function slownessOfRank(table: ServerTable, row: number): number {
-	const ofGroup = GROUP_PACE_LOAD * (table.groupPace[row]! - 1)
-	return PACE_LOAD * (table.pace[row]! - 1) + Math.min(MOST_GROUP_LOAD, ofGroup)
+	const ofGroup = GROUP_PACE_LOAD * (table.groupSlowdown[row]! - 1)
+	return (
+		PACE_LOAD * (table.slowdown[row]! - 1) + Math.min(MOST_GROUP_LOAD, ofGroup)
+	)
 }
 
 /** Servers that the request has not been to, without those left alone. */
@@ -213,16 +219,23 @@
 
 function hasRoom(
 	table: ServerTable,
-	{ queueRoom, shutGroups, permitted }: DispatchQuery,
+	{
+		queueCapacity: queueRoom,
+		closedGroups: shutGroups,
+		permitted,
+	}: DispatchQuery,
 	row: number,
 	elsewhere: number,
 ): boolean {
 	if (shutGroups.has(table.group[row]!)) return false
 	const left = Math.max(LEFT_ELSEWHERE, Math.floor(elsewhere))
 	// A permit is for this entry, whoever turns to the server first.
-	const isElsewhere = table.dealtElsewhere[row] === 1 && !permitted.has(row)
+	const isElsewhere = table.assignedElsewhere[row] === 1 && !permitted.has(row)
 	const places = table.slots[row]! + queueRoom - (isElsewhere ? left : 0)
-	return heldBy(table, row) < Math.min(places, Math.ceil(table.most[row]!))
+	return (
+		countInFlight(table, row) <
+		Math.min(places, Math.ceil(table.maxInFlight[row]!))
+	)
 }
 
 /**
@@ -238,7 +251,7 @@
 	random: Random,
 ): number[] {
 	const isOwn = (row: number) =>
-		table.dealtElsewhere[row] === 0 || permitted.has(row)
+		table.assignedElsewhere[row] === 0 || permitted.has(row)
 	const own = rows.filter(isOwn)
 	const others = rows.filter(row => !isOwn(row))
 	const drawn = Math.max(LEAST_DRAWN, LEAST_COMPARED - own.length)
@@ -255,7 +268,7 @@
 	const left = [...rows]
 	const drawn: number[] = []
 	while (left.length > 0 && drawn.length < count) {
-		const at = drawIndex(random, left.length)
+		const at = randomIndex(random, left.length)
 		drawn.push(left[at]!)
 		left[at] = left.at(-1)!
 		left.pop()
@@ -265,10 +278,10 @@
 
 /** Servers that this entry turns to first and whose groups take requests now. */
 function listOwn(table: ServerTable, query: DispatchQuery): number[] {
-	const { rows, shutGroups } = query
+	const { rows, closedGroups: shutGroups } = query
 	const isOwn = (row: number) =>
 		table.open[row] === 1 &&
-		table.dealtElsewhere[row] === 0 &&
+		table.assignedElsewhere[row] === 0 &&
 		!shutGroups.has(table.group[row]!)
 	return rows.filter(isOwn)
 }
@@ -286,10 +299,10 @@
 ): Set<number> {
 	const rooms = new Map<number, number>()
 	for (const [row, group] of table.group.entries()) {
-		const most = table.most[row]!
+		const most = table.maxInFlight[row]!
 		if (group < 0 || most === Number.POSITIVE_INFINITY) continue
-		const others = othersTimes * Math.max(0, table.reported[row]!)
-		const left = most - others - table.sentSince[row]!
+		const others = othersTimes * Math.max(0, table.reportedLoad[row]!)
+		const left = most - others - table.sentSinceReport[row]!
 		rooms.set(group, (rooms.get(group) ?? 0) + left)
 	}
 	const full = [...rooms].filter(([group, room]) => !isOpen(group, room))
@@ -301,6 +314,6 @@
 }
 
 /** Requests that a server holds, as far as is known. */
-export function heldBy(table: ServerTable, row: number): number {
-	return Math.max(0, table.reported[row]!) + table.sentSince[row]!
+export function countInFlight(table: ServerTable, row: number): number {
+	return Math.max(0, table.reportedLoad[row]!) + table.sentSinceReport[row]!
 }
--- a/packages/core/src/core/placeFlow.ts
+++ b/packages/core/src/core/dispatchRate.ts
@@ -4,11 +4,11 @@
  */
 
 /** Places that came free of late. */
-export interface PlaceFlow {
+export interface DispatchRate {
 	/** When the last one came free, ms. */
 	lastAt: number
 	/** Smoothed time between two, ms. */
-	gapMs: number
+	intervalMs: number
 }
 
 /** Weight of a new gap. */
@@ -19,27 +19,30 @@
 const MAX_GAP_MS = 1_000
 
 /** Makes a flow of which nothing was seen. */
-export function createPlaceFlow(): PlaceFlow {
-	return { lastAt: Number.NEGATIVE_INFINITY, gapMs: FIRST_GAP_MS }
+export function createDispatchRate(): DispatchRate {
+	return { lastAt: Number.NEGATIVE_INFINITY, intervalMs: FIRST_GAP_MS }
 }
 
 /** Notes that a place was given to a request. */
-export function notePlace(flow: PlaceFlow, now: number): void {
+export function recordDispatch(flow: DispatchRate, now: number): void {
 	const gap = Math.min(now - flow.lastAt, MAX_GAP_MS)
-	flow.gapMs += GAP_WEIGHT * (gap - flow.gapMs)
+	flow.intervalMs += GAP_WEIGHT * (gap - flow.intervalMs)
 	flow.lastAt = now
 }
 
 /** Time between two places, as far as can be told while none comes, ms. */
-export function gapNow({ lastAt, gapMs }: PlaceFlow, now: number): number {
+export function currentIntervalMs(
+	{ lastAt, intervalMs: gapMs }: DispatchRate,
+	now: number,
+): number {
 	return Math.max(gapMs, Math.min(now - lastAt, MAX_GAP_MS))
 }
 
 /** How long a request with `ahead` others before it will wait, ms. */
 export function predictWaitMs(
-	flow: PlaceFlow,
+	flow: DispatchRate,
 	ahead: number,
 	now: number,
 ): number {
-	return (ahead + 1) * gapNow(flow, now)
+	return (ahead + 1) * currentIntervalMs(flow, now)
 }
--- a/packages/core/src/core/elapsedClock.ts
+++ b/packages/core/src/core/elapsedClock.ts
@@ -29,7 +29,7 @@
 }
 
 /** Time that has elapsed, ms, on a scale of its own; it never goes back. */
-export function tellElapsed(clock: ElapsedClock, at: Moment): number {
+export function updateElapsedClock(clock: ElapsedClock, at: Moment): number {
 	const { last } = clock
 	const aheadMs = at.wall - last.wall - (at.now - last.now)
 	clock.last = at
--- a/packages/core/src/core/entryRoster.ts
+++ b/packages/core/src/core/entryMembership.ts
@@ -3,7 +3,7 @@
 import type { EntryCount } from '../internal.ts'
 
 /** An entry that has been silent for this long is not counted on, ms. */
-export const PEER_SILENT_MS = 2_000
+export const PEER_TIMEOUT_MS = 2_000
 /** An entry counts as one that is cut off, not gone, for this long, ms. */
 const KNOWN_MS = 60_000
 
@@ -15,25 +15,25 @@
 }
 
 /** The entries by their control addresses. */
-export interface EntryRoster {
+export interface EntryMembership {
 	readonly others: Map<string, KnownEntry>
 	/** This entry and those that it hears. */
-	heard: readonly string[]
+	reachable: readonly string[]
 	count: EntryCount
 }
 
 /** Makes the roster of an entry that knows of itself only. */
-export function createEntryRoster(own: string): EntryRoster {
+export function createEntryMembership(own: string): EntryMembership {
 	return {
 		others: new Map(),
-		heard: [own],
-		count: { heard: 1, known: 1, place: 0 },
+		reachable: [own],
+		count: { reachable: 1, known: 1, index: 0 },
 	}
 }
 
 /** Notes that another entry has been named. */
-export function noteEntryNamed(
-	{ others }: EntryRoster,
+export function recordEntryDiscovered(
+	{ others }: EntryMembership,
 	address: string,
 	now: number,
 ): void {
@@ -42,8 +42,8 @@
 }
 
 /** Notes that another entry has been heard. */
-export function noteEntryHeard(
-	{ others }: EntryRoster,
+export function recordEntryContact(
+	{ others }: EntryMembership,
 	address: string,
 	now: number,
 ): void {
@@ -54,8 +54,8 @@
  * Takes stock; true when other entries are heard than before. Of entries that this one
  * is not linked to nothing is heard: they count as heard.
  */
-export function lookAtRoster(
-	roster: EntryRoster,
+export function updateEntryMembership(
+	roster: EntryMembership,
 	own: string,
 	isLinked: (address: string) => boolean,
 	now: number,
@@ -65,14 +65,14 @@
 		.map(([address]) => address)
 	const heard = known.filter(address => {
 		const { heardAt } = roster.others.get(address)!
-		return now - heardAt <= PEER_SILENT_MS || !isLinked(address)
+		return now - heardAt <= PEER_TIMEOUT_MS || !isLinked(address)
 	})
-	const before = roster.heard
-	roster.heard = [own, ...heard].sort()
+	const before = roster.reachable
+	roster.reachable = [own, ...heard].sort()
 	roster.count = {
-		heard: roster.heard.length,
+		reachable: roster.reachable.length,
 		known: known.length + 1,
-		place: known.filter(address => address < own).length,
+		index: known.filter(address => address < own).length,
 	}
-	return before.join() !== roster.heard.join()
+	return before.join() !== roster.reachable.join()
 }
--- a/packages/core/src/core/entryShare.ts
+++ b/packages/core/src/core/entryShare.ts
@@ -24,7 +24,7 @@
 }
 
 /** What comes to and leaves a group by way of all entries. */
-export interface GroupIntake {
+export interface GroupTraffic {
 	/** Requests that come to all entries, a second. */
 	readonly perSecond: number
 	/** Requests that end at the group, a second. */
@@ -39,16 +39,16 @@
  * free as well. As each entry takes the same part of what comes to it, all turn
  * callers away alike, and it does not matter to whom places fall free.
  */
-export function partTaken(
+export function admittedFraction(
 	room: number,
-	{ perSecond, endedPerSecond, horizonMs }: GroupIntake,
+	{ perSecond, endedPerSecond, horizonMs }: GroupTraffic,
 ): number {
 	const places = endedPerSecond + (room * SECOND_MS) / horizonMs
 	return places / Math.max(perSecond, LEAST_PER_SECOND)
 }
 
 /** A server as the shares of entries are dealt. */
-export interface SharedServer {
+export interface AssignableServer {
 	readonly id: string
 	readonly dataCentre: string
 }
@@ -59,10 +59,10 @@
  * so that the two mostly meet in their own; entries that know of the same demand
  * deal each server to one of them.
  */
-export function dealServers(
+export function assignServers(
 	own: EntryDemand,
 	others: readonly EntryDemand[],
-	servers: readonly SharedServer[],
+	servers: readonly AssignableServer[],
 ): number[] {
 	const entries = [own, ...others].sort(
 		(a, b) => compare(a.dataCentre, b.dataCentre) || compare(a.name, b.name),
@@ -102,6 +102,6 @@
  * of: as many as this entry, which has sent `untold` requests since entries told
  * each other, has given to each of its `own` servers that are open.
  */
-export function expectElsewhere(untold: number, own: number): number {
+export function estimateUnreportedLoad(untold: number, own: number): number {
 	return Math.max(LEAST_ELSEWHERE, untold / Math.max(1, own) + AHEAD)
 }
--- a/packages/core/src/core/errors.ts
+++ b/packages/core/src/core/errors.ts
@@ -4,14 +4,14 @@
  */
 
 /** Whether the request may have run on a backend server. */
-export type Ran = 'no' | 'maybe' | 'yes'
+export type MayHaveRun = 'no' | 'maybe' | 'yes'
 
 /** How an error kind is answered. */
 export interface ErrorAnswer {
 	/** HTTP status towards the caller. */
 	readonly status: number
 	/** What is known about execution when this kind is final. */
-	readonly ran: Ran
+	readonly ran: MayHaveRun
 	/** Default time after which to come back, in milliseconds; 0: do not. */
 	readonly retryAfterMs: number
 	/** `type` field of the error body that clients of model servers expect. */
@@ -27,7 +27,7 @@
 
 function row(
 	status: number,
-	ran: Ran,
+	ran: MayHaveRun,
 	retryAfterMs: number,
 	type: string,
 	text: string,
--- a/packages/core/src/core/expertEstimate.ts
+++ b/packages/core/src/core/expertEstimate.ts
@@ -32,7 +32,7 @@
 }
 
 /** Makes an estimate that knows nothing. */
-export function createEstimate(
+export function createExpertEstimate(
 	layers: number,
 	experts: number,
 	windowMs: number,
@@ -75,7 +75,7 @@
 }
 
 /** How long the present popularity is expected to last, ms. */
-export function expectedHorizon(estimate: ExpertEstimate): number {
+export function expectedHorizonMs(estimate: ExpertEstimate): number {
 	return HALF_LIVES[estimate.chosen]! * LIVES * estimate.windowMs
 }
 
--- a/packages/core/src/core/fairQueue.ts
+++ b/packages/core/src/core/fairQueue.ts
@@ -4,7 +4,7 @@
  */
 
 /** What the order needs to know of a waiting request. */
-export interface Waiting {
+export interface QueueItem {
 	readonly team: string
 	/** 0 is the most urgent. */
 	readonly priority: number
@@ -17,39 +17,44 @@
 }
 
 /** A queue of one agent. */
-export interface FairQueue<T extends Waiting> {
+export interface FairQueue<T extends QueueItem> {
 	readonly waiting: T[]
 	/** Virtual finish of each team's latest request; teams idle are dropped. */
-	readonly finishOf: Map<string, number>
+	readonly finishByTeam: Map<string, number>
 	virtualNow: number
 	arrivals: number
 }
 
 /** Makes an empty queue. */
-export function createFairQueue<T extends Waiting>(): FairQueue<T> {
-	return { waiting: [], finishOf: new Map(), virtualNow: 0, arrivals: 0 }
+export function createFairQueue<T extends QueueItem>(): FairQueue<T> {
+	return { waiting: [], finishByTeam: new Map(), virtualNow: 0, arrivals: 0 }
 }
 
 /** Adds `item` and keeps the queue in order. */
-export function enqueue<T extends Waiting>(queue: FairQueue<T>, item: T): void {
-	const finish = queue.finishOf.get(item.team) ?? 0
+export function enqueue<T extends QueueItem>(
+	queue: FairQueue<T>,
+	item: T,
+): void {
+	const finish = queue.finishByTeam.get(item.team) ?? 0
 	item.virtualStart = Math.max(queue.virtualNow, finish)
 	item.order = queue.arrivals++
-	queue.finishOf.set(item.team, item.virtualStart + 1 / item.weight)
+	queue.finishByTeam.set(item.team, item.virtualStart + 1 / item.weight)
 	queue.waiting.splice(findPlace(queue.waiting, item), 0, item)
 }
 
 /** Takes the next request to start. */
-export function dequeue<T extends Waiting>(queue: FairQueue<T>): T | undefined {
+export function dequeue<T extends QueueItem>(
+	queue: FairQueue<T>,
+): T | undefined {
 	const next = queue.waiting.shift()
 	if (!next) return undefined
 	queue.virtualNow = Math.max(queue.virtualNow, next.virtualStart)
-	if (queue.waiting.length === 0) queue.finishOf.clear()
+	if (queue.waiting.length === 0) queue.finishByTeam.clear()
 	return next
 }
 
 /** Takes `item` out wherever it stands. */
-export function removeWaiting<T extends Waiting>(
+export function removeQueued<T extends QueueItem>(
 	queue: FairQueue<T>,
 	item: T,
 ): void {
@@ -57,7 +62,10 @@
 	if (at >= 0) queue.waiting.splice(at, 1)
 }
 
-function findPlace<T extends Waiting>(waiting: readonly T[], item: T): number {
+function findPlace<T extends QueueItem>(
+	waiting: readonly T[],
+	item: T,
+): number {
 	let low = 0
 	let high = waiting.length
 	while (low < high) {
@@ -68,7 +76,7 @@
 	return low
 }
 
-function compareWaiting(a: Waiting, b: Waiting): number {
+function compareWaiting(a: QueueItem, b: QueueItem): number {
 	return (
 		a.priority - b.priority ||
 		a.virtualStart - b.virtualStart ||
--- a/packages/core/src/core/spreadGraph.ts
+++ b/packages/core/src/core/gossipTopology.ts
@@ -3,7 +3,7 @@
  * degree, and the few readers of each region that watch the platform.
  */
 
-import type { Member, SpreadNode } from '../internal.ts'
+import type { GossipNode, Member } from '../internal.ts'
 import { topByRendezvous } from '../internal.ts'
 
 /** Ring neighbours that hold the graph together. */
@@ -15,11 +15,11 @@
 /** Processes a region that step in when readers fall silent. */
 export const STANDBYS = 3
 /** A reader that has not answered a look for this long is silent, ms. */
-export const SILENT_MS = 3_500
+export const READER_TIMEOUT_MS = 3_500
 
 /** Takes the members in order of their names, which is the ring's order. */
 export function setMembers(
-	node: SpreadNode,
+	node: GossipNode,
 	members: readonly Member[],
 	now: number,
 ): void {
@@ -34,27 +34,27 @@
 		READERS + STANDBYS,
 	)
 	for (const reader of node.readers)
-		if (!node.readerSeen.has(reader)) node.readerSeen.set(reader, now)
+		if (!node.readerContactAt.has(reader)) node.readerContactAt.set(reader, now)
 }
 
 /**
  * Whether this process watches the platform now: it is a reader, or a standby
  * who finds too few readers in contact, or it knows no members at all.
  */
-export function isReader(node: SpreadNode, now: number): boolean {
+export function isReader(node: GossipNode, now: number): boolean {
 	if (node.members.length === 0) return true
 	const place = node.readers.indexOf(node.self)
 	if (place < 0) return false
 	if (place < READERS) return true
 	const before = node.readers.slice(0, place)
 	const silent = before.filter(
-		reader => now - (node.readerSeen.get(reader) ?? 0) > SILENT_MS,
+		reader => now - (node.readerContactAt.get(reader) ?? 0) > READER_TIMEOUT_MS,
 	)
 	return before.length - silent.length < READERS
 }
 
 function pickNeighbours(
-	node: SpreadNode,
+	node: GossipNode,
 	members: readonly Member[],
 ): string[] {
 	const names = members.map(member => member.name)
--- a/packages/core/src/core/closure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -5,16 +5,16 @@
  */
 
 /** Between tries while a group refuses, ms; a forming takes some 600. */
-export const TRY_AGAIN_MS = 100
+export const GROUP_RETRY_MS = 100
 
 /**
  * The same while a coordinator says that the group is broken and will say when it
  * runs again: the tries of all entries count toward what may be sent again.
  */
-export const TRY_TOLD_MS = 500
+export const BROKEN_GROUP_RETRY_MS = 500
 
 /** What is known of a group that refuses. */
-export interface Closure {
+export interface GroupClosure {
 	/** When it began to refuse, ms. */
 	readonly since: number
 	/** Nothing is sent before this time, ms. */
@@ -24,38 +24,45 @@
 }
 
 /** Groups that refuse, by name. */
-export type Closures = Map<string, Closure>
+export type GroupClosures = Map<string, GroupClosure>
 
 /** Notes that a rank refused for its whole group. */
-export function noteClosed(
-	closures: Closures,
+export function recordGroupRefused(
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): void {
 	const known = closures.get(group)
 	const since = known?.since ?? now
-	const tryMs = known?.tryMs ?? TRY_AGAIN_MS
+	const tryMs = known?.tryMs ?? GROUP_RETRY_MS
 	closures.set(group, { since, until: now + tryMs, tryMs })
 }
 
 /** Notes that a group's coordinator calls it broken. */
-export function noteToldClosed(
-	closures: Closures,
+export function recordGroupReportedBroken(
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): void {
 	const since = closures.get(group)?.since ?? now
-	closures.set(group, { since, until: now + TRY_TOLD_MS, tryMs: TRY_TOLD_MS })
+	closures.set(group, {
+		since,
+		until: now + BROKEN_GROUP_RETRY_MS,
+		tryMs: BROKEN_GROUP_RETRY_MS,
+	})
 }
 
 /** Notes that a rank of the group took a request; true if it was closed. */
-export function noteOpen(closures: Closures, group: string): boolean {
+export function clearGroupClosure(
+	closures: GroupClosures,
+	group: string,
+): boolean {
 	return closures.delete(group)
 }
 
 /** Whether a group is closed and no try of it is due. */
-export function isShut(
-	closures: Closures,
+export function isGroupClosed(
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): boolean {
@@ -67,8 +74,8 @@
  * Whether a request may be sent now. While the group is closed, a yes is a try:
  * the next one waits until its answer, or a while.
  */
-export function mayEnter(
-	closures: Closures,
+export function tryEnterGroup(
+	closures: GroupClosures,
 	group: string,
 	now: number,
 ): boolean {
--- a/packages/core/src/core/groupPlan.ts
+++ b/packages/core/src/core/groupPlan.ts
@@ -5,11 +5,11 @@
  */
 
 import type { ExpertLayout } from '../types/traffic.ts'
-import { applyChange, findBest } from './placementStep.ts'
-import type { SetPlacement } from './placementTable.ts'
-import { createSearch, maxOf, readPlacement } from './placementTable.ts'
+import type { SetPlacement } from './placementSearch.ts'
+import { createSearch, maxOf, readPlacement } from './placementSearch.ts'
+import { applyChange, findBestChange } from './placementStep.ts'
 
-export type { SetPlacement } from './placementTable.ts'
+export type { SetPlacement } from './placementSearch.ts'
 
 /** Steps of a search for each rank of a set. */
 export const STEPS_PER_RANK = 4
@@ -43,7 +43,7 @@
 	const most = search.ranks * STEPS_PER_RANK
 	for (let step = 0; step < most; step++) {
 		if (maxOf(search.loads) <= target) break
-		const change = findBest(search)
+		const change = findBestChange(search)
 		if (!change) break
 		applyChange(search, change)
 	}
@@ -51,13 +51,13 @@
 		placement: readPlacement(search),
 		before,
 		after: maxOf(search.loads),
-		mostNew: Math.max(...search.fresh),
-		copies: search.fresh.reduce((sum, fresh) => sum + fresh, 0),
+		mostNew: Math.max(...search.newCopies),
+		copies: search.newCopies.reduce((sum, fresh) => sum + fresh, 0),
 	}
 }
 
 /** Load of the most loaded rank over the mean; many times a second. */
-export function skewOfSet(
+export function computeSetSkew(
 	placement: SetPlacement,
 	share: Float64Array,
 	layout: Pick<ExpertLayout, 'experts'>,
@@ -84,7 +84,7 @@
 }
 
 /** The map that a group forms with: experts dealt in turn. */
-export function dealExperts(
+export function distributeRoundRobin(
 	ranks: number,
 	layout: Pick<ExpertLayout, 'experts'>,
 ): number[][] {
--- a/packages/core/src/core/mapNeed.ts
+++ b/packages/core/src/core/groupPolicy.ts
@@ -4,7 +4,11 @@
  */
 
 import type { PassCost, PassFit } from '../internal.ts'
-import { COPYING_FACTOR, heldWithin, predictPassMs } from '../internal.ts'
+import {
+	COPYING_FACTOR,
+	maxInFlightWithin,
+	predictPassMs,
+} from '../internal.ts'
 
 /** A plan must make passes shorter by this part. */
 const MIN_GAIN = 0.08
@@ -36,7 +40,7 @@
 }
 
 /** What a group may hold depends on. */
-export interface LetInState {
+export interface LoadConditions {
 	/** Time of a pass over that of a balanced one, now. */
 	readonly factor: number
 	/** The same right after demand shifts, as seen so far. */
@@ -57,14 +61,14 @@
  * in place of 2.25 (worked out). Limits took streams in time from 0.93 to 0.96 on
  * emulated quiet days, and from 0.58 to 0.67 on days with a fifth more load.
  */
-export function allowedHeld(
-	{ factor, shiftedFactor, steadyMs, copiesLong, fit }: LetInState,
+export function maxInFlightPerRank(
+	{ factor, shiftedFactor, steadyMs, copiesLong, fit }: LoadConditions,
 	{ maxPauseMs, slots }: GroupLimits,
 	cost: PassCost,
 ): number | undefined {
 	if (maxPauseMs <= 0 || cost.perRequestMs <= 0) return undefined
 	const within = (share: number, worst: number, copying: boolean) =>
-		heldWithin(cost, fit, share * maxPauseMs, { factor: worst, copying })
+		maxInFlightWithin(cost, fit, share * maxPauseMs, { factor: worst, copying })
 	const isPrepared = steadyMs < SHIFTS_OFTEN_MS && shiftedFactor > factor
 	const held = Math.min(
 		within(FULL_PAUSE_SHARE, factor, true),
@@ -79,7 +83,7 @@
  * pause. No limit brings streams back in time then, and those that are served
  * late are worth more than those that are refused.
  */
-export function isBeyondLimits(
+export function isRankTooSlow(
 	{ maxPauseMs }: GroupLimits,
 	{ stepMs, stepsPerPass }: PassCost,
 	slowestPace: number,
@@ -100,7 +104,7 @@
 		factor,
 		shiftedFactor,
 		fit,
-	}: Pick<LetInState, 'factor' | 'shiftedFactor' | 'fit'>,
+	}: Pick<LoadConditions, 'factor' | 'shiftedFactor' | 'fit'>,
 	{ maxPauseMs }: GroupLimits,
 	cost: PassCost,
 ): boolean {
@@ -114,7 +118,7 @@
 }
 
 /** What a change of the map costs and how long it lasts. */
-export interface RoundCost {
+export interface MapChangeCost {
 	/** To copy one expert to a rank, ms. */
 	readonly copyMs: number
 	/** From the plan until the new map is in use, without copying, ms. */
@@ -128,7 +132,7 @@
 	before: number,
 	after: number,
 	copies: number,
-	{ copyMs, overheadMs }: RoundCost,
+	{ copyMs, overheadMs }: MapChangeCost,
 ): number {
 	return (before - after) / (overheadMs + copies * copyMs)
 }
@@ -137,11 +141,11 @@
  * Whether a plan saves more than its copying costs, in passes until demand is
  * expected to shift. `copies` is the most that one rank copies.
  */
-export function isWorthwhile(
+export function isMapChangeWorthwhile(
 	before: number,
 	after: number,
 	copies: number,
-	{ copyMs, overheadMs, steadyMs }: RoundCost,
+	{ copyMs, overheadMs, steadyMs }: MapChangeCost,
 ): boolean {
 	if (1 - after / before < MIN_GAIN) return false
 	const copyingMs = copies * copyMs
--- a/packages/core/src/core/groupRound.ts
+++ b/packages/core/src/core/groupRound.ts
@@ -182,18 +182,18 @@
 }
 
 /** Whether nothing more is to be done. */
-export function isOver(round: GroupRound): boolean {
+export function isRoundOver(round: GroupRound): boolean {
 	return round.phase === 'done' || round.phase === 'failed'
 }
 
 /** An order for a rank. */
-export interface WantedOrder {
+export interface PendingOrder {
 	readonly rank: number
 	readonly order: EngineOrder
 }
 
 /** Orders that the present phase still needs, unanswered ones again. */
-export function listWanted(round: GroupRound): WantedOrder[] {
+export function listPendingOrders(round: GroupRound): PendingOrder[] {
 	const { fence, epoch, version, step, map } = round
 	switch (round.phase) {
 		case 'fencing':
@@ -231,12 +231,12 @@
 	}
 }
 
-function atAnchor(order: EngineOrder): WantedOrder[] {
+function atAnchor(order: EngineOrder): PendingOrder[] {
 	return [{ rank: ANCHOR_RANK, order }]
 }
 
-function atRest(round: GroupRound, order: EngineOrder): WantedOrder[] {
-	const wanted: WantedOrder[] = []
+function atRest(round: GroupRound, order: EngineOrder): PendingOrder[] {
+	const wanted: PendingOrder[] = []
 	for (let rank = 0; rank < round.ranks; rank++)
 		if (!round.confirmed.has(rank)) wanted.push({ rank, order })
 	return wanted
--- a/packages/core/src/core/groupRoundSteps.ts
+++ b/packages/core/src/core/groupRoundSteps.ts
@@ -7,11 +7,11 @@
 	EngineOrder,
 	GroupRound,
 	OrderAnswer,
+	PendingOrder,
 	RankReport,
 	RoundPhase,
-	WantedOrder,
 } from '../internal.ts'
-import { isOver, REFUSED_TO_ARM, unusedVersion } from '../internal.ts'
+import { isRoundOver, REFUSED_TO_ARM, unusedVersion } from '../internal.ts'
 
 /** The order that a phase gives, if any. */
 const ORDER_OF: Record<RoundPhase, EngineOrder['type'] | undefined> = {
@@ -30,12 +30,12 @@
 }
 
 /** Takes the answer to an order of this round. */
-export function takeOrderAnswer(
+export function applyOrderAnswer(
 	round: GroupRound,
-	{ rank, order }: WantedOrder,
+	{ rank, order }: PendingOrder,
 	answer: OrderAnswer,
 ): void {
-	if (isOver(round) || order.type !== ORDER_OF[round.phase]) return
+	if (isRoundOver(round) || order.type !== ORDER_OF[round.phase]) return
 	if ('step' in order && order.step !== round.step) return
 	const expected =
 		round.phase === 'fencing' ? unusedVersion(round.fence) : round.version
@@ -145,12 +145,12 @@
  * Takes a report of the anchor that was made after the present phase began.
  * `lead` is the number of passes that are to begin before the change.
  */
-export function takeAnchorReport(
+export function applyAnchorReport(
 	round: GroupRound,
 	report: RankReport,
 	lead: number,
 ): void {
-	if (isOver(round)) return
+	if (isRoundOver(round)) return
 	if (report.epoch !== round.epoch || !report.open) {
 		fail(round, 'the group has formed anew')
 		return
@@ -184,7 +184,7 @@
  * Gives a change up because a rank has not answered the probe: nothing has been
  * armed under this fence, so the group may go on with its old map.
  */
-export function giveUpProbing(round: GroupRound): void {
+export function abandonProbing(round: GroupRound): void {
 	if (round.phase !== 'probing') return
 	round.version = 0
 	enter(round, 'releasing')
--- a/packages/core/src/core/groupSearch.ts
+++ b/packages/core/src/core/groupSearch.ts
@@ -5,15 +5,19 @@
 
 import type { ExpertLayout } from '../types/traffic.ts'
 import { STEPS_PER_RANK } from './groupPlan.ts'
-import type { Change } from './placementStep.ts'
-import { applyChange, findBest } from './placementStep.ts'
-import type { CopyBudget, Search, SetPlacement } from './placementTable.ts'
+import type {
+	CopyBudget,
+	PlacementSearch,
+	SetPlacement,
+} from './placementSearch.ts'
 import {
 	createBudget,
 	createSearch,
 	maxOf,
 	readPlacement,
-} from './placementTable.ts'
+} from './placementSearch.ts'
+import type { PlaceChange } from './placementStep.ts'
+import { applyChange, findBestChange } from './placementStep.ts'
 
 /** A plan for all sets of a group, under a limit on what one rank copies. */
 export interface GroupPlan {
@@ -28,16 +32,16 @@
 
 /** A search over all sets of a group, to be taken further step by step. */
 export interface GroupSearch {
-	readonly sets: readonly Search[]
+	readonly sets: readonly PlacementSearch[]
 	readonly budget: CopyBudget
 	/** Best change of each set, until something makes it void. */
-	readonly best: (Change | undefined | 'unknown')[]
+	readonly best: (PlaceChange | undefined | 'unknown')[]
 	readonly target: number
 	stepsLeft: number
 }
 
 /** Begins a search from the present map; `shares` holds each set's demand. */
-export function beginGroupSearch(
+export function createGroupSearch(
 	map: readonly SetPlacement[],
 	shares: readonly Float64Array[],
 	layout: ExpertLayout,
@@ -58,7 +62,7 @@
 }
 
 /** Load of a set's most loaded rank over the mean. */
-export function skewOfSearch(search: Search): number {
+export function computeSearchSkew(search: PlacementSearch): number {
 	return maxOf(search.loads)
 }
 
@@ -68,16 +72,16 @@
  * sum is what a change of the map waits for. Yields between steps that take
  * long, so that a caller can let others run.
  */
-export function* searchOn(
+export function* continueSearch(
 	search: GroupSearch,
 	most: number,
 ): Generator<void, GroupPlan> {
-	search.budget.most = most
+	search.budget.maxPerRank = most
 	search.best.fill('unknown')
 	for (; search.stepsLeft > 0; search.stepsLeft--) {
 		const set = yield* findBestSet(search)
 		if (set === undefined) break
-		applyChange(search.sets[set]!, search.best[set] as Change)
+		applyChange(search.sets[set]!, search.best[set] as PlaceChange)
 		search.best[set] = 'unknown'
 	}
 	return readPlan(search)
@@ -92,31 +96,32 @@
 	for (const [set, one] of sets.entries()) {
 		let change = best[set]
 		if (change === 'unknown' || (change && !isStillAllowed(one, change))) {
-			change = maxOf(one.loads) > target ? findBest(one) : undefined
+			change = maxOf(one.loads) > target ? findBestChange(one) : undefined
 			best[set] = change
 			yield
 		}
 		if (!change) continue
-		const leader = found === undefined ? undefined : (best[found] as Change)
+		const leader =
+			found === undefined ? undefined : (best[found] as PlaceChange)
 		if (!leader || change.worth > leader.worth) found = set
 	}
 	return found
 }
 
 /** Another set may have used what a change was to use of the budget. */
-function isStillAllowed(search: Search, change: Change): boolean {
+function isStillAllowed(search: PlacementSearch, change: PlaceChange): boolean {
 	const { budget, places } = search
 	const ranks = [change.at, change.backAt]
 		.filter(at => at >= 0)
 		.map(at => Math.floor(at / places))
-	return ranks.every(rank => budget.used[rank]! < budget.most)
+	return ranks.every(rank => budget.usedByRank[rank]! < budget.maxPerRank)
 }
 
 function readPlan({ sets, budget }: GroupSearch): GroupPlan {
 	return {
 		placements: sets.map(readPlacement),
-		mostNew: Math.max(...budget.used),
-		copies: budget.used.reduce((sum, used) => sum + used, 0),
+		mostNew: Math.max(...budget.usedByRank),
+		copies: budget.usedByRank.reduce((sum, used) => sum + used, 0),
 		skews: sets.map(search => maxOf(search.loads)),
 	}
 }
--- a/packages/core/src/core/heldPermits.ts
+++ b/packages/core/src/core/heldPermits.ts
@@ -1,6 +1,6 @@
 /** The permits of one server that an entry has been given, and when it asks for more. */
 
-import type { Permits } from '../internal.ts'
+import type { PermitGrant } from '../internal.ts'
 import { permitLifeMs } from '../internal.ts'
 
 /** The right to send one request to a server. */
@@ -13,14 +13,18 @@
 /** What an entry has of the permits of one server. */
 export interface HeldPermits {
 	permits: readonly Permit[]
-	isAsking: boolean
+	isRequestPending: boolean
 	/** The server's home gives none before, ms. */
 	notBefore: number
 }
 
 /** Makes a record of no permits. */
 export function createHeldPermits(): HeldPermits {
-	return { permits: [], isAsking: false, notBefore: Number.NEGATIVE_INFINITY }
+	return {
+		permits: [],
+		isRequestPending: false,
+		notBefore: Number.NEGATIVE_INFINITY,
+	}
 }
 
 /** Whether a request may be sent now. */
@@ -33,7 +37,7 @@
 }
 
 /** Uses a permit; false if there is none. */
-export function usePermit(held: HeldPermits, now: number): boolean {
+export function consumePermit(held: HeldPermits, now: number): boolean {
 	const used = held.permits.find(one => isUsable(one, now))
 	if (!used) return false
 	held.permits = held.permits.filter(one => one !== used)
@@ -41,21 +45,21 @@
 }
 
 /** Whether to ask for permits for callers who can wait for `withinMs`. */
-export function isAskDue(
+export function shouldRequestPermits(
 	held: HeldPermits,
 	withinMs: number,
 	now: number,
 ): boolean {
 	held.permits = held.permits.filter(({ until }) => now < until)
-	if (held.isAsking || held.permits.length > 0) return false
+	if (held.isRequestPending || held.permits.length > 0) return false
 	return held.notBefore <= now + withinMs
 }
 
 /** Takes what a home has given out of `perSecond`. */
-export function takeGiven(
+export function addGrantedPermits(
 	held: HeldPermits,
 	perSecond: number,
-	{ dueMs, waitMs }: Permits,
+	{ dueMs, waitMs }: PermitGrant,
 	now: number,
 ): void {
 	const lifeMs = permitLifeMs(perSecond)
--- a/packages/core/src/core/home.ts
+++ b/packages/core/src/core/keyHome.ts
@@ -13,7 +13,7 @@
 }
 
 /** The sets that an agent has seen in force, newest last. */
-export type HomeHistory = ServerSet[]
+export type KeyHomeHistory = ServerSet[]
 
 /** Names of the backend servers that run `service`, configured, live or not. */
 export function listServiceServers(config: Config, service: string): string[] {
@@ -31,7 +31,7 @@
  * The key's home: over the *configured* servers, so that all entries agree
  * without talking, and a dead home stays home.
  */
-export function findHome(
+export function findKeyHome(
 	config: Config,
 	service: string,
 	scopedKey: string,
@@ -40,8 +40,8 @@
 }
 
 /** Notes the set in force at `wall`, if it differs from the last. */
-export function noteServerSet(
-	history: HomeHistory,
+export function recordServerSet(
+	history: KeyHomeHistory,
 	servers: readonly string[],
 	wall: number,
 ): void {
@@ -56,8 +56,8 @@
  * Since when, Unix ms, `server` has been the key's home without a break;
  * `undefined` if it is not its home now.
  */
-export function findHomeSince(
-	history: HomeHistory,
+export function findKeyHomeSince(
+	history: KeyHomeHistory,
 	scopedKey: string,
 	server: string,
 ): number | undefined {
--- a/packages/core/src/core/mapChangePlan.ts
+++ b/packages/core/src/core/mapChangePlan.ts
@@ -6,10 +6,10 @@
 import type { MapChange, RankReply } from '../internal.ts'
 
 /** What a rank has told of itself. */
-export type Learned = Extract<RankReply, { type: 'learned' }>
+export type LearnedReply = Extract<RankReply, { type: 'learned' }>
 
 /** What a coordinator is about. */
-export type CoordinatorPhase =
+export type MapCoordinatorPhase =
 	| 'idle'
 	/** Waits for n of n answers to learn. */
 	| 'learning'
@@ -23,18 +23,18 @@
 	| 'aborting'
 
 /** A coordinator of one group. */
-export interface CoordinatorState {
+export interface MapCoordinatorState {
 	/** Number of ranks. */
 	readonly size: number
-	phase: CoordinatorPhase
+	phase: MapCoordinatorPhase
 	fence: number
 	/** Map that is to come into force; `undefined` when only to recover. */
-	wanted: string | undefined
+	targetMapId: string | undefined
 	/** Steps between the last one begun and the change. */
 	lead: number
 	/** Map of a group none of whose ranks remembers one. */
-	readonly firstMap: string
-	readonly learned: (Learned | undefined)[]
+	readonly initialMapId: string
+	readonly learned: (LearnedReply | undefined)[]
 	/** Ranks that have yet to answer the open request. */
 	readonly open: Set<number>
 	change: MapChange | undefined
@@ -45,8 +45,10 @@
 }
 
 /** The change to make now: a new generation first, then the wanted map. */
-export function planChange(state: CoordinatorState): MapChange | undefined {
-	const all = listLearned(state)
+export function planMapChange(
+	state: MapCoordinatorState,
+): MapChange | undefined {
+	const all = listLearnedReplies(state)
 	const { fence, lead } = state
 	const generation = Math.max(...all.map(rank => rank.generation))
 	const step = Math.max(...all.map(lastPlannedStep)) + lead
@@ -56,28 +58,32 @@
 	const pending = all.some(
 		rank => rank.committed && rank.committed.step > rank.step,
 	)
-	if (pending || state.wanted === undefined || state.wanted === current)
+	if (
+		pending ||
+		state.targetMapId === undefined ||
+		state.targetMapId === current
+	)
 		return undefined
-	return { fence, generation, step, mapId: state.wanted }
+	return { fence, generation, step, mapId: state.targetMapId }
 }
 
-function lastPlannedStep(rank: Learned): number {
+function lastPlannedStep(rank: LearnedReply): number {
 	return Math.max(rank.step, rank.committed?.step ?? 0)
 }
 
 /** The newest committed map that a member remembers. */
 function findCurrentMap(
-	state: CoordinatorState,
-	all: readonly Learned[],
+	state: MapCoordinatorState,
+	all: readonly LearnedReply[],
 ): string {
 	let newest: MapChange | undefined
 	for (const { committed } of all)
 		if (committed && committed.fence > (newest?.fence ?? 0)) newest = committed
 	if (newest) return newest.mapId
-	return all.find(rank => rank.joined)?.mapId ?? state.firstMap
+	return all.find(rank => rank.joined)?.mapId ?? state.initialMapId
 }
 
 /** What was told, by those that have answered. */
-export function listLearned(state: CoordinatorState): Learned[] {
+export function listLearnedReplies(state: MapCoordinatorState): LearnedReply[] {
 	return state.learned.filter(learned => learned !== undefined)
 }
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -5,32 +5,32 @@
  */
 
 import type {
-	CoordinatorState,
-	Learned,
+	LearnedReply,
 	MapChange,
+	MapCoordinatorState,
 	RankReply,
 	RankRequest,
 } from '../internal.ts'
-import { listLearned, planChange } from '../internal.ts'
+import { listLearnedReplies, planMapChange } from '../internal.ts'
 
 /** A request to one rank. */
-export interface RankOrder {
+export interface AddressedRequest {
 	readonly rank: number
 	readonly req: RankRequest
 }
 
 /** Makes an idle coordinator. */
-export function createCoordinator(
+export function createMapCoordinator(
 	size: number,
 	firstMap: string,
-): CoordinatorState {
+): MapCoordinatorState {
 	return {
 		size,
 		phase: 'idle',
 		fence: 0,
-		wanted: undefined,
+		targetMapId: undefined,
 		lead: 1,
-		firstMap,
+		initialMapId: firstMap,
 		learned: new Array(size).fill(undefined),
 		open: new Set(),
 		change: undefined,
@@ -44,7 +44,7 @@
  * No two coordinators share one.
  */
 export function nextFence(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	id: number,
 	ids: number,
 ): number {
@@ -54,15 +54,15 @@
 }
 
 /** Begins a round. */
-export function startRound(
-	state: CoordinatorState,
+export function startMapRound(
+	state: MapCoordinatorState,
 	fence: number,
 	wanted: string | undefined,
 	lead: number,
-): RankOrder[] {
+): AddressedRequest[] {
 	state.phase = 'learning'
 	state.fence = fence
-	state.wanted = wanted
+	state.targetMapId = wanted
 	state.lead = lead
 	state.change = undefined
 	state.learned.fill(undefined)
@@ -70,11 +70,11 @@
 }
 
 /** Takes a rank's reply; late, doubled and foreign ones are harmless. */
-export function takeRankReply(
-	state: CoordinatorState,
+export function handleRankReply(
+	state: MapCoordinatorState,
 	rank: number,
 	reply: RankReply,
-): RankOrder[] {
+): AddressedRequest[] {
 	if (reply.type === 'refused')
 		state.highest = Math.max(state.highest, reply.highest)
 	if (reply.fence !== state.fence) return []
@@ -96,7 +96,9 @@
  * Time is up for the open request. What was only prepared is given up; what was
  * decided is told again.
  */
-export function repeatRound(state: CoordinatorState): RankOrder[] {
+export function handleRoundTimeout(
+	state: MapCoordinatorState,
+): AddressedRequest[] {
 	switch (state.phase) {
 		case 'idle':
 			return []
@@ -116,10 +118,10 @@
 }
 
 function onLearned(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	rank: number,
-	reply: Learned,
-): RankOrder[] {
+	reply: LearnedReply,
+): AddressedRequest[] {
 	if (state.phase !== 'learning') return []
 	state.learned[rank] = reply
 	state.open.delete(rank)
@@ -128,11 +130,11 @@
 }
 
 /** A change that any rank saw committed is finished; others are given up. */
-function closeOpenChanges(state: CoordinatorState): RankOrder[] {
-	const all = listLearned(state)
+function closeOpenChanges(state: MapCoordinatorState): AddressedRequest[] {
+	const all = listLearnedReplies(state)
 	state.phase = 'closing'
 	state.open.clear()
-	const orders: RankOrder[] = []
+	const orders: AddressedRequest[] = []
 	for (const [rank, { promised }] of all.entries()) {
 		if (!promised) continue
 		state.open.add(rank)
@@ -142,8 +144,8 @@
 }
 
 function closingOf(
-	state: CoordinatorState,
-	all: readonly Learned[],
+	state: MapCoordinatorState,
+	all: readonly LearnedReply[],
 	promised: MapChange,
 ): RankRequest {
 	const { fence } = state
@@ -153,8 +155,8 @@
 	return { type: 'abort', fence, changeFence }
 }
 
-function prepareChange(state: CoordinatorState): RankOrder[] {
-	const change = planChange(state)
+function prepareChange(state: MapCoordinatorState): AddressedRequest[] {
+	const change = planMapChange(state)
 	if (!change) return endRound(state)
 	state.phase = 'preparing'
 	state.change = change
@@ -162,10 +164,10 @@
 }
 
 function onPromised(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	rank: number,
 	incarnation: number,
-): RankOrder[] {
+): AddressedRequest[] {
 	if (state.phase !== 'preparing') return []
 	// It restarted since it was asked: its promise is not the one needed.
 	if (state.learned[rank]?.incarnation !== incarnation)
@@ -177,10 +179,10 @@
 }
 
 function onDecided(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	rank: number,
 	changeFence: number,
-): RankOrder[] {
+): AddressedRequest[] {
 	switch (state.phase) {
 		case 'closing':
 			if (state.learned[rank]?.promised?.fence !== changeFence) return []
@@ -201,17 +203,20 @@
 	}
 }
 
-function onClosed(state: CoordinatorState, rank: number): RankOrder[] {
+function onClosed(
+	state: MapCoordinatorState,
+	rank: number,
+): AddressedRequest[] {
 	state.open.delete(rank)
 	if (state.open.size > 0) return []
 	// What was just finished may not be in force yet: learn again.
-	return startRound(state, state.fence, state.wanted, state.lead)
+	return startMapRound(state, state.fence, state.targetMapId, state.lead)
 }
 
 function onRefused(
-	state: CoordinatorState,
+	state: MapCoordinatorState,
 	request: RankRequest['type'],
-): RankOrder[] {
+): AddressedRequest[] {
 	switch (state.phase) {
 		case 'preparing':
 			return request === 'prepare' ? abortChange(state) : []
@@ -228,32 +233,38 @@
 	}
 }
 
-function abortChange(state: CoordinatorState): RankOrder[] {
+function abortChange(state: MapCoordinatorState): AddressedRequest[] {
 	state.phase = 'aborting'
 	return askAll(state, abortOf(state))
 }
 
-function endRound(state: CoordinatorState): RankOrder[] {
+function endRound(state: MapCoordinatorState): AddressedRequest[] {
 	state.phase = 'idle'
 	state.open.clear()
 	return []
 }
 
-function commitOf(state: CoordinatorState): RankRequest {
+function commitOf(state: MapCoordinatorState): RankRequest {
 	return { type: 'commit', fence: state.fence, change: state.change! }
 }
 
-function abortOf(state: CoordinatorState): RankRequest {
+function abortOf(state: MapCoordinatorState): RankRequest {
 	const changeFence = state.change?.fence ?? state.fence
 	return { type: 'abort', fence: state.fence, changeFence }
 }
 
-function askAll(state: CoordinatorState, req: RankRequest): RankOrder[] {
+function askAll(
+	state: MapCoordinatorState,
+	req: RankRequest,
+): AddressedRequest[] {
 	state.open.clear()
 	for (let rank = 0; rank < state.size; rank++) state.open.add(rank)
 	return askOpen(state, req)
 }
 
-function askOpen(state: CoordinatorState, req: RankRequest): RankOrder[] {
+function askOpen(
+	state: MapCoordinatorState,
+	req: RankRequest,
+): AddressedRequest[] {
 	return [...state.open].map(rank => ({ rank, req }))
 }
--- a/packages/core/src/core/mapPlan.ts
+++ b/packages/core/src/core/mapPlan.ts
@@ -3,14 +3,14 @@
  * takes a large part of the time for which demand stays as it is.
  */
 
-import type { GroupPlan, RoundCost, SetPlacement } from '../internal.ts'
+import type { GroupPlan, MapChangeCost, SetPlacement } from '../internal.ts'
 import {
-	beginGroupSearch,
+	computeSearchSkew,
+	continueSearch,
+	createGroupSearch,
 	gainRate,
-	isWorthwhile,
+	isMapChangeWorthwhile,
 	passFactor,
-	searchOn,
-	skewOfSearch,
 } from '../internal.ts'
 import type { ExpertLayout } from '../types/traffic.ts'
 
@@ -18,7 +18,7 @@
 const TARGET_SKEW = 1.04
 
 /** What a plan starts from. */
-export interface MapBasis {
+export interface MapPlanInput {
 	/** Map in use, by set. */
 	readonly map: readonly SetPlacement[]
 	/** Each expert's part of its set's demand, by set. */
@@ -26,7 +26,7 @@
 	readonly layout: ExpertLayout
 	/** How slow each rank is; 1 is its usual speed. */
 	readonly paces: readonly number[]
-	readonly cost: RoundCost
+	readonly cost: MapChangeCost
 }
 
 /** A map to change to. */
@@ -47,16 +47,19 @@
  * longest pause (two emulated quiet days of 12 ranks).
  */
 export function* planMap(
-	basis: MapBasis,
+	basis: MapPlanInput,
 ): Generator<void, MapPlan | undefined> {
 	const { map, shares, layout, paces, cost } = basis
-	const search = beginGroupSearch(map, shares, layout, paces, TARGET_SKEW)
-	const before = passFactor(search.sets.map(skewOfSearch), layout.expertShare)
+	const search = createGroupSearch(map, shares, layout, paces, TARGET_SKEW)
+	const before = passFactor(
+		search.sets.map(computeSearchSkew),
+		layout.expertShare,
+	)
 	let best: MapPlan | undefined
 	let bestRate = 0
 	const most = layout.maxNew * layout.sets
 	for (let copies = 1; copies < 2 * most; copies *= 2) {
-		const plan = yield* searchOn(search, Math.min(copies, most))
+		const plan = yield* continueSearch(search, Math.min(copies, most))
 		const after = passFactor(plan.skews, layout.expertShare)
 		const rate = gainRate(before, after, plan.mostNew, cost)
 		if (rate <= bestRate) continue
@@ -65,5 +68,5 @@
 	}
 	if (!best) return undefined
 	const { after, mostNew } = best
-	return isWorthwhile(before, after, mostNew, cost) ? best : undefined
+	return isMapChangeWorthwhile(before, after, mostNew, cost) ? best : undefined
 }
--- a/packages/core/src/core/mapProtocol.ts
+++ b/packages/core/src/core/mapProtocol.ts
@@ -106,7 +106,7 @@
 }
 
 /** A rank that has lost what it held; it may not step before it is let in. */
-export function restartRank(incarnation: number): RankState {
+export function createRestartedRank(incarnation: number): RankState {
 	return {
 		...createRank(''),
 		incarnation,
@@ -116,7 +116,10 @@
 }
 
 /** Lets a rank take a request; changes `rank` and gives its reply. */
-export function takeRankRequest(rank: RankState, req: RankRequest): RankReply {
+export function handleRankRequest(
+	rank: RankState,
+	req: RankRequest,
+): RankReply {
 	if (req.fence < rank.fence) return refuse(rank, req)
 	switch (req.type) {
 		case 'learn':
@@ -134,7 +137,7 @@
 }
 
 /** Whether the rank may begin its next step. */
-export function mayBegin(rank: RankState): boolean {
+export function mayBeginStep(rank: RankState): boolean {
 	if (!rank.joined) return false
 	return !rank.promised || rank.promised.step > rank.step + 1
 }
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -16,7 +16,7 @@
 }
 
 /** What a pass depends on besides its cost. */
-export interface PassState {
+export interface PassConditions {
 	/** Time of a pass over that of one with balanced ranks. */
 	readonly factor: number
 	/** Whether ranks copy experts meanwhile. */
@@ -38,7 +38,7 @@
 }
 
 /** A mean of passes that ran under the same conditions. */
-export interface PassSeen extends PassState {
+export interface PassSample extends PassConditions {
 	readonly passMs: number
 	/** Requests that each rank held, in the mean. */
 	readonly held: number
@@ -84,10 +84,10 @@
 }
 
 /** Takes passes that were seen into the fit. */
-export function notePasses(
+export function addPassSample(
 	fitter: PassFitter,
 	cost: PassCost,
-	{ passMs, held, factor, copying }: PassSeen,
+	{ passMs, held, factor, copying }: PassSample,
 ): void {
 	const { stepMs, perRequestMs, stepsPerPass } = cost
 	const stretched = stepMs + held * perRequestMs * factor
@@ -119,7 +119,7 @@
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
 	{ base, stepSkew }: PassFit,
 	held: number,
-	{ factor, copying }: PassState,
+	{ factor, copying }: PassConditions,
 ): number {
 	const step = stepMs * (1 + stepSkew * (factor - 1))
 	const requests = held * perRequestMs * factor
@@ -130,11 +130,11 @@
  * Requests that each rank may hold, as a fraction, for passes to take `passMs` at
  * most; negative where even empty ranks take longer.
  */
-export function heldWithin(
+export function maxInFlightWithin(
 	{ stepMs, perRequestMs, stepsPerPass }: PassCost,
 	{ base, stepSkew }: PassFit,
 	passMs: number,
-	{ factor, copying }: PassState,
+	{ factor, copying }: PassConditions,
 ): number {
 	if (perRequestMs <= 0) return Number.POSITIVE_INFINITY
 	const stepThen = passMs / (base * stepsPerPass * copyingOf(copying))
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -14,7 +14,7 @@
 }
 
 /** How fast a home gives permits out. */
-export interface PermitPace {
+export interface PermitSchedule {
 	/** Between two permits, ms. */
 	readonly gapMs: number
 	/**
@@ -25,14 +25,14 @@
 }
 
 /** What an entry asks a home for. */
-export interface PermitWish {
+export interface PermitRequest {
 	readonly count: number
 	/** How long its callers can wait, ms. */
 	readonly withinMs: number
 }
 
 /** What it gets. */
-export interface Permits {
+export interface PermitGrant {
 	/** When each of them may be used, from now, ms. */
 	readonly dueMs: readonly number[]
 	/** Until the next one falls due that was not given, ms. */
@@ -41,10 +41,10 @@
 
 /** Entries that a home hears, and that it knows of; itself is one of both. */
 export interface EntryCount {
-	readonly heard: number
+	readonly reachable: number
 	readonly known: number
 	/** Its place among those that it knows of, in an order that all share. */
-	readonly place: number
+	readonly index: number
 }
 
 const SECOND_MS = 1_000
@@ -70,12 +70,12 @@
 }
 
 /** Takes permits from a pool. */
-export function takePermits(
+export function grantPermits(
 	pool: PermitPool,
-	pace: PermitPace,
-	{ count, withinMs }: PermitWish,
+	pace: PermitSchedule,
+	{ count, withinMs }: PermitRequest,
 	now: number,
-): Permits {
+): PermitGrant {
 	const dueMs: number[] = []
 	let next = fitToPhase(Math.max(pool.nextAt, now - BURST_MS), pace)
 	while (dueMs.length < count && next <= now + withinMs) {
@@ -86,7 +86,7 @@
 	return { dueMs, waitMs: Math.max(0, next - now) }
 }
 
-function fitToPhase(at: number, { gapMs, phase }: PermitPace): number {
+function fitToPhase(at: number, { gapMs, phase }: PermitSchedule): number {
 	if (phase === undefined) return at
 	const first = phase * gapMs
 	return first + Math.ceil((at - first) / gapMs) * gapMs
@@ -103,10 +103,10 @@
  * parts each part has a home: the largest goes on as before, the others keep to their
  * part of the limit.
  */
-export function paceOfHome(
+export function permitScheduleFor(
 	perSecond: number,
-	{ heard, known, place }: EntryCount,
-): PermitPace {
+	{ reachable: heard, known, index: place }: EntryCount,
+): PermitSchedule {
 	const gapMs = SECOND_MS / Math.max(perSecond, LEAST_PER_SECOND)
 	if (2 * heard > known) return { gapMs, phase: undefined }
 	return { gapMs: (gapMs * known) / heard, phase: place / known }
--- a/packages/core/src/core/placement.ts
+++ b/packages/core/src/core/placement.ts
@@ -5,15 +5,15 @@
  */
 
 /** No expert in a slot. */
-export const EMPTY = -1
+export const EMPTY_SLOT = -1
 
 /** The slots of one layer. */
 export interface LayerPlacement {
 	readonly ranks: number
 	readonly experts: number
 	/** Slots a rank. */
-	readonly width: number
-	/** `rank * width + slot` holds an expert or {@link EMPTY}. */
+	readonly slotsPerRank: number
+	/** `rank * width + slot` holds an expert or {@link EMPTY_SLOT}. */
 	readonly slots: Int16Array
 	/** Holders of each expert. */
 	readonly copies: Uint16Array
@@ -27,39 +27,39 @@
 ): LayerPlacement {
 	const size = Math.ceil(experts / ranks)
 	const width = size + spare
-	const slots = new Int16Array(ranks * width).fill(EMPTY)
+	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
 	for (let expert = 0; expert < experts; expert++) {
 		const rank = Math.floor(expert / size)
 		slots[rank * width + (expert % size)] = expert
 	}
 	const copies = new Uint16Array(experts).fill(1)
-	return { ranks, experts, width, slots, copies }
+	return { ranks, experts, slotsPerRank: width, slots, copies }
 }
 
 /** Makes a layer from the experts of each rank. */
-export function layerFrom(
+export function createLayerFromRanks(
 	byRank: readonly (readonly number[])[],
 	experts: number,
 	spare: number,
 ): LayerPlacement {
 	const ranks = byRank.length
 	const width = Math.ceil(experts / ranks) + spare
-	const slots = new Int16Array(ranks * width).fill(EMPTY)
+	const slots = new Int16Array(ranks * width).fill(EMPTY_SLOT)
 	const copies = new Uint16Array(experts)
 	for (const [rank, own] of byRank.entries())
 		for (const [slot, expert] of own.entries()) {
 			slots[rank * width + slot] = expert
 			copies[expert]!++
 		}
-	return { ranks, experts, width, slots, copies }
+	return { ranks, experts, slotsPerRank: width, slots, copies }
 }
 
 /** The experts of each rank. */
-export function listByRank(layer: LayerPlacement): number[][] {
-	const { ranks, width, slots } = layer
+export function listExpertsByRank(layer: LayerPlacement): number[][] {
+	const { ranks, slotsPerRank: width, slots } = layer
 	return Array.from({ length: ranks }, (_, rank) =>
 		[...slots.subarray(rank * width, (rank + 1) * width)].filter(
-			expert => expert !== EMPTY,
+			expert => expert !== EMPTY_SLOT,
 		),
 	)
 }
@@ -74,48 +74,48 @@
 }
 
 /** Whether the rank holds the expert. */
-export function holds(
+export function holdsExpert(
 	layer: LayerPlacement,
 	rank: number,
 	expert: number,
 ): boolean {
-	const { width, slots } = layer
+	const { slotsPerRank: width, slots } = layer
 	for (let at = rank * width; at < (rank + 1) * width; at++)
 		if (slots[at] === expert) return true
 	return false
 }
 
-/** Puts `expert` (or {@link EMPTY}) into a slot. */
+/** Puts `expert` (or {@link EMPTY_SLOT}) into a slot. */
 export function setSlot(
 	layer: LayerPlacement,
 	at: number,
 	expert: number,
 ): void {
 	const old = layer.slots[at]!
-	if (old !== EMPTY) layer.copies[old]!--
-	if (expert !== EMPTY) layer.copies[expert]!++
+	if (old !== EMPTY_SLOT) layer.copies[old]!--
+	if (expert !== EMPTY_SLOT) layer.copies[expert]!++
 	layer.slots[at] = expert
 }
 
 /** Load of each rank under `share` (from `offset` on); the mean is 1/ranks. */
-export function loadsOf(
+export function computeRankLoads(
 	layer: LayerPlacement,
 	share: Float64Array,
 	offset: number,
 ): Float64Array {
-	const { ranks, width, slots, copies } = layer
+	const { ranks, slotsPerRank: width, slots, copies } = layer
 	const loads = new Float64Array(ranks)
 	for (let rank = 0; rank < ranks; rank++)
 		for (let at = rank * width; at < (rank + 1) * width; at++) {
 			const expert = slots[at]!
-			if (expert === EMPTY) continue
+			if (expert === EMPTY_SLOT) continue
 			loads[rank]! += share[offset + expert]! / copies[expert]!
 		}
 	return loads
 }
 
 /** Slowest rank over the mean. */
-export function skewOf(loads: Float64Array): number {
+export function computeSkew(loads: Float64Array): number {
 	let most = 0
 	let total = 0
 	for (const load of loads) {
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -3,15 +3,15 @@
  * off the most loaded rank are weighed, and the best for each copy is taken.
  */
 
-import type { Search } from './placementTable.ts'
+import type { PlacementSearch } from './placementSearch.ts'
 import {
 	canTake,
-	FREE,
+	FREE_PLACE,
 	hasExpert,
 	isNew,
-	place,
 	refreshLoad,
-} from './placementTable.ts'
+	setPlace,
+} from './placementSearch.ts'
 
 /** A step of the search must lower the sum by this share. */
 const MIN_PROGRESS = 0.002
@@ -22,7 +22,7 @@
  * A change of one place, or an exchange between two. Numbers in one object that
  * is used again, since a plan weighs a hundred thousand of them.
  */
-export interface Change {
+export interface PlaceChange {
 	at: number
 	expert: number
 	/** Place that gets what `at` had; -1 for a change of one place. */
@@ -32,11 +32,18 @@
 }
 
 /** The change that takes most off the loaded ranks for each expert copied. */
-export function findBest(search: Search): Change | undefined {
+export function findBestChange(
+	search: PlacementSearch,
+): PlaceChange | undefined {
 	const hot = findHottest(search.loads)
 	const targets = listCoolest(search.loads, hot)
 	const least = sumOfPowers(search) * MIN_PROGRESS
-	const best: Change = { at: -1, expert: FREE, backAt: -1, worth: least }
+	const best: PlaceChange = {
+		at: -1,
+		expert: FREE_PLACE,
+		backAt: -1,
+		worth: least,
+	}
 	const weigh = (at: number, expert: number, backAt = -1) => {
 		const copies = copiesOf(search, at, expert, backAt)
 		const worth = gainOf(search, at, expert, backAt) / Math.max(1, copies)
@@ -49,7 +56,7 @@
 	const { places } = search
 	for (let from = hot * places; from < (hot + 1) * places; from++) {
 		const expert = search.slots[from]!
-		if (expert === FREE) continue
+		if (expert === FREE_PLACE) continue
 		for (const rank of targets) weighTarget(search, from, rank, weigh)
 		if (search.copies[expert]! >= 2) weighDrop(search, from, targets, weigh)
 	}
@@ -82,7 +89,7 @@
 
 /** Gives the expert at `from` a copy on `rank`, or exchanges it. */
 function weighTarget(
-	search: Search,
+	search: PlacementSearch,
 	from: number,
 	rank: number,
 	weigh: Weigh,
@@ -94,10 +101,10 @@
 	const room = canTake(search, rank, expert)
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const other = slots[at]!
-		const replaced = other !== FREE && isNew(search, rank, other)
+		const replaced = other !== FREE_PLACE && isNew(search, rank, other)
 		if (!room && !replaced) continue
-		if (other === FREE || copies[other]! >= 2) weigh(at, expert)
-		if (other === FREE || hasExpert(search, hot, other)) continue
+		if (other === FREE_PLACE || copies[other]! >= 2) weigh(at, expert)
+		if (other === FREE_PLACE || hasExpert(search, hot, other)) continue
 		const back = canTake(search, hot, other) || isNew(search, hot, expert)
 		if (back) weigh(at, expert, from)
 	}
@@ -105,7 +112,7 @@
 
 /** Replaces one of several copies at `from` by a light expert of another rank. */
 function weighDrop(
-	search: Search,
+	search: PlacementSearch,
 	from: number,
 	targets: readonly number[],
 	weigh: Weigh,
@@ -113,11 +120,11 @@
 	const { places, slots } = search
 	const hot = Math.floor(from / places)
 	const dropped = slots[from]!
-	weigh(from, FREE)
+	weigh(from, FREE_PLACE)
 	for (const rank of targets)
 		for (let at = rank * places; at < (rank + 1) * places; at++) {
 			const expert = slots[at]!
-			if (expert === FREE || hasExpert(search, hot, expert)) continue
+			if (expert === FREE_PLACE || hasExpert(search, hot, expert)) continue
 			if (!canTake(search, hot, expert) && !isNew(search, hot, dropped))
 				continue
 			weigh(from, expert)
@@ -126,7 +133,7 @@
 
 /** Experts that a change copies. */
 function copiesOf(
-	search: Search,
+	search: PlacementSearch,
 	at: number,
 	expert: number,
 	backAt: number,
@@ -137,19 +144,19 @@
 		: there + copiesAt(search, backAt, search.slots[at]!)
 }
 
-function copiesAt(search: Search, at: number, expert: number): number {
+function copiesAt(search: PlacementSearch, at: number, expert: number): number {
 	const rank = Math.floor(at / search.places)
-	return expert !== FREE && isNew(search, rank, expert) ? 1 : 0
+	return expert !== FREE_PLACE && isNew(search, rank, expert) ? 1 : 0
 }
 
 /** How much a change lowers the sum of powers. */
 function gainOf(
-	search: Search,
+	search: PlacementSearch,
 	at: number,
 	expert: number,
 	backAt: number,
 ): number {
-	const { loads, added, touchedRanks } = search
+	const { loads, loadDeltas: added, changedRanks: touchedRanks } = search
 	if (backAt < 0) {
 		addDrop(search, at)
 		addCopy(search, at, expert)
@@ -159,21 +166,21 @@
 		addSwap(search, backAt, search.slots[at]!)
 	}
 	let gain = 0
-	for (let index = 0; index < search.touched; index++) {
+	for (let index = 0; index < search.changedCount; index++) {
 		const rank = touchedRanks[index]!
 		const load = loads[rank]!
 		gain += power(load) - power(Math.max(0, load + added[rank]!))
 		added[rank] = 0
 	}
-	search.touched = 0
+	search.changedCount = 0
 	return gain
 }
 
 /** The rank of a place loses the expert there; its other holders take over. */
-function addDrop(search: Search, at: number): void {
-	const { places, slots, share, copies, slowness } = search
+function addDrop(search: PlacementSearch, at: number): void {
+	const { places, slots, share, copies, loadScale: slowness } = search
 	const expert = slots[at]!
-	if (expert === FREE) return
+	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
 	add(search, rank, (-share[expert]! / count) * slowness[rank]!)
@@ -181,9 +188,9 @@
 }
 
 /** The rank of a place gets a copy; the expert's other holders have less. */
-function addCopy(search: Search, at: number, expert: number): void {
-	const { places, share, copies, slowness } = search
-	if (expert === FREE) return
+function addCopy(search: PlacementSearch, at: number, expert: number): void {
+	const { places, share, copies, loadScale: slowness } = search
+	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
 	add(search, rank, (share[expert]! / (count + 1)) * slowness[rank]!)
@@ -191,8 +198,8 @@
 }
 
 /** The rank of a place has another expert instead of the one there. */
-function addSwap(search: Search, at: number, expert: number): void {
-	const { places, slots, share, copies, slowness } = search
+function addSwap(search: PlacementSearch, at: number, expert: number): void {
+	const { places, slots, share, copies, loadScale: slowness } = search
 	const old = slots[at]!
 	const rank = Math.floor(at / places)
 	const change = share[expert]! / copies[expert]! - share[old]! / copies[old]!
@@ -206,23 +213,23 @@
 	return fourth * fourth
 }
 
-function add(search: Search, rank: number, change: number): void {
-	const { added, touchedRanks } = search
+function add(search: PlacementSearch, rank: number, change: number): void {
+	const { loadDeltas: added, changedRanks: touchedRanks } = search
 	// A sum that came back to nought is listed twice, which does no harm.
-	if (added[rank] === 0) touchedRanks[search.touched++] = rank
+	if (added[rank] === 0) touchedRanks[search.changedCount++] = rank
 	added[rank]! += change
 }
 
 /** What holders other than `rank` gain or lose when copies change. */
 function spread(
-	search: Search,
+	search: PlacementSearch,
 	expert: number,
 	rank: number,
 	before: number,
 	after: number,
 ): void {
 	if (after <= 0 || before <= 0) return
-	const { holders, share, slowness } = search
+	const { holders, share, loadScale: slowness } = search
 	const change = share[expert]! * (1 / after - 1 / before)
 	for (const other of holders[expert]!)
 		if (other !== rank) add(search, other, change * slowness[other]!)
@@ -230,35 +237,35 @@
 
 /** Carries a change out. */
 export function applyChange(
-	search: Search,
-	{ at, expert, backAt }: Change,
+	search: PlacementSearch,
+	{ at, expert, backAt }: PlaceChange,
 ): void {
 	const old = search.slots[at]!
 	const changed = new Set<number>()
-	noteHolders(search, at, changed)
-	place(search, at, expert)
+	recordHolders(search, at, changed)
+	setPlace(search, at, expert)
 	if (backAt >= 0) {
-		noteHolders(search, backAt, changed)
-		place(search, backAt, old)
-		noteHolders(search, backAt, changed)
+		recordHolders(search, backAt, changed)
+		setPlace(search, backAt, old)
+		recordHolders(search, backAt, changed)
 	}
-	noteHolders(search, at, changed)
+	recordHolders(search, at, changed)
 	for (const rank of changed) refreshLoad(search, rank)
 }
 
 /** Adds the rank of a place and all that share the load of the expert there. */
-function noteHolders(
-	{ slots, places, holders }: Search,
+function recordHolders(
+	{ slots, places, holders }: PlacementSearch,
 	at: number,
 	changed: Set<number>,
 ): void {
 	changed.add(Math.floor(at / places))
 	const expert = slots[at]!
-	if (expert === FREE) return
+	if (expert === FREE_PLACE) return
 	for (const rank of holders[expert]!) changed.add(rank)
 }
 
-function sumOfPowers(search: Search): number {
+function sumOfPowers(search: PlacementSearch): number {
 	let sum = 0
 	for (const load of search.loads) sum += power(load)
 	return sum
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -48,10 +48,10 @@
  */
 const MAX_ENDS = 256
 /** Requests that are named for one end: engines run 4 to 12 at a time. */
-export const MAX_NAMED = 16
+export const MAX_REQUESTS_PER_CRASH = 16
 
 /** The end of a server. */
-export interface ServerEnd {
+export interface ServerCrash {
 	/** Id of the server's life. */
 	readonly server: string
 	/** When it was first noticed, ms. */
@@ -61,21 +61,21 @@
 }
 
 /** An answer that a server gave whole to a request under which others had ended. */
-export interface ServedSince {
+export interface ServedRecord {
 	readonly fingerprint: string
 	/** ms */
 	readonly at: number
 }
 
 /** Evidence that one entry tells another. */
-export interface EndNews {
-	readonly ends: readonly ServerEnd[]
-	readonly served: readonly ServedSince[]
+export interface CrashEvidence {
+	readonly ends: readonly ServerCrash[]
+	readonly served: readonly ServedRecord[]
 }
 
 /** What an entry knows of requests under which servers ended. */
 export interface Quarantine {
-	readonly ends: Map<string, ServerEnd>
+	readonly ends: Map<string, ServerCrash>
 	/** When each was last answered whole, ms, by fingerprint. */
 	readonly served: Map<string, number>
 	/** Points of requests under which servers ended and that were not served since. */
@@ -100,7 +100,7 @@
 }
 
 /** Fingerprints of requests that end servers: they are sent to none for a time. */
-export function listBarred({ suspects }: Quarantine): string[] {
+export function listQuarantined({ suspects }: Quarantine): string[] {
 	return [...suspects]
 		.filter(([, suspicion]) => isConvicting(suspicion))
 		.map(([fingerprint]) => fingerprint)
@@ -110,7 +110,7 @@
  * How long a request is still sent to no server, ms; 0 if it is. It is tried again by one
  * entry after the other: each waits for `turnMs` more than the first.
  */
-export function barredForMs(
+export function quarantineLeftMs(
 	{ suspects }: Quarantine,
 	fingerprint: string,
 	now: number,
@@ -128,11 +128,11 @@
 }
 
 /** Takes what was seen or told; gives what of it is new. */
-export function takeEndNews(
+export function mergeCrashEvidence(
 	quarantine: Quarantine,
-	news: EndNews,
+	news: CrashEvidence,
 	now: number,
-): EndNews {
+): CrashEvidence {
 	forgetOld(quarantine, now)
 	const ends = news.ends.filter(
 		end => now - end.at < KEPT_MS && takeEnd(quarantine, end),
@@ -145,7 +145,7 @@
 }
 
 /** All that is remembered, for an entry that may know nothing. */
-export function listEndNews({ ends, served }: Quarantine): EndNews {
+export function listCrashEvidence({ ends, served }: Quarantine): CrashEvidence {
 	return {
 		ends: [...ends.values()],
 		served: [...served].map(([fingerprint, at]) => ({ fingerprint, at })),
@@ -153,11 +153,11 @@
 }
 
 /** True when it is news. */
-function takeEnd({ ends }: Quarantine, end: ServerEnd): boolean {
+function takeEnd({ ends }: Quarantine, end: ServerCrash): boolean {
 	const known = ends.get(end.server)
 	const ran = new Map(known?.ran)
 	for (const [fingerprint, ms] of end.ran) {
-		if (ran.size >= MAX_NAMED && !ran.has(fingerprint)) continue
+		if (ran.size >= MAX_REQUESTS_PER_CRASH && !ran.has(fingerprint)) continue
 		ran.set(fingerprint, Math.min(ms, ran.get(fingerprint) ?? ms))
 	}
 	const isNews = !known || ran.size > known.ran.size
@@ -171,7 +171,7 @@
 /** True when it takes a suspicion back. */
 function takeServed(
 	{ served, suspects }: Quarantine,
-	{ fingerprint, at }: ServedSince,
+	{ fingerprint, at }: ServedRecord,
 ): boolean {
 	const suspicion = suspects.get(fingerprint)
 	if (!suspicion || at <= servedAt(served, fingerprint)) return false
@@ -199,7 +199,7 @@
 /** Forgets the oldest ends that bar nothing; if all do, the oldest. */
 function forgetLeast(
 	{ ends, suspects }: Quarantine,
-	sorted: readonly ServerEnd[],
+	sorted: readonly ServerCrash[],
 ): void {
 	const bars = new Set<string>()
 	for (const suspicion of suspects.values())
@@ -213,7 +213,7 @@
 
 /** What speaks against requests once the ends under the worst ones are set aside. */
 function findSuspects(
-	sorted: readonly ServerEnd[],
+	sorted: readonly ServerCrash[],
 	served: ReadonlyMap<string, number>,
 ): Map<string, Suspicion> {
 	const convicted = new Map<string, Suspicion>()
@@ -243,7 +243,7 @@
 
 /** Weighs what speaks against each request, from ends in their order. */
 function weigh(
-	sorted: readonly ServerEnd[],
+	sorted: readonly ServerCrash[],
 	served: ReadonlyMap<string, number>,
 ): Map<string, Suspicion> {
 	const suspects = new Map<string, Suspicion>()
@@ -254,8 +254,8 @@
 
 function weighEnd(
 	suspects: Map<string, Suspicion>,
-	{ server, at, ran }: ServerEnd,
-	together: readonly ServerEnd[],
+	{ server, at, ran }: ServerCrash,
+	together: readonly ServerCrash[],
 	served: ReadonlyMap<string, number>,
 ): void {
 	const since = together[0]!.at
@@ -295,8 +295,8 @@
 }
 
 /** Ends that come so close that one cause is likely. */
-function groupTogether(sorted: readonly ServerEnd[]): ServerEnd[][] {
-	const groups: ServerEnd[][] = []
+function groupTogether(sorted: readonly ServerCrash[]): ServerCrash[][] {
+	const groups: ServerCrash[][] = []
 	for (const end of sorted) {
 		const last = groups.at(-1)
 		if (last && end.at - last[0]!.at < TOGETHER_MS) last.push(end)
--- a/packages/core/src/core/rateLimits.ts
+++ b/packages/core/src/core/rateLimits.ts
@@ -32,7 +32,7 @@
  * Takes a server's notice unless a newer one is known; true if it changes the limit. That
  * a limit has ended is kept also where it was not known: it may still be told.
  */
-export function takeRateNotice(
+export function applyRateNotice(
 	limits: RateLimits,
 	server: string,
 	{ perSecond, at }: Pick<RateNotice, 'perSecond' | 'at'>,
@@ -46,7 +46,7 @@
 }
 
 /** Requests a second that a server takes; undefined for as many as come. */
-export function perSecondOf(
+export function rateLimitOf(
 	limits: RateLimits,
 	server: string,
 ): number | undefined {
@@ -54,7 +54,7 @@
 }
 
 /** Forgets old notices of servers that have no limit or, by `isListed`, are gone. */
-export function forgetRateNotices(
+export function pruneRateNotices(
 	limits: RateLimits,
 	isListed: (server: string) => boolean,
 	now: number,
--- a/packages/core/src/core/rebalance.ts
+++ b/packages/core/src/core/rebalance.ts
@@ -8,7 +8,13 @@
  */
 
 import type { LayerPlacement } from '../internal.ts'
-import { cloneLayer, EMPTY, holds, loadsOf, skewOf } from '../internal.ts'
+import {
+	cloneLayer,
+	computeRankLoads,
+	computeSkew,
+	EMPTY_SLOT,
+	holdsExpert,
+} from '../internal.ts'
 import { applyChange, findChange } from './rebalanceStep.ts'
 
 /** A plan that lowers skew by less is not worth the stir. */
@@ -18,7 +24,7 @@
 const MS = 1_000
 
 /** What a plan weighs. */
-export interface RebalanceTerms {
+export interface RebalanceParameters {
 	/** Worth of step time saved. */
 	readonly skewWeight: number
 	/** Worth of capacity spent. */
@@ -57,13 +63,13 @@
 }
 
 /** Cost of `count` loads, in ms of the whole group's capacity. */
-export function costOfLoads(terms: RebalanceTerms, count: number): number {
+export function loadCostMs(terms: RebalanceParameters, count: number): number {
 	return terms.moveWeight * count * terms.loadMs * terms.loadLoss
 }
 
 /** Worth of bringing a layer's skew down, in ms of the group's capacity. */
-export function benefitOfSkew(
-	terms: RebalanceTerms,
+export function skewBenefitMs(
+	terms: RebalanceParameters,
 	before: number,
 	after: number,
 ): number {
@@ -78,12 +84,12 @@
 	current: LayerPlacement,
 	share: Float64Array,
 	layer: number,
-	terms: RebalanceTerms,
+	terms: RebalanceParameters,
 ): LayerPlan {
 	const offset = layer * current.experts
 	const work = cloneLayer(current)
-	const loads = loadsOf(work, share, offset)
-	const skewBefore = skewOf(loads)
+	const loads = computeRankLoads(work, share, offset)
+	const skewBefore = computeSkew(loads)
 	let best: LayerPlan = {
 		loads: [],
 		placement: current,
@@ -96,17 +102,17 @@
 		const change = findChange(work, share, offset, loads)
 		if (!change) break
 		applyChange(work, change)
-		loads.set(loadsOf(work, share, offset))
+		loads.set(computeRankLoads(work, share, offset))
 		const plan = describePlan(current, work, layer, skewBefore, loads, terms)
 		const gains = skewBefore - plan.skewAfter >= MIN_GAIN
-		if (gains && netOf(plan) > netOf(best))
+		if (gains && netBenefitMs(plan) > netBenefitMs(best))
 			best = { ...plan, placement: cloneLayer(work) }
 	}
 	return best
 }
 
 /** Net worth of a plan, in ms of the group's capacity. */
-export function netOf(plan: LayerPlan): number {
+export function netBenefitMs(plan: LayerPlan): number {
 	return plan.benefitMs - plan.costMs
 }
 
@@ -116,36 +122,37 @@
 	layer: number,
 	skewBefore: number,
 	rankLoads: Float64Array,
-	terms: RebalanceTerms,
+	terms: RebalanceParameters,
 ): LayerPlan {
-	const loads = listLoads(current, work, layer)
-	const skewAfter = skewOf(rankLoads)
+	const loads = listExpertLoads(current, work, layer)
+	const skewAfter = computeSkew(rankLoads)
 	return {
 		loads,
 		placement: work,
 		skewBefore,
 		skewAfter,
-		benefitMs: benefitOfSkew(terms, skewBefore, skewAfter),
-		costMs: costOfLoads(terms, loads.length),
+		benefitMs: skewBenefitMs(terms, skewBefore, skewAfter),
+		costMs: loadCostMs(terms, loads.length),
 	}
 }
 
 /** Experts that a rank must fetch because it does not hold them yet. */
-export function listLoads(
+export function listExpertLoads(
 	current: LayerPlacement,
 	next: LayerPlacement,
 	layer: number,
 ): ExpertLoad[] {
 	const loads: ExpertLoad[] = []
 	for (const [slot, expert] of next.slots.entries()) {
-		if (expert === EMPTY) continue
-		const rank = Math.floor(slot / next.width)
-		if (!holds(current, rank, expert)) loads.push({ layer, rank, slot, expert })
+		if (expert === EMPTY_SLOT) continue
+		const rank = Math.floor(slot / next.slotsPerRank)
+		if (!holdsExpert(current, rank, expert))
+			loads.push({ layer, rank, slot, expert })
 	}
 	return loads
 }
 
 /** Time that the store needs for one expert, ms. */
-export function loadTimeOf(bytes: number, bytesPerSecond: number): number {
+export function expertLoadMs(bytes: number, bytesPerSecond: number): number {
 	return (bytes / bytesPerSecond) * MS
 }
--- a/packages/core/src/core/rebalanceStep.ts
+++ b/packages/core/src/core/rebalanceStep.ts
@@ -4,7 +4,7 @@
  */
 
 import type { LayerPlacement } from '../internal.ts'
-import { EMPTY, holds, setSlot } from '../internal.ts'
+import { EMPTY_SLOT, holdsExpert, setSlot } from '../internal.ts'
 
 /** Target ranks tried for each expert of the slowest rank. */
 const TARGETS = 6
@@ -37,14 +37,14 @@
 	const start = scoreOf(loads)
 	let best: PlacementChange | undefined
 	for (
-		let from = slowest * work.width;
-		from < (slowest + 1) * work.width;
+		let from = slowest * work.slotsPerRank;
+		from < (slowest + 1) * work.slotsPerRank;
 		from++
 	) {
 		const expert = work.slots[from]!
-		if (expert === EMPTY) continue
+		if (expert === EMPTY_SLOT) continue
 		for (const rank of targets) {
-			if (rank === slowest || holds(work, rank, expert)) continue
+			if (rank === slowest || holdsExpert(work, rank, expert)) continue
 			for (const slots of listChanges(work, from, rank, expert)) {
 				const score = scoreChange(work, share, offset, loads, slots, start)
 				if (score < (best?.score ?? start * (1 - MIN_PROGRESS)))
@@ -64,22 +64,26 @@
 ): SlotChange[][] {
 	const ways: SlotChange[][] = []
 	let emptySeen = false
-	const slowest = Math.floor(from / work.width)
-	for (let at = rank * work.width; at < (rank + 1) * work.width; at++) {
+	const slowest = Math.floor(from / work.slotsPerRank)
+	for (
+		let at = rank * work.slotsPerRank;
+		at < (rank + 1) * work.slotsPerRank;
+		at++
+	) {
 		const old = work.slots[at]!
-		if (old === EMPTY) {
+		if (old === EMPTY_SLOT) {
 			if (emptySeen) continue
 			emptySeen = true
 			ways.push([{ at, expert }])
 			ways.push([
 				{ at, expert },
-				{ at: from, expert: EMPTY },
+				{ at: from, expert: EMPTY_SLOT },
 			])
 			continue
 		}
 		// A copy that others have too may give way to a replica.
 		if (work.copies[old]! > 1) ways.push([{ at, expert }])
-		if (!holds(work, slowest, old))
+		if (!holdsExpert(work, slowest, old))
 			ways.push([
 				{ at, expert },
 				{ at: from, expert: old },
@@ -100,7 +104,7 @@
 	const mean = 1 / loads.length
 	const moved = new Map<number, number>()
 	const note = (expert: number, sign: 1 | -1) => {
-		if (expert !== EMPTY)
+		if (expert !== EMPTY_SLOT)
 			addLoads(work, share[offset + expert]!, expert, sign, moved)
 	}
 	const experts = new Set(slots.map(slot => slot.expert))
@@ -127,7 +131,7 @@
 	moved: Map<number, number>,
 ): void {
 	const each = (sign * share) / work.copies[expert]!
-	const { slots, width } = work
+	const { slots, slotsPerRank: width } = work
 	for (
 		let at = slots.indexOf(expert);
 		at >= 0;
--- a/packages/core/src/core/fate.ts
+++ b/packages/core/src/core/requestLifecycle.ts
@@ -12,7 +12,7 @@
 export const MAX_RESUMES = 8
 
 /** Where a request stands. */
-export type FateState =
+export type LifecycleState =
 	/** Waits for a server to be chosen. */
 	| { readonly at: 'routing' }
 	/** Offered; nothing heard yet. */
@@ -24,26 +24,26 @@
 	| { readonly at: 'settled'; readonly outcome: Outcome }
 
 /** All that an entry decides a request's fate from. */
-export interface Fate {
+export interface RequestLifecycle {
 	/** Whether another try may be made although an earlier one may have run. */
 	readonly repeatable: boolean
-	state: FateState
+	state: LifecycleState
 	/** Number of the open try, from 1; 0 before the first. */
 	attempt: number
 	resumes: number
 	/** Whether the caller has been sent a part of the answer; the daemon sets it. */
-	told: boolean
+	answerStarted: boolean
 	/** Whether an earlier, given-up try may have run. */
 	mayHaveRun: boolean
 	/**
 	 * Whether "not run" can be said of all that the caller may have asked before
 	 * by the same key: the entry made the key, or the key's home has spoken.
 	 */
-	vouched: boolean
+	notRunProvable: boolean
 }
 
 /** What happens to a request. Events of a try carry its number. */
-export type FateEvent =
+export type LifecycleEvent =
 	| { readonly type: 'routed' }
 	| { readonly type: 'noRoute'; readonly kind: ErrorKind }
 	/** The connection failed before a byte of the request left. */
@@ -69,7 +69,7 @@
 	| { readonly type: 'callerGone' }
 
 /** What the daemon is to do. */
-export type FateEffect =
+export type LifecycleEffect =
 	/** Choose a server and offer the request under `fate.attempt`. */
 	| { readonly do: 'route'; readonly why?: ErrorKind }
 	| { readonly do: 'sendVoid'; readonly attempt: number }
@@ -87,24 +87,27 @@
  * Makes the fate of a request that has just been read; `callerKey` when it has
  * a key that its caller may have used before.
  */
-export function createFate(repeatable: boolean, callerKey = false): Fate {
+export function createLifecycle(
+	repeatable: boolean,
+	callerKey = false,
+): RequestLifecycle {
 	return {
 		repeatable,
 		state: { at: 'routing' },
 		attempt: 0,
 		resumes: 0,
-		told: false,
+		answerStarted: false,
 		mayHaveRun: false,
-		vouched: !callerKey,
+		notRunProvable: !callerKey,
 	}
 }
 
 /** Lets `event` happen; `mayRetry` is the retry budget's word. */
-export function stepFate(
-	fate: Fate,
-	event: FateEvent,
+export function stepLifecycle(
+	fate: RequestLifecycle,
+	event: LifecycleEvent,
 	mayRetry: boolean,
-): FateEffect[] {
+): LifecycleEffect[] {
 	if (fate.state.at === 'settled') return [{ do: 'drop' }]
 	if ('attempt' in event && event.attempt !== fate.attempt)
 		return [{ do: 'drop' }]
@@ -146,28 +149,33 @@
 }
 
 function onRefused(
-	fate: Fate,
+	fate: RequestLifecycle,
 	outcome: Outcome,
 	mayRetry: boolean,
-): FateEffect[] {
+): LifecycleEffect[] {
 	if (outcome.outcome === 'answered') return [{ do: 'drop' }]
 	const { kind, retryAfterMs } = outcome
 	// A home that refuses has looked the key up; another server knows nothing.
-	if (outcome.outcome === 'notRun' && kind !== 'notHome') fate.vouched = true
+	if (outcome.outcome === 'notRun' && kind !== 'notHome')
+		fate.notRunProvable = true
 	// An admitted try that is refused later was shed while it waited.
-	if (outcome.outcome === 'notRun' && !fate.told)
+	if (outcome.outcome === 'notRun' && !fate.answerStarted)
 		return tryAgain(fate, kind, retryAfterMs, mayRetry)
 	fate.mayHaveRun = true
 	return settle(fate, unknown(kind, retryAfterMs))
 }
 
-function onAdmitted(fate: Fate): FateEffect[] {
+function onAdmitted(fate: RequestLifecycle): LifecycleEffect[] {
 	if (fate.state.at === 'answering') return []
 	fate.state = { at: 'answering', next: 0 }
 	return []
 }
 
-function onChunk(fate: Fate, n: number, mayRetry: boolean): FateEffect[] {
+function onChunk(
+	fate: RequestLifecycle,
+	n: number,
+	mayRetry: boolean,
+): LifecycleEffect[] {
 	const next = fate.state.at === 'answering' ? fate.state.next : 0
 	// A doubled chunk after a resume.
 	if (n < next) return [{ do: 'drop' }]
@@ -176,13 +184,20 @@
 	return [{ do: 'forward' }]
 }
 
-function onEnd(fate: Fate, n: number, mayRetry: boolean): FateEffect[] {
+function onEnd(
+	fate: RequestLifecycle,
+	n: number,
+	mayRetry: boolean,
+): LifecycleEffect[] {
 	const next = fate.state.at === 'answering' ? fate.state.next : 0
 	if (n !== next) return resume(fate, mayRetry)
 	return settle(fate, ANSWERED)
 }
 
-function onLinkLost(fate: Fate, mayRetry: boolean): FateEffect[] {
+function onLinkLost(
+	fate: RequestLifecycle,
+	mayRetry: boolean,
+): LifecycleEffect[] {
 	switch (fate.state.at) {
 		case 'offered':
 			fate.state = { at: 'voiding', why: 'linkLost' }
@@ -200,10 +215,10 @@
 }
 
 function onVoidAnswer(
-	fate: Fate,
+	fate: RequestLifecycle,
 	answer: 'void' | 'started' | 'unknown',
 	mayRetry: boolean,
-): FateEffect[] {
+): LifecycleEffect[] {
 	if (fate.state.at !== 'voiding') return [{ do: 'drop' }]
 	const why = fate.state.why
 	switch (answer) {
@@ -219,13 +234,13 @@
 	}
 }
 
-function onDeadline(fate: Fate): FateEffect[] {
+function onDeadline(fate: RequestLifecycle): LifecycleEffect[] {
 	const unstarted = fate.state.at === 'routing'
 	if (unstarted) return settleUnstarted(fate, 'startBudget', 0)
 	return [cancelOf(fate), ...settleStarted(fate, 'noAnswer')]
 }
 
-function resume(fate: Fate, mayRetry: boolean): FateEffect[] {
+function resume(fate: RequestLifecycle, mayRetry: boolean): LifecycleEffect[] {
 	const from = fate.state.at === 'answering' ? fate.state.next : 0
 	fate.state = { at: 'answering', next: from }
 	if (fate.resumes >= MAX_RESUMES)
@@ -236,11 +251,11 @@
 
 /** The open try is proved not to have run. */
 function tryAgain(
-	fate: Fate,
+	fate: RequestLifecycle,
 	why: ErrorKind,
 	retryAfterMs: number,
 	mayRetry: boolean,
-): FateEffect[] {
+): LifecycleEffect[] {
 	if (!mayRetry || fate.attempt >= MAX_ATTEMPTS)
 		return settleUnstarted(fate, why, retryAfterMs)
 	fate.state = { at: 'routing' }
@@ -249,42 +264,45 @@
 
 /** The open try may have run. */
 function giveUpStarted(
-	fate: Fate,
+	fate: RequestLifecycle,
 	why: ErrorKind,
 	mayRetry: boolean,
-): FateEffect[] {
+): LifecycleEffect[] {
 	fate.mayHaveRun = true
 	if (!canRepeat(fate, mayRetry)) return settleStarted(fate, why)
 	fate.state = { at: 'routing' }
 	return [{ do: 'route', why }]
 }
 
-function canRepeat(fate: Fate, mayRetry: boolean): boolean {
-	const allowed = fate.repeatable && !fate.told && mayRetry
+function canRepeat(fate: RequestLifecycle, mayRetry: boolean): boolean {
+	const allowed = fate.repeatable && !fate.answerStarted && mayRetry
 	return allowed && fate.attempt < MAX_ATTEMPTS
 }
 
 function settleUnstarted(
-	fate: Fate,
+	fate: RequestLifecycle,
 	kind: ErrorKind,
 	retryAfterMs: number,
-): FateEffect[] {
-	if (fate.mayHaveRun || !fate.vouched)
+): LifecycleEffect[] {
+	if (fate.mayHaveRun || !fate.notRunProvable)
 		return settle(fate, unknown(kind, retryAfterMs))
 	const after = retryAfterMs || ERRORS[kind].retryAfterMs
 	return settle(fate, notRun(kind, after))
 }
 
-function settleStarted(fate: Fate, kind: ErrorKind): FateEffect[] {
+function settleStarted(
+	fate: RequestLifecycle,
+	kind: ErrorKind,
+): LifecycleEffect[] {
 	if (fate.attempt === 0) return settleUnstarted(fate, kind, 0)
 	return settle(fate, unknown(kind, ERRORS[kind].retryAfterMs))
 }
 
-function settle(fate: Fate, outcome: Outcome): FateEffect[] {
+function settle(fate: RequestLifecycle, outcome: Outcome): LifecycleEffect[] {
 	fate.state = { at: 'settled', outcome }
 	return [{ do: 'settle', outcome }]
 }
 
-function cancelOf(fate: Fate): FateEffect {
+function cancelOf(fate: RequestLifecycle): LifecycleEffect {
 	return { do: 'cancel', attempt: fate.attempt }
 }
--- a/packages/core/src/core/comeBack.ts
+++ b/packages/core/src/core/retryAfter.ts
@@ -11,32 +11,37 @@
 const SPREAD = 0.5
 
 /** Callers that were told to come back to a service. */
-export interface Returns {
+export interface RetryAfterSchedule {
 	/** When the last of them is due, ms. */
 	lastDueAt: number
 }
 
 /** Makes a record of nobody. */
-export function createReturns(): Returns {
+export function createRetryAfterSchedule(): RetryAfterSchedule {
 	return { lastDueAt: 0 }
 }
 
 /** What the time told to a caller follows from. */
-export interface ReturnForecast {
+export interface RetryAfterForecast {
 	/** When the service is expected to take requests again, from now, ms. */
-	readonly openInMs: number
+	readonly availableInMs: number
 	/** Surely none before, ms. */
 	readonly notBeforeMs: number
 	/** Between two places that come free, ms. */
 	readonly gapMs: number
 	/** The caller comes back when told to only within this time, ms. */
-	readonly heededMs: number
+	readonly maxHonoredMs: number
 }
 
 /** Books the next place for a caller, and gives the time to tell it, ms. */
-export function bookReturn(
-	returns: Returns,
-	{ openInMs, notBeforeMs, gapMs, heededMs }: ReturnForecast,
+export function scheduleRetryAfter(
+	returns: RetryAfterSchedule,
+	{
+		availableInMs: openInMs,
+		notBeforeMs,
+		gapMs,
+		maxHonoredMs: heededMs,
+	}: RetryAfterForecast,
 	now: number,
 	random: Random,
 ): number {
--- a/packages/core/src/core/retry.ts
+++ b/packages/core/src/core/retryBudget.ts
@@ -4,30 +4,30 @@
  */
 
 /** Retries allowed for each first try. */
-export const RETRY_SHARE = 0.1
+export const RETRY_RATIO = 0.1
 const MAX_SAVED = 50
 
 /** Saved-up permission to retry. */
 export interface RetryBudget {
-	saved: number
+	balance: number
 }
 
 /** Makes a budget that allows a few retries from the start. */
 export function createRetryBudget(): RetryBudget {
-	return { saved: 5 }
+	return { balance: 5 }
 }
 
 /** Notes a first try. */
-export function noteFirstTry(budget: RetryBudget): void {
-	budget.saved = Math.min(MAX_SAVED, budget.saved + RETRY_SHARE)
+export function recordFirstAttempt(budget: RetryBudget): void {
+	budget.balance = Math.min(MAX_SAVED, budget.balance + RETRY_RATIO)
 }
 
 /** Whether a retry may be made; {@link spendRetry} when it is. */
 export function mayRetry(budget: RetryBudget): boolean {
-	return budget.saved >= 1
+	return budget.balance >= 1
 }
 
 /** Spends one retry. */
 export function spendRetry(budget: RetryBudget): void {
-	budget.saved -= 1
+	budget.balance -= 1
 }
--- a/packages/core/src/core/retryWindow.ts
+++ b/packages/core/src/core/retryWindow.ts
@@ -39,7 +39,7 @@
 }
 
 /** Notes a request's first send. */
-export function noteRequest(
+export function recordRequest(
 	window: RetryWindow,
 	allowance: RetryAllowance,
 	now: number,
--- a/packages/core/src/core/revision.ts
+++ b/packages/core/src/core/revision.ts
@@ -7,26 +7,26 @@
 import { readConfig } from '../internal.ts'
 
 /** The configuration in force. */
-export interface HeldConfig {
+export interface ActiveConfig {
 	readonly revision: number
 	readonly document: string
 	readonly config: Config
 }
 
 /** A revision that was refused whole. */
-export interface RefusedConfig {
+export interface RejectedConfig {
 	readonly revision: number
 	readonly faults: readonly Fault[]
 }
 
 /** What a process holds of the configuration. */
 export interface RevisionState {
-	held: HeldConfig | undefined
-	refused: RefusedConfig | undefined
+	held: ActiveConfig | undefined
+	refused: RejectedConfig | undefined
 }
 
 /** What became of an offered document. */
-export type RevisionVerdict = 'adopted' | 'known' | 'stale' | 'invalid'
+export type OfferResult = 'adopted' | 'known' | 'stale' | 'invalid'
 
 /** Makes the state of a process that knows nothing yet. */
 export function createRevisionState(): RevisionState {
@@ -43,7 +43,7 @@
 	state: RevisionState,
 	revision: number,
 	document: string,
-): RevisionVerdict {
+): OfferResult {
 	const inForce = state.held?.revision ?? 0
 	if (revision < inForce) return 'stale'
 	if (revision === inForce || revision === state.refused?.revision)
--- a/packages/core/src/core/routeTable.ts
+++ b/packages/core/src/core/routeTable.ts
@@ -48,7 +48,7 @@
 }
 
 /** The service that takes a request of the route, by weight. */
-export function drawService(
+export function pickService(
 	shares: readonly RouteShare[],
 	random: Random,
 ): string {
--- a/packages/core/src/core/routing.ts
+++ b/packages/core/src/core/routing.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Random } from '../internal.ts'
-import { drawIndex } from '../internal.ts'
+import { randomIndex } from '../internal.ts'
 
 /** What an entry knows of its backend servers, one row each. */
 export interface ServerTable {
@@ -13,9 +13,9 @@
 	/** 1 while the server may be given new work. */
 	readonly open: Uint8Array
 	/** Requests running and waiting there, as last reported. */
-	readonly reported: Float64Array
+	readonly reportedLoad: Float64Array
 	/** Sent by this entry since that report, less those ended. */
-	readonly sentSince: Float64Array
+	readonly sentSinceReport: Float64Array
 	/** When the report was made known here, ms. */
 	readonly reportedAt: Float64Array
 	/** Requests it runs at once. */
@@ -33,15 +33,15 @@
 	/** Share of tries that failed of late. */
 	readonly failureRate: Float64Array
 	/** When the smoothed columns were last touched, ms. */
-	readonly ratedAt: Float64Array
+	readonly smoothedAt: Float64Array
 	/** How slow the server says it is; 1 is its usual speed. */
-	readonly pace: Float64Array
+	readonly slowdown: Float64Array
 	/** How slow the slowest rank of its lock-step group is. */
-	readonly groupPace: Float64Array
+	readonly groupSlowdown: Float64Array
 	/** Requests that it may hold whatever its slots. */
-	readonly most: Float64Array
+	readonly maxInFlight: Float64Array
 	/** 1 where another entry turns to the server first. */
-	readonly dealtElsewhere: Uint8Array
+	readonly assignedElsewhere: Uint8Array
 }
 
 /** Failures in a row after which a server is left alone for a while. */
@@ -63,8 +63,8 @@
 		names: [...names],
 		rowOf: new Map(names.map((name, row) => [name, row])),
 		open: new Uint8Array(size),
-		reported: new Float64Array(size),
-		sentSince: new Float64Array(size),
+		reportedLoad: new Float64Array(size),
+		sentSinceReport: new Float64Array(size),
 		reportedAt: new Float64Array(size),
 		slots: new Float64Array(size).fill(1),
 		serviceMs: new Float64Array(size),
@@ -73,11 +73,11 @@
 		failures: new Uint16Array(size),
 		ejectedUntil: new Float64Array(size),
 		failureRate: new Float64Array(size),
-		ratedAt: new Float64Array(size),
-		pace: new Float64Array(size).fill(1),
-		groupPace: new Float64Array(size).fill(1),
-		most: new Float64Array(size).fill(Number.POSITIVE_INFINITY),
-		dealtElsewhere: new Uint8Array(size),
+		smoothedAt: new Float64Array(size),
+		slowdown: new Float64Array(size).fill(1),
+		groupSlowdown: new Float64Array(size).fill(1),
+		maxInFlight: new Float64Array(size).fill(Number.POSITIVE_INFINITY),
+		assignedElsewhere: new Uint8Array(size),
 	}
 }
 
@@ -90,19 +90,19 @@
 	const old = from.rowOf.get(name)
 	const row = to.rowOf.get(name)
 	if (old === undefined || row === undefined) return
-	to.reported[row] = from.reported[old]!
-	to.sentSince[row] = from.sentSince[old]!
+	to.reportedLoad[row] = from.reportedLoad[old]!
+	to.sentSinceReport[row] = from.sentSinceReport[old]!
 	to.reportedAt[row] = from.reportedAt[old]!
 	to.serviceMs[row] = from.serviceMs[old]!
 	to.stepShare[row] = from.stepShare[old]!
 	to.failures[row] = from.failures[old]!
 	to.ejectedUntil[row] = from.ejectedUntil[old]!
 	to.failureRate[row] = from.failureRate[old]!
-	to.ratedAt[row] = from.ratedAt[old]!
-	to.pace[row] = from.pace[old]!
-	to.groupPace[row] = from.groupPace[old]!
-	to.most[row] = from.most[old]!
-	to.dealtElsewhere[row] = from.dealtElsewhere[old]!
+	to.smoothedAt[row] = from.smoothedAt[old]!
+	to.slowdown[row] = from.slowdown[old]!
+	to.groupSlowdown[row] = from.groupSlowdown[old]!
+	to.maxInFlight[row] = from.maxInFlight[old]!
+	to.assignedElsewhere[row] = from.assignedElsewhere[old]!
 }
 
 /** A load report from an agent. */
@@ -121,24 +121,24 @@
 	report: LoadReport,
 	now: number,
 ): void {
-	table.reported[row] = report.load
+	table.reportedLoad[row] = report.load
 	table.serviceMs[row] = report.serviceMs
 	table.stepShare[row] = report.stepShare
-	table.sentSince[row] = 0
+	table.sentSinceReport[row] = 0
 	table.reportedAt[row] = now
 }
 
 /** Notes a request sent (`1`) or ended (`-1`) by this entry. */
-export function noteSent(
+export function recordSent(
 	table: ServerTable,
 	row: number,
 	change: 1 | -1,
 ): void {
-	table.sentSince[row]! += change
+	table.sentSinceReport[row]! += change
 }
 
 /** Notes how a try on a server went. */
-export function noteResult(
+export function recordResult(
 	table: ServerTable,
 	row: number,
 	good: boolean,
@@ -166,7 +166,7 @@
 }
 
 /** Expected time until a request sent now would finish there, ms. */
-export function expectFinish(
+export function estimateFinishMs(
 	table: ServerTable,
 	row: number,
 	credit: number,
@@ -174,7 +174,7 @@
 ): number {
 	const age = now - table.reportedAt[row]!
 	const trust = 0.5 ** (age / REPORT_HALF_LIFE_MS)
-	const load = table.reported[row]! * trust + table.sentSince[row]!
+	const load = table.reportedLoad[row]! * trust + table.sentSinceReport[row]!
 	const service = table.serviceMs[row]! || 1
 	const rounds = Math.max(0, load) / table.slots[row]!
 	const own = service * (1 - CACHE_CREDIT * credit)
@@ -207,15 +207,15 @@
 	const usable = listUsable(table, query, now)
 	if (usable.length === 0) return -1
 	const candidates = [
-		usable[drawIndex(random, usable.length)]!,
-		usable[drawIndex(random, usable.length)]!,
+		usable[randomIndex(random, usable.length)]!,
+		usable[randomIndex(random, usable.length)]!,
 	]
 	if (usable.includes(query.cachedRow)) candidates.push(query.cachedRow)
 	let best = -1
 	let bestCost = Number.POSITIVE_INFINITY
 	for (const row of candidates) {
 		const credit = row === query.cachedRow ? query.credit : 0
-		const cost = expectFinish(table, row, credit, now)
+		const cost = estimateFinishMs(table, row, credit, now)
 		if (cost >= bestCost) continue
 		best = row
 		bestCost = cost
--- a/packages/core/src/core/serverList.ts
+++ b/packages/core/src/core/serverList.ts
@@ -33,32 +33,32 @@
 	/** By name. */
 	readonly records: Map<string, ServerRecord>
 	/** Removals that are not believed yet, and when they will be, ms. */
-	readonly doubted: Map<string, { record: ServerRecord; until: number }>
+	readonly pendingRemovals: Map<string, { record: ServerRecord; until: number }>
 	/** Ids whose address is known to belong to another server now. */
 	readonly displaced: Set<string>
 	/** Ids of lives that are over for good: they said so, or another one followed. */
-	readonly left: Set<string>
+	readonly departed: Set<string>
 	/** Ids whose entry was removed, without a word; the oldest first. */
-	readonly gone: Set<string>
+	readonly removed: Set<string>
 	/** What an older copy lists of those, and when it will be believed, ms. */
-	readonly returning: Map<string, { record: ServerRecord; until: number }>
+	readonly pendingReturns: Map<string, { record: ServerRecord; until: number }>
 	/** The latest revision among the records that came. */
 	revision: TermRevision
 	/** Up to where this process has itself read what is published. */
-	readAt: TermRevision
+	readUpTo: TermRevision
 }
 
 /** Makes an empty list. */
 export function createServerList(): ServerList {
 	return {
 		records: new Map(),
-		doubted: new Map(),
+		pendingRemovals: new Map(),
 		displaced: new Set(),
-		left: new Set(),
-		gone: new Set(),
-		returning: new Map(),
+		departed: new Set(),
+		removed: new Set(),
+		pendingReturns: new Map(),
 		revision: NO_REVISION,
-		readAt: NO_REVISION,
+		readUpTo: NO_REVISION,
 	}
 }
 
@@ -75,25 +75,25 @@
 }
 
 /** Takes a record; true when it is news. */
-export function takeRecord(list: ServerList, record: ServerRecord): boolean {
+export function applyRecord(list: ServerList, record: ServerRecord): boolean {
 	const known = list.records.get(record.name)
 	if (known && !isLater(record.revision, known.revision)) return false
 	// Also for a record that is passed over: else it is asked for for ever.
 	list.revision = laterOf(list.revision, record.revision)
 	const { server } = record
 	// An incarnation that leaves does not come back.
-	if (server && !server.leaving && list.left.has(server.id)) return false
-	if (server?.leaving) list.left.add(server.id)
-	if (known?.server) noteFormer(list, known, record)
-	if (server) list.gone.delete(server.id)
+	if (server && !server.leaving && list.departed.has(server.id)) return false
+	if (server?.leaving) list.departed.add(server.id)
+	if (known?.server) recordFormer(list, known, record)
+	if (server) list.removed.delete(server.id)
 	list.records.set(record.name, record)
-	list.doubted.delete(record.name)
-	list.returning.delete(record.name)
+	list.pendingRemovals.delete(record.name)
+	list.pendingReturns.delete(record.name)
 	return true
 }
 
 /** Remembers the life that a record puts an end to. */
-function noteFormer(
+function recordFormer(
 	list: ServerList,
 	known: ServerRecord,
 	{ server, fault, revision }: ServerRecord,
@@ -102,11 +102,11 @@
 	if (server?.id === former || fault !== undefined) return
 	// An older copy may name a life from before the one that is known.
 	const isCopy = known.revision.term !== revision.term
-	if (server && !isCopy) list.left.add(former)
+	if (server && !isCopy) list.departed.add(former)
 	if (server) return
-	list.gone.add(former)
-	const [oldest] = list.gone
-	if (list.gone.size > MAX_GONE) list.gone.delete(oldest!)
+	list.removed.add(former)
+	const [oldest] = list.removed
+	if (list.removed.size > MAX_GONE) list.removed.delete(oldest!)
 }
 
 /**
@@ -114,17 +114,17 @@
  * life that was gone before may have ended: it is believed only if it is listed for long
  * enough, or written again.
  */
-export function takeCopied(
+export function applyRestoredRecord(
 	list: ServerList,
 	record: ServerRecord,
 	now: number,
 ): boolean {
 	const { name, server, revision } = record
 	const before = list.records.get(name)?.revision.term ?? 0
-	const mayBeOver = server && list.gone.has(server.id)
-	if (!mayBeOver || before >= revision.term) return takeRecord(list, record)
+	const mayBeOver = server && list.removed.has(server.id)
+	if (!mayBeOver || before >= revision.term) return applyRecord(list, record)
 	list.revision = laterOf(list.revision, revision)
-	list.returning.set(name, { record, until: now + RETURN_MS })
+	list.pendingReturns.set(name, { record, until: now + RETURN_MS })
 	return false
 }
 
@@ -132,33 +132,33 @@
  * Takes a record that another process tells; true when it is news. What this one has read
  * past is not: of a server that was removed since it may not know.
  */
-export function takeTold(
+export function applyPeerRecord(
 	list: ServerList,
 	record: ServerRecord,
 	now: number,
 ): boolean {
-	if (!isLater(record.revision, list.readAt)) return false
-	return takeCopied(list, record, now)
+	if (!isLater(record.revision, list.readUpTo)) return false
+	return applyRestoredRecord(list, record, now)
 }
 
 /** Notes up to where this process has itself read what is published. */
-export function noteRead(list: ServerList, revision: TermRevision): void {
-	list.readAt = laterOf(list.readAt, revision)
+export function recordRead(list: ServerList, revision: TermRevision): void {
+	list.readUpTo = laterOf(list.readUpTo, revision)
 }
 
 /** Believes the returns whose time has come; gives the records taken. */
-export function settleReturns(list: ServerList, now: number): ServerRecord[] {
+export function confirmReturns(list: ServerList, now: number): ServerRecord[] {
 	const settled: ServerRecord[] = []
-	for (const [name, { record, until }] of list.returning) {
+	for (const [name, { record, until }] of list.pendingReturns) {
 		if (now < until) continue
-		list.returning.delete(name)
-		if (takeRecord(list, record)) settled.push(record)
+		list.pendingReturns.delete(name)
+		if (applyRecord(list, record)) settled.push(record)
 	}
 	return settled
 }
 
 /** Notes that a server itself has said that it is another one. */
-export function noteDisplaced(list: ServerList, id: string): void {
+export function markDisplaced(list: ServerList, id: string): void {
 	list.displaced.add(id)
 }
 
@@ -166,31 +166,31 @@
  * Takes a removal that may only be an entry that ran out while the store was
  * away: it is believed at `until` unless the entry comes back first.
  */
-export function doubtRemoval(
+export function deferRemoval(
 	list: ServerList,
 	record: ServerRecord,
 	until: number,
 ): void {
 	const known = list.records.get(record.name)
-	if (list.returning.has(record.name)) takeRecord(list, record)
+	if (list.pendingReturns.has(record.name)) applyRecord(list, record)
 	if (!known?.server || !isLater(record.revision, known.revision)) return
 	if (known.server.leaving) {
-		takeRecord(list, record)
+		applyRecord(list, record)
 		return
 	}
-	const doubted = list.doubted.get(record.name)?.record.revision
+	const doubted = list.pendingRemovals.get(record.name)?.record.revision
 	// After another copy the server has its time to be written again anew.
 	if (!doubted || record.revision.term > doubted.term)
-		list.doubted.set(record.name, { record, until })
+		list.pendingRemovals.set(record.name, { record, until })
 }
 
 /** Believes the removals whose time has come; gives them. */
-export function settleRemovals(list: ServerList, now: number): ServerRecord[] {
+export function confirmRemovals(list: ServerList, now: number): ServerRecord[] {
 	const settled: ServerRecord[] = []
-	for (const [name, { record, until }] of list.doubted) {
+	for (const [name, { record, until }] of list.pendingRemovals) {
 		if (now < until) continue
-		list.doubted.delete(name)
-		if (takeRecord(list, record)) settled.push(record)
+		list.pendingRemovals.delete(name)
+		if (applyRecord(list, record)) settled.push(record)
 	}
 	return settled
 }
@@ -214,7 +214,7 @@
 	const there = [...newest.values()].map(({ server }) => server)
 	return there.filter(
 		({ id, leaving }) =>
-			!leaving && !list.displaced.has(id) && !list.left.has(id),
+			!leaving && !list.displaced.has(id) && !list.departed.has(id),
 	)
 }
 
@@ -229,7 +229,7 @@
 ): ServerRecord[] {
 	const missing: ServerRecord[] = []
 	for (const { name, server } of list.records.values())
-		if ((server || list.returning.has(name)) && !present.has(name))
+		if ((server || list.pendingReturns.has(name)) && !present.has(name))
 			missing.push({ name, revision, server: undefined })
 	return missing
 }
--- a/packages/core/src/core/serverNews.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -4,20 +4,20 @@
  * newest holds, a leaving and an end are final, of a rest the longest holds.
  */
 
-import type { Quarantine, RateLimits, ServerEnd } from '../internal.ts'
+import type { Quarantine, RateLimits, ServerCrash } from '../internal.ts'
 import {
+	applyRateNotice,
 	createQuarantine,
 	createRateLimits,
-	listEndNews,
-	takeEndNews,
-	takeRateNotice,
+	listCrashEvidence,
+	mergeCrashEvidence,
 } from '../internal.ts'
 
 /** Rests of entries that are remembered for them, the last ones. */
 const MAX_RESTS = 1_024
 
 /** News of a server, or of a request under which servers ended. */
-export type ServerNews =
+export type ServerUpdate =
 	/** How many requests a second it takes; undefined for as many as come. */
 	| {
 			readonly kind: 'limit'
@@ -28,7 +28,7 @@
 	  }
 	/** Its life is about to end, or over. */
 	| { readonly kind: 'left'; readonly server: string }
-	| ({ readonly kind: 'end' } & ServerEnd)
+	| ({ readonly kind: 'end' } & ServerCrash)
 	/** A request that was answered whole, ms. */
 	| {
 			readonly kind: 'served'
@@ -45,28 +45,28 @@
 	  }
 
 /** One kind of it. */
-export type NewsOf<K extends ServerNews['kind']> = Extract<
-	ServerNews,
+export type UpdateOf<K extends ServerUpdate['kind']> = Extract<
+	ServerUpdate,
 	{ kind: K }
 >
 
 /** What an entry knows. */
-export interface NewsBook {
+export interface SharedState {
 	readonly rateLimits: RateLimits
 	/** Ids of lives that leave or are over. */
-	readonly left: Set<string>
+	readonly departed: Set<string>
 	readonly quarantine: Quarantine
 	/** By entry and server; the oldest first. */
-	readonly rests: Map<string, NewsOf<'rest'>>
+	readonly backoffs: Map<string, UpdateOf<'rest'>>
 }
 
 /** Makes an empty book; `left` may be a part of something larger. */
-export function createNewsBook(left: Set<string> = new Set()): NewsBook {
+export function createSharedState(left: Set<string> = new Set()): SharedState {
 	return {
 		rateLimits: createRateLimits(),
-		left,
+		departed: left,
 		quarantine: createQuarantine(),
-		rests: new Map(),
+		backoffs: new Map(),
 	}
 }
 
@@ -74,8 +74,8 @@
  * Merges news; gives those that change what is known, to be told on. Several entries tell
  * of one end what it ran for each: what is told on has all of it.
  */
-export function takeServerNews<T extends ServerNews>(
-	book: NewsBook,
+export function mergeServerUpdates<T extends ServerUpdate>(
+	book: SharedState,
 	news: readonly T[],
 	now: number,
 ): T[] {
@@ -87,26 +87,29 @@
 
 /** Ends and what was served, together: each batch is weighed once. */
 function takeEvidence(
-	{ quarantine }: NewsBook,
-	news: readonly ServerNews[],
+	{ quarantine }: SharedState,
+	news: readonly ServerUpdate[],
 	now: number,
 ): ReadonlySet<unknown> {
 	const ends = news.filter(one => one.kind === 'end')
 	const served = news.filter(one => one.kind === 'served')
 	if (ends.length + served.length === 0) return new Set()
-	const fresh = takeEndNews(quarantine, { ends, served }, now)
+	const fresh = mergeCrashEvidence(quarantine, { ends, served }, now)
 	return new Set([...fresh.ends, ...fresh.served])
 }
 
-function withAllOf<T extends ServerNews>({ quarantine }: NewsBook, one: T): T {
+function withAllOf<T extends ServerUpdate>(
+	{ quarantine }: SharedState,
+	one: T,
+): T {
 	if (one.kind !== 'end') return one
 	return { ...one, ...quarantine.ends.get(one.server) }
 }
 
-function takeOne(book: NewsBook, news: ServerNews, now: number): boolean {
+function takeOne(book: SharedState, news: ServerUpdate, now: number): boolean {
 	switch (news.kind) {
 		case 'limit':
-			return takeRateNotice(book.rateLimits, news.server, news)
+			return applyRateNotice(book.rateLimits, news.server, news)
 		case 'left':
 			return takeLeft(book, news.server)
 		case 'end':
@@ -120,14 +123,14 @@
 	}
 }
 
-function takeLeft({ left }: NewsBook, server: string): boolean {
+function takeLeft({ departed: left }: SharedState, server: string): boolean {
 	const before = left.size
 	return left.add(server).size > before
 }
 
 function takeRest(
-	{ rests }: NewsBook,
-	news: NewsOf<'rest'>,
+	{ backoffs: rests }: SharedState,
+	news: UpdateOf<'rest'>,
 	now: number,
 ): boolean {
 	const key = `${news.entry} ${news.server}`
@@ -142,26 +145,34 @@
 }
 
 /** Forgets rests that are over. */
-export function forgetNews({ rests }: NewsBook, now: number): void {
+export function pruneExpiredBackoffs(
+	{ backoffs: rests }: SharedState,
+	now: number,
+): void {
 	for (const [key, { endsAt }] of rests) if (endsAt <= now) rests.delete(key)
 }
 
 /** All that is known, for an entry that may know nothing; `left` only the last ones. */
-export function listServerNews(book: NewsBook, maxLeft: number): ServerNews[] {
-	const { ends, served } = listEndNews(book.quarantine)
+export function listServerUpdates(
+	book: SharedState,
+	maxLeft: number,
+): ServerUpdate[] {
+	const { ends, served } = listCrashEvidence(book.quarantine)
 	return [
-		...listLimitNews(book),
-		...[...book.left]
+		...listLimitUpdates(book),
+		...[...book.departed]
 			.slice(-maxLeft)
 			.map(server => ({ kind: 'left', server }) as const),
 		...ends.map(end => ({ kind: 'end', ...end }) as const),
 		...served.map(one => ({ kind: 'served', ...one }) as const),
-		...book.rests.values(),
+		...book.backoffs.values(),
 	]
 }
 
 /** Limits, and that servers have none any more, as far as that is remembered. */
-export function listLimitNews({ rateLimits }: NewsBook): NewsOf<'limit'>[] {
+export function listLimitUpdates({
+	rateLimits,
+}: SharedState): UpdateOf<'limit'>[] {
 	return [...rateLimits].map(([server, { perSecond, at }]) => ({
 		kind: 'limit',
 		server,
@@ -171,7 +182,7 @@
 }
 
 /** What a piece of news is of: a newer one takes its place. */
-export function subjectOf(news: ServerNews): string {
+export function updateKeyOf(news: ServerUpdate): string {
 	switch (news.kind) {
 		case 'limit':
 		case 'left':
--- a/packages/core/src/core/startRules.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -5,31 +5,31 @@
 
 import type { AdmissionState, StartLimit } from '../internal.ts'
 import {
+	BACKOFF_PROBE_MS,
 	createPermitPool,
-	MAX_REST_MS,
-	paceOfHome,
-	REST_TRY_MS,
-	takePermits,
+	grantPermits,
+	MAX_BACKOFF_MS,
+	permitScheduleFor,
 } from '../internal.ts'
 
 /** An agent is the only one that sends: no other is to be heard or known. */
-const ALONE = { heard: 1, known: 1, place: 0 }
+const ALONE = { reachable: 1, known: 1, index: 0 }
 /** One permit, for use at once. */
 const ONE_NOW = { count: 1, withinMs: 0 }
 
 /** Takes it that the server wants nothing for a while; a shorter time ends no longer one. */
-export function noteRestAsked(
+export function applyBackoff(
 	state: AdmissionState,
 	forMs: number,
 	now: number,
 ): void {
-	const until = now + Math.min(forMs, MAX_REST_MS)
-	state.restsUntil = Math.max(state.restsUntil, until)
-	state.nextTryAt = state.restsUntil
+	const until = now + Math.min(forMs, MAX_BACKOFF_MS)
+	state.backoffUntil = Math.max(state.backoffUntil, until)
+	state.nextProbeAt = state.backoffUntil
 }
 
 /** Takes what an answer to a request that was started at `startedAt` says of the limit. */
-export function noteStartLimit(
+export function applyStartLimit(
 	state: AdmissionState,
 	perSecond: number | undefined,
 	startedAt: number,
@@ -47,32 +47,32 @@
 }
 
 /** Uses up the right to start a request now; false if there is none. */
-export function takeStart(state: AdmissionState, now: number): boolean {
-	const { limit, nextTryAt } = state
+export function tryAcquireStart(state: AdmissionState, now: number): boolean {
+	const { limit, nextProbeAt: nextTryAt } = state
 	if (nextTryAt !== undefined && now < nextTryAt) return false
 	if (limit && !takeLimited(limit, now)) return false
-	if (nextTryAt !== undefined) state.nextTryAt = now + REST_TRY_MS
+	if (nextTryAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_MS
 	return true
 }
 
 function takeLimited(limit: StartLimit, now: number): boolean {
-	const pace = paceOfHome(limit.perSecond, ALONE)
-	return takePermits(limit.pool, pace, ONE_NOW, now).dueMs.length > 0
+	const pace = permitScheduleFor(limit.perSecond, ALONE)
+	return grantPermits(limit.pool, pace, ONE_NOW, now).dueMs.length > 0
 }
 
 /** What keeps a request from the backend server, whatever its slots. */
-export interface Hold {
+export interface StartDelay {
 	readonly kind: 'resting' | 'rateLimited'
 	/** For how long, ms; 0 for not at all. */
 	readonly forMs: number
 }
 
 /** What keeps a request that comes after `ahead` others that wait. */
-export function findHold(
+export function findStartDelay(
 	state: AdmissionState,
 	ahead: number,
 	now: number,
-): Hold {
+): StartDelay {
 	const restMs = restWaitMs(state, ahead, now)
 	const limitMs = limitWaitMs(state, ahead, now)
 	return restMs >= limitMs
@@ -81,12 +81,12 @@
 }
 
 function restWaitMs(
-	{ nextTryAt }: AdmissionState,
+	{ nextProbeAt: nextTryAt }: AdmissionState,
 	ahead: number,
 	now: number,
 ): number {
 	if (nextTryAt === undefined) return 0
-	return Math.max(0, nextTryAt + ahead * REST_TRY_MS - now)
+	return Math.max(0, nextTryAt + ahead * BACKOFF_PROBE_MS - now)
 }
 
 function limitWaitMs(
@@ -95,6 +95,6 @@
 	now: number,
 ): number {
 	if (!limit) return 0
-	const { gapMs } = paceOfHome(limit.perSecond, ALONE)
+	const { gapMs } = permitScheduleFor(limit.perSecond, ALONE)
 	return Math.max(0, limit.pool.nextAt + ahead * gapMs - now)
 }
--- a/packages/core/src/core/subset.ts
+++ b/packages/core/src/core/subset.ts
@@ -8,14 +8,14 @@
 import { hashText } from '../internal.ts'
 
 /** Pools up to this size are seen whole by every entry. */
-export const WHOLE_POOL = 16
+export const MAX_FULL_POOL = 16
 /** Entries that see a server, at least. */
-export const MIN_ENTRIES = 4
+export const MIN_ENTRIES_PER_SERVER = 4
 /** Servers of a pool that an entry sees, on average at least. */
-export const MIN_SERVERS = 8
+export const MIN_SERVERS_PER_ENTRY = 8
 
 /** A place in the fleet. */
-export interface Placed {
+export interface LocatedNode {
 	readonly name: string
 	readonly dataCentre: string
 }
@@ -23,14 +23,16 @@
 /** Servers of one pool (a model or a service) that entry `self` is to see. */
 export function pickSubset(
 	self: string,
-	entries: readonly Placed[],
-	pool: readonly Placed[],
+	entries: readonly LocatedNode[],
+	pool: readonly LocatedNode[],
 ): string[] {
 	const known = entries.some(entry => entry.name === self)
-	if (pool.length <= WHOLE_POOL || !known)
+	if (pool.length <= MAX_FULL_POOL || !known)
 		return pool.map(server => server.name)
-	const wanted = Math.ceil((entries.length * MIN_SERVERS) / pool.length)
-	const count = Math.max(MIN_ENTRIES, wanted)
+	const wanted = Math.ceil(
+		(entries.length * MIN_SERVERS_PER_ENTRY) / pool.length,
+	)
+	const count = Math.max(MIN_ENTRIES_PER_SERVER, wanted)
 	const hashed = entries.map(({ name, dataCentre }) => ({
 		name,
 		dataCentre,
@@ -41,13 +43,13 @@
 		.map(server => server.name)
 }
 
-interface Hashed extends Placed {
+interface Hashed extends LocatedNode {
 	readonly hash: number
 }
 
 function isSeenBy(
 	self: string,
-	server: Placed,
+	server: LocatedNode,
 	entries: readonly Hashed[],
 	count: number,
 ): boolean {
--- a/packages/core/src/core/limits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -5,14 +5,14 @@
  * would do neither: rounded up it is too much in all, rounded down some get nothing.
  */
 
-import type { Bucket, ErrorKind, NotRun, TeamConfig } from '../internal.ts'
+import type { ErrorKind, NotRun, TeamConfig, TokenBucket } from '../internal.ts'
 import {
 	BURST_SECONDS,
-	fullBucket,
+	createTokenBucket,
 	notRun,
 	pickByRendezvous,
-	takeFrom,
-	waitFor,
+	refillBucket,
+	takeTokens,
 } from '../internal.ts'
 
 const MS = 1000
@@ -23,36 +23,36 @@
 
 /** What one entry knows of one team's use. */
 export interface TeamRow {
-	readonly requests: Bucket
-	readonly tokens: Bucket
+	readonly requests: TokenBucket
+	readonly tokens: TokenBucket
 	/** Requests under way at this entry. */
 	inFlight: number
 	/** Requests of this entry about which the team's home has been asked. */
-	asking: number
+	pendingAtHome: number
 	/** What the team's home was last told that this entry holds. */
-	told: number
+	reportedToHome: number
 	/** Whether that was told by a question: the home adds what it admits. */
-	isToldByAsk: boolean
+	isReportedByRequest: boolean
 	/** At the team's home: requests under way at the others, by entry. */
-	readonly elsewhere: Map<string, number>
+	readonly inFlightElsewhere: Map<string, number>
 }
 
 /** All teams seen at this entry. */
 export type LimitTable = Map<string, TeamRow>
 
 /** One of the entries that share the limits. */
-export interface EntryPart {
+export interface LimitShare {
 	/** Live entries, this one counted. */
 	readonly count: number
 	/** Its place in their order, which all share, from 0. */
-	readonly place: number
+	readonly index: number
 }
 
 /** The part of an entry that is alone. */
-export const WHOLE_PART: EntryPart = { count: 1, place: 0 }
+export const FULL_SHARE: LimitShare = { count: 1, index: 0 }
 
 /** What an entry asks a team's home. */
-export interface TeamAsk {
+export interface TeamAdmissionRequest {
 	readonly entry: string
 	/** Requests under way there, and asked about before this one. */
 	readonly held: number
@@ -66,7 +66,7 @@
 }
 
 /** Whether a team's home decides for all of `entries` live entries. */
-export function isKeptAtHome(limit: TeamConfig, entries: number): boolean {
+export function isEnforcedAtHome(limit: TeamConfig, entries: number): boolean {
 	if (entries <= 1) return false
 	const { concurrency, ratePerSecond, tokensPerSecond } = limit
 	return (
@@ -88,12 +88,12 @@
  * Admits a request of `tokens` expected tokens within this entry's part of the limit, or
  * refuses it with the time at which the part will allow it.
  */
-export function admitTeam(
+export function admitWithinShare(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
 	tokens: number,
-	part: EntryPart,
+	part: LimitShare,
 	now: number,
 ): NotRun | undefined {
 	const share = 1 / part.count
@@ -110,13 +110,13 @@
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
-	{ entry, held, tokens }: TeamAsk,
+	{ entry, held, tokens }: TeamAdmissionRequest,
 	now: number,
 ): NotRun | undefined {
 	const row = teamRow(table, team, limit, 1, now)
-	row.elsewhere.set(entry, held)
+	row.inFlightElsewhere.set(entry, held)
 	const refusal = admitForAll(row, limit, tokens, now)
-	if (!refusal) row.elsewhere.set(entry, held + 1)
+	if (!refusal) row.inFlightElsewhere.set(entry, held + 1)
 	return refusal
 }
 
@@ -135,39 +135,39 @@
 }
 
 /** Notes that the team's home is about to be asked; gives what to tell it as held. */
-export function beginTeamAsk(
+export function beginHomeAdmission(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
 	now: number,
 ): number {
 	const row = teamRow(table, team, limit, 1, now)
-	row.told = heldByEntry(row)
-	row.isToldByAsk = true
-	row.asking++
-	return row.told
+	row.reportedToHome = heldByEntry(row)
+	row.isReportedByRequest = true
+	row.pendingAtHome++
+	return row.reportedToHome
 }
 
 /**
  * Notes what came of a question to the team's home; answers come in the order of the
  * questions. True when the home believes something else than what is under way.
  */
-export function endTeamAsk(
+export function endHomeAdmission(
 	table: LimitTable,
 	team: string,
 	isAdmitted: boolean,
 ): boolean {
 	const row = table.get(team)
 	if (!row) return false
-	row.asking--
+	row.pendingAtHome--
 	if (isAdmitted) row.inFlight++
-	if (row.asking > 0) return false
-	const added = row.isToldByAsk && isAdmitted ? 1 : 0
-	return row.told + added !== row.inFlight
+	if (row.pendingAtHome > 0) return false
+	const added = row.isReportedByRequest && isAdmitted ? 1 : 0
+	return row.reportedToHome + added !== row.inFlight
 }
 
 /** Notes at the team's home what another entry has under way. */
-export function noteTeamHeld(
+export function recordTeamInFlight(
 	table: LimitTable,
 	team: string,
 	entry: string,
@@ -175,26 +175,26 @@
 ): void {
 	const row = table.get(team)
 	if (!row) return
-	if (held > 0) row.elsewhere.set(entry, held)
-	else row.elsewhere.delete(entry)
+	if (held > 0) row.inFlightElsewhere.set(entry, held)
+	else row.inFlightElsewhere.delete(entry)
 }
 
 /** Notes that the team's home is told what this entry holds; gives that. */
-export function tellTeamHeld(table: LimitTable, team: string): number {
+export function reportTeamInFlight(table: LimitTable, team: string): number {
 	const row = table.get(team)
 	if (!row) return 0
-	row.told = heldByEntry(row)
-	row.isToldByAsk = false
-	return row.told
+	row.reportedToHome = heldByEntry(row)
+	row.isReportedByRequest = false
+	return row.reportedToHome
 }
 
 /** Forgets what entries held that are gone, or all of a team that has another home. */
-export function forgetElsewhere(
+export function pruneInFlightElsewhere(
 	table: LimitTable,
 	entries: ReadonlySet<string>,
 	isHome: (team: string) => boolean,
 ): void {
-	for (const [team, { elsewhere }] of table)
+	for (const [team, { inFlightElsewhere: elsewhere }] of table)
 		for (const entry of elsewhere.keys())
 			if (!entries.has(entry) || !isHome(team)) elsewhere.delete(entry)
 }
@@ -205,16 +205,19 @@
 	if (row) row.inFlight--
 }
 
-function heldByEntry({ inFlight, asking }: TeamRow): number {
+function heldByEntry({ inFlight, pendingAtHome: asking }: TeamRow): number {
 	return inFlight + asking
 }
 
-function countRunning({ inFlight, elsewhere }: TeamRow): number {
+function countRunning({
+	inFlight,
+	inFlightElsewhere: elsewhere,
+}: TeamRow): number {
 	return [...elsewhere.values()].reduce((sum, held) => sum + held, inFlight)
 }
 
 /** An entry's part of a whole number; all parts add up to it. */
-function wholePart(whole: number, { count, place }: EntryPart): number {
+function wholePart(whole: number, { count, index: place }: LimitShare): number {
 	return Math.floor(whole / count) + (place < whole % count ? 1 : 0)
 }
 
@@ -228,13 +231,13 @@
 	const known = table.get(team)
 	if (known) return known
 	const row: TeamRow = {
-		requests: fullBucket(limit.ratePerSecond * share, now),
-		tokens: fullBucket(limit.tokensPerSecond * share, now),
+		requests: createTokenBucket(limit.ratePerSecond * share, now),
+		tokens: createTokenBucket(limit.tokensPerSecond * share, now),
 		inFlight: 0,
-		asking: 0,
-		told: 0,
-		isToldByAsk: false,
-		elsewhere: new Map(),
+		pendingAtHome: 0,
+		reportedToHome: 0,
+		isReportedByRequest: false,
+		inFlightElsewhere: new Map(),
 	}
 	table.set(team, row)
 	return row
@@ -262,13 +265,13 @@
 	now: number,
 ): NotRun | undefined {
 	if (running >= most) return notRun('teamConcurrency', MS)
-	const wait = waitFor(row.requests, limit.ratePerSecond * share, 1, now)
+	const wait = refillBucket(row.requests, limit.ratePerSecond * share, 1, now)
 	if (wait > 0) return refuse('teamRate', wait)
 	const tokenRate = limit.tokensPerSecond * share
-	const tokenWait = waitFor(row.tokens, tokenRate, tokens, now)
+	const tokenWait = refillBucket(row.tokens, tokenRate, tokens, now)
 	if (tokenWait > 0) return refuse('teamTokens', tokenWait)
-	takeFrom(row.requests, 1)
-	takeFrom(row.tokens, tokens)
+	takeTokens(row.requests, 1)
+	takeTokens(row.tokens, tokens)
 	return undefined
 }
 
--- a/packages/core/src/core/bucket.ts
+++ b/packages/core/src/core/tokenBucket.ts
@@ -5,20 +5,20 @@
 const MS = 1000
 
 /** A bucket's state. */
-export interface Bucket {
+export interface TokenBucket {
 	level: number
 	/** When it was last filled up, ms. */
 	filledAt: number
 }
 
 /** Makes a full bucket of a rate a second. */
-export function fullBucket(rate: number, now: number): Bucket {
+export function createTokenBucket(rate: number, now: number): TokenBucket {
 	return { level: capacityOf(rate), filledAt: now }
 }
 
 /** Fills the bucket up to `now`; gives the ms until `amount` may be taken. */
-export function waitFor(
-	bucket: Bucket,
+export function refillBucket(
+	bucket: TokenBucket,
 	rate: number,
 	amount: number,
 	now: number,
@@ -34,7 +34,7 @@
 }
 
 /** Takes an amount, which may leave a debt. */
-export function takeFrom(bucket: Bucket, amount: number): void {
+export function takeTokens(bucket: TokenBucket, amount: number): void {
 	bucket.level -= amount
 }
 
--- a/packages/core/src/types/admission.ts
+++ b/packages/core/src/types/admission.ts
@@ -40,7 +40,7 @@
 }
 
 /** How a running try ended. */
-export type FinishHow =
+export type CompletionKind =
 	/** The whole answer was seen and is kept for later askers of its key. */
 	| 'whole'
 	/** It may have run; its answer is not to be had again. */
@@ -56,7 +56,7 @@
 	| {
 			readonly type: 'finish'
 			readonly name: AttemptName
-			readonly how: FinishHow
+			readonly how: CompletionKind
 	  }
 	| { readonly type: 'leave' }
 	| { readonly type: 'suspect' }
@@ -99,24 +99,29 @@
 export type VoidAnswer = 'void' | 'started'
 
 /** Where a try stands at its agent. */
-export type Phase = 'waiting' | 'running' | 'whole' | 'broken' | 'refused'
+export type AttemptPhase =
+	| 'waiting'
+	| 'running'
+	| 'whole'
+	| 'broken'
+	| 'refused'
 
 /** What an agent remembers of one try. */
-export interface AttemptRow extends Offer {
-	phase: Phase
+export interface AttemptRecord extends Offer {
+	phase: AttemptPhase
 	/** Latest start. */
 	readonly startBy: number
 	startedAt: number
 	/** When the row may go; `Infinity` while it is open. */
-	forgetAt: number
+	evictAt: number
 	virtualStart: number
 	order: number
 }
 
 /** What an agent remembers of one key. */
-export interface KeyRow {
+export interface KeyRecord {
 	readonly first: AttemptName
-	readonly forgetWall: number
+	readonly evictWall: number
 }
 
 /** A limit that a backend server has named. */
@@ -131,20 +136,20 @@
 /** All that an agent decides from. */
 export interface AdmissionState {
 	/** When this process began, Unix ms; part of its incarnation. */
-	readonly bornWall: number
+	readonly startedWall: number
 	/** Requests that the backend server runs at once. */
 	slots: number
 	/** `suspect`: its group broke the promise of one map. */
 	mode: 'serving' | 'leaving' | 'suspect'
 	lastSeen: Moment
-	wokeAt: number
+	pauseEndedAt: number
 	/** Nothing is handed to the backend server before. */
-	restsUntil: number
+	backoffUntil: number
 	/**
 	 * From a rest until something is taken after it: when the next request may be tried,
 	 * one after the other.
 	 */
-	nextTryAt: number | undefined
+	nextProbeAt: number | undefined
 	/** How many requests a second it takes; undefined for as many as come. */
 	limit: StartLimit | undefined
 	/** Whether the backend server's life is about to end, by its own word. */
@@ -152,11 +157,11 @@
 	running: number
 	/** Smoothed time that a request holds its slot, in ms. */
 	serviceMs: number
-	readonly attempts: Map<string, AttemptRow>
+	readonly attempts: Map<string, AttemptRecord>
 	/** Tries that were voided, and until when that is remembered. */
 	readonly voided: Map<string, number>
-	readonly keys: Map<string, KeyRow>
-	readonly queue: FairQueue<AttemptRow>
+	readonly keys: Map<string, KeyRecord>
+	readonly queue: FairQueue<AttemptRecord>
 }
 
 /** The moment of an event, on both clocks. */
--- a/packages/core/src/types/spread.ts
+++ b/packages/core/src/types/gossip.ts
@@ -18,7 +18,7 @@
 }
 
 /** A value as held. */
-export interface Held {
+export interface TopicState {
 	revision: number
 	text: string
 	/** Patches between successive held revisions, oldest first. */
@@ -26,19 +26,19 @@
 	/** A fetch under way. */
 	fetching: Fetch | undefined
 	/** Highest revision that anybody has spoken of. */
-	heard: number
+	highestSeen: number
 	/** The newest right value, when the one held was judged invalid. */
-	good: GoodValue | undefined
+	lastValid: ValidValue | undefined
 }
 
 /** A value that was judged right. */
-export interface GoodValue {
+export interface ValidValue {
 	readonly revision: number
 	readonly text: string
 }
 
 /** Between two processes. */
-export type SpreadMessage =
+export type GossipMessage =
 	| {
 			readonly type: 'notice'
 			readonly topic: Topic
@@ -59,7 +59,7 @@
 			readonly revision: number
 			readonly text: string
 			/** What is in force where the value itself is invalid. */
-			readonly good?: GoodValue
+			readonly good?: ValidValue
 	  }
 	/** Revisions held, in the order of {@link TOPICS}; asks for the other's. */
 	| {
@@ -72,11 +72,11 @@
 	| { readonly type: 'contact'; readonly ageMs: number }
 
 /** What a process is to do. */
-export type SpreadEffect =
+export type GossipEffect =
 	| {
 			readonly do: 'send'
 			readonly to: string
-			readonly message: SpreadMessage
+			readonly message: GossipMessage
 	  }
 	/** A newer value is held; judge it and put it in force. */
 	| {
@@ -87,10 +87,10 @@
 	  }
 
 /** One process's part in the spreading. */
-export interface SpreadNode {
+export interface GossipNode {
 	readonly self: string
 	region: string
-	readonly held: Record<Topic, Held>
+	readonly topics: Record<Topic, TopicState>
 	members: readonly Member[]
 	/** Whom it notifies. */
 	neighbours: string[]
@@ -99,7 +99,7 @@
 	/** When the platform last answered it, ms. */
 	contactAt: number
 	/** When each reader was last known to be in contact, ms. */
-	readonly readerSeen: Map<string, number>
-	nextExchange: number
-	nextLook: number
+	readonly readerContactAt: Map<string, number>
+	nextAntiEntropy: number
+	nextReaderCheck: number
 }
--- a/packages/core/src/utils/random.ts
+++ b/packages/core/src/utils/random.ts
@@ -13,6 +13,6 @@
 }
 
 /** A whole number in [0, `limit`). */
-export function drawIndex(random: Random, limit: number): number {
+export function randomIndex(random: Random, limit: number): number {
 	return Math.floor(random() * limit)
 }
--- a/packages/core/test/decisions.test.ts
+++ b/packages/core/test/decisions.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert'
 import type { TeamConfig } from '../src/index.ts'
 import {
-	admitTeam,
+	admitWithinShare,
 	applyReport,
 	chooseServer,
 	createAffinity,
@@ -15,19 +15,19 @@
 	createServerTable,
 	dequeue,
 	enqueue,
-	findHomeSince,
+	FULL_SHARE,
+	findKeyHomeSince,
 	findPrefix,
 	makeKey,
 	mayRetry,
-	noteFirstTry,
-	notePrefix,
-	noteResult,
-	noteSent,
-	noteServerSet,
 	readKeyTime,
+	recordFirstAttempt,
+	recordPrefix,
+	recordResult,
+	recordSent,
+	recordServerSet,
 	releaseTeam,
 	spendRetry,
-	WHOLE_PART,
 } from '../src/index.ts'
 
 function tableOf(loads: readonly number[]) {
@@ -70,7 +70,7 @@
 		name: 'own sends since the report count',
 		prepare() {
 			const table = tableOf([0, 0])
-			for (let n = 0; n < 40; n++) noteSent(table, 0, 1)
+			for (let n = 0; n < 40; n++) recordSent(table, 0, 1)
 			return countChoices(table)
 		},
 		expect: ([a, b]) => a! < b! / 2,
@@ -96,7 +96,7 @@
 		name: 'an ejected server gets nothing',
 		prepare() {
 			const table = tableOf([0, 0, 0])
-			for (let n = 0; n < 3; n++) noteResult(table, 0, false, 0)
+			for (let n = 0; n < 3; n++) recordResult(table, 0, false, 0)
 			return countChoices(table)
 		},
 		expect: ([a]) => a === 0,
@@ -106,7 +106,7 @@
 		prepare() {
 			const table = tableOf([0, 0, 0])
 			for (const row of [0, 1])
-				for (let n = 0; n < 3; n++) noteResult(table, row, false, 0)
+				for (let n = 0; n < 3; n++) recordResult(table, row, false, 0)
 			return countChoices(table)
 		},
 		expect: counts => counts.every(count => count > 300),
@@ -150,7 +150,7 @@
 test('limit: concurrency is an entry’s share, and comes back', () => {
 	const limits = createLimits()
 	const admit = () =>
-		admitTeam(limits, 't', LIMIT, 0, { count: 2, place: 0 }, 0)
+		admitWithinShare(limits, 't', LIMIT, 0, { count: 2, index: 0 }, 0)
 	assert.is(admit(), undefined)
 	assert.is(admit(), undefined)
 	assert.is(admit()?.kind, 'teamConcurrency')
@@ -169,12 +169,12 @@
 		const limits = createLimits()
 		let count = 0
 		for (let now = 0; now < 10_000; now += 5) {
-			const refused = admitTeam(
+			const refused = admitWithinShare(
 				limits,
 				't',
 				LIMIT,
 				0,
-				{ count: entries, place: 0 },
+				{ count: entries, index: 0 },
 				now,
 			)
 			if (refused) {
@@ -189,8 +189,11 @@
 
 test('limit: a request larger than the bucket goes when it is full', () => {
 	const limits = createLimits()
-	assert.is(admitTeam(limits, 't', LIMIT, 50_000, WHOLE_PART, 0), undefined)
-	const next = admitTeam(limits, 't', LIMIT, 10, WHOLE_PART, 100)
+	assert.is(
+		admitWithinShare(limits, 't', LIMIT, 50_000, FULL_SHARE, 0),
+		undefined,
+	)
+	const next = admitWithinShare(limits, 't', LIMIT, 10, FULL_SHARE, 100)
 	assert.is(next?.kind, 'teamTokens')
 	assert.ok((next?.retryAfterMs ?? 0) > 40_000)
 })
@@ -239,7 +242,7 @@
 	const budget = createRetryBudget()
 	let retries = 0
 	for (let n = 0; n < 1_000; n++) {
-		noteFirstTry(budget)
+		recordFirstAttempt(budget)
 		while (mayRetry(budget)) {
 			spendRetry(budget)
 			retries++
@@ -250,21 +253,21 @@
 
 test('affinity: a mark fades, and the newest wins', () => {
 	const table = createAffinity()
-	notePrefix(table, 1, 'a', 0)
-	notePrefix(table, 1, 'b', 1_000)
+	recordPrefix(table, 1, 'a', 0)
+	recordPrefix(table, 1, 'b', 1_000)
 	const mark = findPrefix(table, 1, 61_000)
 	assert.is(mark?.server, 'b')
 	assert.ok(Math.abs((mark?.credit ?? 0) - 0.5) < 0.01)
 })
 
 test('home: a key that moved is home only since then', () => {
-	const history: Parameters<typeof noteServerSet>[0] = []
-	noteServerSet(history, ['a', 'b'], 1_000)
-	noteServerSet(history, ['b', 'a'], 2_000)
-	noteServerSet(history, ['a', 'b', 'c'], 3_000)
+	const history: Parameters<typeof recordServerSet>[0] = []
+	recordServerSet(history, ['a', 'b'], 1_000)
+	recordServerSet(history, ['b', 'a'], 2_000)
+	recordServerSet(history, ['a', 'b', 'c'], 3_000)
 	const homes = Array.from({ length: 200 }, (_, n) => ({
-		a: findHomeSince(history, `k${n}`, 'a'),
-		c: findHomeSince(history, `k${n}`, 'c'),
+		a: findKeyHomeSince(history, `k${n}`, 'a'),
+		c: findKeyHomeSince(history, `k${n}`, 'c'),
 	}))
 	assert.ok(homes.some(home => home.c === 3_000))
 	assert.ok(homes.every(home => home.c === undefined || home.c === 3_000))
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -2,22 +2,22 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { TryResult } from '../src/index.ts'
+import type { AttemptOutcome } from '../src/index.ts'
 import {
 	chooseRow,
+	clearGroupClosure,
 	createRandom,
 	createServerTable,
+	GROUP_RETRY_MS,
 	listFullGroups,
-	mayEnter,
-	noteClosed,
-	noteOpen,
-	noteTry,
-	TRY_AGAIN_MS,
+	recordAttempt,
+	recordGroupRefused,
+	tryEnterGroup,
 } from '../src/index.ts'
 
 const RESULTS: {
 	name: string
-	results: readonly (readonly [number, TryResult])[]
+	results: readonly (readonly [number, AttemptOutcome])[]
 	/** Row that is not chosen any more. */
 	avoided: number
 }[] = [
@@ -63,7 +63,8 @@
 		const table = createServerTable(['a', 'b', 'c'])
 		table.open.fill(1)
 		table.slots.fill(4)
-		for (const [row, result] of results) noteTry(table, row, result, 1_000)
+		for (const [row, result] of results)
+			recordAttempt(table, row, result, 1_000)
 		const random = createRandom(1)
 		for (let draw = 0; draw < 30; draw++) {
 			const choice = chooseRow(table, QUERY, 1_100, random)
@@ -76,13 +77,13 @@
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
-	table.pace[1] = 4
+	table.slowdown[1] = 4
 	const random = createRandom(1)
 	const sent = [0, 0, 0]
 	for (let count = 0; count < 16; count++) {
 		const choice = chooseRow(table, QUERY, 0, random)
 		if (choice.kind !== 'row') break
-		table.sentSince[choice.row]!++
+		table.sentSinceReport[choice.row]!++
 		sent[choice.row]!++
 	}
 	assert.equal(sent, [8, 0, 8])
@@ -94,12 +95,12 @@
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'none')
 	table.open.fill(1)
 	table.slots.fill(1)
-	table.sentSince.fill(1)
+	table.sentSinceReport.fill(1)
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'full')
-	table.sentSince.fill(0)
+	table.sentSinceReport.fill(0)
 	for (const row of QUERY.rows)
 		for (let count = 0; count < 9; count++)
-			noteTry(table, row, { kind: 'failed' }, 0)
+			recordAttempt(table, row, { kind: 'failed' }, 0)
 	assert.is(chooseRow(table, QUERY, 1, random).kind, 'row')
 })
 
@@ -113,8 +114,8 @@
 	test(`a group ${name} is ${full ? 'full' : 'not full'}`, () => {
 		const table = createServerTable(['a', 'b', 'c', 'd'])
 		table.group.fill(0)
-		table.most.fill(most)
-		table.sentSince.set([3, 2, 2, 2])
+		table.maxInFlight.fill(most)
+		table.sentSinceReport.set([3, 2, 2, 2])
 		assert.is(listFullGroups(table).has(0), full)
 	})
 
@@ -122,11 +123,11 @@
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(8)
-	table.sentSince.fill(5)
+	table.sentSinceReport.fill(5)
 	const random = createRandom(1)
-	table.most.fill(5)
+	table.maxInFlight.fill(5)
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'full')
-	table.most.fill(6)
+	table.maxInFlight.fill(6)
 	assert.is(chooseRow(table, QUERY, 0, random).kind, 'row')
 })
 
@@ -135,8 +136,8 @@
 	const table = createServerTable(['a', 'b', 'c'])
 	table.open.fill(1)
 	table.slots.fill(4)
-	table.dealtElsewhere[1] = 1
-	table.dealtElsewhere[2] = 1
+	table.assignedElsewhere[1] = 1
+	table.assignedElsewhere[2] = 1
 	const query = { ...QUERY, withheld: new Set([0]), untold: 20 }
 	const choice = chooseRow(table, query, 0, createRandom(1))
 	assert.is(choice.kind, 'row')
@@ -147,7 +148,7 @@
 	table.open.fill(1)
 	table.slots.fill(8)
 	table.group.set([0, 0, 1])
-	table.sentSince[2] = 7
+	table.sentSinceReport[2] = 7
 	const random = createRandom(1)
 	const shut = (...groups: number[]) => ({
 		...QUERY,
@@ -200,7 +201,7 @@
 		table.slots.fill(4)
 		for (const row of rows) {
 			table.group[row] = row < 4 ? 0 : 1
-			table.groupPace[row] = paces[table.group[row]!]!
+			table.groupSlowdown[row] = paces[table.group[row]!]!
 		}
 		const query = { ...QUERY, rows, near: new Set(rows) }
 		const random = createRandom(1)
@@ -209,7 +210,7 @@
 			const choice = chooseRow(table, query, 0, random)
 			assert.is(choice.kind, 'row')
 			if (choice.kind !== 'row') return
-			table.sentSince[choice.row]!++
+			table.sentSinceReport[choice.row]!++
 			if (choice.row < 4) atFirst++
 		}
 		const [least, most] = first
@@ -218,12 +219,12 @@
 
 test('a closed group takes one try at a time', () => {
 	const closures = new Map()
-	noteClosed(closures, 's', 0)
-	assert.not(mayEnter(closures, 's', TRY_AGAIN_MS - 1))
-	assert.ok(mayEnter(closures, 's', TRY_AGAIN_MS))
-	assert.not(mayEnter(closures, 's', TRY_AGAIN_MS + 1))
-	assert.ok(noteOpen(closures, 's'))
-	assert.ok(mayEnter(closures, 's', TRY_AGAIN_MS + 1))
+	recordGroupRefused(closures, 's', 0)
+	assert.not(tryEnterGroup(closures, 's', GROUP_RETRY_MS - 1))
+	assert.ok(tryEnterGroup(closures, 's', GROUP_RETRY_MS))
+	assert.not(tryEnterGroup(closures, 's', GROUP_RETRY_MS + 1))
+	assert.ok(clearGroupClosure(closures, 's'))
+	assert.ok(tryEnterGroup(closures, 's', GROUP_RETRY_MS + 1))
 })
 
 test.run()
--- a/packages/core/test/elapsedClock.test.ts
+++ b/packages/core/test/elapsedClock.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createElapsedClock, tellElapsed } from '../src/index.ts'
+import { createElapsedClock, updateElapsedClock } from '../src/index.ts'
 
 const CASES: {
 	name: string
@@ -73,11 +73,11 @@
 	test(name, () => {
 		let at = { now: 1_000, wall: 1_700_000_000_000 }
 		const clock = createElapsedClock(at)
-		const first = tellElapsed(clock, at)
+		const first = updateElapsedClock(clock, at)
 		let last = first
 		for (const { now, wall } of steps) {
 			at = { now: at.now + now, wall: at.wall + wall }
-			const told = tellElapsed(clock, at)
+			const told = updateElapsedClock(clock, at)
 			assert.ok(told >= last)
 			last = told
 		}
--- a/packages/core/test/entryShare.test.ts
+++ b/packages/core/test/entryShare.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EntryDemand } from '../src/index.ts'
-import { createRandom, dealServers, partTaken } from '../src/index.ts'
+import { admittedFraction, assignServers, createRandom } from '../src/index.ts'
 
 const LIMIT = 432
 const STREAM_MS = 1_400
@@ -64,7 +64,7 @@
 			})
 			const times = isShared ? (entries - 1) / hears : 1
 			const room = LIMIT - times * sumOf(known) - told[entry]! - own
-			const part = isShared ? partTaken(room, intake) : room >= 1 ? 1 : 0
+			const part = isShared ? admittedFraction(room, intake) : room >= 1 ? 1 : 0
 			const isTaken = random() < part
 			if (now >= FILLED_MS) asked[entry]!++
 			if (isTaken) ends[entry]!.push(now - Math.log(1 - random()) * STREAM_MS)
@@ -161,7 +161,7 @@
 	test(`servers dealt to ${size} entries: each to one of them`, () => {
 		const entries = Array.from({ length: size }, (_, at) => entryOf(at, at % 7))
 		const dealt = entries.flatMap(own =>
-			dealServers(
+			assignServers(
 				own,
 				entries.filter(one => one !== own),
 				SERVERS,
@@ -176,7 +176,7 @@
 test('servers dealt to entries: as many as their part, mostly near', () => {
 	const entries = Array.from({ length: 36 }, (_, at) => entryOf(at))
 	const [own, ...others] = entries
-	const dealt = dealServers(own!, others, SERVERS)
+	const dealt = assignServers(own!, others, SERVERS)
 	assert.ok(dealt.length >= 5 && dealt.length <= 6, `${dealt.length}`)
 	const near = dealt.filter(
 		place => SERVERS[place]!.dataCentre === own!.dataCentre,
--- a/packages/core/test/spread.test.ts
+++ b/packages/core/test/gossip.test.ts
@@ -4,15 +4,15 @@
 import * as assert from 'uvu/assert'
 import {
 	applyPatch,
+	createGossipNode,
 	createRandom,
-	createSpreadNode,
-	drawIndex,
+	handleGossipMessage,
 	makePatch,
+	randomIndex,
 	setMembers,
-	takeSpreadMessage,
-	tickSpread,
+	tickGossip,
 } from '../src/index.ts'
-import type { SpreadNet } from './models/spreadNet.ts'
+import type { GossipNet } from './models/gossipNet.ts'
 import {
 	createNet,
 	killNode,
@@ -21,7 +21,7 @@
 	publishChange,
 	restartNode,
 	runNet,
-} from './models/spreadNet.ts'
+} from './models/gossipNet.ts'
 
 const DOCUMENT = 'line = 1\n'.repeat(200)
 const TICK_MS = 100
@@ -29,7 +29,7 @@
 const TRANSFER_MS = 30_000
 
 test('spread: a document that takes long is not asked for every second', () => {
-	const node = createSpreadNode('self', 'north', 0)
+	const node = createGossipNode('self', 'north', 0)
 	const members = ['a', 'b', 'c', 'self'].map(name => ({
 		name,
 		region: 'north',
@@ -40,8 +40,8 @@
 	for (let now = 0; now < TRANSFER_MS; now += TICK_MS) {
 		const notice = { type: 'notice', topic: 'config', revision: 2 } as const
 		const effects = [
-			...takeSpreadMessage(node, 'b', notice, now),
-			...tickSpread(node, now, random),
+			...handleGossipMessage(node, 'b', notice, now),
+			...tickGossip(node, now, random),
 		]
 		for (const effect of effects)
 			if (effect.do === 'send' && effect.message.type === 'fetch') fetches++
@@ -49,9 +49,9 @@
 	assert.ok(fetches <= 6, `${fetches} fetches`)
 	const text = DOCUMENT
 	const value = { type: 'value', topic: 'config', revision: 2, text } as const
-	const effects = takeSpreadMessage(node, 'b', value, TRANSFER_MS)
+	const effects = handleGossipMessage(node, 'b', value, TRANSFER_MS)
 	assert.ok(effects.some(effect => effect.do === 'adopt'))
-	assert.is(node.held.config.fetching, undefined)
+	assert.is(node.topics.config.fetching, undefined)
 })
 
 const BASE = { size: 60, regions: 3, seed: 7, loss: 0, document: DOCUMENT }
@@ -60,7 +60,7 @@
 const CASES: {
 	name: string
 	loss: number
-	fail(net: SpreadNet): void
+	fail(net: GossipNet): void
 	/** Time within which all live nodes must have the revision, ms. */
 	withinMs: number
 }[] = [
@@ -168,7 +168,7 @@
 		const net = createNet({ ...BASE, seed, loss: 0.05 })
 		let revision = 1
 		for (let round = 0; round < 20; round++) {
-			const what = drawIndex(net.random, 5)
+			const what = randomIndex(net.random, 5)
 			if (what === 0) publishChange(net, ++revision)
 			if (what === 1) restartNode(net, pickLive(net))
 			if (what === 2) for (const at of net.part.keys()) net.part[at] = at % 2
--- a/packages/core/test/groupPlan.test.ts
+++ b/packages/core/test/groupPlan.test.ts
@@ -4,12 +4,12 @@
 import * as assert from 'uvu/assert'
 import type { SetPlacement } from '../src/index.ts'
 import {
+	computeSetSkew,
 	createRandom,
-	dealExperts,
-	isWorthwhile,
+	distributeRoundRobin,
+	isMapChangeWorthwhile,
 	planMap,
 	planSet,
-	skewOfSet,
 } from '../src/index.ts'
 
 const SIZES = [
@@ -74,13 +74,13 @@
 for (const size of SIZES)
 	test(`plan: ${size.name} is lawful and lowers the most loaded rank`, () => {
 		const layout = layoutOf(size)
-		let placement: SetPlacement = dealExperts(size.ranks, layout)
+		let placement: SetPlacement = distributeRoundRobin(size.ranks, layout)
 		for (let seed = 1; seed <= 6; seed++) {
 			const share = skewedShare(size.experts, seed)
 			const plan = planSet(placement, share, layout)
 			checkPlacement(plan.placement, placement, size)
 			assert.ok(plan.after <= plan.before + 1e-9)
-			const told = skewOfSet(plan.placement, share, layout)
+			const told = computeSetSkew(plan.placement, share, layout)
 			assert.ok(Math.abs(told - plan.after) < 1e-6)
 			placement = plan.placement
 		}
@@ -90,7 +90,7 @@
 	const size = SIZES[0]!
 	const layout = layoutOf(size)
 	const share = skewedShare(size.experts, 4)
-	const dealt = dealExperts(size.ranks, layout)
+	const dealt = distributeRoundRobin(size.ranks, layout)
 	const copies = [2, 1.5, 1.2].map(
 		target => planSet(dealt, share, layout, [], target).copies,
 	)
@@ -105,7 +105,7 @@
 	const paces = Array.from({ length: size.ranks }, (_, rank) =>
 		rank === 3 ? 12 : 1,
 	)
-	const dealt = dealExperts(size.ranks, layout)
+	const dealt = distributeRoundRobin(size.ranks, layout)
 	const plan = planSet(dealt, share, layout, paces)
 	assert.ok(plan.before > 6, `before ${plan.before}`)
 	assert.ok(plan.after < plan.before / 2, `after ${plan.after}`)
@@ -115,7 +115,7 @@
 	const size = SIZES[0]!
 	const layout = layoutOf(size)
 	const share = new Float64Array(size.experts).fill(1 / size.experts)
-	const dealt = dealExperts(size.ranks, layout)
+	const dealt = distributeRoundRobin(size.ranks, layout)
 	assert.is(planSet(dealt, share, layout).copies, 0)
 })
 
@@ -130,7 +130,7 @@
 function planFor(copyMs: number, steadyMs: number) {
 	const size = { ranks: 12, experts: 96, places: 11, maxNew: 4 }
 	const layout = { ...layoutOf({ name: '', ...size }), sets: 3 }
-	const dealt = dealExperts(size.ranks, layout)
+	const dealt = distributeRoundRobin(size.ranks, layout)
 	const map = [dealt, dealt, dealt]
 	const shares = map.map((_, set) => skewedShare(size.experts, set + 1))
 	const paces = new Array<number>(size.ranks).fill(1)
@@ -180,7 +180,7 @@
 for (const { name, before, after, steadyMs, worth } of GAINS)
 	test(`gain of a map, ${name}: ${worth ? 'worth' : 'not worth'} its copies`, () => {
 		const cost = { copyMs: 400, overheadMs: 300, steadyMs }
-		assert.is(isWorthwhile(before, after, 1, cost), worth)
+		assert.is(isMapChangeWorthwhile(before, after, 1, cost), worth)
 	})
 
 test.run()
--- a/packages/core/test/mapNeed.test.ts
+++ b/packages/core/test/groupPolicy.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { allowedHeld, isBeyondLimits } from '../src/index.ts'
+import { isRankTooSlow, maxInFlightPerRank } from '../src/index.ts'
 
 const HELDS: {
 	name: string
@@ -62,7 +62,7 @@
 		const limits = { maxPauseMs: 120, slots: 8 }
 		const cost = { stepMs: 4.55, perRequestMs: 1.3575, stepsPerPass: 4 }
 		const fit = { base: 1, stepSkew: 0.3 }
-		const held = allowedHeld({ ...state, copiesLong, fit }, limits, cost)
+		const held = maxInFlightPerRank({ ...state, copiesLong, fit }, limits, cost)
 		assert.is(held && Number(held.toFixed(2)), allowed)
 	})
 
@@ -76,7 +76,7 @@
 for (const { pace, maxPauseMs, beyond } of PACES)
 	test(`pace ${pace}, pauses up to ${maxPauseMs} ms: a limit ${beyond ? 'cannot help' : 'may help'}`, () => {
 		const cost = { stepMs: 5.85, perRequestMs: 0.53, stepsPerPass: 5 }
-		assert.is(isBeyondLimits({ maxPauseMs, slots: 8 }, cost, pace), beyond)
+		assert.is(isRankTooSlow({ maxPauseMs, slots: 8 }, cost, pace), beyond)
 	})
 
 test.run()
--- a/packages/core/test/openingRush.test.ts
+++ b/packages/core/test/groupReopening.test.ts
@@ -12,10 +12,10 @@
 import * as assert from 'uvu/assert'
 import type { EntryDemand } from '../src/index.ts'
 import {
+	assignServers,
 	chooseRow,
 	createRandom,
 	createServerTable,
-	dealServers,
 } from '../src/index.ts'
 
 const RANKS = 64
@@ -89,14 +89,14 @@
 	let kept = 0
 	for (const [at, own] of demand.entries()) {
 		const others = demand.filter(one => one !== own)
-		const dealt = new Set(dealServers(own, others, servers))
+		const dealt = new Set(assignServers(own, others, servers))
 		const table = createServerTable(servers.map(server => server.id))
 		const rows = [...servers.keys()]
 		for (const row of rows) {
 			table.slots[row] = SLOTS
 			table.open[row] = 1
 			table.group[row] = row % GROUPS
-			table.dealtElsewhere[row] = dealt.has(row) ? 0 : 1
+			table.assignedElsewhere[row] = dealt.has(row) ? 0 : 1
 		}
 		const isNear = (row: number) => servers[row]!.dataCentre === own.dataCentre
 		const query = {
@@ -110,12 +110,17 @@
 		}
 		for (let sent = 0; sent < waiting(at); sent++) {
 			const untold = isAware ? sent : 0
-			const choice = chooseRow(table, { ...query, untold }, 0, random)
+			const choice = chooseRow(
+				table,
+				{ ...query, unreportedSends: untold },
+				0,
+				random,
+			)
 			if (choice.kind !== 'row') {
 				kept += waiting(at) - sent
 				break
 			}
-			table.sentSince[choice.row]!++
+			table.sentSinceReport[choice.row]!++
 			given[choice.row]!++
 		}
 	}
--- a/packages/core/test/groupRound.test.ts
+++ b/packages/core/test/groupRound.test.ts
@@ -6,7 +6,11 @@
 import fc from 'fast-check'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createRound, listWanted, takeAnchorReport } from '../src/index.ts'
+import {
+	applyAnchorReport,
+	createRound,
+	listPendingOrders,
+} from '../src/index.ts'
 import { explore } from './models/explore.ts'
 import { createRoundModel } from './models/groupRoundModel.ts'
 import type { RoundBounds, RoundMutant } from './models/groupRoundModelState.ts'
@@ -18,7 +22,7 @@
 	rounds: 2,
 	steps: 2,
 	late: 1,
-	deaths: 1,
+	crashes: 1,
 	reforms: 0,
 }
 
@@ -26,7 +30,7 @@
 	{ name: 'two coordinators, an order late, a death', bounds: SMALL },
 	{
 		name: 'one coordinator, three rounds, two orders late',
-		bounds: { ...SMALL, coordinators: 1, rounds: 3, late: 2, deaths: 0 },
+		bounds: { ...SMALL, coordinators: 1, rounds: 3, late: 2, crashes: 0 },
 	},
 	{
 		name: 'one coordinator, a new forming, an order late',
@@ -70,7 +74,7 @@
 		rounds: 12,
 		steps: 12,
 		late: 8,
-		deaths: 5,
+		crashes: 5,
 		reforms: 2,
 	})
 	fc.assert(
@@ -162,9 +166,9 @@
 	test(`group round, inspection: ${name}`, () => {
 		const round = createRound(8, 1, 2, [], undo)
 		round.phase = 'inspecting'
-		takeAnchorReport(round, { ...REPORT, ...report }, 1)
+		applyAnchorReport(round, { ...REPORT, ...report }, 1)
 		assert.is(round.phase, phase)
-		assert.is(listWanted(round)[0]?.order.type, first)
+		assert.is(listPendingOrders(round)[0]?.order.type, first)
 	})
 
 /** A round of version 16 for pass 9 that has let the group go. */
@@ -188,7 +192,7 @@
 		const round = createRound(8, 1, 2, [])
 		round.phase = 'settling'
 		round.step = 9
-		takeAnchorReport(round, { ...REPORT, ...report }, 1)
+		applyAnchorReport(round, { ...REPORT, ...report }, 1)
 		assert.is(round.phase, phase)
 	})
 
--- a/packages/core/test/mapProtocol.test.ts
+++ b/packages/core/test/mapProtocol.test.ts
@@ -17,7 +17,7 @@
 	steps: 2,
 	restarts: 0,
 	timeouts: 0,
-	doubles: 0,
+	duplicates: 0,
 	losses: 0,
 	late: 0,
 }
@@ -31,7 +31,7 @@
 			...SMALL,
 			coordinators: 1,
 			timeouts: 1,
-			doubles: 1,
+			duplicates: 1,
 			late: 1,
 		},
 	},
@@ -68,7 +68,7 @@
 	steps: 12,
 	restarts: 2,
 	timeouts: 6,
-	doubles: 6,
+	duplicates: 6,
 	losses: 6,
 	late: 6,
 }
