--- a/packages/core/test/models/spreadNet.ts
+++ b/packages/core/test/models/gossipNet.ts
@@ -4,23 +4,23 @@
  */
 
 import type {
+	GossipEffect,
+	GossipMessage,
+	GossipNode,
 	Member,
 	Random,
-	SpreadEffect,
-	SpreadMessage,
-	SpreadNode,
 	Topic,
 } from '../../src/index.ts'
 import {
-	askMembers,
+	applyPublished,
+	compareWithRandomMembers,
+	createGossipNode,
 	createRandom,
-	createSpreadNode,
-	drawIndex,
+	handleGossipMessage,
 	isReader,
+	randomIndex,
 	setMembers,
-	takePublished,
-	takeSpreadMessage,
-	tickSpread,
+	tickGossip,
 } from '../../src/index.ts'
 
 /** Resolution of time, ms. */
@@ -42,18 +42,18 @@
 interface Envelope {
 	readonly from: number
 	readonly to: number
-	readonly message: SpreadMessage
+	readonly message: GossipMessage
 	/** Life of the receiver for which it was sent. */
 	readonly life: number
 }
 
 /** A fleet in memory. */
-export interface SpreadNet {
+export interface GossipNet {
 	readonly options: NetOptions
 	readonly random: Random
 	readonly members: Member[]
 	readonly indexOf: Map<string, number>
-	readonly nodes: SpreadNode[]
+	readonly nodes: GossipNode[]
 	/** Restarts of each node so far. */
 	readonly lives: number[]
 	readonly up: boolean[]
@@ -81,14 +81,14 @@
 	options: NetOptions,
 	unguarded = false,
 	/** A net of the same size, whose graph is taken over. */
-	like?: SpreadNet,
-): SpreadNet {
+	like?: GossipNet,
+): GossipNet {
 	const random = createRandom(options.seed)
 	const members = Array.from({ length: options.size }, (_, n) => ({
 		name: `vm-${String(n).padStart(5, '0')}`,
 		region: `region-${n % options.regions}`,
 	}))
-	const net: SpreadNet = {
+	const net: GossipNet = {
 		options,
 		random,
 		members,
@@ -109,7 +109,7 @@
 		unguarded,
 	}
 	for (const { name, region } of members) {
-		const node = createSpreadNode(name, region, 0)
+		const node = createGossipNode(name, region, 0)
 		const twin = like?.nodes[net.nodes.length]
 		if (twin) copyGraph(twin, node, members)
 		else setMembers(node, members, 0)
@@ -120,18 +120,18 @@
 
 /** The graph follows from the names alone; working it out anew is slow. */
 function copyGraph(
-	from: SpreadNode,
-	to: SpreadNode,
+	from: GossipNode,
+	to: GossipNode,
 	members: readonly Member[],
 ): void {
 	to.members = members
 	to.neighbours = from.neighbours
 	to.readers = from.readers
-	for (const reader of from.readers) to.readerSeen.set(reader, 0)
+	for (const reader of from.readers) to.readerContactAt.set(reader, 0)
 }
 
 /** Publishes a document, as a change of one line. */
-export function publishChange(net: SpreadNet, revision: number): void {
+export function publishChange(net: GossipNet, revision: number): void {
 	const { document } = net.options
 	const at = Math.floor(document.length / 2)
 	const text = `${document.slice(0, at)}\nrate = ${revision}\n${document.slice(at)}`
@@ -139,26 +139,26 @@
 }
 
 /** Restarts a node: it forgets everything and asks its peers first. */
-export function restartNode(net: SpreadNet, at: number): void {
+export function restartNode(net: GossipNet, at: number): void {
 	const { name, region } = net.members[at]!
-	const node = createSpreadNode(name, region, net.now)
+	const node = createGossipNode(name, region, net.now)
 	setMembers(node, net.members, net.now)
 	net.nodes[at] = node
 	net.lives[at]!++
 	net.up[at] = true
 	net.inForce[at] = 0
 	net.watchUntil.delete(at)
-	carryOut(net, at, askMembers(node, 3, net.random))
+	carryOut(net, at, compareWithRandomMembers(node, 3, net.random))
 }
 
 /** Ends a node. */
-export function killNode(net: SpreadNet, at: number): void {
+export function killNode(net: GossipNet, at: number): void {
 	net.up[at] = false
 	net.lives[at]!++
 }
 
 /** Lets time pass. */
-export function runNet(net: SpreadNet, ms: number): void {
+export function runNet(net: GossipNet, ms: number): void {
 	const end = net.now + ms
 	while (net.now < end) {
 		net.now += STEP_MS
@@ -169,7 +169,7 @@
 
 /** Runs until every live node has `revision`; gives when each had it, ms. */
 export function measureSpread(
-	net: SpreadNet,
+	net: GossipNet,
 	revision: number,
 	limitMs: number,
 ): number[] {
@@ -188,14 +188,14 @@
 }
 
 /** Index of a live node of the list, at random. */
-export function pickLive(net: SpreadNet): number {
+export function pickLive(net: GossipNet): number {
 	for (;;) {
-		const at = drawIndex(net.random, net.nodes.length)
+		const at = randomIndex(net.random, net.nodes.length)
 		if (net.up[at]) return at
 	}
 }
 
-function deliverDue(net: SpreadNet): void {
+function deliverDue(net: GossipNet): void {
 	const due = net.queue.get(net.now) ?? []
 	net.queue.delete(net.now)
 	for (const { from, to, message, life } of due) {
@@ -203,43 +203,43 @@
 		if (!net.up[to] || net.lives[to] !== life || !reachable) continue
 		const { name } = net.members[from]!
 		const node = net.nodes[to]!
-		carryOut(net, to, takeSpreadMessage(node, name, message, net.now))
+		carryOut(net, to, handleGossipMessage(node, name, message, net.now))
 	}
 }
 
 /** Each node ticks once a second, at its own part of the second. */
-function tickDue(net: SpreadNet): void {
+function tickDue(net: GossipNet): void {
 	const slots = TICK_MS / STEP_MS
 	const slot = (net.now / STEP_MS) % slots
 	for (let at = slot; at < net.nodes.length; at += slots) {
 		if (!net.up[at]) continue
 		const node = net.nodes[at]!
-		carryOut(net, at, tickSpread(node, net.now, net.random))
+		carryOut(net, at, tickGossip(node, net.now, net.random))
 		watch(net, at)
 	}
 	// A waiting watch is answered when there is news, or when its time is over.
 	for (const [at, until] of net.watchUntil) {
 		if (!net.up[at]) continue
-		const held = net.nodes[at]!.held.config.revision
+		const held = net.nodes[at]!.topics.config.revision
 		const news = net.published && net.published.revision !== held
 		if (!news && net.now < until) continue
 		net.watchUntil.delete(at)
 		if (!net.published) continue
 		const value = news ? net.published : undefined
-		carryOut(net, at, takePublished(net.nodes[at]!, 'config', value, net.now))
+		carryOut(net, at, applyPublished(net.nodes[at]!, 'config', value, net.now))
 	}
 }
 
-function watch(net: SpreadNet, at: number): void {
+function watch(net: GossipNet, at: number): void {
 	if (net.watchUntil.has(at) || !isReader(net.nodes[at]!, net.now)) return
 	net.calls++
 	if (net.published) net.watchUntil.set(at, net.now + WATCH_MS)
 }
 
 function carryOut(
-	net: SpreadNet,
+	net: GossipNet,
 	at: number,
-	effects: readonly SpreadEffect[],
+	effects: readonly GossipEffect[],
 ): void {
 	for (const effect of effects)
 		switch (effect.do) {
@@ -255,7 +255,7 @@
 }
 
 function adopt(
-	net: SpreadNet,
+	net: GossipNet,
 	at: number,
 	topic: Topic,
 	revision: number,
@@ -264,21 +264,21 @@
 	if (revision < net.inForce[at]!) net.reversals++
 	net.inForce[at] = revision
 	// The mutant lets any later offer in, also an older one.
-	if (net.unguarded) net.nodes[at]!.held.config.revision = 0
+	if (net.unguarded) net.nodes[at]!.topics.config.revision = 0
 }
 
 function post(
-	net: SpreadNet,
+	net: GossipNet,
 	from: number,
 	name: string,
-	message: SpreadMessage,
+	message: GossipMessage,
 ): void {
 	const to = net.indexOf.get(name)
 	if (to === undefined) return
 	net.messages++
 	net.bytes += JSON.stringify(message).length
 	if (net.random() < net.options.loss) return
-	const delay = 1 + drawIndex(net.random, 40)
+	const delay = 1 + randomIndex(net.random, 40)
 	const at = Math.ceil((net.now + delay) / STEP_MS) * STEP_MS
 	const due = net.queue.get(at) ?? []
 	due.push({ from, to, message, life: net.lives[to]! })
--- a/packages/core/test/models/groupRoundModel.ts
+++ b/packages/core/test/models/groupRoundModel.ts
@@ -10,18 +10,18 @@
 	EngineOrder,
 	GroupRound,
 	OrderAnswer,
+	PendingOrder,
 	RankReport,
-	WantedOrder,
 } from '../../src/index.ts'
 import {
 	ANCHOR_RANK,
+	abandonProbing,
+	applyAnchorReport,
+	applyOrderAnswer,
 	createRound,
-	giveUpProbing,
-	isOver,
-	listWanted,
+	isRoundOver,
+	listPendingOrders,
 	REFUSED_TO_ARM,
-	takeAnchorReport,
-	takeOrderAnswer,
 } from '../../src/index.ts'
 import type { Model } from './explore.ts'
 import type {
@@ -62,7 +62,7 @@
 		pending: [],
 		begun: 0,
 		late: 0,
-		deaths: 0,
+		crashes: 0,
 		reforms: 0,
 		fault: '',
 	}
@@ -72,14 +72,14 @@
 	if (state.fault) return []
 	const events: RoundEvent[] = []
 	for (const [by, round] of state.rounds.entries()) {
-		if (!round || isOver(round)) {
+		if (!round || isRoundOver(round)) {
 			if (state.begun < bounds.rounds) events.push({ type: 'begin', by })
 			continue
 		}
 		events.push({ type: 'report', by })
 		if (round.phase === 'probing') events.push({ type: 'giveUp', by })
-		if (state.deaths < bounds.deaths) events.push({ type: 'die', by })
-		for (const at of listWanted(round).keys()) {
+		if (state.crashes < bounds.crashes) events.push({ type: 'die', by })
+		for (const at of listPendingOrders(round).keys()) {
 			events.push({ type: 'order', by, at })
 			if (state.late < bounds.late) events.push({ type: 'lose', by, at })
 		}
@@ -103,27 +103,27 @@
 			begin(state, event.by, bounds)
 			break
 		case 'report':
-			takeAnchorReport(state.rounds[event.by]!, reportOf(state), 0)
+			applyAnchorReport(state.rounds[event.by]!, reportOf(state), 0)
 			break
 		case 'die':
-			state.deaths++
+			state.crashes++
 			state.rounds[event.by] = null
 			state.undo[event.by] = false
 			break
 		case 'giveUp':
-			giveUpProbing(state.rounds[event.by]!)
+			abandonProbing(state.rounds[event.by]!)
 			break
 		case 'order': {
 			const round = state.rounds[event.by]!
-			const wanted = listWanted(round)[event.at]!
+			const wanted = listPendingOrders(round)[event.at]!
 			const answer = carryOut(state, wanted, mutant)
-			takeOrderAnswer(round, wanted, answer)
+			applyOrderAnswer(round, wanted, answer)
 			if (answer === 'done') skipGuards(round, wanted, mutant)
 			break
 		}
 		case 'lose':
 			state.late++
-			state.pending.push(listWanted(state.rounds[event.by]!)[event.at]!)
+			state.pending.push(listPendingOrders(state.rounds[event.by]!)[event.at]!)
 			break
 		case 'carryOut':
 			carryOut(state, state.pending[event.at]!, mutant)
@@ -152,10 +152,10 @@
 /** Mutants of the coordinator. */
 function skipGuards(
 	round: GroupRound,
-	{ order }: WantedOrder,
+	{ order }: PendingOrder,
 	mutant: RoundMutant,
 ): void {
-	if (mutant === 'allArmed' && order.type === 'arm' && !isOver(round)) {
+	if (mutant === 'allArmed' && order.type === 'arm' && !isRoundOver(round)) {
 		round.phase = 'releasing'
 		round.confirmed.clear()
 	}
@@ -168,7 +168,7 @@
 
 function carryOut(
 	state: RoundState,
-	{ rank, order }: WantedOrder,
+	{ rank, order }: PendingOrder,
 	mutant: RoundMutant,
 ): OrderAnswer {
 	const engine = state.engines[rank]!
--- a/packages/core/test/models/groupRoundModelState.ts
+++ b/packages/core/test/models/groupRoundModelState.ts
@@ -1,6 +1,6 @@
 /** States and events of the model of rounds, and how far it is explored. */
 
-import type { GroupRound, WantedOrder } from '../../src/index.ts'
+import type { GroupRound, PendingOrder } from '../../src/index.ts'
 
 /** Bounds of an exploration. */
 export interface RoundBounds {
@@ -13,7 +13,7 @@
 	/** Orders without an answer that may be carried out later. */
 	readonly late: number
 	/** Times that a coordinator dies. */
-	readonly deaths: number
+	readonly crashes: number
 	/** Times that the group forms anew. */
 	readonly reforms: number
 }
@@ -50,10 +50,10 @@
 	rounds: (GroupRound | null)[]
 	undo: boolean[]
 	/** Orders that are on their way and will not be answered. */
-	pending: WantedOrder[]
+	pending: PendingOrder[]
 	begun: number
 	late: number
-	deaths: number
+	crashes: number
 	reforms: number
 	fault: string
 }
--- a/packages/core/test/models/fateModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -8,18 +8,18 @@
 	AdmissionEffect,
 	AdmissionEvent,
 	AttemptName,
-	FateEffect,
-	FateEvent,
+	LifecycleEffect,
+	LifecycleEvent,
 } from '../../src/index.ts'
 import {
 	answerVoid,
 	attemptKey,
 	createAdmission,
-	PAUSE_MS,
+	PAUSE_GRACE_MS,
+	PAUSE_THRESHOLD_MS,
 	stepAdmission,
-	stepFate,
+	stepLifecycle,
 	unknown,
-	WAKE_GRACE_MS,
 } from '../../src/index.ts'
 import type { Model } from './explore.ts'
 import {
@@ -29,16 +29,16 @@
 	nameOf,
 	send,
 	sendAnswer,
-} from './fateModelLinks.ts'
+} from './lifecycleModelLinks.ts'
 import type {
 	Draft,
-	FateBounds,
-	FateModelEvent,
-	FateModelState,
-	FateMutant,
 	Frame,
+	LifecycleBounds,
+	LifecycleModelEvent,
+	LifecycleModelState,
+	LifecycleMutant,
 	Message,
-} from './fateModelState.ts'
+} from './lifecycleModelState.ts'
 import {
 	BORN_WALL,
 	createInitial,
@@ -46,13 +46,13 @@
 	KEY,
 	KEY_WALL,
 	ROOMY_MS,
-} from './fateModelState.ts'
+} from './lifecycleModelState.ts'
 
 /** The model for given bounds. */
-export function createFateModel(
-	bounds: FateBounds,
-	mutant: FateMutant = 'none',
-): Model<FateModelState, FateModelEvent> {
+export function createLifecycleModel(
+	bounds: LifecycleBounds,
+	mutant: LifecycleMutant = 'none',
+): Model<LifecycleModelState, LifecycleModelEvent> {
 	return {
 		initial: createInitial(bounds),
 		list: state => listEvents(state, bounds),
@@ -66,17 +66,17 @@
 }
 
 function listEvents(
-	state: FateModelState,
-	bounds: FateBounds,
-): FateModelEvent[] {
+	state: LifecycleModelState,
+	bounds: LifecycleBounds,
+): LifecycleModelEvent[] {
 	const { used } = state
-	const events: FateModelEvent[] = []
+	const events: LifecycleModelEvent[] = []
 	for (const [entry, asked] of state.asked.entries()) {
 		if (!asked) {
 			events.push({ do: 'ask', entry })
 			break
 		}
-		const { at } = state.fates[entry]!.state
+		const { at } = state.lifecycles[entry]!.state
 		const open = at === 'offered' || at === 'answering'
 		if (open && used.losses < bounds.losses)
 			events.push({ do: 'linkLost', entry })
@@ -97,11 +97,11 @@
 }
 
 function apply(
-	before: FateModelState,
-	event: FateModelEvent,
-	bounds: FateBounds,
-	mutant: FateMutant,
-): FateModelState {
+	before: LifecycleModelState,
+	event: LifecycleModelEvent,
+	bounds: LifecycleBounds,
+	mutant: LifecycleMutant,
+): LifecycleModelState {
 	const draft: Draft = { state: structuredClone(before), bounds, mutant }
 	const { state } = draft
 	switch (event.do) {
@@ -118,14 +118,14 @@
 		}
 		case 'linkLost': {
 			state.used.losses++
-			const { attempt } = state.fates[event.entry]!
+			const { attempt } = state.lifecycles[event.entry]!
 			dropFrames(state, event.entry)
 			tell(draft, event.entry, { type: 'linkLost', attempt })
 			break
 		}
 		case 'silent': {
 			state.used.silences++
-			const { attempt } = state.fates[event.entry]!
+			const { attempt } = state.lifecycles[event.entry]!
 			dropFrames(state, event.entry)
 			tell(draft, event.entry, { type: 'silent', attempt })
 			break
@@ -141,9 +141,9 @@
 			break
 		case 'pause':
 			state.used.pauses++
-			advance(draft, PAUSE_MS * 2)
+			advance(draft, PAUSE_THRESHOLD_MS * 2)
 			stepAgent(draft, { type: 'tick' })
-			advance(draft, WAKE_GRACE_MS * 2)
+			advance(draft, PAUSE_GRACE_MS * 2)
 			break
 		case 'leave':
 			state.used.leaves++
@@ -161,7 +161,7 @@
 }
 
 function restartAgent(draft: Draft): void {
-	advance(draft, PAUSE_MS)
+	advance(draft, PAUSE_THRESHOLD_MS)
 	const { state } = draft
 	state.used.restarts++
 	const agent = createAdmission(state.at, 1)
@@ -182,7 +182,7 @@
 	const { incarnation } = state
 	state.believes[entry] = incarnation
 	tell(draft, entry, { type: 'routed' })
-	const { attempt } = state.fates[entry]!
+	const { attempt } = state.lifecycles[entry]!
 	const name = { reqId: `r${entry}`, attempt }
 	send(state, { kind: 'offer', entry, name, incarnation })
 }
@@ -290,7 +290,7 @@
 			tell(draft, entry, { type: 'chunk', attempt, n: frame.n }, frame.of)
 			break
 		case 'end': {
-			const { state } = draft.state.fates[entry]!
+			const { state } = draft.state.lifecycles[entry]!
 			const next = state.at === 'answering' ? state.next : 0
 			const n = draft.mutant === 'noEndMark' ? next : frame.n
 			tell(draft, entry, { type: 'end', attempt, n })
@@ -307,11 +307,16 @@
 	}
 }
 
-function tell(draft: Draft, entry: number, event: FateEvent, chunk = ''): void {
+function tell(
+	draft: Draft,
+	entry: number,
+	event: LifecycleEvent,
+	chunk = '',
+): void {
 	const { state, mutant } = draft
-	const fate = state.fates[entry]!
+	const fate = state.lifecycles[entry]!
 	const settled = fate.state.at === 'settled'
-	const effects = stepFate(fate, event, true)
+	const effects = stepLifecycle(fate, event, true)
 	for (const effect of effects) {
 		if (settled && effect.do !== 'drop')
 			draft.state = { ...draft.state, fault: 'a settled request went on' }
@@ -328,11 +333,11 @@
 function carryOutEntry(
 	draft: Draft,
 	entry: number,
-	effect: FateEffect,
+	effect: LifecycleEffect,
 	chunk: string,
 ): void {
 	const { state } = draft
-	const fate = state.fates[entry]!
+	const fate = state.lifecycles[entry]!
 	const name = { reqId: `r${entry}`, attempt: fate.attempt }
 	const incarnation = state.believes[entry]!
 	switch (effect.do) {
@@ -349,7 +354,7 @@
 			break
 		case 'forward':
 			state.told[entry]!.push(chunk)
-			fate.told = true
+			fate.answerStarted = true
 			break
 		case 'cancel':
 		case 'drop':
--- a/packages/core/test/models/fateModelLinks.ts
+++ b/packages/core/test/models/lifecycleModelLinks.ts
@@ -1,8 +1,13 @@
 /** Links between the entries and the home agent of the model of fates. */
 
 import type { AttemptName } from '../../src/index.ts'
-import type { Draft, FateModelState, Frame, Message } from './fateModelState.ts'
-import { CHUNKS, KEY } from './fateModelState.ts'
+import type {
+	Draft,
+	Frame,
+	LifecycleModelState,
+	Message,
+} from './lifecycleModelState.ts'
+import { CHUNKS, KEY } from './lifecycleModelState.ts'
 
 /** Sends a run's answer to all who wait for it. */
 export function answerReaders(draft: Draft, run: string): void {
@@ -13,7 +18,7 @@
 
 /** Sends an answer from a chunk on. */
 export function sendAnswer(
-	state: FateModelState,
+	state: LifecycleModelState,
 	reader: string,
 	from: number,
 ): void {
@@ -24,7 +29,7 @@
 
 /** Sends a frame to one who waits. */
 export function answerOne(
-	state: FateModelState,
+	state: LifecycleModelState,
 	reader: string,
 	frame: Frame,
 ): void {
@@ -34,7 +39,7 @@
 }
 
 /** A connection that the entry has left brings nothing more. */
-export function dropFrames(state: FateModelState, entry: number): void {
+export function dropFrames(state: LifecycleModelState, entry: number): void {
 	const kept = state.messages.filter(text => {
 		const message: Message = JSON.parse(text)
 		return message.kind !== 'frame' || message.entry !== entry
@@ -43,7 +48,7 @@
 }
 
 /** Puts a message on its way; it may stay there for ever. */
-export function send(state: FateModelState, message: Message): void {
+export function send(state: LifecycleModelState, message: Message): void {
 	const text = JSON.stringify(message)
 	if (state.messages.includes(text)) return
 	state.messages.push(text)
--- a/packages/core/test/models/fateModelState.ts
+++ b/packages/core/test/models/lifecycleModelState.ts
@@ -3,15 +3,19 @@
 import type {
 	AdmissionState,
 	AttemptName,
-	Fate,
 	Moment,
 	NotRun,
+	RequestLifecycle,
 	Unknown,
 } from '../../src/index.ts'
-import { CLOCK_BOUND_MS, createAdmission, createFate } from '../../src/index.ts'
+import {
+	createAdmission,
+	createLifecycle,
+	MAX_CLOCK_SKEW_MS,
+} from '../../src/index.ts'
 
 /** Bounds of an exploration. */
-export interface FateBounds {
+export interface LifecycleBounds {
 	readonly entries: number
 	readonly repeatable: boolean
 	/** Whether its tries carry a key. */
@@ -27,7 +31,7 @@
 }
 
 /** A guard taken out. */
-export type FateMutant =
+export type LifecycleMutant =
 	| 'none'
 	/** Every time-out is followed by another try. */
 	| 'retryUnknown'
@@ -69,8 +73,8 @@
 	  }
 
 /** A state of the model. */
-export interface FateModelState {
-	readonly fates: Fate[]
+export interface LifecycleModelState {
+	readonly lifecycles: RequestLifecycle[]
 	readonly asked: boolean[]
 	/** Incarnation that each entry believes in. */
 	readonly believes: number[]
@@ -92,7 +96,7 @@
 }
 
 /** What may happen. */
-export type FateModelEvent =
+export type LifecycleModelEvent =
 	| { readonly do: 'ask'; readonly entry: number }
 	| {
 			readonly do: 'deliver'
@@ -110,24 +114,26 @@
 export const KEY = 'team/huts/key'
 export const KEY_WALL = 1_000_000
 /** The booking is made long after the first agent began. */
-export const BORN_WALL = KEY_WALL - 10 * CLOCK_BOUND_MS
+export const BORN_WALL = KEY_WALL - 10 * MAX_CLOCK_SKEW_MS
 export const ROOMY_MS = 1e9
 
 /** A state in the making, and what it is made under. */
 export interface Draft {
-	state: FateModelState
-	readonly bounds: FateBounds
-	readonly mutant: FateMutant
+	state: LifecycleModelState
+	readonly bounds: LifecycleBounds
+	readonly mutant: LifecycleMutant
 }
 
 /** Before anything was asked. */
-export function createInitial(bounds: FateBounds): FateModelState {
+export function createInitial(bounds: LifecycleBounds): LifecycleModelState {
 	const each = <T>(make: () => T) =>
 		Array.from({ length: bounds.entries }, make)
 	const at = { now: 0, wall: KEY_WALL }
 	const agent = { ...createAdmission(at, 1), bornWall: BORN_WALL }
 	return {
-		fates: each(() => createFate(bounds.repeatable, !bounds.freshKey)),
+		lifecycles: each(() =>
+			createLifecycle(bounds.repeatable, !bounds.freshKey),
+		),
 		asked: each(() => false),
 		believes: each(() => 0),
 		agent,
@@ -151,11 +157,11 @@
 
 /** The promise that a state breaks, if any. */
 export function findBrokenPromise(
-	state: FateModelState,
-	bounds: FateBounds,
+	state: LifecycleModelState,
+	bounds: LifecycleBounds,
 ): string | undefined {
 	if (!bounds.repeatable && state.runs.length > 1) return 'it ran twice'
-	for (const [entry, fate] of state.fates.entries()) {
+	for (const [entry, fate] of state.lifecycles.entries()) {
 		if (fate.state.at !== 'settled') continue
 		const { outcome } = fate.state
 		const own = state.runs.some(run => run.startsWith(`r${entry}/`))
--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -6,18 +6,22 @@
  * replies be late as well.
  */
 
-import type { CoordinatorState, RankOrder, RankReply } from '../../src/index.ts'
+import type {
+	AddressedRequest,
+	MapCoordinatorState,
+	RankReply,
+} from '../../src/index.ts'
 import {
 	beginStep,
-	createCoordinator,
+	createMapCoordinator,
 	createRank,
-	mayBegin,
+	createRestartedRank,
+	handleRankReply,
+	handleRankRequest,
+	handleRoundTimeout,
+	mayBeginStep,
 	nextFence,
-	repeatRound,
-	restartRank,
-	startRound,
-	takeRankReply,
-	takeRankRequest,
+	startMapRound,
 } from '../../src/index.ts'
 import type { Model } from './explore.ts'
 import type {
@@ -54,10 +58,10 @@
 	return {
 		ranks: repeat(bounds.ranks, () => createRank(FIRST_MAP)),
 		coordinators: repeat(bounds.coordinators, () =>
-			toJson(createCoordinator(bounds.ranks, FIRST_MAP)),
+			toJson(createMapCoordinator(bounds.ranks, FIRST_MAP)),
 		),
 		messages: [],
-		doubles: 0,
+		duplicates: 0,
 		losses: 0,
 		late: 0,
 		lateReplies: [],
@@ -89,7 +93,7 @@
 			for (const again of [false, true]) {
 				if (replyFate === 'lost' && state.losses >= bounds.losses) continue
 				if (replyFate === 'late' && state.late >= bounds.late) continue
-				if (again && state.doubles >= bounds.doubles) continue
+				if (again && state.duplicates >= bounds.duplicates) continue
 				events.push({ do: 'deliver', message, replyFate, again })
 			}
 	for (const index of state.lateReplies.keys())
@@ -105,7 +109,7 @@
 /** In lock-step no rank is more than one step ahead of another. */
 function canBegin(state: MapModelState, rank: number, mutant: Mutant): boolean {
 	const own = state.ranks[rank]!
-	const gateOpen = mutant === 'gate' ? own.joined : mayBegin(own)
+	const gateOpen = mutant === 'gate' ? own.joined : mayBeginStep(own)
 	if (!gateOpen) return false
 	return state.ranks.every(
 		other =>
@@ -126,7 +130,7 @@
 			return start(state, event.coordinator, bounds)
 		case 'timeout': {
 			const next = { ...state, timeouts: state.timeouts + 1 }
-			return act(next, event.coordinator, repeatRound)
+			return act(next, event.coordinator, handleRoundTimeout)
 		}
 		case 'deliver':
 			return deliver(state, event, mutant)
@@ -144,7 +148,7 @@
 		case 'restart': {
 			const ranks = [...state.ranks]
 			const { incarnation } = ranks[event.rank]!
-			ranks[event.rank] = restartRank(incarnation + 1)
+			ranks[event.rank] = createRestartedRank(incarnation + 1)
 			return { ...state, ranks, restarts: state.restarts + 1 }
 		}
 		default:
@@ -163,14 +167,14 @@
 	const next = { ...state, rounds }
 	return act(next, coordinator, held => {
 		const fence = nextFence(held, coordinator, bounds.coordinators)
-		return startRound(held, fence, wanted, 1)
+		return startMapRound(held, fence, wanted, 1)
 	})
 }
 
 function act(
 	state: MapModelState,
 	coordinator: number,
-	change: (held: CoordinatorState) => RankOrder[],
+	change: (held: MapCoordinatorState) => AddressedRequest[],
 ): MapModelState {
 	const held = fromJson(state.coordinators[coordinator]!)
 	const orders = change(held)
@@ -194,7 +198,7 @@
 	const rank = { ...ranks[message.to]! }
 	ranks[message.to] = rank
 	if (mutant === 'fence') rank.fence = Math.min(rank.fence, message.req.fence)
-	const reply = takeRankRequest(rank, message.req)
+	const reply = handleRankRequest(rank, message.req)
 	const messages = event.again
 		? state.messages
 		: state.messages.filter(one => one !== event.message)
@@ -202,7 +206,7 @@
 		...state,
 		ranks,
 		messages,
-		doubles: state.doubles + (event.again ? 1 : 0),
+		doubles: state.duplicates + (event.again ? 1 : 0),
 		losses: state.losses + (event.replyFate === 'lost' ? 1 : 0),
 		late: state.late + (event.replyFate === 'late' ? 1 : 0),
 	}
@@ -217,19 +221,19 @@
 }
 
 function takeReply(
-	held: CoordinatorState,
+	held: MapCoordinatorState,
 	rank: number,
 	reply: RankReply,
 	mutant: Mutant,
-): RankOrder[] {
-	const orders = takeRankReply(held, rank, reply)
+): AddressedRequest[] {
+	const orders = handleRankReply(held, rank, reply)
 	const firstPromise = held.phase === 'preparing' && reply.type === 'promised'
 	if (mutant !== 'nOfN' || !firstPromise) return orders
 	// The mutant takes the first promise for all of them.
 	const missing = [...held.open][0]!
 	held.open.clear()
 	held.open.add(missing)
-	return takeRankReply(held, missing, reply)
+	return handleRankReply(held, missing, reply)
 }
 
 function begin(state: MapModelState, at: number): MapModelState {
@@ -264,13 +268,13 @@
 export function recovers(state: MapModelState, bounds: MapBounds): boolean {
 	const ranks = state.ranks.map(rank => ({ ...rank }))
 	const ids = bounds.coordinators + 1
-	const coordinator = createCoordinator(bounds.ranks, FIRST_MAP)
+	const coordinator = createMapCoordinator(bounds.ranks, FIRST_MAP)
 	coordinator.highest = Math.max(...ranks.map(rank => rank.fence)) + 1
 	const fence = nextFence(coordinator, bounds.coordinators, ids)
-	const queue = startRound(coordinator, fence, undefined, 1)
+	const queue = startMapRound(coordinator, fence, undefined, 1)
 	for (let order = queue.shift(); order; order = queue.shift()) {
-		const reply = takeRankRequest(ranks[order.rank]!, order.req)
-		queue.push(...takeRankReply(coordinator, order.rank, reply))
+		const reply = handleRankRequest(ranks[order.rank]!, order.req)
+		queue.push(...handleRankReply(coordinator, order.rank, reply))
 	}
 	const [first] = ranks
 	return ranks.every(
@@ -284,11 +288,11 @@
 	return [...list, item].sort()
 }
 
-function toJson(state: CoordinatorState): CoordinatorJson {
+function toJson(state: MapCoordinatorState): CoordinatorJson {
 	return { ...state, learned: [...state.learned], open: [...state.open].sort() }
 }
 
-function fromJson(json: CoordinatorJson): CoordinatorState {
+function fromJson(json: CoordinatorJson): MapCoordinatorState {
 	// JSON text has null where the state has undefined; nothing tells them apart
 	// here, since states never travel as text.
 	return { ...json, learned: [...json.learned], open: new Set(json.open) }
--- a/packages/core/test/models/mapModelState.ts
+++ b/packages/core/test/models/mapModelState.ts
@@ -1,7 +1,7 @@
 /** States and events of the model of maps, and how far it is explored. */
 
 import type {
-	CoordinatorState,
+	MapCoordinatorState,
 	RankReply,
 	RankRequest,
 	RankState,
@@ -19,7 +19,7 @@
 	/** Time-outs of coordinators. */
 	readonly timeouts: number
 	/** Requests delivered a second time. */
-	readonly doubles: number
+	readonly duplicates: number
 	/** Replies lost. */
 	readonly losses: number
 	/** Replies that come after any time, out of order. */
@@ -42,7 +42,7 @@
 	readonly coordinators: CoordinatorJson[]
 	/** On the way; a message may stay there for ever. */
 	readonly messages: string[]
-	readonly doubles: number
+	readonly duplicates: number
 	readonly losses: number
 	readonly late: number
 	readonly lateReplies: LateReply[]
@@ -64,7 +64,7 @@
 }
 
 /** A coordinator, safe for JSON. */
-export type CoordinatorJson = Omit<CoordinatorState, 'open'> & {
+export type CoordinatorJson = Omit<MapCoordinatorState, 'open'> & {
 	readonly open: number[]
 }
 
--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -5,32 +5,32 @@
  */
 
 import type {
-	EntryRoster,
+	EntryMembership,
 	HeldPermits,
+	PermitGrant,
 	PermitPool,
-	Permits,
-	PermitWish,
+	PermitRequest,
 	Random,
 	RateLimits,
 } from '../../src/index.ts'
 import {
-	createEntryRoster,
+	addGrantedPermits,
+	applyRateNotice,
+	consumePermit,
+	createEntryMembership,
 	createHeldPermits,
 	createPermitPool,
 	createRandom,
 	createRateLimits,
 	findPermitHome,
+	grantPermits,
 	hasPermit,
-	isAskDue,
-	lookAtRoster,
-	noteEntryHeard,
-	noteEntryNamed,
-	paceOfHome,
-	perSecondOf,
-	takeGiven,
-	takePermits,
-	takeRateNotice,
-	usePermit,
+	permitScheduleFor,
+	rateLimitOf,
+	recordEntryContact,
+	recordEntryDiscovered,
+	shouldRequestPermits,
+	updateEntryMembership,
 } from '../../src/index.ts'
 
 const SERVER = 'server'
@@ -84,7 +84,7 @@
 	readonly number: number
 	readonly address: string
 	life: number
-	roster: EntryRoster
+	roster: EntryMembership
 	pool: PermitPool | undefined
 	limits: RateLimits
 	held: HeldPermits
@@ -131,7 +131,7 @@
 		number,
 		address,
 		life: 0,
-		roster: createEntryRoster(address),
+		roster: createEntryMembership(address),
 		pool: undefined,
 		limits: createRateLimits(),
 		held: createHeldPermits(),
@@ -143,7 +143,7 @@
 	const { life } = entry
 	const others = net.entries.filter(other => other !== entry)
 	for (const other of others.slice(0, 3))
-		noteEntryNamed(entry.roster, other.address, net.now)
+		recordEntryDiscovered(entry.roster, other.address, net.now)
 	const every = (periodMs: number, act: () => void) => {
 		const again = () => {
 			if (entry.life !== life) return
@@ -252,8 +252,9 @@
 	const named = [...from.roster.others.keys()]
 	deliver(net, from, to, () => {
 		for (const address of named)
-			if (address !== to.address) noteEntryNamed(to.roster, address, net.now)
-		noteEntryHeard(to.roster, from.address, net.now)
+			if (address !== to.address)
+				recordEntryDiscovered(to.roster, address, net.now)
+		recordEntryContact(to.roster, from.address, net.now)
 		for (const { server, perSecond, agoMs } of notices)
 			takeNotice(net, to, server, perSecond, net.now - agoMs)
 	})
@@ -266,7 +267,7 @@
 	perSecond: number | undefined,
 	at: number,
 ): void {
-	if (!takeRateNotice(entry.limits, server, { perSecond, at })) return
+	if (!applyRateNotice(entry.limits, server, { perSecond, at })) return
 	entry.held = createHeldPermits()
 	if (perSecond === undefined) entry.pool = undefined
 	tellOthers(net, entry)
@@ -274,24 +275,24 @@
 
 function look(net: Net, entry: Entry): void {
 	const { roster, address } = entry
-	if (!lookAtRoster(roster, address, () => true, net.now)) return
+	if (!updateEntryMembership(roster, address, () => true, net.now)) return
 	if (homeOf(entry) !== address) entry.pool = undefined
 }
 
 function homeOf({ roster }: Entry): string {
-	return findPermitHome(SERVER, roster.heard)!
+	return findPermitHome(SERVER, roster.reachable)!
 }
 
 function give(
 	net: Net,
 	entry: Entry,
 	perSecond: number,
-	wish: PermitWish,
-): Permits {
+	wish: PermitRequest,
+): PermitGrant {
 	const { roster } = entry
 	entry.pool ??= createPermitPool()
-	const pace = paceOfHome(perSecond, roster.count)
-	return takePermits(entry.pool, pace, wish, net.now)
+	const pace = permitScheduleFor(perSecond, roster.count)
+	return grantPermits(entry.pool, pace, wish, net.now)
 }
 
 function planArrival(net: Net): void {
@@ -308,44 +309,49 @@
 /** A request that would go to the server; without a permit it goes elsewhere. */
 function arrive(net: Net, entry: Entry): void {
 	if (!isUp(net, entry) || isIn(net, 'still', entry)) return
-	const perSecond = perSecondOf(entry.limits, SERVER)
+	const perSecond = rateLimitOf(entry.limits, SERVER)
 	if (perSecond !== undefined) {
 		ask(net, entry, perSecond)
 		if (!hasPermit(entry.held, net.now)) return
-		usePermit(entry.held, net.now)
+		consumePermit(entry.held, net.now)
 	}
 	send(net, entry)
 }
 
 function ask(net: Net, entry: Entry, perSecond: number): void {
 	const { held } = entry
-	if (!isAskDue(held, 0, net.now)) return
+	if (!shouldRequestPermits(held, 0, net.now)) return
 	const home = homeOf(entry)
 	const wish = { count: 1, withinMs: 0 }
 	if (home === entry.address) {
-		takeGiven(held, perSecond, give(net, entry, perSecond, wish), net.now)
+		addGrantedPermits(
+			held,
+			perSecond,
+			give(net, entry, perSecond, wish),
+			net.now,
+		)
 		return
 	}
-	held.isAsking = true
+	held.isRequestPending = true
 	const end = () => {
-		held.isAsking = false
+		held.isRequestPending = false
 		held.notBefore = net.now + ASK_AGAIN_MS
 	}
 	const { life } = entry
 	plan(net, net.now + ASK_MS, () => {
-		if (held.isAsking) end()
+		if (held.isRequestPending) end()
 	})
 	const other = net.entries.find(one => one.address === home)!
 	if (!isUp(net, other)) return
 	deliver(net, entry, other, () => {
 		const isHome = homeOf(other) === other.address
-		const named = perSecondOf(other.limits, SERVER)
+		const named = rateLimitOf(other.limits, SERVER)
 		const permits =
 			isHome && named !== undefined ? give(net, other, named, wish) : undefined
 		deliver(net, other, entry, () => {
-			if (!held.isAsking || entry.life !== life) return
+			if (!held.isRequestPending || entry.life !== life) return
 			end()
-			if (permits) takeGiven(held, perSecond, permits, net.now)
+			if (permits) addGrantedPermits(held, perSecond, permits, net.now)
 		})
 	})
 }
--- a/packages/core/test/models/quarantineNet.ts
+++ b/packages/core/test/models/quarantineNet.ts
@@ -3,13 +3,13 @@
  * late or are lost until their link is made anew, and entries that start again.
  */
 
-import type { EndNews, Quarantine, Random } from '../../src/index.ts'
+import type { CrashEvidence, Quarantine, Random } from '../../src/index.ts'
 import {
-	barredForMs,
 	createQuarantine,
 	createRandom,
-	listEndNews,
-	takeEndNews,
+	listCrashEvidence,
+	mergeCrashEvidence,
+	quarantineLeftMs,
 } from '../../src/index.ts'
 
 const DEADLY = 'deadly'
@@ -80,14 +80,14 @@
 	now: number,
 ): void {
 	const { random, quarantines } = net
-	if (barredForMs(quarantines[entry]!, DEADLY, now) > 0) return
+	if (quarantineLeftMs(quarantines[entry]!, DEADLY, now) > 0) return
 	net.sends.push(now)
 	const ranMs = LEAST_RUN_MS + random() * (MOST_RUN_MS - LEAST_RUN_MS)
 	const at = now + ranMs
 	const server = `server-${net.sends.length}`
 	plan(net, at, () => {
 		// An entry that has learnt of it by then has taken it back.
-		if (barredForMs(quarantines[entry]!, DEADLY, at) > 0) return
+		if (quarantineLeftMs(quarantines[entry]!, DEADLY, at) > 0) return
 		net.ends.push(at)
 		const ran = new Map([[DEADLY, ranMs]])
 		take(net, story, entry, { ends: [{ server, at, ran }], served: [] }, at)
@@ -99,10 +99,10 @@
 	net: Net,
 	story: QuarantineStory,
 	entry: number,
-	told: EndNews,
+	told: CrashEvidence,
 	now: number,
 ): void {
-	const news = takeEndNews(net.quarantines[entry]!, told, now)
+	const news = mergeCrashEvidence(net.quarantines[entry]!, told, now)
 	if (news.ends.length === 0) return
 	for (let other = 0; other < story.entries; other++) {
 		if (other === entry) continue
@@ -121,6 +121,6 @@
 	for (const other of quarantines) {
 		if (other === fresh) continue
 		const at = now + RELINK_MS * net.random()
-		plan(net, at, () => takeEndNews(fresh, listEndNews(other), at))
+		plan(net, at, () => mergeCrashEvidence(fresh, listCrashEvidence(other), at))
 	}
 }
--- a/packages/core/test/models/rewindNet.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -12,21 +12,21 @@
 	TermRevision,
 } from '../../src/index.ts'
 import {
-	createNewsBook,
+	applyPeerRecord,
+	applyRecord,
+	applyRestoredRecord,
+	confirmRemovals,
+	confirmReturns,
 	createRandom,
 	createServerList,
-	doubtRemoval,
+	createSharedState,
+	deferRemoval,
 	findMissing,
 	isLater,
-	listServerNews,
+	listServerUpdates,
 	listServing,
-	noteRead,
-	settleRemovals,
-	settleReturns,
-	takeCopied,
-	takeRecord,
-	takeServerNews,
-	takeTold,
+	mergeServerUpdates,
+	recordRead,
 } from '../../src/index.ts'
 
 const STEP_MS = 50
@@ -255,8 +255,8 @@
 
 function follow(net: Net, entry: Entry): void {
 	const { now, store } = net
-	settleRemovals(entry.list, now)
-	settleReturns(entry.list, now)
+	confirmRemovals(entry.list, now)
+	confirmReturns(entry.list, now)
 	const isCut = now < entry.cutUntil
 	if (isCut || now < store.awayUntil) entry.inTouchSince = now
 	if (isCut) return
@@ -284,7 +284,7 @@
 	else
 		for (const record of changesSince(store, position.revision))
 			takeOne(entry, record, now, false)
-	noteRead(entry.list, revision)
+	recordRead(entry.list, revision)
 	entry.position = revision
 }
 
@@ -345,9 +345,9 @@
 	isCopy: boolean,
 ): void {
 	const { list, doubtUntil } = entry
-	if (!record.server && now < doubtUntil) doubtRemoval(list, record, doubtUntil)
-	else if (isCopy) takeCopied(list, record, now)
-	else takeRecord(list, record)
+	if (!record.server && now < doubtUntil) deferRemoval(list, record, doubtUntil)
+	else if (isCopy) applyRestoredRecord(list, record, now)
+	else applyRecord(list, record)
 }
 
 /** Tells another entry what it lacks, and who has left. */
@@ -356,9 +356,12 @@
 	const newer = [...from.list.records.values()].filter(record =>
 		isLater(record.revision, after),
 	)
-	for (const record of newer) takeTold(to.list, record, now)
-	const left = listServerNews(createNewsBook(from.list.left), MOST_LEFT_TOLD)
-	takeServerNews(createNewsBook(to.list.left), left, now)
+	for (const record of newer) applyPeerRecord(to.list, record, now)
+	const left = listServerUpdates(
+		createSharedState(from.list.departed),
+		MOST_LEFT_TOLD,
+	)
+	mergeServerUpdates(createSharedState(to.list.departed), left, now)
 }
 
 function judge(net: Net): void {
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -7,17 +7,17 @@
 import {
 	admitAtHome,
 	admitForEntry,
-	admitTeam,
-	beginTeamAsk,
+	admitWithinShare,
+	beginHomeAdmission,
 	createLimits,
 	createRandom,
-	endTeamAsk,
+	endHomeAdmission,
 	findTeamHome,
-	forgetElsewhere,
-	isKeptAtHome,
-	noteTeamHeld,
+	isEnforcedAtHome,
+	pruneInFlightElsewhere,
+	recordTeamInFlight,
 	releaseTeam,
-	tellTeamHeld,
+	reportTeamInFlight,
 } from '../../src/index.ts'
 
 const TEAM = 'rangers'
@@ -87,11 +87,11 @@
 
 	function tell(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		const held = tellTeamHeld(entry.limits, TEAM)
+		const held = reportTeamInFlight(entry.limits, TEAM)
 		if (home === entry.name) return
 		send(entry.name, home, () => {
 			const keeper = byName.get(home)
-			if (keeper) noteTeamHeld(keeper.limits, TEAM, entry.name, held)
+			if (keeper) recordTeamInFlight(keeper.limits, TEAM, entry.name, held)
 		})
 	}
 
@@ -105,11 +105,12 @@
 
 	function keepPart(entry: Entry): void {
 		const part = { count: entry.names.length, place: placeOf(entry) }
-		if (!admitTeam(entry.limits, TEAM, limit, tokens, part, now)) begin(entry)
+		if (!admitWithinShare(entry.limits, TEAM, limit, tokens, part, now))
+			begin(entry)
 	}
 
 	function ask(entry: Entry, home: string): void {
-		const held = beginTeamAsk(entry.limits, TEAM, limit, now)
+		const held = beginHomeAdmission(entry.limits, TEAM, limit, now)
 		let isOver = false
 		const settle = (then: () => void) => {
 			if (isOver) return
@@ -118,7 +119,7 @@
 		}
 		after(ASK_MS, () =>
 			settle(() => {
-				endTeamAsk(entry.limits, TEAM, false)
+				endHomeAdmission(entry.limits, TEAM, false)
 				tell(entry)
 				keepPart(entry)
 			}),
@@ -130,7 +131,7 @@
 			const refusal = admitForEntry(keeper.limits, TEAM, limit, asked, now)
 			send(home, entry.name, () =>
 				settle(() => {
-					if (endTeamAsk(entry.limits, TEAM, !refusal)) tell(entry)
+					if (endHomeAdmission(entry.limits, TEAM, !refusal)) tell(entry)
 					if (!refusal) begin(entry)
 				}),
 			)
@@ -139,7 +140,7 @@
 
 	function take(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		if (!isKeptAtHome(limit, entry.names.length)) keepPart(entry)
+		if (!isEnforcedAtHome(limit, entry.names.length)) keepPart(entry)
 		else if (home !== entry.name) ask(entry, home)
 		else if (!admitAtHome(entry.limits, TEAM, limit, tokens, now)) begin(entry)
 	}
@@ -151,7 +152,7 @@
 		for (const entry of byName.values()) {
 			entry.names = left
 			const isHome = () => findTeamHome(TEAM, left) === entry.name
-			forgetElsewhere(entry.limits, new Set(left), isHome)
+			pruneInFlightElsewhere(entry.limits, new Set(left), isHome)
 		}
 	}
 
--- a/packages/core/test/passModel.test.ts
+++ b/packages/core/test/passModel.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import {
+	addPassSample,
 	createPassFitter,
 	createRandom,
-	heldWithin,
 	isMapNeeded,
-	notePasses,
+	maxInFlightWithin,
 	predictPassMs,
 } from '../src/index.ts'
 
@@ -31,12 +31,12 @@
 	test(`pass: ${name}`, () => {
 		const state = { factor, copying }
 		assert.is(predictPassMs(COST, fit, 5, state), ms)
-		assert.is(Number(heldWithin(COST, fit, ms, state).toFixed(9)), 5)
+		assert.is(Number(maxInFlightWithin(COST, fit, ms, state).toFixed(9)), 5)
 	})
 
 test('pass: not even empty ranks are fast enough', () => {
 	const state = { factor: 1, copying: false }
-	assert.ok(heldWithin(COST, AS_PUBLISHED, 10, state) < 0)
+	assert.ok(maxInFlightWithin(COST, AS_PUBLISHED, 10, state) < 0)
 })
 
 const GROUPS = [
@@ -56,7 +56,7 @@
 			const state = { factor, copying }
 			const noise = 1 + 0.1 * (random() - 0.5)
 			const passMs = predictPassMs(COST, truth, held, state) * noise
-			notePasses(fitter, COST, { passMs, held, factor, copying })
+			addPassSample(fitter, COST, { passMs, held, factor, copying })
 		}
 		assert.ok(Math.abs(fitter.fit.base - truth.base) < 0.08)
 		assert.ok(Math.abs(fitter.fit.stepSkew - truth.stepSkew) < 0.12)
@@ -65,7 +65,7 @@
 test('pass: one odd reading is not believed', () => {
 	const fitter = createPassFitter()
 	const odd = { passMs: 4_000, held: 5, factor: 1.5, copying: false }
-	notePasses(fitter, COST, odd)
+	addPassSample(fitter, COST, odd)
 	assert.ok(fitter.fit.base <= 2 && fitter.fit.stepSkew <= 1)
 })
 
--- a/packages/core/test/quarantine.test.ts
+++ b/packages/core/test/quarantine.test.ts
@@ -2,25 +2,25 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { Quarantine, ServerEnd } from '../src/index.ts'
+import type { Quarantine, ServerCrash } from '../src/index.ts'
 import {
-	barredForMs,
 	createQuarantine,
-	listBarred,
-	listEndNews,
-	takeEndNews,
+	listCrashEvidence,
+	listQuarantined,
+	mergeCrashEvidence,
+	quarantineLeftMs,
 } from '../src/index.ts'
 
 /** An end, and for how long each request had been there. */
 type EndCase = readonly [server: string, at: number, ran: object]
 
-function endOf([server, at, ran]: EndCase): ServerEnd {
+function endOf([server, at, ran]: EndCase): ServerCrash {
 	return { server, at, ran: new Map(Object.entries(ran)) }
 }
 
 function take(quarantine: Quarantine, ...ends: EndCase[]): void {
 	const news = { ends: ends.map(endOf), served: [] }
-	takeEndNews(quarantine, news, Math.max(...ends.map(([, at]) => at)))
+	mergeCrashEvidence(quarantine, news, Math.max(...ends.map(([, at]) => at)))
 }
 
 const DAY_MS = 86_400_000
@@ -157,16 +157,16 @@
 	test(name, () => {
 		const quarantine = createQuarantine()
 		take(quarantine, ...ends)
-		takeEndNews(quarantine, { ends: [], served }, 9_000)
-		assert.equal(listBarred(quarantine), [...barred])
+		mergeCrashEvidence(quarantine, { ends: [], served }, 9_000)
+		assert.equal(listQuarantined(quarantine), [...barred])
 	})
 
 	test(`${name}: the same whatever comes first, and twice`, () => {
 		const quarantine = createQuarantine()
 		for (const end of [...ends].reverse()) take(quarantine, end)
-		takeEndNews(quarantine, { ends: [], served }, 9_000)
+		mergeCrashEvidence(quarantine, { ends: [], served }, 9_000)
 		take(quarantine, ...ends)
-		assert.equal(listBarred(quarantine), [...barred])
+		assert.equal(listQuarantined(quarantine), [...barred])
 	})
 }
 
@@ -174,11 +174,11 @@
 	const quarantine = createQuarantine()
 	take(quarantine, ['a', 3, { bad: 40 }])
 	const news = { ends: [endOf(['a', 0, { bad: 40, x: 2 }])], served: [] }
-	const first = takeEndNews(quarantine, news, 5)
-	const second = takeEndNews(quarantine, news, 5)
+	const first = mergeCrashEvidence(quarantine, news, 5)
+	const second = mergeCrashEvidence(quarantine, news, 5)
 	assert.is(first.ends.length, 1)
 	assert.is(second.ends.length, 0)
-	const [end] = listEndNews(quarantine).ends
+	const [end] = listCrashEvidence(quarantine).ends
 	assert.equal(
 		[end!.at, [...end!.ran]],
 		[
@@ -195,8 +195,11 @@
 	const quarantine = createQuarantine()
 	take(quarantine, ['a', 0, { x: 40 }])
 	const tell = (fingerprint: string, at: number) =>
-		takeEndNews(quarantine, { ends: [], served: [{ fingerprint, at }] }, at)
-			.served.length
+		mergeCrashEvidence(
+			quarantine,
+			{ ends: [], served: [{ fingerprint, at }] },
+			at,
+		).served.length
 	assert.equal([tell('x', 10), tell('x', 11), tell('y', 12)], [1, 0, 0])
 	assert.is(quarantine.suspects.size, 0)
 })
@@ -215,9 +218,9 @@
 		for (let one = 0; one < ends; one++)
 			take(quarantine, [`s${one}`, at(one), { bad: 40 }])
 		const lastAt = at(ends - 1)
-		assert.is(barredForMs(quarantine, 'bad', lastAt), barredMs)
-		assert.is(barredForMs(quarantine, 'bad', lastAt + barredMs), 0)
-		assert.is(barredForMs(quarantine, 'other', lastAt), 0)
+		assert.is(quarantineLeftMs(quarantine, 'bad', lastAt), barredMs)
+		assert.is(quarantineLeftMs(quarantine, 'bad', lastAt + barredMs), 0)
+		assert.is(quarantineLeftMs(quarantine, 'other', lastAt), 0)
 	})
 
 test('ends are forgotten after a day', () => {
@@ -238,7 +241,7 @@
 	assert.ok(
 		Math.max(...[...quarantine.ends.values()].map(e => e.ran.size)) <= 16,
 	)
-	assert.equal(listBarred(quarantine), ['bad'])
+	assert.equal(listQuarantined(quarantine), ['bad'])
 })
 
 test.run()
--- a/packages/core/test/rebalance.test.ts
+++ b/packages/core/test/rebalance.test.ts
@@ -2,26 +2,26 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { RebalanceTerms } from '../src/index.ts'
+import type { RebalanceParameters } from '../src/index.ts'
 import {
-	createEstimate,
+	computeRankLoads,
+	computeSkew,
+	createExpertEstimate,
 	createLayer,
+	createLayerFromRanks,
 	createRandom,
-	expectedHorizon,
+	expectedHorizonMs,
 	expectedShares,
-	layerFrom,
-	listByRank,
-	loadsOf,
+	listExpertsByRank,
 	observeTokens,
 	planLayer,
-	skewOf,
 } from '../src/index.ts'
 
 const RANKS = 8
 const EXPERTS = 32
 const WINDOW_MS = 60_000
 
-const TERMS: RebalanceTerms = {
+const TERMS: RebalanceParameters = {
 	skewWeight: 1,
 	moveWeight: 1,
 	horizonMs: 600_000,
@@ -39,7 +39,7 @@
 
 const PLANS: {
 	name: string
-	terms: Partial<RebalanceTerms>
+	terms: Partial<RebalanceParameters>
 	spare: number
 	/** Bounds of the skew after the plan. */
 	skew: [number, number]
@@ -68,7 +68,7 @@
 		const share = zipf(1)
 		const layer = createLayer(RANKS, EXPERTS, spare)
 		const plan = planLayer(layer, share, 0, { ...TERMS, ...terms })
-		const after = skewOf(loadsOf(plan.placement, share, 0))
+		const after = computeSkew(computeRankLoads(plan.placement, share, 0))
 		assert.ok(after >= skew[0] && after <= skew[1], `skew ${after}`)
 		const count = plan.loads.length
 		assert.ok(count >= loads[0] && count <= loads[1], `${count} loads`)
@@ -98,8 +98,8 @@
 
 test('placement: by rank and back', () => {
 	const byRank = [[0, 1], [2, 3, 0], [1]]
-	const layer = layerFrom(byRank, 4, 2)
-	assert.equal(listByRank(layer), byRank)
+	const layer = createLayerFromRanks(byRank, 4, 2)
+	assert.equal(listExpertsByRank(layer), byRank)
 	assert.equal([...layer.copies], [2, 2, 1, 1])
 })
 
@@ -125,7 +125,7 @@
 for (const { name, pick, horizon } of POPULARITIES)
 	test(`estimate: ${name} is averaged long`, () => {
 		const random = createRandom(3)
-		const estimate = createEstimate(1, EXPERTS, WINDOW_MS)
+		const estimate = createExpertEstimate(1, EXPERTS, WINDOW_MS)
 		const both = [zipf(1), zipf(1).reverse()]
 		for (let window = 0; window < 60; window++) {
 			const share = both[pick(window)]!
@@ -135,12 +135,12 @@
 				noisy.map(part => part * 1e6),
 			)
 		}
-		const found = expectedHorizon(estimate)
+		const found = expectedHorizonMs(estimate)
 		assert.ok(found >= horizon[0] && found <= horizon[1], `${found}`)
 	})
 
 test('estimate: a storm is followed within a few windows', () => {
-	const estimate = createEstimate(1, EXPERTS, WINDOW_MS)
+	const estimate = createExpertEstimate(1, EXPERTS, WINDOW_MS)
 	const [calm, storm] = [zipf(1), zipf(1).reverse()]
 	for (let n = 0; n < 30; n++) observeTokens(estimate, calm)
 	for (let n = 0; n < 8; n++) observeTokens(estimate, storm)
--- a/packages/core/test/fate.test.ts
+++ b/packages/core/test/requestLifecycle.test.ts
@@ -4,10 +4,13 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { explore } from './models/explore.ts'
-import { createFateModel } from './models/fateModel.ts'
-import type { FateBounds, FateMutant } from './models/fateModelState.ts'
+import { createLifecycleModel } from './models/lifecycleModel.ts'
+import type {
+	LifecycleBounds,
+	LifecycleMutant,
+} from './models/lifecycleModelState.ts'
 
-const QUIET: FateBounds = {
+const QUIET: LifecycleBounds = {
 	entries: 1,
 	repeatable: false,
 	keyed: true,
@@ -21,7 +24,7 @@
 }
 const SEED = 20261202
 
-const EXHAUSTIVE: { name: string; bounds: FateBounds }[] = [
+const EXHAUSTIVE: { name: string; bounds: LifecycleBounds }[] = [
 	{
 		name: 'a booking, a restart, a lost link, a silence',
 		bounds: { ...QUIET, restarts: 1, losses: 1, silences: 1 },
@@ -68,15 +71,15 @@
 
 for (const { name, bounds } of EXHAUSTIVE)
 	test(`fate, every order: ${name}`, () => {
-		const found = explore(createFateModel(bounds))
+		const found = explore(createLifecycleModel(bounds))
 		assert.is(found.fault, undefined, JSON.stringify(found.path, null, 1))
 		assert.ok(found.complete)
 		assert.ok(found.states > 200, `only ${found.states} states`)
 	})
 
 const MUTANTS: {
-	mutant: FateMutant
-	bounds: FateBounds
+	mutant: LifecycleMutant
+	bounds: LifecycleBounds
 	fault: string
 }[] = [
 	{
@@ -103,12 +106,12 @@
 
 for (const { mutant, bounds, fault } of MUTANTS)
 	test(`fate: without the guard "${mutant}" a fault is found`, () => {
-		const found = explore(createFateModel(bounds, mutant))
+		const found = explore(createLifecycleModel(bounds, mutant))
 		assert.is(found.fault, fault)
 	})
 
 test('fate, random orders: two entries, all faults', () => {
-	const model = createFateModel({
+	const model = createLifecycleModel({
 		entries: 2,
 		repeatable: false,
 		keyed: true,
--- a/packages/core/test/comeBack.test.ts
+++ b/packages/core/test/retryAfter.test.ts
@@ -3,17 +3,17 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import {
-	beginSpell,
-	bookReturn,
-	createPlaceFlow,
+	createBlockageTracker,
+	createDispatchRate,
 	createRandom,
-	createReturns,
-	createSpell,
-	endSpell,
-	expectSpellEnd,
-	gapNow,
-	notePlace,
+	createRetryAfterSchedule,
+	currentIntervalMs,
+	estimateBlockageMs,
+	markBlocked,
+	markUnblocked,
 	predictWaitMs,
+	recordDispatch,
+	scheduleRetryAfter,
 } from '../src/index.ts'
 
 const SPELLS = [
@@ -24,29 +24,29 @@
 
 for (const { name, elapsedMs, expected } of SPELLS)
 	test(`spell, ${name}: ${expected} ms to go`, () => {
-		const spell = createSpell(1_000)
-		assert.is(expectSpellEnd(spell, 0), 0)
-		beginSpell(spell, 0)
-		beginSpell(spell, elapsedMs / 2)
-		assert.is(expectSpellEnd(spell, elapsedMs), expected)
+		const spell = createBlockageTracker(1_000)
+		assert.is(estimateBlockageMs(spell, 0), 0)
+		markBlocked(spell, 0)
+		markBlocked(spell, elapsedMs / 2)
+		assert.is(estimateBlockageMs(spell, elapsedMs), expected)
 	})
 
 test('spells: the usual length follows those that were seen', () => {
-	const spell = createSpell(1_000)
+	const spell = createBlockageTracker(1_000)
 	for (let at = 0; at < 20; at++) {
-		beginSpell(spell, at * 10_000)
-		endSpell(spell, at * 10_000 + 3_000)
+		markBlocked(spell, at * 10_000)
+		markUnblocked(spell, at * 10_000 + 3_000)
 	}
-	assert.ok(Math.abs(spell.usualMs - 3_000) < 10)
-	assert.is(expectSpellEnd(spell, 0), 0)
+	assert.ok(Math.abs(spell.typicalMs - 3_000) < 10)
+	assert.is(estimateBlockageMs(spell, 0), 0)
 })
 
 test('places: a wait is as long as the places before it take', () => {
-	const flow = createPlaceFlow()
-	for (let at = 0; at <= 60; at++) notePlace(flow, at * 50)
-	assert.ok(Math.abs(gapNow(flow, 3_000) - 50) < 1)
+	const flow = createDispatchRate()
+	for (let at = 0; at <= 60; at++) recordDispatch(flow, at * 50)
+	assert.ok(Math.abs(currentIntervalMs(flow, 3_000) - 50) < 1)
 	assert.ok(Math.abs(predictWaitMs(flow, 3, 3_000) - 200) < 4)
-	assert.is(gapNow(flow, 3_400), 400, 'none has come since')
+	assert.is(currentIntervalMs(flow, 3_400), 400, 'none has come since')
 })
 
 const RETURNS = [
@@ -79,7 +79,12 @@
 		const random = createRandom(3)
 		for (let draw = 0; draw < 50; draw++) {
 			const forecast = { openInMs, notBeforeMs: 0, gapMs: 100, heededMs }
-			const told = bookReturn(createReturns(), forecast, 0, random)
+			const told = scheduleRetryAfter(
+				createRetryAfterSchedule(),
+				forecast,
+				0,
+				random,
+			)
 			assert.ok(told >= least && told <= most, `${told}`)
 		}
 	})
@@ -94,10 +99,10 @@
 test('come back: what surely cannot be earlier is told, heeded or not', () => {
 	const random = createRandom(3)
 	for (const notBeforeMs of [500, 2_500, 3_000, 60_000]) {
-		const returns = createReturns()
+		const returns = createRetryAfterSchedule()
 		const forecast = { ...FORECAST, notBeforeMs }
 		const told = Array.from({ length: 60 }, () =>
-			bookReturn(returns, forecast, 0, random),
+			scheduleRetryAfter(returns, forecast, 0, random),
 		)
 		assert.ok(Math.min(...told) >= notBeforeMs)
 		assert.ok(Math.max(...told) <= notBeforeMs + FORECAST.heededMs)
@@ -106,19 +111,21 @@
 })
 
 test('come back: one after the other, in the order they came', () => {
-	const returns = createReturns()
+	const returns = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, openInMs: 300 }
 	const even = () => 0.5
-	const told = [0, 10, 20].map(now => bookReturn(returns, forecast, now, even))
+	const told = [0, 10, 20].map(now =>
+		scheduleRetryAfter(returns, forecast, now, even),
+	)
 	assert.equal(told, [400, 490, 580])
 })
 
 test('come back: a new spell does not wait for callers long gone', () => {
-	const returns = createReturns()
+	const returns = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, openInMs: 300 }
-	bookReturn(returns, forecast, 0, () => 0.5)
+	scheduleRetryAfter(returns, forecast, 0, () => 0.5)
 	assert.is(
-		bookReturn(returns, forecast, 60_000, () => 0.5),
+		scheduleRetryAfter(returns, forecast, 60_000, () => 0.5),
 		400,
 	)
 })
--- a/packages/core/test/retryWindow.test.ts
+++ b/packages/core/test/retryWindow.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createRetryWindow, noteRequest, takeRetry } from '../src/index.ts'
+import { createRetryWindow, recordRequest, takeRetry } from '../src/index.ts'
 
 const ALLOWANCE = { ratio: 0.2, slack: 40, windowMs: 10_000 }
 
@@ -21,7 +21,7 @@
 	test(`retry window: ${name} allows ${most}`, () => {
 		const window = createRetryWindow()
 		for (let count = 0; count < requests; count++)
-			noteRequest(window, ALLOWANCE, 100)
+			recordRequest(window, ALLOWANCE, 100)
 		let taken = 0
 		while (takeRetry(window, ALLOWANCE, entries, 200)) taken++
 		assert.is(taken, most)
--- a/packages/core/test/routeTable.test.ts
+++ b/packages/core/test/routeTable.test.ts
@@ -6,8 +6,8 @@
 import {
 	createRandom,
 	createRouteTable,
-	drawService,
 	findRoute,
+	pickService,
 } from '../src/index.ts'
 
 const ROUTE = {
@@ -65,7 +65,7 @@
 	]
 	let toB = 0
 	for (let draw = 0; draw < 2_000; draw++)
-		if (drawService(shares, random) === 'b') toB++
+		if (pickService(shares, random) === 'b') toB++
 	assert.ok(toB > 140 && toB < 260, `${toB} of 2000`)
 })
 
--- a/packages/core/test/serverList.test.ts
+++ b/packages/core/test/serverList.test.ts
@@ -4,14 +4,14 @@
 import * as assert from 'uvu/assert'
 import type { ListedServer, ServerRecord, TermRevision } from '../src/index.ts'
 import {
+	applyRecord,
+	confirmRemovals,
 	createServerList,
-	doubtRemoval,
+	deferRemoval,
 	findMissing,
 	incarnationId,
 	listServing,
-	noteDisplaced,
-	settleRemovals,
-	takeRecord,
+	markDisplaced,
 } from '../src/index.ts'
 
 /** A revision of the first term. */
@@ -40,9 +40,11 @@
 
 test('server list: an older record never wins', () => {
 	const list = createServerList()
-	assert.ok(takeRecord(list, { name: '1', revision: at(9), server: undefined }))
+	assert.ok(
+		applyRecord(list, { name: '1', revision: at(9), server: undefined }),
+	)
 	assert.not(
-		takeRecord(list, { name: '1', revision: at(5), server: serverOf('1') }),
+		applyRecord(list, { name: '1', revision: at(5), server: serverOf('1') }),
 	)
 	assert.equal(idsOf(list), [])
 })
@@ -50,9 +52,9 @@
 test('server list: one that leaves does not come back', () => {
 	const list = createServerList()
 	const leaving = { ...serverOf('1'), leaving: true }
-	takeRecord(list, { name: '1', revision: at(2), server: leaving })
+	applyRecord(list, { name: '1', revision: at(2), server: leaving })
 	assert.not(
-		takeRecord(list, { name: '1', revision: at(3), server: serverOf('1') }),
+		applyRecord(list, { name: '1', revision: at(3), server: serverOf('1') }),
 	)
 	assert.equal(idsOf(list), [])
 	assert.equal(
@@ -64,14 +66,14 @@
 
 test('server list: a removal while the source was away is doubted', () => {
 	const list = createServerList()
-	takeRecord(list, { name: '1', revision: at(2), server: serverOf('1') })
-	takeRecord(list, { name: '2', revision: at(2), server: serverOf('2') })
+	applyRecord(list, { name: '1', revision: at(2), server: serverOf('1') })
+	applyRecord(list, { name: '2', revision: at(2), server: serverOf('2') })
 	for (const record of findMissing(list, new Set(), at(7)))
-		doubtRemoval(list, record, 1_000)
+		deferRemoval(list, record, 1_000)
 	assert.equal(idsOf(list), ['1', '2'])
-	takeRecord(list, { name: '2', revision: at(8), server: serverOf('2') })
-	assert.equal(settleRemovals(list, 999), [])
-	const settled = settleRemovals(list, 1_000)
+	applyRecord(list, { name: '2', revision: at(8), server: serverOf('2') })
+	assert.equal(confirmRemovals(list, 999), [])
+	const settled = confirmRemovals(list, 1_000)
 	assert.equal(
 		settled.map(({ name }) => name),
 		['1'],
@@ -83,30 +85,30 @@
 	const list = createServerList()
 	const missingAt = (term: number) =>
 		findMissing(list, new Set(), { term, revision: 5 })
-	takeRecord(list, { name: '1', revision: at(7), server: serverOf('1') })
-	for (const record of missingAt(2)) doubtRemoval(list, record, 1_000)
-	for (const record of missingAt(3)) doubtRemoval(list, record, 1_800)
-	assert.equal(settleRemovals(list, 1_000), [])
+	applyRecord(list, { name: '1', revision: at(7), server: serverOf('1') })
+	for (const record of missingAt(2)) deferRemoval(list, record, 1_000)
+	for (const record of missingAt(3)) deferRemoval(list, record, 1_800)
+	assert.equal(confirmRemovals(list, 1_000), [])
 	assert.equal(idsOf(list), ['1'])
-	assert.is(settleRemovals(list, 1_800).length, 1)
+	assert.is(confirmRemovals(list, 1_800).length, 1)
 	assert.equal(idsOf(list), [])
 })
 
 test('server list: the newest id of an address is the one there', () => {
 	const list = createServerList()
 	const there = '10.0.0.9:80'
-	takeRecord(list, {
+	applyRecord(list, {
 		name: 'old',
 		revision: at(2),
 		server: serverOf('old', there),
 	})
-	takeRecord(list, {
+	applyRecord(list, {
 		name: 'new',
 		revision: at(6),
 		server: serverOf('new', there),
 	})
 	assert.equal(idsOf(list), ['new'])
-	noteDisplaced(list, 'new')
+	markDisplaced(list, 'new')
 	assert.equal(idsOf(list), [])
 })
 
@@ -180,7 +182,7 @@
 for (const { name, records, serving } of LIVES)
 	test(`server list: ${name}`, () => {
 		const list = createServerList()
-		for (const record of records) takeRecord(list, { name: '1', ...record })
+		for (const record of records) applyRecord(list, { name: '1', ...record })
 		assert.equal(idsOf(list), serving)
 	})
 
@@ -188,12 +190,12 @@
 	const list = createServerList()
 	const there = '10.0.0.9:80'
 	const foreign = { ...serverOf('new', there), service: 'unheard of' }
-	takeRecord(list, {
+	applyRecord(list, {
 		name: 'old',
 		revision: at(2),
 		server: serverOf('old', there),
 	})
-	takeRecord(list, { name: 'new', revision: at(6), server: foreign })
+	applyRecord(list, { name: 'new', revision: at(6), server: foreign })
 	assert.equal(idsOf(list), ['old'])
 })
 
--- a/packages/core/test/serverNews.test.ts
+++ b/packages/core/test/serverUpdates.test.ts
@@ -6,16 +6,16 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { NewsBook, Random, ServerNews } from '../src/index.ts'
+import type { Random, ServerUpdate, SharedState } from '../src/index.ts'
 import {
-	createNewsBook,
 	createRandom,
-	drawIndex,
-	listBarred,
-	listServerNews,
-	perSecondOf,
-	subjectOf,
-	takeServerNews,
+	createSharedState,
+	listQuarantined,
+	listServerUpdates,
+	mergeServerUpdates,
+	randomIndex,
+	rateLimitOf,
+	updateKeyOf,
 } from '../src/index.ts'
 
 const HISTORIES = 300
@@ -29,34 +29,34 @@
 
 /** How entries merge; a mutant merges otherwise. */
 type Merge = (
-	book: NewsBook,
-	news: readonly ServerNews[],
+	book: SharedState,
+	news: readonly ServerUpdate[],
 	now: number,
-) => ServerNews[]
+) => ServerUpdate[]
 
 interface Message {
 	readonly to: number
-	readonly news: readonly ServerNews[]
+	readonly news: readonly ServerUpdate[]
 }
 
 interface Net {
-	readonly books: NewsBook[]
+	readonly books: SharedState[]
 	/** Heard everything, in the order in which it happened. */
-	readonly witness: NewsBook
+	readonly witness: SharedState
 	/** What each entry has still to tell, the last news of each subject. */
-	readonly outboxes: Map<string, ServerNews>[]
+	readonly outboxes: Map<string, ServerUpdate>[]
 	/** What is under way; any of it may come next. */
 	underWay: Message[]
 	readonly merge: Merge
 	readonly random: Random
 }
 
-function drawNews(random: Random, at: number): ServerNews {
-	const server = SERVERS[drawIndex(random, SERVERS.length)]!
-	const fingerprint = REQUESTS[drawIndex(random, REQUESTS.length)]!
-	switch (drawIndex(random, 5)) {
+function drawNews(random: Random, at: number): ServerUpdate {
+	const server = SERVERS[randomIndex(random, SERVERS.length)]!
+	const fingerprint = REQUESTS[randomIndex(random, REQUESTS.length)]!
+	switch (randomIndex(random, 5)) {
 		case 0: {
-			const perSecond = [undefined, 1, 2][drawIndex(random, 3)]
+			const perSecond = [undefined, 1, 2][randomIndex(random, 3)]
 			return { kind: 'limit', server, perSecond, at }
 		}
 		case 1:
@@ -70,8 +70,8 @@
 		case 3:
 			return { kind: 'served', fingerprint, at }
 		default: {
-			const entry = String(drawIndex(random, ENTRIES))
-			const endsAt = at + 100_000 + drawIndex(random, 50_000)
+			const entry = String(randomIndex(random, ENTRIES))
+			const endsAt = at + 100_000 + randomIndex(random, 50_000)
 			return { kind: 'rest', server, entry, endsAt }
 		}
 	}
@@ -81,11 +81,11 @@
 function take(
 	net: Net,
 	entry: number,
-	news: readonly ServerNews[],
+	news: readonly ServerUpdate[],
 	at: number,
 ) {
 	const fresh = net.merge(net.books[entry]!, news, at)
-	for (const one of fresh) net.outboxes[entry]!.set(subjectOf(one), one)
+	for (const one of fresh) net.outboxes[entry]!.set(updateKeyOf(one), one)
 }
 
 function tellOthers(net: Net, entry: number): void {
@@ -98,7 +98,7 @@
 }
 
 function deliver(net: Net, at: number): void {
-	const which = drawIndex(net.random, net.underWay.length)
+	const which = randomIndex(net.random, net.underWay.length)
 	const message = net.underWay[which]
 	if (!message) return
 	const isDoubled = net.random() < 0.1
@@ -108,18 +108,18 @@
 
 /** A link comes up: both ends tell all that they know. */
 function link(net: Net, at: number): void {
-	const [one, other] = [0, 0].map(() => drawIndex(net.random, ENTRIES))
-	take(net, one!, listServerNews(net.books[other!]!, MAX_LEFT), at)
-	take(net, other!, listServerNews(net.books[one!]!, MAX_LEFT), at)
+	const [one, other] = [0, 0].map(() => randomIndex(net.random, ENTRIES))
+	take(net, one!, listServerUpdates(net.books[other!]!, MAX_LEFT), at)
+	take(net, other!, listServerUpdates(net.books[one!]!, MAX_LEFT), at)
 }
 
 /** Whether an entry would make news of it: who knows no limit sees no end of one. */
-function isHeard(book: NewsBook, news: ServerNews): boolean {
+function isHeard(book: SharedState, news: ServerUpdate): boolean {
 	switch (news.kind) {
 		case 'limit':
 			return (
 				news.perSecond !== undefined ||
-				perSecondOf(book.rateLimits, news.server) !== undefined
+				rateLimitOf(book.rateLimits, news.server) !== undefined
 			)
 		case 'served':
 			return book.quarantine.suspects.has(news.fingerprint)
@@ -130,11 +130,11 @@
 
 function step(net: Net, at: number): void {
 	const dice = net.random()
-	const entry = drawIndex(net.random, ENTRIES)
+	const entry = randomIndex(net.random, ENTRIES)
 	if (dice < 0.3) {
 		const news = drawNews(net.random, at)
 		if (!isHeard(net.books[entry]!, news)) return
-		takeServerNews(net.witness, [news], at)
+		mergeServerUpdates(net.witness, [news], at)
 		take(net, entry, [news], at)
 	} else if (dice < 0.5) tellOthers(net, entry)
 	else if (dice < 0.85) deliver(net, at)
@@ -148,21 +148,21 @@
 /** An entry starts anew once another one knows all that it knew. */
 function restart(net: Net, entry: number, at: number): void {
 	const other = (entry + 1) % ENTRIES
-	take(net, other, listServerNews(net.books[entry]!, MAX_LEFT), at)
-	net.books[entry] = createNewsBook()
+	take(net, other, listServerUpdates(net.books[entry]!, MAX_LEFT), at)
+	net.books[entry] = createSharedState()
 	net.outboxes[entry]!.clear()
-	take(net, entry, listServerNews(net.books[other]!, MAX_LEFT), at)
+	take(net, entry, listServerUpdates(net.books[other]!, MAX_LEFT), at)
 }
 
 /** What is believed, to be compared; a rest that is over is nobody's concern. */
-function beliefsOf(book: NewsBook, now: number): unknown {
+function beliefsOf(book: SharedState, now: number): unknown {
 	return {
-		limits: SERVERS.map(one => perSecondOf(book.rateLimits, one) ?? 'none'),
-		left: [...book.left].sort(),
+		limits: SERVERS.map(one => rateLimitOf(book.rateLimits, one) ?? 'none'),
+		left: [...book.departed].sort(),
 		ends: [...book.quarantine.ends.values()]
 			.map(({ server, ran }) => `${server} ${[...ran.keys()].sort()}`)
 			.sort(),
-		rests: [...book.rests.values()]
+		rests: [...book.backoffs.values()]
 			.filter(({ endsAt }) => endsAt > now)
 			.map(one => `${one.entry} ${one.server} ${one.endsAt}`)
 			.sort(),
@@ -178,8 +178,8 @@
 /** Whether all entries believe in the end what the witness does. */
 function endsAlike(seed: number, merge: Merge): boolean {
 	const net: Net = {
-		books: Array.from({ length: ENTRIES }, () => createNewsBook()),
-		witness: createNewsBook(),
+		books: Array.from({ length: ENTRIES }, () => createSharedState()),
+		witness: createSharedState(),
 		outboxes: Array.from({ length: ENTRIES }, () => new Map()),
 		underWay: [],
 		merge,
@@ -195,7 +195,7 @@
 		}
 		for (let one = 0; one < ENTRIES; one++) {
 			const next = (one + 1) % ENTRIES
-			take(net, next, listServerNews(net.books[one]!, MAX_LEFT), end)
+			take(net, next, listServerUpdates(net.books[one]!, MAX_LEFT), end)
 		}
 	}
 	const expected = JSON.stringify(beliefsOf(net.witness, end))
@@ -204,22 +204,26 @@
 	)
 	// Which answers speak for a request depends on when it was suspected, and so on who
 	// heard what first: entries agree among themselves.
-	const verdicts = net.books.map(book => listBarred(book.quarantine).sort())
+	const verdicts = net.books.map(book =>
+		listQuarantined(book.quarantine).sort(),
+	)
 	return isAlike && new Set(verdicts.map(String)).size === 1
 }
 
 test('news: drawn histories end in the same beliefs everywhere', () => {
 	const odd: number[] = []
 	for (let seed = 0; seed < HISTORIES; seed++)
-		if (!endsAlike(seed, takeServerNews)) odd.push(seed)
+		if (!endsAlike(seed, mergeServerUpdates)) odd.push(seed)
 	assert.equal(odd, [])
 })
 
 /** Merges one kind of news otherwise. */
-function mutate(change: (book: NewsBook, news: ServerNews) => boolean): Merge {
+function mutate(
+	change: (book: SharedState, news: ServerUpdate) => boolean,
+): Merge {
 	return (book, news, now) =>
 		news.flatMap(one =>
-			change(book, one) ? [one] : takeServerNews(book, [one], now),
+			change(book, one) ? [one] : mergeServerUpdates(book, [one], now),
 		)
 }
 
@@ -239,7 +243,7 @@
 	{
 		name: 'the end of a limit is forgotten at once',
 		merge: (book, news, now) => {
-			const fresh = takeServerNews(book, news, now)
+			const fresh = mergeServerUpdates(book, news, now)
 			for (const [server, { perSecond }] of book.rateLimits)
 				if (perSecond === undefined) book.rateLimits.delete(server)
 			return fresh
@@ -249,7 +253,7 @@
 		name: 'a leaving is taken back',
 		merge: mutate((book, news) => {
 			if (news.kind === 'limit' && news.perSecond === undefined)
-				book.left.clear()
+				book.departed.clear()
 			return false
 		}),
 	},
@@ -258,15 +262,15 @@
 		merge: mutate((book, news) => {
 			if (news.kind !== 'rest') return false
 			const key = `${news.entry} ${news.server}`
-			const isSame = book.rests.get(key)?.endsAt === news.endsAt
-			book.rests.set(key, news)
+			const isSame = book.backoffs.get(key)?.endsAt === news.endsAt
+			book.backoffs.set(key, news)
 			return !isSame && news.endsAt % 2 === 0
 		}),
 	},
 	{
 		name: 'what is news is not passed on, and ends are not told on links',
 		merge: (book, news, now) => {
-			takeServerNews(
+			mergeServerUpdates(
 				book,
 				news.length > 1 ? news.filter(one => one.kind !== 'end') : news,
 				now,
@@ -285,7 +289,7 @@
 
 // Who ran beside a deadly request was refused: half of what was known of an end was told.
 test('news: of an end all that entries ran is told on', () => {
-	const book = createNewsBook()
+	const book = createSharedState()
 	const endOf = (fingerprint: string) =>
 		({
 			kind: 'end',
@@ -293,8 +297,8 @@
 			at: 5,
 			ran: new Map([[fingerprint, 40]]),
 		}) as const
-	takeServerNews(book, [endOf('x')], 10)
-	const [fresh] = takeServerNews(book, [endOf('y')], 10)
+	mergeServerUpdates(book, [endOf('x')], 10)
+	const [fresh] = mergeServerUpdates(book, [endOf('y')], 10)
 	assert.equal([...(fresh?.ran.keys() ?? [])].sort(), ['x', 'y'])
 })
 
--- a/packages/core/test/staleLoads.test.ts
+++ b/packages/core/test/staleLoads.test.ts
@@ -11,11 +11,11 @@
 import * as assert from 'uvu/assert'
 import type { EntryDemand, Random, ServerTable } from '../src/index.ts'
 import {
+	assignServers,
 	chooseRow,
+	countInFlight,
 	createRandom,
 	createServerTable,
-	dealServers,
-	heldBy,
 } from '../src/index.ts'
 
 const LENGTH_MS = 14_000
@@ -114,7 +114,8 @@
 	let least = Number.POSITIVE_INFINITY
 	for (let at = 0; at < size; at++) {
 		const row = (from + at) % size
-		const held = heldBy(table, row) + 0.75 * table.dealtElsewhere[row]!
+		const held =
+			countInFlight(table, row) + 0.75 * table.assignedElsewhere[row]!
 		if (held >= least) continue
 		least = held
 		best = row
@@ -142,12 +143,12 @@
 	}))
 	return demand.map((own, at): Entry => {
 		const others = demand.filter(one => one !== own)
-		const dealt = new Set(dealServers(own, others, servers))
+		const dealt = new Set(assignServers(own, others, servers))
 		const table = createServerTable(servers.map(server => server.id))
 		table.slots.fill(slots)
 		table.open.fill(1)
 		for (let row = 0; row < ranks; row++)
-			table.dealtElsewhere[row] = dealt.has(row) ? 0 : 1
+			table.assignedElsewhere[row] = dealt.has(row) ? 0 : 1
 		return {
 			table,
 			told: new Array<number>(ranks).fill(0),
@@ -170,7 +171,7 @@
 		now -= (Math.log(1 - random()) * 1_000) / perSecond
 		for (const { end, entry, row } of open) {
 			if (end > now) continue
-			entry.table.sentSince[row]!--
+			entry.table.sentSinceReport[row]!--
 			held[row]!--
 		}
 		open = open.filter(one => one.end > now)
@@ -179,7 +180,7 @@
 		const row = choose(entry.table, entry.untold, random)
 		if (now > FILLED_MS) asked++
 		if (now > FILLED_MS && held[row]! >= slots) behind++
-		entry.table.sentSince[row]!++
+		entry.table.sentSinceReport[row]!++
 		entry.untold++
 		held[row]!++
 		open.push({ end: now + drawStreamMs(streamMs, random), entry, row })
@@ -188,11 +189,11 @@
 
 	function tell(entry: Entry): void {
 		for (let row = 0; row < ranks; row++) {
-			const change = entry.table.sentSince[row]! - entry.told[row]!
+			const change = entry.table.sentSinceReport[row]! - entry.told[row]!
 			entry.told[row]! += change
 			if (change === 0) continue
 			for (const other of entries)
-				if (other !== entry) other.table.reported[row]! += change
+				if (other !== entry) other.table.reportedLoad[row]! += change
 		}
 		entry.nextTellAt += tellMs
 		entry.untold = 0
--- a/packages/core/test/rewindNet.test.ts
+++ b/packages/core/test/storeRollback.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { playRewinds } from './models/rewindNet.ts'
+import { playRewinds } from './models/storeRollback.ts'
 
 /** More by hand. */
 const RUNS = Number(process.env.RUNS ?? 150)
--- a/packages/core/test/subset.test.ts
+++ b/packages/core/test/subset.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { Placed } from '../src/index.ts'
-import { MIN_ENTRIES, pickSubset } from '../src/index.ts'
+import type { LocatedNode } from '../src/index.ts'
+import { MIN_ENTRIES_PER_SERVER, pickSubset } from '../src/index.ts'
 
-function place(kind: string, count: number, centres: number): Placed[] {
+function place(kind: string, count: number, centres: number): LocatedNode[] {
 	return Array.from({ length: count }, (_, n) => ({
 		name: `${kind}-${n}`,
 		dataCentre: `dc-${n % centres}`,
@@ -41,7 +41,7 @@
 			assert.ok(subset.length <= most, `${entry.name} sees ${subset.length}`)
 			for (const server of subset) seen.set(server, (seen.get(server) ?? 0) + 1)
 		}
-		const least = Math.min(entries, MIN_ENTRIES / 2)
+		const least = Math.min(entries, MIN_ENTRIES_PER_SERVER / 2)
 		for (const server of pool)
 			assert.ok((seen.get(server.name) ?? 0) >= least, server.name)
 	})
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -2,7 +2,7 @@
 
 import { randomBytes } from 'node:crypto'
 import type { Server } from 'node:http'
-import type { HeldConfig } from '@juniperhook/core'
+import type { ActiveConfig } from '@juniperhook/core'
 import {
 	createAffinity,
 	createLimits,
@@ -171,7 +171,7 @@
 	return app
 }
 
-function adopt(entry: EntryProcess, held: HeldConfig): void {
+function adopt(entry: EntryProcess, held: ActiveConfig): void {
 	entry.ctx.config = held.config
 	entry.ctx.teams = indexTeams(held.config)
 	applyConfig(entry.ctx.servers, held.config)
@@ -220,7 +220,7 @@
 			name,
 			open: table.open[row] === 1,
 			linked: ctx.servers.peers.get(name)?.awake ?? false,
-			load: table.reported[row]! + table.sentSince[row]!,
+			load: table.reportedLoad[row]! + table.sentSinceReport[row]!,
 			revision: ctx.servers.peers.get(name)?.revision ?? 0,
 		})),
 	}
--- a/packages/entry/src/io/entryContext.ts
+++ b/packages/entry/src/io/entryContext.ts
@@ -3,12 +3,12 @@
 import type {
 	AffinityTable,
 	Config,
-	Fate,
 	LimitTable,
 	Random,
+	RequestLifecycle,
 	RetryBudget,
 } from '@juniperhook/core'
-import { createFate } from '@juniperhook/core'
+import { createLifecycle } from '@juniperhook/core'
 import type {
 	AnswerFrame,
 	AttemptRef,
@@ -48,7 +48,7 @@
 export interface Exchange {
 	readonly reqId: string
 	readonly intake: Intake
-	readonly fate: Fate
+	readonly fate: RequestLifecycle
 	readonly answer: CallerAnswer
 	readonly startedAt: number
 	/** On the scale of elapsed time, ms. */
@@ -76,7 +76,7 @@
 	return {
 		reqId,
 		intake,
-		fate: createFate(intake.repeatable, isCallerKey(intake)),
+		fate: createLifecycle(intake.repeatable, isCallerKey(intake)),
 		answer,
 		startedAt: now,
 		deadlineAt: readElapsed() + intake.deadlineMs,
--- a/packages/entry/src/io/exchange.ts
+++ b/packages/entry/src/io/exchange.ts
@@ -2,19 +2,19 @@
 
 import type {
 	ErrorKind,
-	FateEffect,
-	FateEvent,
+	LifecycleEffect,
+	LifecycleEvent,
 	Outcome,
 } from '@juniperhook/core'
 import {
 	chooseServer,
 	mayRetry,
-	noteFirstTry,
-	notePrefix,
-	noteResult,
-	noteSent,
+	recordFirstAttempt,
+	recordPrefix,
+	recordResult,
+	recordSent,
 	spendRetry,
-	stepFate,
+	stepLifecycle,
 	unknown,
 } from '@juniperhook/core'
 import type { OfferMeta } from '@juniperhook/runtime'
@@ -58,7 +58,7 @@
 export function startExchange(ctx: EntryContext, exchange: Exchange): void {
 	const { res } = exchange.answer
 	ctx.exchanges.add(exchange)
-	noteFirstTry(ctx.retries)
+	recordFirstAttempt(ctx.retries)
 	res.on('close', () => {
 		if (!res.writableFinished)
 			stepExchange(ctx, exchange, { type: 'callerGone' })
@@ -71,10 +71,10 @@
 export function stepExchange(
 	ctx: EntryContext,
 	exchange: Exchange,
-	event: FateEvent,
+	event: LifecycleEvent,
 ): void {
-	exchange.fate.told = isTold(exchange.answer)
-	const effects = stepFate(exchange.fate, event, mayRetry(ctx.retries))
+	exchange.fate.answerStarted = isTold(exchange.answer)
+	const effects = stepLifecycle(exchange.fate, event, mayRetry(ctx.retries))
 	try {
 		for (const effect of effects) carryOut(ctx, exchange, effect)
 	} catch (err) {
@@ -102,7 +102,7 @@
 function carryOut(
 	ctx: EntryContext,
 	exchange: Exchange,
-	effect: FateEffect,
+	effect: LifecycleEffect,
 ): void {
 	switch (effect.do) {
 		case 'route':
@@ -176,7 +176,7 @@
 	exchange.incarnation = peer.incarnation
 	exchange.heardAt = readNow()
 	stepExchange(ctx, exchange, { type: 'routed' })
-	noteSent(ctx.servers.table, row, 1)
+	recordSent(ctx.servers.table, row, 1)
 	exchange.counted = true
 	const left = exchange.deadlineAt - readElapsed()
 	const meta: OfferMeta = {
@@ -233,7 +233,7 @@
 	const { peer } = exchange
 	if (!peer) return
 	exchange.handle?.abandon()
-	noteResult(ctx.servers.table, exchange.row, false, readNow())
+	recordResult(ctx.servers.table, exchange.row, false, readNow())
 	const answer = await sendVoid(peer, { ...refOf(exchange), attempt })
 	stepExchange(ctx, exchange, { type: 'voidAnswer', attempt, answer })
 }
@@ -277,10 +277,10 @@
 	const name = exchange.peer?.server
 	const row = name === undefined ? undefined : servers.table.rowOf.get(name)
 	if (row === undefined || name === undefined) return
-	if (exchange.counted) noteSent(servers.table, row, -1)
+	if (exchange.counted) recordSent(servers.table, row, -1)
 	exchange.counted = false
 	if (!good) return
-	noteResult(servers.table, row, true, readNow())
+	recordResult(servers.table, row, true, readNow())
 	const { prefix } = exchange.intake
-	if (prefix !== undefined) notePrefix(ctx.affinity, prefix, name, readNow())
+	if (prefix !== undefined) recordPrefix(ctx.affinity, prefix, name, readNow())
 }
--- a/packages/entry/src/io/exchangeSilence.ts
+++ b/packages/entry/src/io/exchangeSilence.ts
@@ -1,6 +1,6 @@
 /** Requests whose time is over, and agents that have gone silent. */
 
-import { noteResult } from '@juniperhook/core'
+import { recordResult } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { EntryContext, Exchange } from './entryContext.ts'
 import { stepExchange } from './exchange.ts'
@@ -44,7 +44,7 @@
 			if (quiet <= STALL_MS || exchange.answer.res.writableNeedDrain) break
 			exchange.heardAt = now
 			exchange.handle?.abandon()
-			noteResult(ctx.servers.table, exchange.row, false, now)
+			recordResult(ctx.servers.table, exchange.row, false, now)
 			stepExchange(ctx, exchange, { type: 'linkLost', attempt })
 			break
 		case 'routing':
--- a/packages/entry/src/io/exchangeSink.ts
+++ b/packages/entry/src/io/exchangeSink.ts
@@ -1,7 +1,7 @@
 /** What comes of a try, as events of its exchange and marks of its server. */
 
-import type { FateEvent } from '@juniperhook/core'
-import { noteResult } from '@juniperhook/core'
+import type { LifecycleEvent } from '@juniperhook/core'
+import { recordResult } from '@juniperhook/core'
 import type { AnswerFrame } from '@juniperhook/runtime'
 import { readNow } from '@juniperhook/runtime'
 import type { AttemptSink } from './attempt.ts'
@@ -12,7 +12,7 @@
 export function createSink(
 	ctx: EntryContext,
 	exchange: Exchange,
-	take: (event: FateEvent) => void,
+	take: (event: LifecycleEvent) => void,
 ): AttemptSink {
 	const { attempt } = exchange.fate
 	const { row } = exchange
@@ -20,7 +20,7 @@
 	const currentRow = () => ctx.servers.table.rowOf.get(name)
 	const noteBad = () => {
 		const at = currentRow()
-		if (at !== undefined) noteResult(ctx.servers.table, at, false, readNow())
+		if (at !== undefined) recordResult(ctx.servers.table, at, false, readNow())
 	}
 	return {
 		frame(frame) {
@@ -50,7 +50,7 @@
 	exchange: Exchange,
 	frame: AnswerFrame,
 	attempt: number,
-): FateEvent | undefined {
+): LifecycleEvent | undefined {
 	switch (frame.t) {
 		case 'admitted':
 			return { type: 'admitted', attempt }
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -3,13 +3,13 @@
  * server ran when it ended, entries tell each other.
  */
 
-import type { EndNews, Quarantine } from '@juniperhook/core'
+import type { CrashEvidence, Quarantine } from '@juniperhook/core'
 import {
-	barredForMs,
 	createQuarantine,
-	listBarred,
-	listEndNews,
-	takeEndNews,
+	listCrashEvidence,
+	listQuarantined,
+	mergeCrashEvidence,
+	quarantineLeftMs,
 	topByRendezvous,
 } from '@juniperhook/core'
 import { bodyLengthOf, computeFingerprint } from '@juniperhook/gateway'
@@ -64,7 +64,7 @@
 	const order = topByRendezvous(fingerprint, ctx.keepers.names, MAX_TURNS)
 	const turn = order.indexOf(ctx.name)
 	const turnMs = (turn < 0 ? order.length : turn) * TURN_MS
-	return barredForMs(quarantine, fingerprint, readElapsed(), turnMs)
+	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
 /** Notes that a request was answered whole: it is not what ended servers. */
@@ -88,7 +88,7 @@
 			takeNews(find(), fromNotice(v.parse(EndNewsSchema, params)), 'entry')
 		},
 		listEnds: (): EndNewsNotice =>
-			toNotice(listEndNews(find().quarantined.quarantine)),
+			toNotice(listCrashEvidence(find().quarantined.quarantine)),
 	}
 }
 
@@ -115,18 +115,18 @@
 /** Who hears it from an agent, or has seen it, tells all others. */
 function takeNews(
 	ctx: EntryContext,
-	news: EndNews,
+	news: CrashEvidence,
 	from: 'here' | 'agent' | 'entry',
 ): void {
 	const { quarantined } = ctx
 	const { quarantine } = quarantined
-	const before = new Set(listBarred(quarantine))
-	const fresh = takeEndNews(quarantine, news, readElapsed())
+	const before = new Set(listQuarantined(quarantine))
+	const fresh = mergeCrashEvidence(quarantine, news, readElapsed())
 	if (fresh.ends.length + fresh.served.length === 0) return
 	quarantined.lengths = new Set(
 		[...quarantine.suspects.keys()].map(bodyLengthOf),
 	)
-	for (const fingerprint of listBarred(quarantine))
+	for (const fingerprint of listQuarantined(quarantine))
 		if (!before.has(fingerprint))
 			log({ msg: 'request quarantined', detail: fingerprint, kind: from })
 	if (from !== 'entry') tellAll(ctx, toNotice(fresh))
@@ -141,7 +141,7 @@
 	return computeFingerprint({ method, path, team: { name: teamName }, body })
 }
 
-function toNotice({ ends, served }: EndNews): EndNewsNotice {
+function toNotice({ ends, served }: CrashEvidence): EndNewsNotice {
 	const now = readElapsed()
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
 	return {
@@ -157,7 +157,7 @@
 	}
 }
 
-function fromNotice({ ends, served }: EndNewsNotice): EndNews {
+function fromNotice({ ends, served }: EndNewsNotice): CrashEvidence {
 	const now = readElapsed()
 	return {
 		ends: ends.map(({ server, agoMs, ran }) => ({
--- a/packages/entry/src/io/routeQuery.ts
+++ b/packages/entry/src/io/routeQuery.ts
@@ -1,7 +1,7 @@
 /** Which servers a request may go to, and whose cache may help it. */
 
 import type { RouteQuery } from '@juniperhook/core'
-import { findHome, findPrefix, scopeKey } from '@juniperhook/core'
+import { findKeyHome, findPrefix, scopeKey } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import type { EntryContext, Exchange } from './entryContext.ts'
 import { findSoonest, listFree, peerOfRow, wakePeer } from './servers.ts'
@@ -70,7 +70,7 @@
 ): readonly number[] {
 	if (!ctx.config) return []
 	const scoped = scopeKey(exchange.intake.teamName, service, key)
-	const home = findHome(ctx.config, service, scoped)
+	const home = findKeyHome(ctx.config, service, scoped)
 	const row = home && ctx.servers.table.rowOf.get(home)
 	return typeof row === 'number' ? [row] : []
 }
--- a/packages/entry/src/io/servers.ts
+++ b/packages/entry/src/io/servers.ts
@@ -3,7 +3,7 @@
  * over one control connection to each server's agent.
  */
 
-import type { Config, Placed, ServerTable } from '@juniperhook/core'
+import type { Config, LocatedNode, ServerTable } from '@juniperhook/core'
 import {
 	applyReport,
 	copyServerRow,
@@ -65,7 +65,7 @@
 	readonly methods: Methods
 	readonly peers: Map<string, AgentPeer>
 	/** Live entries by the platform's list. */
-	entries: readonly Placed[]
+	entries: readonly LocatedNode[]
 	table: ServerTable
 	/** Rows by model and by service. */
 	rowsOfModel: Map<string, number[]>
@@ -111,7 +111,7 @@
 /** Takes the entries by the platform's list, and links to this one's share. */
 export function applyEntries(
 	view: ServerView,
-	entries: readonly Placed[],
+	entries: readonly LocatedNode[],
 	config: Config | undefined,
 ): void {
 	view.entries = entries
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -3,21 +3,21 @@
  * too small to be dealt out is admitted by the team's home.
  */
 
-import type { EntryPart, NotRun } from '@juniperhook/core'
+import type { LimitShare, NotRun } from '@juniperhook/core'
 import {
 	admitAtHome,
 	admitForEntry,
-	admitTeam,
-	beginTeamAsk,
-	endTeamAsk,
+	admitWithinShare,
+	beginHomeAdmission,
+	endHomeAdmission,
+	FULL_SHARE,
 	findTeamHome,
-	forgetElsewhere,
-	isKeptAtHome,
-	noteTeamHeld,
+	isEnforcedAtHome,
 	notRun,
+	pruneInFlightElsewhere,
+	recordTeamInFlight,
 	releaseTeam,
-	tellTeamHeld,
-	WHOLE_PART,
+	reportTeamInFlight,
 } from '@juniperhook/core'
 import type { Methods } from '@juniperhook/runtime'
 import {
@@ -53,14 +53,14 @@
 export interface TeamKeepers {
 	/** Names of the live entries, this one's too. */
 	names: readonly string[]
-	part: EntryPart
+	part: LimitShare
 	/** Homes that did not answer, and until when they are not asked, ms. */
 	readonly silentUntil: Map<string, number>
 }
 
 /** Makes the keepers while an entry knows of itself only. */
 export function createTeamKeepers(): TeamKeepers {
-	return { names: [], part: WHOLE_PART, silentUntil: new Map() }
+	return { names: [], part: FULL_SHARE, silentUntil: new Map() }
 }
 
 /** Takes the live entries by the platform's list. */
@@ -74,9 +74,9 @@
 	keepers.names = names
 	// An entry that is to leave has no part in what the others keep.
 	const count = place < 0 ? names.length + 1 : names.length
-	keepers.part = { count, place: place < 0 ? names.length : place }
+	keepers.part = { count, index: place < 0 ? names.length : place }
 	const isHome = (team: string) => findTeamHome(team, names) === ctx.name
-	forgetElsewhere(limits, new Set(names), isHome)
+	pruneInFlightElsewhere(limits, new Set(names), isHome)
 }
 
 /** Admits a request, or refuses it with the time at which its team may send it. */
@@ -97,7 +97,7 @@
 		case 'refused':
 			return notRun(reply.kind, reply.retryAfterMs)
 		case 'notHome':
-			return admitTeam(limits, teamName, team, tokens, part, readNow())
+			return admitWithinShare(limits, teamName, team, tokens, part, readNow())
 		default:
 			return reply satisfies never
 	}
@@ -117,7 +117,7 @@
 	for (const team of limits.keys()) {
 		const limit = config?.team[team]
 		const home = findTeamHome(team, keepers.names)
-		if (!limit || !isKeptAtHome(limit, keepers.part.count)) continue
+		if (!limit || !isEnforcedAtHome(limit, keepers.part.count)) continue
 		if (home !== undefined && home !== ctx.name) void tellHeld(ctx, home, team)
 	}
 }
@@ -128,7 +128,7 @@
 		admitTeam: (params: unknown): TeamReply => answerAsk(find(), params),
 		teamHeld(params: unknown): void {
 			const { team, entry, held } = v.parse(TeamHeldSchema, params)
-			noteTeamHeld(find().limits, team, entry, held)
+			recordTeamInFlight(find().limits, team, entry, held)
 		},
 	}
 }
@@ -138,7 +138,7 @@
 	{ keepers }: EntryContext,
 	{ teamName, team }: Intake,
 ): string | undefined {
-	if (!isKeptAtHome(team, keepers.part.count)) return undefined
+	if (!isEnforcedAtHome(team, keepers.part.count)) return undefined
 	return findTeamHome(teamName, keepers.names)
 }
 
@@ -149,7 +149,7 @@
 ): Promise<TeamReply> {
 	const silentUntil = ctx.keepers.silentUntil.get(home) ?? 0
 	if (readElapsed() < silentUntil) return NOT_HOME
-	const held = beginTeamAsk(ctx.limits, teamName, team, readNow())
+	const held = beginHomeAdmission(ctx.limits, teamName, team, readNow())
 	const ask = { entry: ctx.name, team: teamName, held, tokens }
 	try {
 		const link = await openMemberLink(ctx.follower(), home, ASK_MS)
@@ -157,11 +157,11 @@
 		const answer = await call(link, 'admitTeam', ask, ASK_MS)
 		const reply = v.parse(TeamReplySchema, answer)
 		const isAdmitted = reply.type === 'admitted'
-		if (endTeamAsk(ctx.limits, teamName, isAdmitted))
+		if (endHomeAdmission(ctx.limits, teamName, isAdmitted))
 			void tellHeld(ctx, home, teamName)
 		return reply
 	} catch (err) {
-		endTeamAsk(ctx.limits, teamName, false)
+		endHomeAdmission(ctx.limits, teamName, false)
 		ctx.keepers.silentUntil.set(home, readElapsed() + SILENT_MS)
 		const detail = messageOf(err)
 		log({
@@ -192,6 +192,6 @@
 	home: string,
 	team: string,
 ): Promise<void> {
-	const held = tellTeamHeld(ctx.limits, team)
+	const held = reportTeamInFlight(ctx.limits, team)
 	await tellEntry(ctx, home, 'teamHeld', { entry: ctx.name, team, held })
 }
--- a/packages/fakes/src/expertGroup.ts
+++ b/packages/fakes/src/expertGroup.ts
@@ -7,10 +7,10 @@
 
 import type { ExpertLayout, GroupMap, Random } from '@juniperhook/core'
 import {
+	computeSetSkew,
 	createRandom,
-	dealExperts,
+	distributeRoundRobin,
 	passFactor,
-	skewOfSet,
 } from '@juniperhook/core'
 
 /** What is emulated. */
@@ -71,7 +71,7 @@
 /** Begins a day under the map that a group forms with. */
 export function createExpertGroup(day: ExpertDay): ExpertGroup {
 	const random = createRandom(day.seed)
-	const dealt = dealExperts(day.ranks, day.layout)
+	const dealt = distributeRoundRobin(day.ranks, day.layout)
 	return {
 		day,
 		random,
@@ -112,7 +112,7 @@
 	const demand = demandOf(group)
 	const { experts, expertShare } = day.layout
 	const skews = group.map.map((placement, set) =>
-		skewOfSet(
+		computeSetSkew(
 			placement,
 			demand.subarray(set * experts, (set + 1) * experts),
 			day.layout,
--- a/packages/fakes/src/groupModel.ts
+++ b/packages/fakes/src/groupModel.ts
@@ -4,7 +4,12 @@
  */
 
 import type { RankState } from '@juniperhook/core'
-import { beginStep, createRank, mayBegin, restartRank } from '@juniperhook/core'
+import {
+	beginStep,
+	createRank,
+	createRestartedRank,
+	mayBeginStep,
+} from '@juniperhook/core'
 import type { Popularity } from './popularity.ts'
 
 const SMOOTHING = 0.02
@@ -144,7 +149,7 @@
 	batch: readonly number[],
 ): boolean {
 	const now = Date.now()
-	const gated = model.ranks.some(rank => !mayBegin(rank.protocol))
+	const gated = model.ranks.some(rank => !mayBeginStep(rank.protocol))
 	if (gated) model.gatedSince ??= now
 	const [first] = model.ranks
 	const apart = model.ranks.some(
@@ -166,7 +171,7 @@
 /** Lets one rank's engine lose all that it held, as a restart does. */
 export function crashRank(model: GroupModel, rank: number): void {
 	const state = model.ranks[rank]!
-	state.protocol = restartRank(state.protocol.incarnation + 1)
+	state.protocol = createRestartedRank(state.protocol.incarnation + 1)
 	state.staged.clear()
 	state.loaded.clear()
 }
--- a/packages/fakes/src/orders.ts
+++ b/packages/fakes/src/orders.ts
@@ -1,7 +1,7 @@
 /** Orders to an engine of the group; fenced if the engine checks fences. */
 
 import type { RankReply, RankRequest } from '@juniperhook/core'
-import { takeRankRequest } from '@juniperhook/core'
+import { handleRankRequest } from '@juniperhook/core'
 import type { EngineReply, RankEngineOrder } from '@juniperhook/runtime'
 import { request } from 'undici'
 import type { GroupModel, RankModel } from './groupModel.ts'
@@ -17,7 +17,7 @@
 	if (order.order === 'rank') {
 		const unstaged = refuseUnstaged(state, order.req)
 		if (unstaged) return { ...describe(state, false), reply: unstaged }
-		const reply = takeRankRequest(state.protocol, order.req)
+		const reply = handleRankRequest(state.protocol, order.req)
 		return { ...describe(state, reply.type !== 'refused'), reply }
 	}
 	return describe(state, await obey(model, state, order))
--- a/packages/fakes/src/popularity.ts
+++ b/packages/fakes/src/popularity.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Random } from '@juniperhook/core'
-import { drawIndex } from '@juniperhook/core'
+import { randomIndex } from '@juniperhook/core'
 
 /** Popularity of the experts of each layer. */
 export interface Popularity {
@@ -37,7 +37,7 @@
 ): void {
 	for (const order of popularity.order)
 		for (let n = 0; n < swaps; n++) {
-			const at = drawIndex(random, order.length - 1)
+			const at = randomIndex(random, order.length - 1)
 			swap(order, at, at + 1)
 		}
 	refreshShares(popularity)
@@ -63,7 +63,7 @@
 function shuffle(size: number, random: Random): number[] {
 	const order = Array.from({ length: size }, (_, at) => at)
 	for (let at = size - 1; at > 0; at--)
-		swap(order, at, drawIndex(random, at + 1))
+		swap(order, at, randomIndex(random, at + 1))
 	return order
 }
 
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -1,13 +1,13 @@
 /** One attempt: a server with room, a call to it, and what its head proves. */
 
 import { readElapsed } from '@juniperhook/runtime'
-import { closedWaitMs, isServiceClosed } from './closedGroups.ts'
+import { isServiceClosed, maxClosedWaitMs } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import type { AttemptResult, Job } from './job.ts'
-import { pressureOf, spareMs } from './pressure.ts'
+import { pressureOf, waitBudgetMs } from './pressure.ts'
+import { acquireServer } from './serverQueue.ts'
 import { sendToServer } from './serverSend.ts'
 import type { Grant } from './waiter.ts'
-import { awaitServer } from './waiting.ts'
 
 /** A request that was sent before may wait for this part of its target time. */
 const AGAIN_WAIT_SHARE = 0.2
@@ -44,17 +44,17 @@
 	const { request, service } = job
 	const isClosed = isServiceClosed(ctx, service)
 	const waitMs = isClosed
-		? closedWaitMs(ctx, service, request)
+		? maxClosedWaitMs(ctx, service, request)
 		: waitFor(ctx, job, now)
-	return awaitServer(ctx, {
+	return acquireServer(ctx, {
 		service,
 		team: request.team?.name ?? '',
 		priority: request.priority,
 		tried: job.tried,
 		// What was begun goes before what was not.
-		luck: job.sends > 0 ? 0 : job.luck,
-		waitMs: Math.min(waitMs, request.givenUpAt - now),
-		inTurn: !isClosed,
+		admissionDraw: job.sends > 0 ? 0 : job.admissionDraw,
+		waitMs: Math.min(waitMs, request.timeoutAt - now),
+		slotsFreeOneByOne: !isClosed,
 		signal: job.signal,
 	})
 }
@@ -63,7 +63,7 @@
 function waitFor(ctx: GatewayContext, job: Job, now: number): number {
 	const { targetMs } = job.request.route
 	const elapsedMs = now - job.request.arrivedAt
-	const spare = spareMs(
+	const spare = waitBudgetMs(
 		pressureOf(ctx.pressures, job.service),
 		targetMs,
 		elapsedMs,
--- a/packages/gateway/src/attemptLog.ts
+++ b/packages/gateway/src/attemptLog.ts
@@ -1,10 +1,10 @@
 /** What is written and counted of each attempt. */
 
-import { perSecondOf, restLeftMs } from '@juniperhook/core'
+import { backoffLeftMs, rateLimitOf } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
-import { judgeTimes } from './timeliness.ts'
+import { classifyTimeliness } from './timeliness.ts'
 
 /** Writes how an attempt went. */
 export function logAttempt(
@@ -28,14 +28,14 @@
 		config: request.routes.config.version,
 		list: ctx.list.revision.revision,
 		term: ctx.list.revision.term || undefined,
-		perSecond: perSecondOf(ctx.rateLimits, serverId),
-		restMs: Math.round(restLeftMs(ctx.rests, serverId, now)) || undefined,
+		perSecond: rateLimitOf(ctx.rateLimits, serverId),
+		restMs: Math.round(backoffLeftMs(ctx.backoffs, serverId, now)) || undefined,
 		...inputs,
 	})
 }
 
 /** Writes and counts that a request was answered, and whether in time. */
-export function logAnswer(
+export function logServed(
 	ctx: GatewayContext,
 	job: Job,
 	serverId: string,
@@ -43,7 +43,7 @@
 ): void {
 	const { route } = job.request
 	const { startMs, longestPauseMs } = job.times
-	const timeliness = judgeTimes(route, job.times)
+	const timeliness = classifyTimeliness(route, job.times)
 	ctx.metrics.served.inc({ kind: route.kind, timeliness })
 	logAttempt(ctx, job, serverId, 'answered', reason, {
 		route: route.name,
--- a/packages/gateway/src/outlook.ts
+++ b/packages/gateway/src/availabilityForecast.ts
@@ -4,38 +4,38 @@
  */
 
 import {
+	BACKOFF_PROBE_MS,
+	backoffLeftMs,
 	listDueMs,
-	perSecondOf,
-	REST_TRY_MS,
-	restLeftMs,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { heldOf } from './permitGate.ts'
+import { heldPermitsOf } from './permitGate.ts'
 
 /** When a service's servers may be sent requests. */
-export interface Outlook {
+export interface AvailabilityForecast {
 	/** What keeps the one that may be sent the next. */
 	readonly kind: 'limited' | 'resting'
 	/** When held permits may be used, from now, the soonest first, ms. */
 	readonly dueMs: readonly number[]
 	/** From now until more may be sent, ms. */
-	readonly moreMs: number
+	readonly nextMs: number
 	/** Between two of those, ms. */
-	readonly gapMs: number
+	readonly intervalMs: number
 }
 
 /** One server's part of it. */
-type ServerOutlook = Pick<Outlook, 'kind' | 'dueMs' | 'moreMs'>
+type ServerOutlook = Pick<AvailabilityForecast, 'kind' | 'dueMs' | 'moreMs'>
 
 /** What a service's callers may expect; undefined while a server is free to be sent to. */
-export function outlookOf(
+export function forecastAvailability(
 	ctx: GatewayContext,
 	service: string,
-): Outlook | undefined {
-	const { fleet, rateLimits, rests } = ctx
+): AvailabilityForecast | undefined {
+	const { fleet, rateLimits, backoffs: rests } = ctx
 	if (rateLimits.size + rests.size === 0) return undefined
-	const rows = fleet.rowsOf.get(service) ?? []
+	const rows = fleet.rowsByService.get(service) ?? []
 	const now = readElapsed()
 	const all: ServerOutlook[] = []
 	for (const row of rows) {
@@ -43,11 +43,16 @@
 		if (!one) return undefined
 		all.push(one)
 	}
-	const [first] = all.sort((a, b) => a.moreMs - b.moreMs)
+	const [first] = all.sort((a, b) => a.nextMs - b.nextMs)
 	if (!first) return undefined
-	const { kind, moreMs } = first
+	const { kind, nextMs: moreMs } = first
 	const dueMs = all.flatMap(one => one.dueMs).sort((a, b) => a - b)
-	return { kind, dueMs, moreMs, gapMs: kind === 'resting' ? REST_TRY_MS : 0 }
+	return {
+		kind,
+		dueMs,
+		nextMs: moreMs,
+		intervalMs: kind === 'resting' ? BACKOFF_PROBE_MS : 0,
+	}
 }
 
 function outlookOfServer(
@@ -55,24 +60,24 @@
 	server: string,
 	now: number,
 ): ServerOutlook | undefined {
-	const restMs = restLeftMs(ctx.rests, server, now)
-	if (perSecondOf(ctx.rateLimits, server) === undefined)
+	const restMs = backoffLeftMs(ctx.backoffs, server, now)
+	if (rateLimitOf(ctx.rateLimits, server) === undefined)
 		return restMs > 0
-			? { kind: 'resting', dueMs: [], moreMs: restMs }
+			? { kind: 'resting', dueMs: [], nextMs: restMs }
 			: undefined
-	const held = heldOf(ctx, server)
-	const { isAsking, notBefore } = held
+	const held = heldPermitsOf(ctx, server)
+	const { isRequestPending: isAsking, notBefore } = held
 	const moreMs = isAsking ? 0 : Math.max(0, notBefore - now)
 	return {
 		kind: restMs > moreMs ? 'resting' : 'limited',
 		dueMs: listDueMs(held, now).map(ms => Math.max(ms, restMs)),
-		moreMs: Math.max(moreMs, restMs),
+		nextMs: Math.max(moreMs, restMs),
 	}
 }
 
 /** How long the request after `before` others will wait, ms. */
-export function outlookWaitMs(
-	{ dueMs, moreMs, gapMs }: Outlook,
+export function forecastWaitMs(
+	{ dueMs, nextMs: moreMs, intervalMs: gapMs }: AvailabilityForecast,
 	before: number,
 ): number {
 	return dueMs[before] ?? moreMs + (before - dueMs.length) * gapMs
--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -13,7 +13,7 @@
 import type { CallerRequest } from './job.ts'
 
 /** A request, or why it is refused before it reaches a server. */
-export type Intake =
+export type RequestReadResult =
 	| { readonly kind: 'request'; readonly request: CallerRequest }
 	| { readonly kind: 'refused'; readonly error: ErrorKind }
 	/** The caller's connection ended before the request was whole. */
@@ -23,7 +23,7 @@
 export async function readCallerRequest(
 	ctx: GatewayContext,
 	req: IncomingMessage,
-): Promise<Intake> {
+): Promise<RequestReadResult> {
 	const arrivedAt = readElapsed()
 	const { routes, wire } = ctx
 	if (!routes) return { kind: 'refused', error: 'noConfig' }
@@ -57,7 +57,7 @@
 			rawHeaders: req.rawHeaders,
 			body,
 			arrivedAt,
-			givenUpAt: arrivedAt + Math.min(deadline, route.timeoutMs),
+			timeoutAt: arrivedAt + Math.min(deadline, route.timeoutMs),
 			deadlineAt: arrivedAt + deadline,
 			priority: team?.priority ?? route.priority,
 			repeatable: isRepeatable(route),
@@ -73,10 +73,10 @@
  * for final, and the newer one may know its route or key.
  */
 function refuseUnknown(
-	{ toldVersion }: GatewayContext,
+	{ newestPeerVersion: toldVersion }: GatewayContext,
 	{ config }: RouteTable,
 	error: ErrorKind,
-): Intake {
+): RequestReadResult {
 	const isBehind = toldVersion > config.version
 	return { kind: 'refused', error: isBehind ? 'configBehind' : error }
 }
--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -5,13 +5,13 @@
 
 import type { ServerRecord, TermRevision } from '@juniperhook/core'
 import {
+	confirmRemovals,
+	confirmReturns,
 	createRouteTable,
 	findMissing,
 	formatRevision,
 	isSameRevision,
-	noteRead,
-	settleRemovals,
-	settleReturns,
+	recordRead,
 } from '@juniperhook/core'
 import { readElapsed, readNow, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -194,7 +194,7 @@
 		from: isRollback ? 'copy' : 'source',
 		deferRemovalsUntil: follower.deferRemovalsUntil,
 	})
-	noteRead(ctx.list, snapshot.revision)
+	recordRead(ctx.list, snapshot.revision)
 	if (isRollback) logRollback(ctx, before, snapshot, missing.length)
 }
 
@@ -239,18 +239,18 @@
 		backTo: formatRevision(revision),
 		listed: servers.length,
 		missing,
-		doubted: list.doubted.size,
-		returning: list.returning.size,
+		doubted: list.pendingRemovals.size,
+		returning: list.pendingReturns.size,
 	})
 }
 
 /** Applies deferred removals and returns that are due. */
 export function tickCatalog(ctx: GatewayContext): void {
-	const removals = settleRemovals(ctx.list, readElapsed())
+	const removals = confirmRemovals(ctx.list, readElapsed())
 	for (const { name } of removals)
 		ctx.log.write('server', { server: name, state: 'gone', from: 'not back' })
 	ctx.settledRemovals.push(...removals)
-	const returns = settleReturns(ctx.list, readElapsed())
+	const returns = confirmReturns(ctx.list, readElapsed())
 	for (const record of returns) logRecord(ctx, record, 'still listed')
 	if (removals.length + returns.length > 0) refreshFleet(ctx)
 }
@@ -269,7 +269,7 @@
 	if (active !== undefined && version <= active) return false
 	ctx.routes = createRouteTable(published.config)
 	ctx.published = published
-	ctx.configSince = readNow()
+	ctx.configAppliedAt = readNow()
 	ctx.metrics.configVersion.set(version)
 	ctx.log.write('configuration in force', {
 		version,
--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -1,14 +1,18 @@
 /** Lock-step groups that are broken: all of their ranks refuse requests. */
 
-import type { ListedServer, Spell, TrafficRoute } from '@juniperhook/core'
+import type {
+	BlockageTracker,
+	ListedServer,
+	TrafficRoute,
+} from '@juniperhook/core'
 import {
-	beginSpell,
-	createSpell,
-	endSpell,
-	expectSpellEnd,
-	noteClosed,
-	noteOpen,
-	noteToldClosed,
+	clearGroupClosure,
+	createBlockageTracker,
+	estimateBlockageMs,
+	markBlocked,
+	markUnblocked,
+	recordGroupRefused,
+	recordGroupReportedBroken,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -39,7 +43,9 @@
 	{ id, service }: ListedServer,
 	status: number,
 ): boolean {
-	return status === UNAVAILABLE && isGrouped(ctx, service) && !ctx.rests.has(id)
+	return (
+		status === UNAVAILABLE && isGrouped(ctx, service) && !ctx.backoffs.has(id)
+	)
 }
 
 /** Whether the service's servers are ranks of lock-step groups. */
@@ -52,27 +58,31 @@
 }
 
 /** Marks a group as closed because one of its ranks has refused a request. */
-export function closeGroup(ctx: GatewayContext, group: string): void {
+export function handleGroupRefusal(ctx: GatewayContext, group: string): void {
 	beginOutage(ctx, group, 'answer')
-	noteClosed(ctx.closures, group, readNow())
+	recordGroupRefused(ctx.closures, group, readNow())
 }
 
 /** Marks a group as closed because of its coordinator's report or a rank's crash. */
-export function shutGroup(
+export function handleGroupBroken(
 	ctx: GatewayContext,
 	group: string,
 	from: 'coordinator' | 'end',
 ): void {
 	beginOutage(ctx, group, from)
-	noteToldClosed(ctx.closures, group, readNow())
+	recordGroupReportedBroken(ctx.closures, group, readNow())
 }
 
 /**
  * Closes the group of a crashed rank at once. The other ranks are stalled, and would hold
  * requests sent to them until they refuse them.
  */
-export function noteRankGone(ctx: GatewayContext, server: ListedServer): void {
-	if (isGrouped(ctx, server.service)) shutGroup(ctx, groupOf(server), 'end')
+export function handleRankCrash(
+	ctx: GatewayContext,
+	server: ListedServer,
+): void {
+	if (isGrouped(ctx, server.service))
+		handleGroupBroken(ctx, groupOf(server), 'end')
 }
 
 /**
@@ -93,22 +103,23 @@
 function beginOutage(ctx: GatewayContext, group: string, from: Witness): void {
 	const now = readNow()
 	if (!ctx.closures.has(group)) ctx.log.write('group closed', { group, from })
-	beginSpell(outageOf(ctx, group), now)
-	if (ctx.openUntil.has(group)) return
-	ctx.openUntil.set(group, now + FIRST_OUTAGE_MS + reformMsOf(ctx, group))
+	markBlocked(outageOf(ctx, group), now)
+	if (ctx.expectedOpenAt.has(group)) return
+	ctx.expectedOpenAt.set(group, now + FIRST_OUTAGE_MS + reformMsOf(ctx, group))
 }
 
 /** Marks a group as open. Returns whether it was closed before. */
-export function openGroup(
+export function handleGroupOpened(
 	ctx: GatewayContext,
 	group: string,
 	from: Witness,
 ): boolean {
-	if (from === 'answer') ctx.openUntil.set(group, 0)
+	if (from === 'answer') ctx.expectedOpenAt.set(group, 0)
 	const since = ctx.closures.get(group)?.since
-	if (since === undefined || !noteOpen(ctx.closures, group)) return false
+	if (since === undefined || !clearGroupClosure(ctx.closures, group))
+		return false
 	const now = readNow()
-	endSpell(outageOf(ctx, group), now)
+	markUnblocked(outageOf(ctx, group), now)
 	const closedMs = Math.round(now - since)
 	ctx.log.write('group open', { group, closedMs, from })
 	return true
@@ -116,17 +127,17 @@
 
 /** Whether all servers of a service belong to closed groups. */
 export function isServiceClosed(ctx: GatewayContext, service: string): boolean {
-	const rows = ctx.fleet.rowsOf.get(service) ?? []
+	const rows = ctx.fleet.rowsByService.get(service) ?? []
 	if (rows.length === 0 || ctx.closures.size === 0) return false
 	return rows.every(row => ctx.closures.has(groupOf(ctx.fleet.servers[row]!)))
 }
 
 /** Returns the outage history of a group. */
-function outageOf(ctx: GatewayContext, group: string): Spell {
-	const known = ctx.outages.get(group)
+function outageOf(ctx: GatewayContext, group: string): BlockageTracker {
+	const known = ctx.blockages.get(group)
 	if (known) return known
-	const outage = createSpell(FIRST_OUTAGE_MS + reformMsOf(ctx, group))
-	ctx.outages.set(group, outage)
+	const outage = createBlockageTracker(FIRST_OUTAGE_MS + reformMsOf(ctx, group))
+	ctx.blockages.set(group, outage)
 	return outage
 }
 
@@ -135,28 +146,28 @@
 }
 
 /** Returns when the first group of a closed service is expected to open, ms. */
-export function expectOpenMs(
+export function expectedReopenAt(
 	ctx: GatewayContext,
 	service: string,
 	now: number,
 ): number {
 	if (!isServiceClosed(ctx, service)) return 0
-	const rows = ctx.fleet.rowsOf.get(service) ?? []
+	const rows = ctx.fleet.rowsByService.get(service) ?? []
 	const outages = rows.map(row =>
 		outageOf(ctx, groupOf(ctx.fleet.servers[row]!)),
 	)
-	return Math.min(...outages.map(outage => expectSpellEnd(outage, now)))
+	return Math.min(...outages.map(outage => estimateBlockageMs(outage, now)))
 }
 
 /** Returns how long a request may wait for a closed service, ms. */
-export function closedWaitMs(
+export function maxClosedWaitMs(
 	ctx: GatewayContext,
 	service: string,
 	{ route, arrivedAt }: Pick<CallerRequest, 'route' | 'arrivedAt'>,
 ): number {
-	const rows = ctx.fleet.rowsOf.get(service) ?? []
+	const rows = ctx.fleet.rowsByService.get(service) ?? []
 	const groups = new Set(rows.map(row => groupOf(ctx.fleet.servers[row]!)))
-	const expected = [...groups].map(group => ctx.openUntil.get(group) ?? 0)
+	const expected = [...groups].map(group => ctx.expectedOpenAt.get(group) ?? 0)
 	const now = readNow()
 	const waitUntil =
 		now - (readElapsed() - arrivedAt) + WAIT_SHARE * eventTimeoutMs(ctx, route)
@@ -168,6 +179,10 @@
 	{ settings }: GatewayContext,
 	{ targetMs, maxPauseMs }: TrafficRoute,
 ): number {
-	const { leastMs, targetTimes, pauseTimes } = settings.patience
+	const {
+		minMs: leastMs,
+		targetFactor: targetTimes,
+		pauseFactor: pauseTimes,
+	} = settings.eventTimeout
 	return Math.max(leastMs, targetTimes * targetMs, pauseTimes * maxPauseMs)
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,37 +1,37 @@
 /** What all parts of a gateway share. */
 
 import type {
-	Closures,
-	NewsBook,
+	BlockageTracker,
+	GroupClosures,
 	Random,
 	RateLimits,
-	Rests,
 	RetryAllowance,
 	RetryWindow,
 	RouteTable,
+	ServerBackoffs,
 	ServerList,
 	ServerRecord,
-	Spell,
+	SharedState,
 } from '@juniperhook/core'
 import type { EventLog } from '@juniperhook/runtime'
-import type { EndWatch } from './endWatch.ts'
+import type { CrashDetector } from './crashDetectorState.ts'
 import type { Fleet } from './fleet.ts'
-import type { CallerRequest, GiveUp } from './job.ts'
+import type { CallerRequest, CancelRequest } from './job.ts'
 import type { GatewayMetrics } from './metrics.ts'
-import type { OddSignals } from './oddSignals.ts'
 import type { Outbox } from './outbox.ts'
-import type { PermitGate, PermitHomes } from './permitState.ts'
+import type { PermitHomes, PermitStore } from './permitState.ts'
 import type {
-	CallerPatience,
+	EventTimeoutPolicy,
 	PublishedConfig,
 	ServerWire,
 	WireNames,
 } from './ports.ts'
 import type { Pressure } from './pressure.ts'
 import type { QuarantineGate } from './quarantineState.ts'
-import type { Runs } from './runs.ts'
+import type { SentRequests } from './sentRequests.ts'
 import type { ServerPool } from './serverPool.ts'
 import type { SuspensionWatch } from './suspensionWatch.ts'
+import type { UnrecognizedSignals } from './unrecognizedSignals.ts'
 
 /** What a gateway is told of its VM. */
 export interface GatewaySettings {
@@ -57,8 +57,8 @@
 	 * Part of the time that a caller has left within which it comes back when it is
 	 * told to; later, it gives the request up.
 	 */
-	readonly heededShare: number
-	readonly patience: CallerPatience
+	readonly retryAfterShare: number
+	readonly eventTimeout: EventTimeoutPolicy
 }
 
 /** A running gateway's state. */
@@ -67,7 +67,7 @@
 	settings: GatewaySettings
 	readonly wire: WireNames
 	readonly readStatement: ServerWire['readStatement']
-	readonly oddSignals: OddSignals
+	readonly unrecognizedSignals: UnrecognizedSignals
 	readonly log: EventLog
 	readonly metrics: GatewayMetrics
 	readonly random: Random
@@ -76,7 +76,7 @@
 	readonly list: ServerList
 	/** When this entry started, ms; whether a peer has told it its state since. */
 	readonly startedAt: number
-	isTold: boolean
+	hasPeerState: boolean
 	/** Removals that were doubted, for peers without the source. */
 	readonly settledRemovals: ServerRecord[]
 	/** Whether the source does not answer this entry. */
@@ -85,45 +85,45 @@
 	routes: RouteTable | undefined
 	published: PublishedConfig | undefined
 	/** Highest version of a configuration that a peer has told of; -1 for none. */
-	toldVersion: number
+	newestPeerVersion: number
 	/** When the configuration came into force, ms. */
-	configSince: number
+	configAppliedAt: number
 	/** Lock-step groups that refuse at every rank. */
-	readonly closures: Closures
+	readonly closures: GroupClosures
 	/**
 	 * Until when a group that refused before it ever served this process is
 	 * expected to open, ms; 0 once it has served.
 	 */
-	readonly openUntil: Map<string, number>
+	readonly expectedOpenAt: Map<string, number>
 	/** Outages of lock-step groups, by group. */
-	readonly outages: Map<string, Spell>
+	readonly blockages: Map<string, BlockageTracker>
 	/** What is observed of each service that may be full. */
 	readonly pressures: Map<string, Pressure>
 	/** Retries to each service. */
 	readonly retries: Map<string, RetryWindow>
 	/** Entries that are believed to live, with this one. */
-	entries: number
+	entryCount: number
 	/** What servers run for this entry. */
-	readonly runs: Runs
+	readonly sentRequests: SentRequests
 	/** Servers that may have ended. */
-	readonly ends: EndWatch
+	readonly ends: CrashDetector
 	/** What is known of servers and shared with other entries; what they are to be told. */
-	readonly book: NewsBook
+	readonly sharedState: SharedState
 	readonly outbox: Outbox
 	/** What servers say of how many requests a second they take. */
 	readonly rateLimits: RateLimits
 	/** Servers that want nothing from this entry for a while. */
-	readonly rests: Rests
+	readonly backoffs: ServerBackoffs
 	/** Permits that this entry has, and those that it gives to others. */
-	readonly permits: PermitGate
+	readonly permits: PermitStore
 	readonly permitHomes: PermitHomes
 	/** Requests under which servers ended. */
-	readonly gate: QuarantineGate
+	readonly quarantineGate: QuarantineGate
 	/** Whether the VM was suspended. */
 	readonly suspension: SuspensionWatch
 	/** Requests being served. */
-	open: number
+	openRequests: number
 	/** Gives each request that has no final answer one at once. */
-	readonly giveUps: Map<CallerRequest, GiveUp>
+	readonly cancelByRequest: Map<CallerRequest, CancelRequest>
 	stopping: boolean
 }
--- a/packages/gateway/src/serverEnds.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -7,13 +7,13 @@
 
 import { connect } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
-import { MAX_NAMED, splitAddress } from '@juniperhook/core'
+import { MAX_REQUESTS_PER_CRASH, splitAddress } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
-import { isGroupStalled, noteRankGone } from './closedGroups.ts'
+import { handleRankCrash, isGroupStalled } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
-import type { Doubt } from './endWatch.ts'
+import type { CrashCheck } from './crashDetectorState.ts'
 import { noteServerCrash } from './quarantineGate.ts'
-import { listRunning } from './runs.ts'
+import { listInFlight } from './sentRequests.ts'
 
 /** Maximum number of concurrent probes; each takes one round trip. */
 const MAX_PROBES = 4
@@ -41,14 +41,17 @@
  * complete. Ranks of a group known to be stalled are not probed: each entry would open
  * a connection to every rank.
  */
-export function noteBroken(ctx: GatewayContext, server: ListedServer): void {
+export function recordBrokenConnection(
+	ctx: GatewayContext,
+	server: ListedServer,
+): void {
 	if (isGroupStalled(ctx, server)) return
-	const { doubts, queue } = ctx.ends
-	const running = listRunning(ctx.runs, server.id)
+	const { checks: doubts, queue } = ctx.ends
+	const running = listInFlight(ctx.sentRequests, server.id)
 	const known = doubts.get(server.id)
 	if (!known && doubts.size >= MAX_CHECKS) return
 	const check = known ?? createCheck(ctx, server)
-	for (const one of running) check.running.set(one.id, one)
+	for (const one of running) check.inFlight.set(one.id, one)
 	if (known) return
 	doubts.set(server.id, check)
 	queue.push(server.id)
@@ -59,11 +62,20 @@
  * Schedules a crash check for a server at which this entry abandoned a request: no
  * connection is left that would break. Used only for requests already under suspicion.
  */
-export function watchLeft(ctx: GatewayContext, server: ListedServer): void {
-	setTimeout(() => noteBroken(ctx, server), ABANDONED_CHECK_MS).unref()
+export function scheduleCrashCheck(
+	ctx: GatewayContext,
+	server: ListedServer,
+): void {
+	setTimeout(
+		() => recordBrokenConnection(ctx, server),
+		ABANDONED_CHECK_MS,
+	).unref()
 }
 
-function createCheck({ list }: GatewayContext, server: ListedServer): Doubt {
+function createCheck(
+	{ list }: GatewayContext,
+	server: ListedServer,
+): CrashCheck {
 	let settle = () => {}
 	const settled = new Promise<void>(resolve => {
 		settle = resolve
@@ -71,11 +83,11 @@
 	return {
 		server,
 		at: readElapsed(),
-		hadLeft: list.left.has(server.id),
-		running: new Map(),
+		hadLeft: list.departed.has(server.id),
+		inFlight: new Map(),
 		attempts: 0,
-		settled,
-		settle,
+		resolved: settled,
+		resolve: settle,
 	}
 }
 
@@ -84,7 +96,7 @@
 	while (ends.probing < MAX_PROBES) {
 		const id = ends.queue.shift()
 		if (id === undefined) return
-		const check = ends.doubts.get(id)
+		const check = ends.checks.get(id)
 		if (!check) continue
 		ends.probing++
 		void probe(check.server.address).then(result => {
@@ -117,17 +129,17 @@
 
 function applyProbe(
 	ctx: GatewayContext,
-	check: Doubt,
+	check: CrashCheck,
 	result: ProbeResult,
 ): void {
-	const { doubts, answered, queue } = ctx.ends
+	const { checks: doubts, inconclusive: answered, queue } = ctx.ends
 	const { id } = check.server
 	if (doubts.get(id) !== check) return
 	switch (result) {
 		case 'yes':
 			doubts.delete(id)
 			if (!answered.has(id)) answered.set(id, check)
-			check.settle()
+			check.resolve()
 			return
 		case 'no':
 			confirmCrash(ctx, check, 'refused')
@@ -135,7 +147,7 @@
 		case 'unclear':
 			check.attempts++
 			if (check.attempts < MAX_ATTEMPTS) queue.push(id)
-			else check.settle()
+			else check.resolve()
 			return
 		default:
 			result satisfies never
@@ -148,7 +160,7 @@
  */
 export function resolveChecksByList(ctx: GatewayContext): void {
 	const { ends, list } = ctx
-	for (const [id, check] of [...ends.answered, ...ends.doubts]) {
+	for (const [id, check] of [...ends.inconclusive, ...ends.checks]) {
 		const listed = list.records.get(check.server.name)?.server
 		const isListed = listed?.id === id
 		if (isListed && listed.leaving) closeCheck(ctx, check)
@@ -156,42 +168,48 @@
 	}
 }
 
-function closeCheck({ ends }: GatewayContext, { server, settle }: Doubt): void {
-	ends.doubts.delete(server.id)
-	ends.answered.delete(server.id)
+function closeCheck(
+	{ ends }: GatewayContext,
+	{ server, resolve: settle }: CrashCheck,
+): void {
+	ends.checks.delete(server.id)
+	ends.inconclusive.delete(server.id)
 	settle()
 }
 
 /** Drops checks that got no result. */
-export function forgetDoubts(ctx: GatewayContext): void {
+export function expireCrashChecks(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const map of [ctx.ends.doubts, ctx.ends.answered])
+	for (const map of [ctx.ends.checks, ctx.ends.inconclusive])
 		for (const [id, { at }] of map) if (now - at >= CHECK_TTL_MS) map.delete(id)
 }
 
 /** Records a complete answer, which proves that the server has not crashed before. */
-export function noteAlive({ ends }: GatewayContext, server: string): void {
-	ends.answered.delete(server)
+export function recordServerAlive(
+	{ ends }: GatewayContext,
+	server: string,
+): void {
+	ends.inconclusive.delete(server)
 }
 
 /** Waits for the result of a server's crash check, if one is in progress. */
-export async function awaitDoubt(
+export async function awaitCrashCheck(
 	{ ends }: GatewayContext,
 	server: string,
 ): Promise<void> {
-	await ends.doubts.get(server)?.settled
+	await ends.checks.get(server)?.resolved
 }
 
 function confirmCrash(
 	ctx: GatewayContext,
-	check: Doubt,
+	check: CrashCheck,
 	witness: CrashWitness,
 ): void {
 	const { server, at } = check
 	closeCheck(ctx, check)
-	const running = [...check.running.values()]
+	const running = [...check.inFlight.values()]
 		.sort((a, b) => b.since - a.since)
-		.slice(0, MAX_NAMED)
+		.slice(0, MAX_REQUESTS_PER_CRASH)
 	ctx.metrics.serverEnds.inc({ witness })
 	ctx.log.write('server ended', {
 		server: server.id,
@@ -202,5 +220,5 @@
 		fingerprints: [...new Set(running.map(one => one.fingerprint))],
 	})
 	noteServerCrash(ctx, server.id, at, running)
-	if (witness === 'refused') noteRankGone(ctx, server)
+	if (witness === 'refused') handleRankCrash(ctx, server)
 }
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -5,10 +5,10 @@
  */
 
 import type { EntryDemand } from '@juniperhook/core'
-import { dealServers, partTaken } from '@juniperhook/core'
+import { admittedFraction, assignServers } from '@juniperhook/core'
 import type { GatewayContext } from './context.ts'
 import type { Fleet, FlowMeter, RequestFlow } from './fleet.ts'
-import { meterOf, serviceOfGroup, settlePeerLoads } from './fleet.ts'
+import { applyPeerLoads, meterOf, serviceOfGroup } from './fleet.ts'
 
 /**
  * Time constant of the exponential smoothing of request rates, ms: callers that move to
@@ -23,8 +23,8 @@
 const HORIZON_INTERVALS = 2
 
 /** Counts an arriving request. */
-export function countRequest(fleet: Fleet, service: string): void {
-	meterOf(fleet, service).come++
+export function countArrival(fleet: Fleet, service: string): void {
+	meterOf(fleet, service).arrived++
 }
 
 /** Returns the request rates of this entry by service, for its peers. */
@@ -43,7 +43,7 @@
  * Whether a request is admitted to a group with `room` free slots; `draw` is the
  * request's random number in [0, 1).
  */
-export function isTaken(
+export function isAdmitted(
 	fleet: Fleet,
 	group: number,
 	room: number,
@@ -51,14 +51,14 @@
 ): boolean {
 	const meter = meterOf(fleet, serviceOfGroup(fleet, group))
 	if (!meter.intake) return room >= 1
-	const share = partTaken(room, meter.intake)
-	meter.taken = Math.min(meter.taken, share)
+	const share = admittedFraction(room, meter.intake)
+	meter.minAdmittedFraction = Math.min(meter.minAdmittedFraction, share)
 	return draw < share
 }
 
 /** Whether the groups of a service admit only a share of the requests. */
 export function isRationed(fleet: Fleet, service: string): boolean {
-	return meterOf(fleet, service).taken < 1
+	return meterOf(fleet, service).minAdmittedFraction < 1
 }
 
 /**
@@ -72,10 +72,10 @@
 	now: number,
 ): void {
 	const { fleet } = ctx
-	settlePeerLoads(fleet, now)
+	applyPeerLoads(fleet, now)
 	const reporting = fleet.peerDemand.size
-	fleet.othersTimes = 1 + Math.max(0, unlinked) / Math.max(1, reporting)
-	for (const service of fleet.rowsOf.keys()) {
+	fleet.peerScale = 1 + Math.max(0, unlinked) / Math.max(1, reporting)
+	for (const service of fleet.rowsByService.keys()) {
 		const meter = meterOf(fleet, service)
 		updateMeter(meter, elapsedMs)
 		if (fleet.peerDemand.size > 0) updateService(ctx, service, meter, elapsedMs)
@@ -87,13 +87,13 @@
 	const decay = Math.exp(-elapsedMs / SMOOTHING_MS)
 	const perSecond = (count: number) => (count * SECOND_MS) / elapsedMs
 	meter.flow = {
-		come: meter.flow.come * decay + perSecond(meter.come) * (1 - decay),
-		end: meter.flow.end * decay + perSecond(meter.end) * (1 - decay),
+		come: meter.flow.come * decay + perSecond(meter.arrived) * (1 - decay),
+		end: meter.flow.end * decay + perSecond(meter.finished) * (1 - decay),
 	}
-	meter.come = 0
-	meter.end = 0
-	meter.untold = 0
-	meter.taken = 1
+	meter.arrived = 0
+	meter.finished = 0
+	meter.sentSinceReport = 0
+	meter.minAdmittedFraction = 1
 }
 
 /** Assigns all servers of a service to this entry, as there are no peers. */
@@ -103,8 +103,8 @@
 	meter: FlowMeter,
 ): void {
 	meter.intake = undefined
-	for (const row of fleet.rowsOf.get(service) ?? [])
-		fleet.table.dealtElsewhere[row] = 0
+	for (const row of fleet.rowsByService.get(service) ?? [])
+		fleet.table.assignedElsewhere[row] = 0
 }
 
 function updateService(
@@ -117,7 +117,7 @@
 	const peers = [...fleet.peerDemand]
 	const sum = (rate: keyof RequestFlow) =>
 		meter.flow[rate] +
-		fleet.othersTimes *
+		fleet.peerScale *
 			peers.reduce(
 				(total, [, peer]) => total + (peer.flows[service]?.[rate] ?? 0),
 				0,
@@ -134,9 +134,9 @@
 		dataCentre: peer.dataCentre,
 		perSecond: peer.flows[service]?.come ?? 0,
 	}))
-	const rows = fleet.rowsOf.get(service) ?? []
+	const rows = fleet.rowsByService.get(service) ?? []
 	const servers = rows.map(row => fleet.servers[row]!)
-	const assigned = new Set(dealServers(own, others, servers))
+	const assigned = new Set(assignServers(own, others, servers))
 	for (const [index, row] of rows.entries())
-		fleet.table.dealtElsewhere[row] = assigned.has(index) ? 0 : 1
+		fleet.table.assignedElsewhere[row] = assigned.has(index) ? 0 : 1
 }
--- a/packages/gateway/src/eventSplitter.ts
+++ b/packages/gateway/src/eventSplitter.ts
@@ -16,12 +16,12 @@
 
 /** Bytes that are no whole event yet. */
 export interface EventSplitter {
-	held: Buffer
+	pending: Buffer
 }
 
 /** Makes a splitter that holds nothing. */
 export function createEventSplitter(): EventSplitter {
-	return { held: Buffer.alloc(0) }
+	return { pending: Buffer.alloc(0) }
 }
 
 /** Takes bytes and gives the events that are whole now. */
@@ -30,7 +30,7 @@
 	data: Buffer,
 ): StreamEvent[] {
 	const bytes =
-		splitter.held.length > 0 ? Buffer.concat([splitter.held, data]) : data
+		splitter.pending.length > 0 ? Buffer.concat([splitter.pending, data]) : data
 	const events: StreamEvent[] = []
 	let start = 0
 	for (;;) {
@@ -40,7 +40,7 @@
 		events.push({ bytes: event, id: readId(event) })
 		start = end
 	}
-	splitter.held = bytes.subarray(start)
+	splitter.pending = bytes.subarray(start)
 	return events
 }
 
--- a/packages/gateway/src/fingerprint.ts
+++ b/packages/gateway/src/fingerprint.ts
@@ -18,7 +18,7 @@
 }
 
 /** What makes a request the same when it comes again. */
-export interface SameRequest {
+export interface FingerprintInput {
 	readonly method: string
 	readonly path: string
 	readonly team: { readonly name: string } | undefined
@@ -26,7 +26,7 @@
 }
 
 /** The fingerprint of a request, computed anew. */
-export function computeFingerprint(request: SameRequest): string {
+export function computeFingerprint(request: FingerprintInput): string {
 	const { method, path, team, body } = request
 	const hash = createHash('sha256')
 	hash.update(`${method} ${path}\n${team?.name ?? ''}\n`)
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -2,7 +2,7 @@
 
 import type {
 	FairQueue,
-	GroupIntake,
+	GroupTraffic,
 	ListedServer,
 	RouteTable,
 	ServerList,
@@ -18,7 +18,7 @@
 import type { Waiter } from './waiter.ts'
 
 /** Slow ranks and limit of a lock-step group, as its coordinator told them. */
-export interface ToldGroup {
+export interface GroupReport {
 	/** How slow its slow ranks are, by address. */
 	readonly slow: Readonly<Record<string, number>>
 	/** Requests that each rank may hold; undefined for as many as fit. */
@@ -30,7 +30,7 @@
 }
 
 /** The last news of a group that a coordinator told, on whatever way. */
-export interface HeardNews {
+export interface LastGroupReport {
 	readonly number: number
 	readonly at: number
 }
@@ -52,15 +52,15 @@
 /** What comes to this entry for a service, and what ends there. */
 export interface FlowMeter {
 	/** Requests since the last turn. */
-	come: number
-	end: number
+	arrived: number
+	finished: number
 	/** Sends since entries told each other what they hold. */
-	untold: number
+	sentSinceReport: number
 	flow: RequestFlow
 	/** All entries together. */
-	intake: GroupIntake | undefined
+	intake: GroupTraffic | undefined
 	/** Least part of the requests that one of its groups took since the last turn. */
-	taken: number
+	minAdmittedFraction: number
 }
 
 /** Servers as rows, and requests that wait for one. */
@@ -68,26 +68,26 @@
 	table: ServerTable
 	servers: ListedServer[]
 	/** Rows of each service. */
-	rowsOf: Map<string, number[]>
+	rowsByService: Map<string, number[]>
 	/** Rows in this entry's data centre. */
-	near: Set<number>
+	localRows: Set<number>
 	/** Requests that this entry has at each server id. */
-	readonly held: Map<string, number>
+	readonly inFlight: Map<string, number>
 	/** Requests that each peer has at each server id. */
-	readonly heldByPeer: Map<string, ReadonlyMap<string, number>>
+	readonly inFlightByPeer: Map<string, ReadonlyMap<string, number>>
 	/** Their sum, by server id. */
-	readonly heldByOthers: Map<string, number>
+	readonly inFlightOfPeers: Map<string, number>
 	/** What comes to this entry, and to each peer. */
 	readonly meters: Map<string, FlowMeter>
 	readonly peerDemand: Map<string, PeerDemand>
 	/** What peers tell stands for so many times that, for those not heard of. */
-	othersTimes: number
+	peerScale: number
 	/** Names of lock-step groups; a group's number is its place here. */
 	groups: string[]
 	/** Groups that have slow ranks or a limit, by name. */
-	readonly toldGroups: Map<string, ToldGroup>
+	readonly groupReports: Map<string, GroupReport>
 	/** By group and by the coordinator that told it. */
-	readonly heardNews: Map<string, HeardNews>
+	readonly lastGroupReports: Map<string, LastGroupReport>
 	/** Requests that wait, by service. */
 	readonly queues: Map<string, FairQueue<Waiter>>
 }
@@ -97,17 +97,17 @@
 	return {
 		table: createServerTable([]),
 		servers: [],
-		rowsOf: new Map(),
-		near: new Set(),
-		held: new Map(),
-		heldByPeer: new Map(),
-		heldByOthers: new Map(),
+		rowsByService: new Map(),
+		localRows: new Set(),
+		inFlight: new Map(),
+		inFlightByPeer: new Map(),
+		inFlightOfPeers: new Map(),
 		meters: new Map(),
 		peerDemand: new Map(),
-		othersTimes: 1,
+		peerScale: 1,
 		groups: [],
-		toldGroups: new Map(),
-		heardNews: new Map(),
+		groupReports: new Map(),
+		lastGroupReports: new Map(),
 		queues: new Map(),
 	}
 }
@@ -124,8 +124,8 @@
 		service => routes?.services.has(service) ?? false,
 	)
 	const table = createServerTable(servers.map(server => server.id))
-	fleet.rowsOf = new Map()
-	fleet.near = new Set()
+	fleet.rowsByService = new Map()
+	fleet.localRows = new Set()
 	fleet.groups = []
 	for (const [row, server] of servers.entries()) {
 		copyServerRow(fleet.table, table, server.id)
@@ -133,10 +133,10 @@
 		table.slots[row] = engine ? engine.slots : server.slots
 		table.open[row] = 1
 		if (engine?.experts) table.group[row] = numberOf(fleet, groupOf(server))
-		const rows = fleet.rowsOf.get(server.service) ?? []
+		const rows = fleet.rowsByService.get(server.service) ?? []
 		rows.push(row)
-		fleet.rowsOf.set(server.service, rows)
-		if (server.dataCentre === dataCentre) fleet.near.add(row)
+		fleet.rowsByService.set(server.service, rows)
+		if (server.dataCentre === dataCentre) fleet.localRows.add(row)
 	}
 	fleet.table = table
 	fleet.servers = servers
@@ -163,16 +163,16 @@
 }
 
 /** Notes a request sent to a server (`1`) or ended there (`-1`). */
-export function noteHeld(fleet: Fleet, id: string, change: 1 | -1): void {
-	const held = (fleet.held.get(id) ?? 0) + change
-	if (held > 0) fleet.held.set(id, held)
-	else fleet.held.delete(id)
+export function trackInFlight(fleet: Fleet, id: string, change: 1 | -1): void {
+	const held = (fleet.inFlight.get(id) ?? 0) + change
+	if (held > 0) fleet.inFlight.set(id, held)
+	else fleet.inFlight.delete(id)
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
-	fleet.table.sentSince[row] = Math.max(0, held)
+	fleet.table.sentSinceReport[row] = Math.max(0, held)
 	const meter = meterOf(fleet, fleet.servers[row]!.service)
-	if (change < 0) meter.end++
-	else meter.untold++
+	if (change < 0) meter.finished++
+	else meter.sentSinceReport++
 }
 
 /** The meter of a service. */
@@ -181,19 +181,19 @@
 	if (known) return known
 	const flow = { come: 0, end: 0 }
 	const meter: FlowMeter = {
-		come: 0,
-		end: 0,
-		untold: 0,
+		arrived: 0,
+		finished: 0,
+		sentSinceReport: 0,
 		flow,
 		intake: undefined,
-		taken: 1,
+		minAdmittedFraction: 1,
 	}
 	fleet.meters.set(service, meter)
 	return meter
 }
 
 /** Takes the load that a server told in an answer. */
-export function noteToldLoad(
+export function recordReportedLoad(
 	fleet: Fleet,
 	id: string,
 	{ running, waiting }: ServerLoad,
@@ -201,42 +201,42 @@
 ): void {
 	const row = fleet.table.rowOf.get(id)
 	if (row === undefined) return
-	const own = fleet.held.get(id) ?? 0
-	fleet.table.reported[row] = Math.max(0, running + waiting - own)
+	const own = fleet.inFlight.get(id) ?? 0
+	fleet.table.reportedLoad[row] = Math.max(0, running + waiting - own)
 	fleet.table.reportedAt[row] = now
 }
 
 /** Puts in force what is told of groups; all others have neither. */
-export function applyToldGroups(fleet: Fleet): void {
+export function applyGroupReports(fleet: Fleet): void {
 	for (const [row, server] of fleet.servers.entries()) {
-		const told = fleet.toldGroups.get(groupOf(server))
+		const told = fleet.groupReports.get(groupOf(server))
 		const { table } = fleet
 		const paces = Object.values(told?.slow ?? {})
-		table.pace[row] = Math.max(1, told?.slow[server.address] ?? 1)
-		table.groupPace[row] = Math.max(1, ...paces)
-		table.most[row] = told?.limit ?? Number.POSITIVE_INFINITY
+		table.slowdown[row] = Math.max(1, told?.slow[server.address] ?? 1)
+		table.groupSlowdown[row] = Math.max(1, ...paces)
+		table.maxInFlight[row] = told?.limit ?? Number.POSITIVE_INFINITY
 	}
 }
 
 /** Takes what a peer holds at each server. */
-export function notePeerLoad(
+export function recordPeerLoad(
 	fleet: Fleet,
 	peer: string,
 	held: ReadonlyMap<string, number>,
 	now: number,
 ): void {
-	const before = fleet.heldByPeer.get(peer)
+	const before = fleet.inFlightByPeer.get(peer)
 	if (before) addPeerLoad(fleet, before, -1, now)
-	fleet.heldByPeer.set(peer, held)
+	fleet.inFlightByPeer.set(peer, held)
 	addPeerLoad(fleet, held, 1, now)
 }
 
 /** Forgets a peer that is gone. */
 export function dropPeerLoad(fleet: Fleet, peer: string, now: number): void {
 	fleet.peerDemand.delete(peer)
-	const held = fleet.heldByPeer.get(peer)
+	const held = fleet.inFlightByPeer.get(peer)
 	if (!held) return
-	fleet.heldByPeer.delete(peer)
+	fleet.inFlightByPeer.delete(peer)
 	addPeerLoad(fleet, held, -1, now)
 }
 
@@ -246,14 +246,14 @@
 	sign: 1 | -1,
 	now: number,
 ): void {
-	const { heldByOthers, table } = fleet
+	const { inFlightOfPeers: heldByOthers, table } = fleet
 	for (const [id, count] of held) {
 		const sum = (heldByOthers.get(id) ?? 0) + sign * count
 		if (sum > 0) heldByOthers.set(id, sum)
 		else heldByOthers.delete(id)
 		const row = table.rowOf.get(id)
 		if (row === undefined) continue
-		table.reported[row] = Math.max(0, sum)
+		table.reportedLoad[row] = Math.max(0, sum)
 		table.reportedAt[row] = now
 	}
 }
@@ -262,10 +262,10 @@
  * Takes what peers hold for what servers hold besides: what a server told in an
  * answer is not true for long, and one that peers left says nothing of it.
  */
-export function settlePeerLoads(fleet: Fleet, now: number): void {
-	if (fleet.heldByPeer.size === 0) return
+export function applyPeerLoads(fleet: Fleet, now: number): void {
+	if (fleet.inFlightByPeer.size === 0) return
 	for (const [row, { id }] of fleet.servers.entries()) {
-		fleet.table.reported[row] = fleet.heldByOthers.get(id) ?? 0
+		fleet.table.reportedLoad[row] = fleet.inFlightOfPeers.get(id) ?? 0
 		fleet.table.reportedAt[row] = now
 	}
 }
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -2,32 +2,32 @@
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ErrorKind } from '@juniperhook/core'
-import { drawService, ERRORS, noteRequest } from '@juniperhook/core'
+import { ERRORS, pickService, recordRequest } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import { makeAttempt } from './attempt.ts'
-import { logAnswer, logAttempt } from './attemptLog.ts'
+import { logAttempt, logServed } from './attemptLog.ts'
 import { readCallerRequest } from './callerRequest.ts'
 import { isGrouped } from './closedGroups.ts'
-import { chooseComeBack } from './comeBack.ts'
 import type { GatewayContext } from './context.ts'
-import { countRequest } from './entryDemand.ts'
+import { awaitCrashCheck } from './crashDetector.ts'
+import { countArrival } from './entryDemand.ts'
 import type {
 	AnswerEnd,
 	AttemptResult,
 	CallerRequest,
-	GiveUp,
+	CancelRequest,
 	Job,
-	Next,
+	NextStep,
 } from './job.ts'
 import {
 	isQuarantined,
 	isSuspected,
 	quarantinedForMs,
 } from './quarantineGate.ts'
-import { writeFailure, writeWhole } from './reply.ts'
-import { mayTryAgain, retriesOf } from './retryDecision.ts'
+import { writeAnswer, writeFailure } from './reply.ts'
+import { chooseRetryAfterMs } from './retryAfter.ts'
+import { mayRetry, retryWindowOf } from './retryDecision.ts'
 import { readAnswerBody } from './serverCall.ts'
-import { awaitDoubt } from './serverEnds.ts'
 import { relayStream } from './streamRelay.ts'
 
 const SERVER_ERROR = 500
@@ -43,7 +43,7 @@
 	req: IncomingMessage,
 	res: ServerResponse,
 ): Promise<void> {
-	ctx.open++
+	ctx.openRequests++
 	try {
 		const intake = await readCallerRequest(ctx, req)
 		switch (intake.kind) {
@@ -59,7 +59,7 @@
 				intake satisfies never
 		}
 	} finally {
-		ctx.open--
+		ctx.openRequests--
 	}
 }
 
@@ -86,14 +86,14 @@
 	request: CallerRequest,
 	res: ServerResponse,
 ): Promise<void> {
-	const service = drawService(request.route.shares, ctx.random)
+	const service = pickService(request.route.shares, ctx.random)
 	const control = new AbortController()
 	const job: Job = {
 		request,
 		service,
 		signal: control.signal,
 		tried: new Set(),
-		luck: ctx.random(),
+		admissionDraw: ctx.random(),
 		sends: 0,
 		refusedSends: 0,
 		groupRefusals: 0,
@@ -101,7 +101,7 @@
 		lastEventId: request.lastEventId,
 		times: { startMs: 0, longestPauseMs: 0 },
 	}
-	const giveUp: GiveUp = why => {
+	const giveUp: CancelRequest = why => {
 		const [ran, notRun] = GIVEN_UP[why]
 		finish(ctx, job, res, job.mayHaveRun ? ran : notRun)
 		control.abort()
@@ -111,13 +111,13 @@
 		return
 	}
 	// What is sent to no server is no demand, and earns no second sends.
-	noteRequest(retriesOf(ctx, service), ctx.settings.retries, readNow())
-	countRequest(ctx.fleet, service)
-	const left = request.givenUpAt - readElapsed()
+	recordRequest(retryWindowOf(ctx, service), ctx.settings.retries, readNow())
+	countArrival(ctx.fleet, service)
+	const left = request.timeoutAt - readElapsed()
 	const timer = setTimeout(() => giveUp('timeOver'), left)
-	ctx.giveUps.set(request, giveUp)
+	ctx.cancelByRequest.set(request, giveUp)
 	res.on('close', () => {
-		ctx.giveUps.delete(request)
+		ctx.cancelByRequest.delete(request)
 		clearTimeout(timer)
 		if (!res.writableFinished) control.abort()
 	})
@@ -158,7 +158,7 @@
 ): number {
 	if (error === 'quarantined') return quarantinedForMs(ctx, job.request)
 	return ERRORS[error].ran === 'no'
-		? chooseComeBack(ctx, job.service, leftMs)
+		? chooseRetryAfterMs(ctx, job.service, leftMs)
 		: 0
 }
 
@@ -196,7 +196,7 @@
 	const server = [...job.tried].at(-1)
 	if (server === undefined) return
 	if (isSuspected(ctx, job.request) || isGrouped(ctx, job.service))
-		await awaitDoubt(ctx, server)
+		await awaitCrashCheck(ctx, server)
 }
 
 async function settle(
@@ -204,7 +204,7 @@
 	job: Job,
 	res: ServerResponse,
 	result: AttemptResult,
-): Promise<Next> {
+): Promise<NextStep> {
 	switch (result.kind) {
 		case 'refused':
 			return {
@@ -212,13 +212,13 @@
 				error: job.mayHaveRun ? 'linkLost' : result.error,
 			}
 		case 'notRun':
-			if (mayTryAgain(ctx, job)) return { kind: 'again', reason: 'notRun' }
+			if (mayRetry(ctx, job)) return { kind: 'again', reason: 'notRun' }
 			return {
 				kind: 'failed',
 				error: job.mayHaveRun ? 'linkLost' : 'unreachable',
 			}
 		case 'lost':
-			if (mayTryAgain(ctx, job)) return { kind: 'again', reason: 'lost' }
+			if (mayRetry(ctx, job)) return { kind: 'again', reason: 'lost' }
 			return { kind: 'failed', error: 'linkLost' }
 		case 'answer':
 			return await takeAnswer(ctx, job, res, result)
@@ -232,7 +232,7 @@
 	job: Job,
 	res: ServerResponse,
 	result: Extract<AttemptResult, { kind: 'answer' }>,
-): Promise<Next> {
+): Promise<NextStep> {
 	const { answer, serverId } = result
 	const { message, status } = answer
 	const type = String(message.headers['content-type'] ?? '')
@@ -247,14 +247,14 @@
 	if (!good) {
 		const reason = body.kind === 'broken' ? body.reason : `status ${status}`
 		logAttempt(ctx, job, serverId, 'failed', reason)
-		if (mayTryAgain(ctx, job)) return { kind: 'again', reason: 'failed' }
+		if (mayRetry(ctx, job)) return { kind: 'again', reason: 'failed' }
 	}
 	if (!usable) return { kind: 'failed', error: 'truncated' }
 	const { arrivedAt, method } = job.request
 	job.times.startMs = readElapsed() - arrivedAt
 	ctx.metrics.firstByte.observe(job.times.startMs / 1_000)
-	logAnswer(ctx, job, serverId, String(status))
-	writeWhole(ctx, res, message, body.body, method)
+	logServed(ctx, job, serverId, String(status))
+	writeAnswer(ctx, res, message, body.body, method)
 	return { kind: 'done' }
 }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -5,9 +5,9 @@
 import { createServer, STATUS_CODES } from 'node:http'
 import type { Duplex } from 'node:stream'
 import {
-	createNewsBook,
 	createRandom,
 	createServerList,
+	createSharedState,
 	ERRORS,
 	splitAddress,
 } from '@juniperhook/core'
@@ -20,24 +20,24 @@
 } from '@juniperhook/runtime'
 import { followCatalog, tickCatalog } from './catalog.ts'
 import type { GatewayContext, GatewaySettings } from './context.ts'
-import { createEndWatch } from './endWatch.ts'
+import { expireCrashChecks } from './crashDetector.ts'
+import { createCrashDetector } from './crashDetectorState.ts'
 import { createFleet } from './fleet.ts'
 import { serveCaller } from './forward.ts'
 import { createGatewayMetrics } from './metrics.ts'
-import { createOddSignals } from './oddSignals.ts'
 import { startPeers } from './peers.ts'
-import { forgetPermits } from './permitGate.ts'
-import { createPermitGate, createPermitHomes } from './permitState.ts'
+import { dropUnlimitedPermits } from './permitGate.ts'
+import { createPermitHomes, createPermitStore } from './permitState.ts'
 import type { CatalogSource, ServerWire } from './ports.ts'
 import { createQuarantineGate } from './quarantineState.ts'
-import { forgetRates } from './rateLimits.ts'
-import { createRuns, forgetLeft } from './runs.ts'
-import { forgetDoubts } from './serverEnds.ts'
-import { createServerPool, fitIdle } from './serverPool.ts'
-import { tickRests } from './serverRests.ts'
-import { noticeSuspension } from './suspension.ts'
+import { expireRateLimits } from './rateLimits.ts'
+import { createSentRequests, expireAbandoned } from './sentRequests.ts'
+import { expireBackoffs } from './serverBackoffs.ts'
+import { createServerPool, resizeIdle } from './serverPool.ts'
+import { serveQueues } from './serverQueue.ts'
+import { checkSuspension } from './suspension.ts'
 import { createSuspensionWatch } from './suspensionWatch.ts'
-import { serveWaiting } from './waiting.ts'
+import { createUnrecognizedSignals } from './unrecognizedSignals.ts'
 
 /** Largest headers that Node reads; the configuration's bound is lower. */
 const MAX_HEADER_BYTES = 65_536
@@ -66,12 +66,12 @@
 	log: EventLog,
 ): Promise<GatewayContext> {
 	const list = createServerList()
-	const book = createNewsBook(list.left)
+	const book = createSharedState(list.departed)
 	const ctx: GatewayContext = {
 		settings,
 		wire: names,
 		readStatement,
-		oddSignals: createOddSignals(),
+		unrecognizedSignals: createUnrecognizedSignals(),
 		log,
 		metrics: createGatewayMetrics(),
 		random: createRandom(randomBytes(4).readUInt32LE()),
@@ -79,31 +79,31 @@
 		pool: createServerPool(),
 		list,
 		startedAt: readElapsed(),
-		isTold: false,
+		hasPeerState: false,
 		settledRemovals: [],
 		sourceAway: false,
 		routes: undefined,
 		published: undefined,
-		toldVersion: -1,
-		configSince: 0,
+		newestPeerVersion: -1,
+		configAppliedAt: 0,
 		closures: new Map(),
-		openUntil: new Map(),
-		outages: new Map(),
+		expectedOpenAt: new Map(),
+		blockages: new Map(),
 		pressures: new Map(),
 		retries: new Map(),
-		entries: Math.max(1, settings.seeds.length),
-		runs: createRuns(),
-		ends: createEndWatch(),
+		entryCount: Math.max(1, settings.seeds.length),
+		sentRequests: createSentRequests(),
+		ends: createCrashDetector(),
 		suspension: createSuspensionWatch(),
-		book,
+		sharedState: book,
 		outbox: new Map(),
 		rateLimits: book.rateLimits,
-		rests: new Map(),
-		permits: createPermitGate(),
+		backoffs: new Map(),
+		permits: createPermitStore(),
 		permitHomes: createPermitHomes(settings.control),
-		open: 0,
-		gate: createQuarantineGate(book.quarantine),
-		giveUps: new Map(),
+		openRequests: 0,
+		quarantineGate: createQuarantineGate(book.quarantine),
+		cancelByRequest: new Map(),
 		stopping: false,
 	}
 	const callers = listenForCallers(ctx)
@@ -124,17 +124,17 @@
 }
 
 function tick(ctx: GatewayContext, callers: Server): void {
-	noticeSuspension(ctx)
+	checkSuspension(ctx)
 	tickCatalog(ctx)
-	forgetDoubts(ctx)
-	forgetLeft(ctx.runs)
-	forgetRates(ctx)
-	forgetPermits(ctx)
-	tickRests(ctx)
-	serveWaiting(ctx)
+	expireCrashChecks(ctx)
+	expireAbandoned(ctx.sentRequests)
+	expireRateLimits(ctx)
+	dropUnlimitedPermits(ctx)
+	expireBackoffs(ctx)
+	serveQueues(ctx)
 	const config = ctx.routes?.config
 	if (!config) return
-	fitIdle(ctx.pool, config.services, ctx.entries)
+	resizeIdle(ctx.pool, config.services, ctx.entryCount)
 	const { limits } = config
 	callers.headersTimeout = limits.headerTimeoutMs
 	callers.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS
@@ -194,7 +194,11 @@
 }
 
 /** Whether peers have told what they know of servers, as far as there are any. */
-function isInformed({ settings, isTold, startedAt }: GatewayContext): boolean {
+function isInformed({
+	settings,
+	hasPeerState: isTold,
+	startedAt,
+}: GatewayContext): boolean {
 	const hasPeers = settings.seeds.some(seed => seed !== settings.control)
 	return isTold || !hasPeers || readElapsed() - startedAt >= INFORM_MS
 }
@@ -227,17 +231,17 @@
 	const startedAt = readNow()
 	const { stopMs } = ctx.settings
 	ctx.stopping = true
-	ctx.log.write('stop begun', { open: ctx.open })
+	ctx.log.write('stop begun', { open: ctx.openRequests })
 	const endAt = startedAt + stopMs - CUT_BEFORE_KILL_MS
 	await sleepHeld(Math.min(BALANCER_MS, stopMs / 2))
 	callers.close()
 	do {
 		callers.closeIdleConnections()
 		await sleepHeld(STOP_CHECK_MS)
-	} while (ctx.open > 0 && readNow() < endAt)
-	if (ctx.open > 0) await endOpenRequests(ctx)
+	} while (ctx.openRequests > 0 && readNow() < endAt)
+	if (ctx.openRequests > 0) await endOpenRequests(ctx)
 	ctx.log.write('stopped', {
-		open: ctx.open,
+		open: ctx.openRequests,
 		tookMs: Math.round(readNow() - startedAt),
 	})
 	ctx.log.flush()
@@ -246,8 +250,8 @@
 
 /** Gives a final answer to all that are open, while there is time to send it. */
 export async function endOpenRequests(ctx: GatewayContext): Promise<void> {
-	ctx.log.write('open requests ended', { open: ctx.open })
-	for (const giveUp of [...ctx.giveUps.values()]) giveUp('timeOver')
+	ctx.log.write('open requests ended', { open: ctx.openRequests })
+	for (const giveUp of [...ctx.cancelByRequest.values()]) giveUp('timeOver')
 	await sleepHeld(LAST_ANSWERS_MS)
 }
 
--- a/packages/gateway/src/toldGroups.ts
+++ b/packages/gateway/src/groupReports.ts
@@ -6,11 +6,11 @@
 
 import { readElapsed } from '@juniperhook/runtime'
 import * as v from 'valibot'
-import { openGroup, shutGroup } from './closedGroups.ts'
+import { handleGroupBroken, handleGroupOpened } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
-import { applyToldGroups, serviceOf } from './fleet.ts'
+import { applyGroupReports, serviceOf } from './fleet.ts'
 import { GroupReportSchema } from './peerMessages.ts'
-import { serveWaiting } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** Lifetime of a report, ms; coordinators repeat theirs each second. */
 const REPORT_TTL_MS = 2_500
@@ -24,13 +24,13 @@
 export type GroupReportMessage = v.InferOutput<typeof GroupReportSchema>
 
 /** Applies a report. Returns it for forwarding, or undefined if it was known already. */
-export function takePaces(
+export function receiveGroupReport(
 	ctx: GatewayContext,
 	params: unknown,
 ): GroupReportMessage | undefined {
 	const report = v.parse(GroupReportSchema, params)
 	const { group, by, number, slow, limit, broken, hops } = report
-	const { toldGroups, heardNews } = ctx.fleet
+	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
 	const key = `${group} ${by}`
 	const last = heardNews.get(key)
 	if (last && last.number >= number) return undefined
@@ -43,10 +43,10 @@
 	else toldGroups.set(group, { slow, limit, broken, at })
 	const { log } = ctx
 	log.write('paces told', { group, slow: ranks, limit, broken, by, hops })
-	applyToldGroups(ctx.fleet)
-	if (broken) shutGroup(ctx, group, 'coordinator')
+	applyGroupReports(ctx.fleet)
+	if (broken) handleGroupBroken(ctx, group, 'coordinator')
 	// An outdated report of a healthy group may arrive after a rank's refusal.
-	else if (wasBroken && openGroup(ctx, group, 'coordinator'))
+	else if (wasBroken && handleGroupOpened(ctx, group, 'coordinator'))
 		dispatchQueued(ctx, group)
 	return { ...report, hops: hops + 1 }
 }
@@ -59,12 +59,12 @@
 function dispatchQueued(ctx: GatewayContext, group: string): void {
 	const service = serviceOf(group)
 	const closed = [...ctx.closures.keys()]
-	if (!closed.some(other => serviceOf(other) === service)) serveWaiting(ctx)
+	if (!closed.some(other => serviceOf(other) === service)) serveQueues(ctx)
 }
 
 /** Drops reports that were not repeated in time. */
 export function expireGroupReports(ctx: GatewayContext, now: number): void {
-	const { toldGroups, heardNews } = ctx.fleet
+	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
 	for (const [key, { at }] of heardNews)
 		if (now - at > SEQUENCE_TTL_MS) heardNews.delete(key)
 	const expired = [...toldGroups].filter(
@@ -72,5 +72,5 @@
 	)
 	if (expired.length === 0) return
 	for (const [group] of expired) toldGroups.delete(group)
-	applyToldGroups(ctx.fleet)
+	applyGroupReports(ctx.fleet)
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -2,14 +2,14 @@
 
 export type { GatewayContext, GatewaySettings } from './context.ts'
 export * from './eventSplitter.ts'
-export type { SameRequest } from './fingerprint.ts'
+export type { FingerprintInput as SameRequest } from './fingerprint.ts'
 export { bodyLengthOf, computeFingerprint } from './fingerprint.ts'
 export { endOpenRequests, startGateway } from './gateway.ts'
 export * from './peerMesh.ts'
 export type {
-	CallerPatience,
 	CatalogSnapshot,
 	CatalogSource,
+	EventTimeoutPolicy as CallerPatience,
 	PublishedConfig,
 	ServerLoad,
 	ServerStatement,
--- a/packages/gateway/src/job.ts
+++ b/packages/gateway/src/job.ts
@@ -8,7 +8,7 @@
 } from '@juniperhook/core'
 import type { ServerAnswer } from './serverCall.ts'
 import type { AnswerTimes } from './timeliness.ts'
-import type { ServerWish } from './waiter.ts'
+import type { AcquireOptions } from './waiter.ts'
 
 /** A request that has been read whole and checked. */
 export interface CallerRequest {
@@ -26,7 +26,7 @@
 	/** When its head was read, ms. */
 	readonly arrivedAt: number
 	/** When it is given up, ms. */
-	readonly givenUpAt: number
+	readonly timeoutAt: number
 	/** When its caller stops waiting, ms. */
 	readonly deadlineAt: number
 	/** 0 is the most urgent. */
@@ -47,8 +47,8 @@
 	readonly signal: AbortSignal
 	/** Ids of servers it has been sent to. */
 	readonly tried: Set<string>
-	/** See {@link ServerWish}. */
-	readonly luck: ServerWish['luck']
+	/** See {@link AcquireOptions}. */
+	readonly admissionDraw: AcquireOptions['luck']
 	/** Sends so far. */
 	sends: number
 	/** Sends that a server is proved not to have run. */
@@ -94,10 +94,10 @@
  * Ends a request without a server's answer: as one whose time is over, or as one that
  * is sent to no server any more.
  */
-export type GiveUp = (why: 'timeOver' | 'quarantined') => void
+export type CancelRequest = (why: 'timeOver' | 'quarantined') => void
 
 /** What follows an attempt. */
-export type Next =
+export type NextStep =
 	| { readonly kind: 'done' }
 	| { readonly kind: 'again'; readonly reason: string }
 	| { readonly kind: 'failed'; readonly error: ErrorKind }
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -3,8 +3,8 @@
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { connectRpc, messageOf, notify, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
+import type { GroupReportMessage } from './groupReports.ts'
 import { chooseLinks } from './peerMesh.ts'
-import type { GroupReportMessage } from './toldGroups.ts'
 
 /** Exponential backoff between connection attempts to an entry, ms. */
 const RECONNECT_MS = 100
@@ -52,7 +52,7 @@
 }
 
 /** Adds addresses to the known entries. */
-export function noteAddresses(
+export function recordAddresses(
 	{ links }: PeerLinks,
 	addresses: readonly string[],
 ): void {
@@ -90,7 +90,7 @@
 export function updateLinks(ctx: GatewayContext, peers: PeerLinks): void {
 	const { links } = peers
 	const { control, seeds } = ctx.settings
-	noteAddresses(
+	recordAddresses(
 		peers,
 		seeds.filter(address => address !== control),
 	)
--- a/packages/gateway/src/peerNews.ts
+++ b/packages/gateway/src/peerPull.ts
@@ -180,7 +180,7 @@
 	peer: string,
 	link: RpcLink,
 ): Promise<PullResult> {
-	let after = laterOf(ctx.list.revision, ctx.list.readAt)
+	let after = laterOf(ctx.list.revision, ctx.list.readUpTo)
 	let count = 0
 	for (;;) {
 		const reply = await call(link, 'records', { after })
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -8,9 +8,9 @@
 	isLater,
 	isSameRevision,
 	NO_REVISION,
-	noteEntryHeard,
-	noteEntryNamed,
-	PEER_SILENT_MS,
+	PEER_TIMEOUT_MS,
+	recordEntryContact,
+	recordEntryDiscovered,
 	splitAddress,
 } from '@juniperhook/core'
 import type { RpcLink } from '@juniperhook/runtime'
@@ -24,14 +24,18 @@
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
 import { reportFlows, updateDemand } from './entryDemand.ts'
-import { dropPeerLoad, notePeerLoad } from './fleet.ts'
-import { listAllUpdates, listRateLimits, takeTold } from './news.ts'
+import { dropPeerLoad, recordPeerLoad } from './fleet.ts'
 import type { PeerLinks } from './peerLinks.ts'
-import { countUnlinked, listOpenLinks, noteAddresses } from './peerLinks.ts'
+import { countUnlinked, listOpenLinks, recordAddresses } from './peerLinks.ts'
 import type { InFlightDelta, PeerState } from './peerMessages.ts'
 import { InFlightDeltaSchema, PeerStateSchema } from './peerMessages.ts'
-import type { PeerPulls } from './peerNews.ts'
-import { activeVersion, pullIfBehind } from './peerNews.ts'
+import type { PeerPulls } from './peerPull.ts'
+import { activeVersion, pullIfBehind } from './peerPull.ts'
+import {
+	listAllUpdates,
+	listRateLimits,
+	receiveUpdates,
+} from './updateExchange.ts'
 
 /**
  * Minimum interval between broadcasts while something changes, ms, and its increase for
@@ -109,7 +113,7 @@
 		config: activeVersion(ctx),
 		list: ctx.list.revision,
 		sourceAway: ctx.sourceAway,
-		held: Object.fromEntries(ctx.fleet.held),
+		held: Object.fromEntries(ctx.fleet.inFlight),
 		dataCentre: ctx.settings.dataCentre,
 		flows: reportFlows(ctx.fleet),
 		limits: listRateLimits(ctx),
@@ -134,7 +138,7 @@
 	states.lastSent = {
 		config: state.config,
 		list: state.list,
-		held: new Map(ctx.fleet.held),
+		held: new Map(ctx.fleet.inFlight),
 	}
 	const isVersionChanged =
 		state.config !== lastSent.config ||
@@ -199,21 +203,21 @@
 	const addresses = [state.control, ...state.peers].filter(address =>
 		isOtherEntry(ctx, address),
 	)
-	noteAddresses(peers, addresses)
+	recordAddresses(peers, addresses)
 	const { roster } = ctx.permitHomes
 	for (const address of addresses)
-		noteEntryNamed(roster, address, readElapsed())
+		recordEntryDiscovered(roster, address, readElapsed())
 	if (isOtherEntry(ctx, state.control))
-		noteEntryHeard(roster, state.control, readElapsed())
-	takeTold(ctx, state.limits, state.name)
-	ctx.isTold = true
+		recordEntryContact(roster, state.control, readElapsed())
+	receiveUpdates(ctx, state.limits, state.name)
+	ctx.hasPeerState = true
 	if (state.sourceAway) states.withoutSource.add(link)
 	else states.withoutSource.delete(link)
 	const { dataCentre, flows } = state
 	const held = new Map(Object.entries(state.held))
 	ctx.fleet.peerDemand.set(state.name, { dataCentre, flows })
-	notePeerLoad(ctx.fleet, state.name, held, now)
-	ctx.toldVersion = Math.max(ctx.toldVersion, state.config)
+	recordPeerLoad(ctx.fleet, state.name, held, now)
+	ctx.newestPeerVersion = Math.max(ctx.newestPeerVersion, state.config)
 	// A peer that is behind may only be reachable through the link that it has opened.
 	const isBehind =
 		state.config < activeVersion(ctx) || isLater(ctx.list.revision, state.list)
@@ -227,14 +231,14 @@
 	params: unknown,
 ): void {
 	const { name, changed } = v.parse(InFlightDeltaSchema, params)
-	const known = ctx.fleet.heldByPeer.get(name)
+	const known = ctx.fleet.inFlightByPeer.get(name)
 	// Changes are relative to a full state, which has not arrived yet.
 	if (!known) return
 	const held = new Map(known)
 	for (const [id, count] of Object.entries(changed))
 		if (count > 0) held.set(id, count)
 		else held.delete(id)
-	notePeerLoad(ctx.fleet, name, held, readNow())
+	recordPeerLoad(ctx.fleet, name, held, readNow())
 }
 
 /** Whether an address belongs to another entry: all use the same control port. */
@@ -251,12 +255,12 @@
 ): void {
 	const now = readElapsed()
 	for (const [name, lastSeenAt] of states.lastSeenAt) {
-		if (now - lastSeenAt > PEER_SILENT_MS)
+		if (now - lastSeenAt > PEER_TIMEOUT_MS)
 			dropPeerLoad(ctx.fleet, name, readNow())
 		if (now - lastSeenAt > MEMBER_TTL_MS) states.lastSeenAt.delete(name)
 	}
 	const seeds = ctx.settings.seeds.length
-	ctx.entries = Math.max(states.lastSeenAt.size + 1, seeds)
+	ctx.entryCount = Math.max(states.lastSeenAt.size + 1, seeds)
 }
 
 /** Sends confirmed removals to peers that have lost the source. */
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -1,6 +1,6 @@
 /** RPC server of an entry for other entries and coordinators, and its links to entries. */
 
-import { noteEntryNamed } from '@juniperhook/core'
+import { recordEntryDiscovered } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import {
 	call,
@@ -12,7 +12,7 @@
 import * as v from 'valibot'
 import { answerPiece, createConfigServer } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import { drainUpdates, takeTold } from './news.ts'
+import { expireGroupReports, receiveGroupReport } from './groupReports.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import {
 	createPeerLinks,
@@ -28,7 +28,7 @@
 	PieceRequestSchema,
 	UpdatesSchema,
 } from './peerMessages.ts'
-import { answerRecords, createPeerPulls, receiveRemovals } from './peerNews.ts'
+import { answerRecords, createPeerPulls, receiveRemovals } from './peerPull.ts'
 import {
 	broadcastState,
 	createPeerStates,
@@ -40,7 +40,7 @@
 } from './peerStates.ts'
 import { answerPermits, updateHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
-import { expireGroupReports, takePaces } from './toldGroups.ts'
+import { drainUpdates, receiveUpdates } from './updateExchange.ts'
 
 /** Interval of the periodic work on links and messages, ms. */
 const TICK_MS = 50
@@ -65,7 +65,7 @@
 		},
 		held: (params: unknown) => receiveInFlightDelta(ctx, params),
 		news: (params: unknown) =>
-			takeTold(ctx, v.parse(UpdatesSchema, params).items, 'peer'),
+			receiveUpdates(ctx, v.parse(UpdatesSchema, params).items, 'peer'),
 		permits: (params: unknown) => answerPermits(ctx, params),
 		configPiece: (params: unknown, link: RpcLink) =>
 			answerPiece(
@@ -77,7 +77,7 @@
 		records: (params: unknown) => answerRecords(ctx, params),
 		removals: (params: unknown) => receiveRemovals(ctx, params),
 		paces: (params: unknown, link: RpcLink) => {
-			const report = takePaces(ctx, params)
+			const report = receiveGroupReport(ctx, params)
 			if (report) forwardGroupReport(peers, report, link)
 			return listLinkedAddresses(peers)
 		},
@@ -88,7 +88,7 @@
 	ctx.permits.queryHome = (home, query) => queryHome(peers, home, query)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
-			noteEntryNamed(ctx.permitHomes.roster, seed, readElapsed())
+			recordEntryDiscovered(ctx.permitHomes.roster, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
 		updateLinks(ctx, peers)
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -2,10 +2,10 @@
 
 import type { HeldPermits } from '@juniperhook/core'
 import {
+	consumePermit,
 	createHeldPermits,
 	hasPermit,
-	perSecondOf,
-	usePermit,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
@@ -27,9 +27,9 @@
 	const permitted = new Set<number>()
 	const spent = new Set<number>()
 	const now = readElapsed()
-	for (const row of fleet.rowsOf.get(service) ?? []) {
+	for (const row of fleet.rowsByService.get(service) ?? []) {
 		const { id } = fleet.servers[row]!
-		if (perSecondOf(rateLimits, id) === undefined) continue
+		if (rateLimitOf(rateLimits, id) === undefined) continue
 		const held = permits.held.get(id)
 		if (held && hasPermit(held, now)) permitted.add(row)
 		else spent.add(row)
@@ -40,11 +40,11 @@
 /** Consumes a permit for a request about to be sent, if the server is rate-limited. */
 export function spendPermit({ permits }: GatewayContext, server: string): void {
 	const held = permits.held.get(server)
-	if (held) usePermit(held, readElapsed())
+	if (held) consumePermit(held, readElapsed())
 }
 
 /** Returns the permits held for a server. */
-export function heldOf(
+export function heldPermitsOf(
 	{ permits }: GatewayContext,
 	server: string,
 ): HeldPermits {
@@ -61,9 +61,9 @@
 }
 
 /** Drops permits held, pools and homes of servers that have no limit any more. */
-export function forgetPermits(ctx: GatewayContext): void {
+export function dropUnlimitedPermits(ctx: GatewayContext): void {
 	const { permits, permitHomes, rateLimits } = ctx
 	for (const map of [permits.held, permitHomes.pools, permitHomes.homes])
 		for (const server of map.keys())
-			if (perSecondOf(rateLimits, server) === undefined) map.delete(server)
+			if (rateLimitOf(rateLimits, server) === undefined) map.delete(server)
 }
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -4,14 +4,14 @@
  * view of the membership choose the same home.
  */
 
-import type { Permits, PermitWish } from '@juniperhook/core'
+import type { PermitGrant, PermitRequest } from '@juniperhook/core'
 import {
 	createPermitPool,
 	findPermitHome,
-	lookAtRoster,
-	paceOfHome,
-	perSecondOf,
-	takePermits,
+	grantPermits,
+	permitScheduleFor,
+	rateLimitOf,
+	updateEntryMembership,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import * as v from 'valibot'
@@ -27,7 +27,7 @@
 ): void {
 	const { roster, pools, homes } = ctx.permitHomes
 	const { control } = ctx.settings
-	if (!lookAtRoster(roster, control, isLinked, readElapsed())) return
+	if (!updateEntryMembership(roster, control, isLinked, readElapsed())) return
 	const before = [...homes]
 	homes.clear()
 	for (const server of [...pools.keys()])
@@ -44,7 +44,7 @@
 	const { homes, roster } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
-	const home = findPermitHome(server, roster.heard) ?? ctx.settings.control
+	const home = findPermitHome(server, roster.reachable) ?? ctx.settings.control
 	homes.set(server, home)
 	return home
 }
@@ -54,13 +54,13 @@
 	ctx: GatewayContext,
 	server: string,
 	perSecond: number,
-	wish: PermitWish,
-): Permits {
+	wish: PermitRequest,
+): PermitGrant {
 	const { pools, roster } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
-	const schedule = paceOfHome(perSecond, roster.count)
-	return takePermits(pool, schedule, wish, readElapsed())
+	const schedule = permitScheduleFor(perSecond, roster.count)
+	return grantPermits(pool, schedule, wish, readElapsed())
 }
 
 /** Answers another entry's request for permits. */
@@ -73,7 +73,7 @@
 	const at = readElapsed() - limitAgoMs
 	receiveLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
 	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
-	const perSecond = perSecondOf(ctx.rateLimits, server)
+	const perSecond = rateLimitOf(ctx.rateLimits, server)
 	// The limit has been lifted; the sender learns that by gossip.
 	if (perSecond === undefined) return { type: 'notHome' }
 	const permits = grantFromPool(ctx, server, perSecond, { count, withinMs })
--- a/packages/gateway/src/permitAsk.ts
+++ b/packages/gateway/src/permitRequest.ts
@@ -3,12 +3,16 @@
  * wait for the answer while another server has room; a later request uses the permit.
  */
 
-import type { HeldPermits, Permits, PermitWish } from '@juniperhook/core'
-import { isAskDue, restLeftMs, takeGiven } from '@juniperhook/core'
+import type { HeldPermits, PermitGrant, PermitRequest } from '@juniperhook/core'
+import {
+	addGrantedPermits,
+	backoffLeftMs,
+	shouldRequestPermits,
+} from '@juniperhook/core'
 import { messageOf, readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
-import { heldOf, listLimited } from './permitGate.ts'
+import { heldPermitsOf, listLimited } from './permitGate.ts'
 import { grantFromPool, homeOf } from './permitHome.ts'
 
 /** Maximum number of permits per request. */
@@ -20,10 +24,10 @@
  * Requests permits for the rate-limited servers of a service that have none left.
  * `onAnswer` is called after each answer of another entry.
  */
-export function askForPermits(
+export function requestPermits(
 	ctx: GatewayContext,
 	service: string,
-	wish: PermitWish,
+	wish: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	if (ctx.rateLimits.size === 0) return
@@ -31,10 +35,10 @@
 	const { withinMs } = wish
 	for (const row of listLimited(ctx, service).spent) {
 		const { id } = ctx.fleet.servers[row]!
-		const held = heldOf(ctx, id)
+		const held = heldPermitsOf(ctx, id)
 		const now = readElapsed()
-		if (restLeftMs(ctx.rests, id, now) > withinMs) continue
-		if (isAskDue(held, withinMs, now))
+		if (backoffLeftMs(ctx.backoffs, id, now) > withinMs) continue
+		if (shouldRequestPermits(held, withinMs, now))
 			requestFor(ctx, id, held, { count, withinMs }, onAnswer)
 	}
 }
@@ -43,7 +47,7 @@
 	ctx: GatewayContext,
 	server: string,
 	held: HeldPermits,
-	wish: PermitWish,
+	wish: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	const known = ctx.rateLimits.get(server)
@@ -66,7 +70,7 @@
 		noteNotGranted(ctx, held, 'unlinked')
 		return
 	}
-	held.isAsking = true
+	held.isRequestPending = true
 	void reply
 		.then(
 			answer => applyReply(ctx, held, perSecond, answer),
@@ -80,7 +84,7 @@
 			},
 		)
 		.finally(() => {
-			held.isAsking = false
+			held.isRequestPending = false
 			onAnswer()
 		})
 }
@@ -107,9 +111,9 @@
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
-	permits: Permits,
+	permits: PermitGrant,
 ): void {
-	takeGiven(held, perSecond, permits, readElapsed())
+	addGrantedPermits(held, perSecond, permits, readElapsed())
 	const outcome = permits.dueMs.length > 0 ? 'given' : 'wait'
 	ctx.metrics.permits.inc({ outcome })
 }
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -1,7 +1,11 @@
 /** State of the permits for rate-limited servers. */
 
-import type { EntryRoster, HeldPermits, PermitPool } from '@juniperhook/core'
-import { createEntryRoster } from '@juniperhook/core'
+import type {
+	EntryMembership,
+	HeldPermits,
+	PermitPool,
+} from '@juniperhook/core'
+import { createEntryMembership } from '@juniperhook/core'
 import type { PermitQuery, PermitReply } from './peerMessages.ts'
 
 /** Sends a query to a home; returns undefined while there is no link to it. */
@@ -11,7 +15,7 @@
 ) => Promise<PermitReply> | undefined
 
 /** Permits granted to this entry. */
-export interface PermitGate {
+export interface PermitStore {
 	/** Permits by server id. */
 	readonly held: Map<string, HeldPermits>
 	/** Sends queries to other entries; set when the exchange with peers starts. */
@@ -19,13 +23,13 @@
 }
 
 /** Creates an empty store. */
-export function createPermitGate(): PermitGate {
+export function createPermitStore(): PermitStore {
 	return { held: new Map(), queryHome: () => undefined }
 }
 
 /** Homes of rate-limited servers, and the pools of those with this entry as their home. */
 export interface PermitHomes {
-	readonly roster: EntryRoster
+	readonly roster: EntryMembership
 	/** Pools by server id. */
 	readonly pools: Map<string, PermitPool>
 	/** Control addresses of homes, by server id. */
@@ -35,7 +39,7 @@
 /** Creates the state of an entry that has not discovered others. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
-		roster: createEntryRoster(own),
+		roster: createEntryMembership(own),
 		pools: new Map(),
 		homes: new Map(),
 	}
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -111,7 +111,7 @@
 }
 
 /** An answer that says something of its server. */
-export interface Heard {
+export interface StatementOrigin {
 	/** Id of the server that the request was sent to. */
 	readonly server: string
 	/** When the request was sent, ms. */
@@ -124,10 +124,10 @@
  * How long a caller waits for a stream's next event, the first one too: the longest
  * of a time, a multiple of the target time and one of the longest pause in time.
  */
-export interface CallerPatience {
-	readonly leastMs: number
-	readonly targetTimes: number
-	readonly pauseTimes: number
+export interface EventTimeoutPolicy {
+	readonly minMs: number
+	readonly targetFactor: number
+	readonly pauseFactor: number
 }
 
 /** A listed server and how much this entry has sent it. */
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -4,8 +4,16 @@
  * given at once.
  */
 
-import type { PlaceFlow, Returns, Spell } from '@juniperhook/core'
-import { createPlaceFlow, createReturns, createSpell } from '@juniperhook/core'
+import type {
+	BlockageTracker,
+	DispatchRate,
+	RetryAfterSchedule,
+} from '@juniperhook/core'
+import {
+	createBlockageTracker,
+	createDispatchRate,
+	createRetryAfterSchedule,
+} from '@juniperhook/core'
 
 /** How long a service is assumed to stay full before a spell was seen, ms. */
 const FIRST_FULL_MS = 1_000
@@ -16,11 +24,11 @@
 
 /** Observations of one service. */
 export interface Pressure {
-	readonly flow: PlaceFlow
-	readonly full: Spell
-	readonly returns: Returns
+	readonly flow: DispatchRate
+	readonly full: BlockageTracker
+	readonly returns: RetryAfterSchedule
 	/** From the sending to the beginning of an answer, smoothed, ms. */
-	firstMs: number
+	firstByteMs: number
 }
 
 /** The observations of a service. */
@@ -31,25 +39,25 @@
 	const known = pressures.get(service)
 	if (known) return known
 	const pressure = {
-		flow: createPlaceFlow(),
-		full: createSpell(FIRST_FULL_MS),
-		returns: createReturns(),
-		firstMs: 0,
+		flow: createDispatchRate(),
+		full: createBlockageTracker(FIRST_FULL_MS),
+		returns: createRetryAfterSchedule(),
+		firstByteMs: 0,
 	}
 	pressures.set(service, pressure)
 	return pressure
 }
 
 /** Notes how long an answer took to begin, from its sending. */
-export function noteFirst(pressure: Pressure, tookMs: number): void {
-	const { firstMs } = pressure
-	pressure.firstMs =
+export function recordFirstByte(pressure: Pressure, tookMs: number): void {
+	const { firstByteMs: firstMs } = pressure
+	pressure.firstByteMs =
 		firstMs === 0 ? tookMs : firstMs + FIRST_WEIGHT * (tookMs - firstMs)
 }
 
 /** How long a request may wait and still be answered in time, ms. */
-export function spareMs(
-	{ firstMs }: Pressure,
+export function waitBudgetMs(
+	{ firstByteMs: firstMs }: Pressure,
 	targetMs: number,
 	elapsedMs: number,
 ): number {
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -3,20 +3,20 @@
  * from this entry and its peers, and refuses quarantined requests.
  */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	barredForMs,
-	listBarred,
-	takeServerNews,
+	listQuarantined,
+	mergeServerUpdates,
+	quarantineLeftMs,
 	topByRendezvous,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
-import { noteRankGone } from './closedGroups.ts'
+import { handleRankCrash } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import { bodyLengthOf, fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
 import { enqueueUpdates } from './outbox.ts'
-import type { RunningRequest } from './runs.ts'
+import type { InFlightSummary } from './sentRequests.ts'
 
 /**
  * Time between the entries' turns to retry a quarantined request, ms: longer than the
@@ -31,7 +31,7 @@
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	const { gate } = ctx
+	const { quarantineGate: gate } = ctx
 	if (gate.barred.size === 0 || !gate.lengths.has(request.body.length))
 		return false
 	return quarantinedForMs(ctx, request) > 0
@@ -42,22 +42,22 @@
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): number {
-	const { quarantine } = ctx.gate
+	const { quarantine } = ctx.quarantineGate
 	const fingerprint = fingerprintOf(request)
 	const turnMs = turnOf(ctx, fingerprint) * TURN_MS
-	return barredForMs(quarantine, fingerprint, readElapsed(), turnMs)
+	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
 /** Returns how many other entries retry a request before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
-	const { heard } = permitHomes.roster
+	const { reachable: heard } = permitHomes.roster
 	const order = topByRendezvous(key, heard, heard.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
 
 /** Whether a server crashed under a request that no server has answered since. */
 export function isSuspected(
-	{ gate }: GatewayContext,
+	{ quarantineGate: gate }: GatewayContext,
 	request: CallerRequest,
 ): boolean {
 	if (!gate.lengths.has(request.body.length)) return false
@@ -65,7 +65,10 @@
 }
 
 /** Records that a server answered a request completely. */
-export function noteServed(ctx: GatewayContext, request: CallerRequest): void {
+export function recordServed(
+	ctx: GatewayContext,
+	request: CallerRequest,
+): void {
 	if (!isSuspected(ctx, request)) return
 	const fingerprint = fingerprintOf(request)
 	const update = { kind: 'served', fingerprint, at: readElapsed() } as const
@@ -77,7 +80,7 @@
 	ctx: GatewayContext,
 	server: string,
 	at: number,
-	running: readonly RunningRequest[],
+	running: readonly InFlightSummary[],
 ): void {
 	const ran = new Map<string, number>()
 	for (const { fingerprint, since } of running) {
@@ -89,17 +92,17 @@
 
 function closeGroupOf(ctx: GatewayContext, id: string): void {
 	const row = ctx.fleet.table.rowOf.get(id)
-	if (row !== undefined) noteRankGone(ctx, ctx.fleet.servers[row]!)
+	if (row !== undefined) handleRankCrash(ctx, ctx.fleet.servers[row]!)
 }
 
 /** Merges updates of crashes and of requests that were answered. */
 export function receiveCrashUpdates(
 	ctx: GatewayContext,
-	updates: readonly NewsOf<'end' | 'served'>[],
+	updates: readonly UpdateOf<'end' | 'served'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const changes = takeServerNews(ctx.book, updates, now)
+	const changes = mergeServerUpdates(ctx.sharedState, updates, now)
 	if (changes.length === 0) return
 	enqueueUpdates(ctx.outbox, changes)
 	updateQuarantine(ctx, from)
@@ -110,12 +113,12 @@
 }
 
 function updateQuarantine(ctx: GatewayContext, from: string): void {
-	const { gate } = ctx
+	const { quarantineGate: gate } = ctx
 	const { quarantine } = gate
 	const suspects = [...quarantine.suspects.keys()]
 	gate.lengths = new Set(suspects.map(bodyLengthOf))
 	const before = gate.barred
-	gate.barred = new Set(listBarred(quarantine))
+	gate.barred = new Set(listQuarantined(quarantine))
 	ctx.metrics.quarantined.set(gate.barred.size)
 	for (const fingerprint of gate.barred)
 		if (!before.has(fingerprint)) cancelQuarantined(ctx, fingerprint, from)
@@ -133,7 +136,7 @@
 	fingerprint: string,
 	from: string,
 ): void {
-	const suspicion = ctx.gate.quarantine.suspects.get(fingerprint)
+	const suspicion = ctx.quarantineGate.quarantine.suspects.get(fingerprint)
 	ctx.log.write('request quarantined', {
 		fingerprint,
 		servers: suspicion?.servers ?? [],
@@ -141,7 +144,7 @@
 		from,
 	})
 	const length = bodyLengthOf(fingerprint)
-	for (const [request, giveUp] of [...ctx.giveUps])
+	for (const [request, giveUp] of [...ctx.cancelByRequest])
 		if (
 			request.body.length === length &&
 			fingerprintOf(request) === fingerprint
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -1,21 +1,21 @@
 /** Rate limits that servers announce in their answers, and that entries gossip. */
 
-import type { NewsOf } from '@juniperhook/core'
+import type { UpdateOf } from '@juniperhook/core'
 import {
-	forgetRateNotices,
-	perSecondOf,
-	takeServerNews,
+	mergeServerUpdates,
+	pruneRateNotices,
+	rateLimitOf,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { enqueueUpdates } from './outbox.ts'
 import { dropPermits } from './permitGate.ts'
-import type { Heard } from './ports.ts'
+import type { StatementOrigin } from './ports.ts'
 
 /** Applies the limit that an answer announces, or the absence of one. */
-export function noteNamedLimit(
+export function recordAnnouncedLimit(
 	ctx: GatewayContext,
-	{ server, sentAt, ran }: Heard,
+	{ server, sentAt, ran }: StatementOrigin,
 	perSecond: number | undefined,
 ): void {
 	const at = readElapsed()
@@ -31,7 +31,7 @@
 /** Merges updates of limits. */
 export function receiveLimits(
 	ctx: GatewayContext,
-	updates: readonly NewsOf<'limit'>[],
+	updates: readonly UpdateOf<'limit'>[],
 	from: string,
 ): void {
 	for (const update of updates) applyLimit(ctx, update, from)
@@ -39,26 +39,26 @@
 
 function applyLimit(
 	ctx: GatewayContext,
-	update: NewsOf<'limit'>,
+	update: UpdateOf<'limit'>,
 	from: string,
 ): void {
-	const { rateLimits, book, outbox } = ctx
+	const { rateLimits, sharedState: book, outbox } = ctx
 	const { server, perSecond } = update
-	const before = perSecondOf(rateLimits, server)
-	const changes = takeServerNews(book, [update], readElapsed())
+	const before = rateLimitOf(rateLimits, server)
+	const changes = mergeServerUpdates(book, [update], readElapsed())
 	if (changes.length === 0) return
 	enqueueUpdates(outbox, changes)
 	dropPermits(ctx, server)
 	ctx.log.write('server limit', { server, perSecond, before, from })
 	const inForce = [...rateLimits.keys()].filter(
-		id => perSecondOf(rateLimits, id) !== undefined,
+		id => rateLimitOf(rateLimits, id) !== undefined,
 	)
 	ctx.metrics.limitedServers.set(inForce.length)
 }
 
 /** Drops expired notices of limits. */
-export function forgetRates({ rateLimits, fleet }: GatewayContext): void {
+export function expireRateLimits({ rateLimits, fleet }: GatewayContext): void {
 	if (rateLimits.size === 0) return
 	const isListed = (id: string) => fleet.table.rowOf.has(id)
-	forgetRateNotices(rateLimits, isListed, readElapsed())
+	pruneRateNotices(rateLimits, isListed, readElapsed())
 }
--- a/packages/gateway/src/reply.ts
+++ b/packages/gateway/src/reply.ts
@@ -48,7 +48,7 @@
 }
 
 /** Writes a server's whole answer. */
-export function writeWhole(
+export function writeAnswer(
 	ctx: GatewayContext,
 	res: ServerResponse,
 	message: IncomingMessage,
--- a/packages/gateway/src/retryDecision.ts
+++ b/packages/gateway/src/retryDecision.ts
@@ -9,7 +9,7 @@
 const MAX_REFUSED_SENDS = 3
 
 /** Whether another attempt may be made, by count, proof and budget. */
-export function mayTryAgain(ctx: GatewayContext, job: Job): boolean {
+export function mayRetry(ctx: GatewayContext, job: Job): boolean {
 	const { request } = job
 	if (job.signal.aborted) return false
 	if (job.mayHaveRun && !request.repeatable) return false
@@ -19,15 +19,15 @@
 	const refused = job.refusedSends - job.groupRefusals
 	if (refused > MAX_REFUSED_SENDS) return false
 	return takeRetry(
-		retriesOf(ctx, job.service),
+		retryWindowOf(ctx, job.service),
 		ctx.settings.retries,
-		ctx.entries,
+		ctx.entryCount,
 		readNow(),
 	)
 }
 
 /** The retry window of a service. */
-export function retriesOf(ctx: GatewayContext, service: string) {
+export function retryWindowOf(ctx: GatewayContext, service: string) {
 	const known = ctx.retries.get(service)
 	if (known) return known
 	const window = createRetryWindow()
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -1,29 +1,32 @@
 /** What the outcome of a send proves, and what it changes for those that follow. */
 
-import type { TryResult } from '@juniperhook/core'
-import { noteTry } from '@juniperhook/core'
+import type { AttemptOutcome } from '@juniperhook/core'
+import { recordAttempt } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import { logAttempt } from './attemptLog.ts'
 import {
-	closeGroup,
+	handleGroupOpened,
+	handleGroupRefusal,
 	isGrouped,
 	isGroupRefusal,
-	openGroup,
 } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
+import {
+	recordBrokenConnection,
+	recordServerAlive,
+	scheduleCrashCheck,
+} from './crashDetector.ts'
 import { groupOf } from './fleet.ts'
 import type { AnswerEnd, AttemptResult } from './job.ts'
-import { noteFirst, pressureOf } from './pressure.ts'
-import { isSuspected, noteServed } from './quarantineGate.ts'
-import { leaveRun } from './runs.ts'
+import { pressureOf, recordFirstByte } from './pressure.ts'
+import { isSuspected, recordServed } from './quarantineGate.ts'
 import type { Send } from './send.ts'
+import { trackAbandoned } from './sentRequests.ts'
+import { recordAccepted } from './serverBackoffs.ts'
 import type { CallResult, ServerAnswer } from './serverCall.ts'
-import { noteAlive, noteBroken, watchLeft } from './serverEnds.ts'
+import { serveQueues } from './serverQueue.ts'
 import { dropDisplaced } from './serverRecords.ts'
-import { noteTaken } from './serverRests.ts'
-
-import { takeStatement } from './serverStatement.ts'
-import { serveWaiting } from './waiting.ts'
+import { applyStatement } from './serverStatement.ts'
 
 /** The address belongs to another server now. */
 const MISDIRECTED = 421
@@ -33,7 +36,7 @@
 const CLOSED_THERE: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE'])
 
 /** Notes a send to which no answer came. */
-export function noteUnanswered(
+export function recordUnanswered(
 	ctx: GatewayContext,
 	send: Send,
 	result: Exclude<CallResult, { kind: 'answer' }>,
@@ -41,14 +44,14 @@
 	const { job, server } = send
 	const { reason } = result
 	const isSent = result.kind === 'lost'
-	if (isSent) noteLost(ctx, send, reason)
-	send.free()
+	if (isSent) recordLost(ctx, send, reason)
+	send.releaseSlot()
 	if (!job.signal.aborted)
 		noteResult(ctx, send, { kind: isSent ? 'failed' : 'unreached' })
-	if (!isSent) noteNotRun(send)
+	if (!isSent) recordNotRun(send)
 	// A rank without a process: its group stands still and will refuse.
 	if (reason === REFUSED && isGrouped(ctx, job.service))
-		closeGroup(ctx, groupOf(server))
+		handleGroupRefusal(ctx, groupOf(server))
 	logAttempt(ctx, job, server.id, result.kind, reason)
 	return isSent ? result : { kind: 'notRun', reason }
 }
@@ -64,7 +67,7 @@
 	const isMisdirected = status === MISDIRECTED
 	// What another server says is not said of the one that was asked.
 	if (!isMisdirected)
-		takeStatement(
+		applyStatement(
 			ctx,
 			{
 				server: send.server.id,
@@ -73,11 +76,11 @@
 			},
 			ctx.readStatement(status, message.headers),
 		)
-	if (saysNotRun || isMisdirected) return noteRefusal(ctx, send, answer)
+	if (saysNotRun || isMisdirected) return recordRefusal(ctx, send, answer)
 	return beginAnswer(ctx, send, answer)
 }
 
-function noteRefusal(
+function recordRefusal(
 	ctx: GatewayContext,
 	send: Send,
 	{ status, message }: ServerAnswer,
@@ -85,11 +88,11 @@
 	const { job, server } = send
 	if (status === MISDIRECTED) dropDisplaced(ctx, server.id)
 	message.resume()
-	noteNotRun(send)
-	send.free()
+	recordNotRun(send)
+	send.releaseSlot()
 	if (isGroupRefusal(ctx, server, status)) {
 		job.groupRefusals++
-		closeGroup(ctx, groupOf(server))
+		handleGroupRefusal(ctx, groupOf(server))
 	}
 	// A full server is told by its load; it has not failed.
 	const fault = message.headers[ctx.wire.atFault]?.toString() ?? ''
@@ -103,9 +106,9 @@
 	answer: ServerAnswer,
 ): AttemptResult {
 	const { job, server, sentAt } = send
-	noteTaken(ctx, server.id, send.sentAtElapsed)
-	if (openGroup(ctx, groupOf(server), 'answer')) serveWaiting(ctx)
-	noteFirst(pressureOf(ctx.pressures, job.service), readNow() - sentAt)
+	recordAccepted(ctx, server.id, send.sentAtElapsed)
+	if (handleGroupOpened(ctx, groupOf(server), 'answer')) serveQueues(ctx)
+	recordFirstByte(pressureOf(ctx.pressures, job.service), readNow() - sentAt)
 	return {
 		kind: 'answer',
 		answer,
@@ -119,11 +122,11 @@
 	const { request } = job
 	switch (end) {
 		case 'good':
-			noteServed(ctx, request)
-			noteAlive(ctx, server.id)
+			recordServed(ctx, request)
+			recordServerAlive(ctx, server.id)
 			break
 		case 'broken':
-			noteBroken(ctx, server)
+			recordBrokenConnection(ctx, server)
 			break
 		case 'left':
 			leave(ctx, send)
@@ -133,7 +136,7 @@
 		default:
 			end satisfies never
 	}
-	send.free()
+	send.releaseSlot()
 	const isPlain = request.route.kind !== 'stream'
 	const tookMs = isPlain ? readNow() - sentAt : undefined
 	const isSound = end === 'good' || end === 'left'
@@ -143,24 +146,24 @@
 function noteResult(
 	{ fleet }: GatewayContext,
 	{ server }: Send,
-	result: TryResult,
+	result: AttemptOutcome,
 ): void {
 	const row = fleet.table.rowOf.get(server.id)
-	if (row !== undefined) noteTry(fleet.table, row, result, readNow())
+	if (row !== undefined) recordAttempt(fleet.table, row, result, readNow())
 }
 
 /** A connection that the server closed, or that this entry did. */
-function noteLost(ctx: GatewayContext, send: Send, reason: string): void {
-	if (CLOSED_THERE.has(reason)) noteBroken(ctx, send.server)
+function recordLost(ctx: GatewayContext, send: Send, reason: string): void {
+	if (CLOSED_THERE.has(reason)) recordBrokenConnection(ctx, send.server)
 	else leave(ctx, send)
 }
 
 function leave(ctx: GatewayContext, { server, run }: Send): void {
-	leaveRun(ctx.runs, server.id, run)
-	if (isSuspected(ctx, run.request)) watchLeft(ctx, server)
+	trackAbandoned(ctx.sentRequests, server.id, run)
+	if (isSuspected(ctx, run.request)) scheduleCrashCheck(ctx, server)
 }
 
-function noteNotRun({ job, mayHaveRunBefore }: Send): void {
+function recordNotRun({ job, mayHaveRunBefore }: Send): void {
 	job.mayHaveRun = mayHaveRunBefore
 	job.refusedSends++
 }
--- a/packages/gateway/src/runs.ts
+++ b/packages/gateway/src/sentRequests.ts
@@ -13,19 +13,19 @@
 const MAX_ABANDONED = 8
 
 /** A request in flight at a server. */
-export interface Run {
+export interface SentRequest {
 	readonly request: CallerRequest
 	/** When it was sent, ms. */
 	readonly since: number
 }
 
 /** A request whose connection this entry closed before its answer was complete. */
-interface AbandonedRequest extends RunningRequest {
+interface AbandonedRequest extends InFlightSummary {
 	readonly abandonedAt: number
 }
 
 /** Identifies a request that a server was running. */
-export interface RunningRequest {
+export interface InFlightSummary {
 	readonly id: string
 	readonly fingerprint: string
 	/** When it was sent, ms. */
@@ -33,51 +33,62 @@
 }
 
 /** Requests at servers, both by server id. */
-export interface Runs {
-	readonly running: Map<string, Set<Run>>
-	readonly left: Map<string, AbandonedRequest[]>
+export interface SentRequests {
+	readonly inFlight: Map<string, Set<SentRequest>>
+	readonly abandoned: Map<string, AbandonedRequest[]>
 }
 
 /** Creates an empty record. */
-export function createRuns(): Runs {
-	return { running: new Map(), left: new Map() }
+export function createSentRequests(): SentRequests {
+	return { inFlight: new Map(), abandoned: new Map() }
 }
 
 /** Records that a request is sent to a server. */
-export function beginRun(
-	requests: Runs,
+export function trackRequest(
+	requests: SentRequests,
 	server: string,
 	request: CallerRequest,
-): Run {
+): SentRequest {
 	const sent = { request, since: readElapsed() }
-	const atServer = requests.running.get(server)
+	const atServer = requests.inFlight.get(server)
 	if (atServer) atServer.add(sent)
-	else requests.running.set(server, new Set([sent]))
+	else requests.inFlight.set(server, new Set([sent]))
 	return sent
 }
 
 /** Removes a request that this entry no longer waits for. */
-export function endRun(requests: Runs, server: string, sent: Run): void {
-	const atServer = requests.running.get(server)
+export function untrackRequest(
+	requests: SentRequests,
+	server: string,
+	sent: SentRequest,
+): void {
+	const atServer = requests.inFlight.get(server)
 	atServer?.delete(sent)
-	if (atServer?.size === 0) requests.running.delete(server)
+	if (atServer?.size === 0) requests.inFlight.delete(server)
 }
 
 /** Records that this entry closed a request's connection; the server may go on with it. */
-export function leaveRun(requests: Runs, server: string, sent: Run): void {
+export function trackAbandoned(
+	requests: SentRequests,
+	server: string,
+	sent: SentRequest,
+): void {
 	const abandonedAt = readElapsed()
-	const left = (requests.left.get(server) ?? []).filter(
+	const left = (requests.abandoned.get(server) ?? []).filter(
 		one => abandonedAt - one.abandonedAt < ABANDONED_TTL_MS,
 	)
 	left.push({ ...describe(sent), abandonedAt })
-	requests.left.set(server, left.slice(-MAX_ABANDONED))
+	requests.abandoned.set(server, left.slice(-MAX_ABANDONED))
 }
 
 /** Lists the requests that a server may be running for this entry. */
-export function listRunning(requests: Runs, server: string): RunningRequest[] {
+export function listInFlight(
+	requests: SentRequests,
+	server: string,
+): InFlightSummary[] {
 	const now = readElapsed()
-	const running = [...(requests.running.get(server) ?? [])].map(describe)
-	const left = requests.left.get(server) ?? []
+	const running = [...(requests.inFlight.get(server) ?? [])].map(describe)
+	const left = requests.abandoned.get(server) ?? []
 	return [
 		...left.filter(one => now - one.abandonedAt < ABANDONED_TTL_MS),
 		...running,
@@ -85,13 +96,13 @@
 }
 
 /** Drops expired records of abandoned requests. */
-export function forgetLeft(requests: Runs): void {
+export function expireAbandoned(requests: SentRequests): void {
 	const now = readElapsed()
-	for (const [server, left] of requests.left)
+	for (const [server, left] of requests.abandoned)
 		if (now - left.at(-1)!.abandonedAt >= ABANDONED_TTL_MS)
-			requests.left.delete(server)
+			requests.abandoned.delete(server)
 }
 
-function describe({ request, since }: Run): RunningRequest {
+function describe({ request, since }: SentRequest): InFlightSummary {
 	return { id: request.id, fingerprint: fingerprintOf(request), since }
 }
--- a/packages/gateway/src/serverPool.ts
+++ b/packages/gateway/src/serverPool.ts
@@ -16,26 +16,29 @@
 /** The connections of a process to all servers. */
 export interface ServerPool {
 	/** Keeps connections; a request on one may meet its close. */
-	readonly kept: Agent
+	readonly keepAlive: Agent
 	/** A connection for each request, so that nothing of another is on it. */
-	readonly single: Agent
+	readonly oneShot: Agent
 }
 
 /** Makes a pool without connections. */
 export function createServerPool(): ServerPool {
 	return {
-		kept: new Agent({
+		keepAlive: new Agent({
 			keepAlive: true,
 			maxFreeSockets: MAX_IDLE,
 			timeout: IDLE_MS,
 			scheduling: 'lifo',
 		}),
-		single: new Agent({ keepAlive: false }),
+		oneShot: new Agent({ keepAlive: false }),
 	}
 }
 
 /** Closes the idle connections to a server that has ended, by its `IP:port`. */
-export function closeIdle({ kept }: ServerPool, address: string): void {
+export function closeIdle(
+	{ keepAlive: kept }: ServerPool,
+	address: string,
+): void {
 	const [host, port] = address.split(':')
 	const idle = kept.freeSockets[kept.getName({ host, port: Number(port) })]
 	for (const socket of idle ?? []) socket.destroy()
@@ -45,16 +48,16 @@
  * Idle connections that one of `entries` entries keeps to a server; `most` is what the
  * server takes from all callers together.
  */
-export function idleShare(most: number, entries: number): number {
+export function maxIdlePerServer(most: number, entries: number): number {
 	return Math.min(MAX_IDLE, Math.floor((IDLE_SHARE * most) / entries))
 }
 
 /** Fits the idle connections to what servers take and to how many entries there are. */
-export function fitIdle(
-	{ kept }: ServerPool,
+export function resizeIdle(
+	{ keepAlive: kept }: ServerPool,
 	services: Iterable<TrafficService>,
 	entries: number,
 ): void {
 	const most = Math.min(...[...services].map(one => one.maxConnections))
-	kept.maxFreeSockets = idleShare(most, entries)
+	kept.maxFreeSockets = maxIdlePerServer(most, entries)
 }
