--- a/packages/gateway/src/waiting.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -1,32 +1,32 @@
 /** Requests that wait for a server with room, by priority and then by team. */
 
 import {
-	beginSpell,
 	chooseRow,
 	dequeue,
-	endSpell,
 	enqueue,
 	type FairQueue,
-	isShut,
+	isGroupClosed,
 	listFullGroups,
-	mayEnter,
-	notePlace,
-	noteSentAfterRest,
+	markBlocked,
+	markUnblocked,
 	predictWaitMs,
-	removeWaiting,
+	recordBackoffProbe,
+	recordDispatch,
+	removeQueued,
+	tryEnterGroup,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
+import type { AvailabilityForecast } from './availabilityForecast.ts'
+import { forecastAvailability, forecastWaitMs } from './availabilityForecast.ts'
 import type { GatewayContext } from './context.ts'
-import { isRationed, isTaken } from './entryDemand.ts'
-import { groupOf, meterOf, noteHeld, queueOf } from './fleet.ts'
-import type { Outlook } from './outlook.ts'
-import { outlookOf, outlookWaitMs } from './outlook.ts'
-import { askForPermits } from './permitAsk.ts'
+import { isAdmitted, isRationed } from './entryDemand.ts'
+import { groupOf, meterOf, queueOf, trackInFlight } from './fleet.ts'
 import { listLimited, spendPermit } from './permitGate.ts'
+import { requestPermits } from './permitRequest.ts'
 import type { Pressure } from './pressure.ts'
 import { pressureOf } from './pressure.ts'
-import { listResting } from './serverRests.ts'
-import type { Grant, ServerWish, Waiter } from './waiter.ts'
+import { listBackingOff } from './serverBackoffs.ts'
+import type { AcquireOptions, Grant, Waiter } from './waiter.ts'
 
 /**
  * Requests that an engine may hold beyond its slots: none. One that waits there
@@ -37,9 +37,9 @@
 const PLAIN_QUEUE_ROOM = 6
 
 /** Gets a server with room; the caller gives it back with `noteHeld`. */
-export function awaitServer(
+export function acquireServer(
 	ctx: GatewayContext,
-	wish: ServerWish,
+	wish: AcquireOptions,
 ): Promise<Grant> {
 	const queue = queueOf(ctx.fleet, wish.service)
 	const pressure = pressureOf(ctx.pressures, wish.service)
@@ -47,17 +47,18 @@
 	const callers = queue.waiting.length + 1
 	askAhead(ctx, wish.service, callers, 0)
 	if (queue.waiting.length === 0) {
-		const grant = choose(ctx, wish.service, wish.tried, wish.luck)
+		const grant = choose(ctx, wish.service, wish.tried, wish.admissionDraw)
 		if (grant.kind === 'server') {
-			notePlace(pressure.flow, now)
+			recordDispatch(pressure.flow, now)
 			// One that is taken of many that are not does not end a full spell.
-			if (!isRationed(ctx.fleet, wish.service)) endSpell(pressure.full, now)
+			if (!isRationed(ctx.fleet, wish.service))
+				markUnblocked(pressure.full, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
-	beginSpell(pressure.full, now)
+	markBlocked(pressure.full, now)
 	askAhead(ctx, wish.service, callers, wish.waitMs)
-	const outlook = outlookOf(ctx, wish.service)
+	const outlook = forecastAvailability(ctx, wish.service)
 	if (waitsTooLong(queue, wish, pressure, outlook, now))
 		return Promise.resolve({ kind: outlook?.kind ?? 'full' })
 	return waitInQueue(ctx, queue, wish, now)
@@ -67,18 +68,18 @@
 function waitInQueue(
 	ctx: GatewayContext,
 	queue: FairQueue<Waiter>,
-	wish: ServerWish,
+	wish: AcquireOptions,
 	now: number,
 ): Promise<Grant> {
 	return new Promise(resolve => {
 		const leave = (grant: Grant) => {
 			clearTimeout(timer)
 			wish.signal.removeEventListener('abort', giveUp)
-			removeWaiting(queue, waiter)
+			removeQueued(queue, waiter)
 			resolve(grant)
 		}
 		const giveUp = () =>
-			leave({ kind: outlookOf(ctx, wish.service)?.kind ?? 'full' })
+			leave({ kind: forecastAvailability(ctx, wish.service)?.kind ?? 'full' })
 		const waiter: Waiter = {
 			...wish,
 			until: now + wish.waitMs,
@@ -96,32 +97,32 @@
 /** One that surely waits too long is told so now, not when its time is over. */
 function waitsTooLong(
 	queue: FairQueue<Waiter>,
-	wish: ServerWish,
+	wish: AcquireOptions,
 	{ flow }: Pressure,
-	outlook: Outlook | undefined,
+	outlook: AvailabilityForecast | undefined,
 	now: number,
 ): boolean {
 	const before = queue.waiting.filter(one => one.priority <= wish.priority)
-	if (outlook) return outlookWaitMs(outlook, before.length) > wish.waitMs
-	if (!wish.inTurn) return wish.waitMs <= 0
+	if (outlook) return forecastWaitMs(outlook, before.length) > wish.waitMs
+	if (!wish.slotsFreeOneByOne) return wish.waitMs <= 0
 	return predictWaitMs(flow, before.length, now) > wish.waitMs
 }
 
 /** Gives waiting requests the servers that have room now. */
-export function serveWaiting(ctx: GatewayContext): void {
+export function serveQueues(ctx: GatewayContext): void {
 	for (const queue of ctx.fleet.queues.values()) serveQueue(ctx, queue)
 }
 
 function serveQueue(ctx: GatewayContext, queue: FairQueue<Waiter>): void {
 	for (let next = queue.waiting[0]; next; next = queue.waiting[0]) {
-		const grant = choose(ctx, next.service, next.tried, next.luck)
+		const grant = choose(ctx, next.service, next.tried, next.admissionDraw)
 		if (grant.kind === 'full') {
 			refuseHopeless(ctx, queue)
 			return
 		}
 		dequeue(queue)
 		if (grant.kind === 'server')
-			notePlace(pressureOf(ctx.pressures, next.service).flow, readNow())
+			recordDispatch(pressureOf(ctx.pressures, next.service).flow, readNow())
 		next.grant(grant)
 	}
 }
@@ -133,7 +134,7 @@
 	callers: number,
 	withinMs: number,
 ): void {
-	askForPermits(ctx, service, { count: callers, withinMs }, () =>
+	requestPermits(ctx, service, { count: callers, withinMs }, () =>
 		serveQueue(ctx, queueOf(ctx.fleet, service)),
 	)
 }
@@ -145,10 +146,10 @@
 	const now = readNow()
 	const longest = Math.max(...waiting.map(({ until }) => until - now))
 	askAhead(ctx, service, waiting.length, longest)
-	const outlook = outlookOf(ctx, service)
+	const outlook = forecastAvailability(ctx, service)
 	if (!outlook) return
 	for (const [before, { until, grant }] of waiting.entries())
-		if (outlookWaitMs(outlook, before) > until - now)
+		if (forecastWaitMs(outlook, before) > until - now)
 			grant({ kind: outlook.kind })
 }
 
@@ -168,23 +169,24 @@
 	const isEngine = routes?.services.get(service)?.engine !== undefined
 	const { permitted, spent } = listLimited(ctx, service)
 	const query = {
-		rows: fleet.rowsOf.get(service) ?? [],
+		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
-		queueRoom: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
-		shutGroups: listShutGroups(ctx, luck, now),
-		near: fleet.near,
-		untold: meterOf(fleet, service).untold,
+		queueCapacity: isEngine ? ENGINE_QUEUE_ROOM : PLAIN_QUEUE_ROOM,
+		closedGroups: listShutGroups(ctx, luck, now),
+		localRows: fleet.localRows,
+		unreportedSends: meterOf(fleet, service).sentSinceReport,
 		permitted,
-		withheld: new Set([...spent, ...listResting(ctx, service)]),
+		withheld: new Set([...spent, ...listBackingOff(ctx, service)]),
 	}
 	const choice = chooseRow(fleet.table, query, now, ctx.random)
 	if (choice.kind !== 'row') return choice
 	const server = fleet.servers[choice.row]!
-	if (!mayEnter(ctx.closures, groupOf(server), now)) return { kind: 'full' }
+	if (!tryEnterGroup(ctx.closures, groupOf(server), now))
+		return { kind: 'full' }
 	const { id } = server
 	spendPermit(ctx, id)
-	noteSentAfterRest(ctx.rests, id, readElapsed())
-	noteHeld(fleet, id, 1)
+	recordBackoffProbe(ctx.backoffs, id, readElapsed())
+	trackInFlight(fleet, id, 1)
 	return { kind: 'server', id }
 }
 
@@ -195,11 +197,11 @@
 ): Set<number> {
 	const shut = new Set<number>()
 	for (const [number, group] of ctx.fleet.groups.entries())
-		if (isShut(ctx.closures, group, now)) shut.add(number)
+		if (isGroupClosed(ctx.closures, group, now)) shut.add(number)
 	const { fleet } = ctx
 	const isOpen = (group: number, room: number) =>
-		isTaken(fleet, group, room, luck)
-	const full = listFullGroups(fleet.table, isOpen, fleet.othersTimes)
+		isAdmitted(fleet, group, room, luck)
+	const full = listFullGroups(fleet.table, isOpen, fleet.peerScale)
 	for (const number of full) shut.add(number)
 	return shut
 }
--- a/packages/gateway/src/serverRecords.ts
+++ b/packages/gateway/src/serverRecords.ts
@@ -1,22 +1,22 @@
 /** Applies server records from the source and from other entries to the server list. */
 
-import type { ListedServer, NewsOf, ServerRecord } from '@juniperhook/core'
+import type { ListedServer, ServerRecord, UpdateOf } from '@juniperhook/core'
 import {
-	doubtRemoval,
+	applyPeerRecord,
+	applyRecord,
+	applyRestoredRecord,
+	deferRemoval,
 	formatRevision,
-	noteDisplaced,
-	takeCopied,
-	takeRecord,
-	takeServerNews,
-	takeTold,
+	markDisplaced,
+	mergeServerUpdates,
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
+import { resolveChecksByList } from './crashDetector.ts'
 import { applyServerList } from './fleet.ts'
 import { enqueueUpdates } from './outbox.ts'
-import { resolveChecksByList } from './serverEnds.ts'
 import { closeIdle } from './serverPool.ts'
-import { serveWaiting } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** Origin of records: the source, an older copy that it was restored from, or a peer. */
 export type RecordOrigin =
@@ -43,15 +43,15 @@
 	origin: RecordOrigin,
 	now: number,
 ): boolean {
-	if (origin.from === 'peer') return takeTold(list, record, now)
+	if (origin.from === 'peer') return applyPeerRecord(list, record, now)
 	const isRemoval = !record.server && record.fault === undefined
 	if (isRemoval && now < origin.deferRemovalsUntil) {
-		doubtRemoval(list, record, origin.deferRemovalsUntil)
+		deferRemoval(list, record, origin.deferRemovalsUntil)
 		return false
 	}
 	return origin.from === 'copy'
-		? takeCopied(list, record, now)
-		: takeRecord(list, record)
+		? applyRestoredRecord(list, record, now)
+		: applyRecord(list, record)
 }
 
 /** Logs the state of a server. */
@@ -83,12 +83,12 @@
  * Merges updates of servers that leave or have left. This is final: later records of the
  * same incarnation from the source do not bring it back.
  */
-export function noteLeaving(
+export function recordLeaving(
 	ctx: GatewayContext,
-	updates: readonly NewsOf<'left'>[],
+	updates: readonly UpdateOf<'left'>[],
 	from: string,
 ): void {
-	const changes = takeServerNews(ctx.book, updates, readElapsed())
+	const changes = mergeServerUpdates(ctx.sharedState, updates, readElapsed())
 	if (changes.length === 0) return
 	enqueueUpdates(ctx.outbox, changes)
 	for (const { server } of changes)
@@ -98,7 +98,7 @@
 
 /** Removes a server whose address answered with another server's identity. */
 export function dropDisplaced(ctx: GatewayContext, id: string): void {
-	noteDisplaced(ctx.list, id)
+	markDisplaced(ctx.list, id)
 	ctx.log.write('server', { server: id, state: 'displaced', from: 'answer' })
 	refreshFleet(ctx)
 }
@@ -110,7 +110,7 @@
 	applyServerList(fleet, list, settings.dataCentre, routes)
 	closeStaleConnections(ctx, before)
 	resolveChecksByList(ctx)
-	serveWaiting(ctx)
+	serveQueues(ctx)
 }
 
 /**
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -3,15 +3,15 @@
 import type { ListedServer } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { noteHeld } from './fleet.ts'
+import { trackInFlight } from './fleet.ts'
 import type { AttemptResult, Job } from './job.ts'
-import { beginRun, endRun } from './runs.ts'
 import type { Send } from './send.ts'
-import { judgeAnswer, noteUnanswered } from './sendOutcome.ts'
+import { judgeAnswer, recordUnanswered } from './sendOutcome.ts'
+import { trackRequest, untrackRequest } from './sentRequests.ts'
 import type { CallResult } from './serverCall.ts'
 import { callServer } from './serverCall.ts'
 import { buildServerHeaders } from './serverHeaders.ts'
-import { serveWaiting } from './waiting.ts'
+import { serveQueues } from './serverQueue.ts'
 
 /** An attempt with less time left than this is not made, ms. */
 const MIN_LEFT_MS = 5
@@ -36,7 +36,7 @@
 		giveBack(ctx, serverId)
 		return { kind: 'notRun', reason: 'server gone' }
 	}
-	const untilGivenUp = job.request.givenUpAt - readElapsed()
+	const untilGivenUp = job.request.timeoutAt - readElapsed()
 	if (untilGivenUp < MIN_LEFT_MS || job.signal.aborted) {
 		giveBack(ctx, serverId)
 		return { kind: 'refused', error: 'startBudget' }
@@ -44,12 +44,12 @@
 	const send = beginSend(ctx, job, server)
 	const result = await call(ctx, send, untilGivenUp)
 	if (result.kind === 'answer') return judgeAnswer(ctx, send, result.answer)
-	return noteUnanswered(ctx, send, result)
+	return recordUnanswered(ctx, send, result)
 }
 
 function giveBack(ctx: GatewayContext, serverId: string): void {
-	noteHeld(ctx.fleet, serverId, -1)
-	serveWaiting(ctx)
+	trackInFlight(ctx.fleet, serverId, -1)
+	serveQueues(ctx)
 }
 
 function beginSend(ctx: GatewayContext, job: Job, server: ListedServer): Send {
@@ -58,7 +58,7 @@
 	const mayHaveRunBefore = job.mayHaveRun
 	// Until the opposite is proved: the time may run out before.
 	job.mayHaveRun = true
-	const run = beginRun(ctx.runs, server.id, job.request)
+	const run = trackRequest(ctx.sentRequests, server.id, job.request)
 	return {
 		job,
 		server,
@@ -66,8 +66,8 @@
 		sentAt: readNow(),
 		sentAtElapsed: readElapsed(),
 		mayHaveRunBefore,
-		free: () => {
-			endRun(ctx.runs, server.id, run)
+		releaseSlot: () => {
+			untrackRequest(ctx.sentRequests, server.id, run)
 			giveBack(ctx, server.id)
 		},
 	}
@@ -88,7 +88,7 @@
 		body: request.body,
 		id: request.id,
 		idHeader: ctx.wire.requestId,
-		agent: request.repeatable ? ctx.pool.kept : ctx.pool.single,
+		agent: request.repeatable ? ctx.pool.keepAlive : ctx.pool.oneShot,
 		headMs: Math.min(untilGivenUp + AFTER_GIVEN_UP_MS, patienceFor(ctx, job)),
 		signal: job.signal,
 	})
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -5,11 +5,11 @@
 
 import { readNow } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { noteToldLoad } from './fleet.ts'
-import type { Heard, ServerStatement, SignalValues } from './ports.ts'
-import { noteNamedLimit } from './rateLimits.ts'
-import { noteLeaving } from './serverRecords.ts'
-import { takeRest } from './serverRests.ts'
+import { recordReportedLoad } from './fleet.ts'
+import type { ServerStatement, SignalValues, StatementOrigin } from './ports.ts'
+import { recordAnnouncedLimit } from './rateLimits.ts'
+import { recordRequestedBackoff } from './serverBackoffs.ts'
+import { recordLeaving } from './serverRecords.ts'
 
 /** Headers that are counted by name, and signals that are logged as unreadable. */
 const MAX_UNKNOWN = 32
@@ -20,21 +20,21 @@
 /** Takes a signal; undefined where the answer doesn't have it. */
 type Reader<T> = (
 	ctx: GatewayContext,
-	heard: Heard,
+	heard: StatementOrigin,
 	value: T | undefined,
 ) => void
 
 const READERS: { readonly [K in keyof SignalValues]: Reader<SignalValues[K]> } =
 	{
 		load: (ctx, { server }, load) => {
-			if (load) noteToldLoad(ctx.fleet, server, load, readNow())
+			if (load) recordReportedLoad(ctx.fleet, server, load, readNow())
 		},
-		perSecond: noteNamedLimit,
+		perSecond: recordAnnouncedLimit,
 		restMs: (ctx, { server }, restMs) => {
-			if (restMs !== undefined) takeRest(ctx, server, restMs)
+			if (restMs !== undefined) recordRequestedBackoff(ctx, server, restMs)
 		},
 		leaving: (ctx, { server }, leaving) => {
-			if (leaving) noteLeaving(ctx, [{ kind: 'left', server }], 'answer')
+			if (leaving) recordLeaving(ctx, [{ kind: 'left', server }], 'answer')
 		},
 	}
 
@@ -42,18 +42,18 @@
 export const READ_SIGNALS = Object.keys(READERS) as (keyof SignalValues)[]
 
 /** Takes all that an answer says of its server. */
-export function takeStatement(
+export function applyStatement(
 	ctx: GatewayContext,
-	heard: Heard,
+	heard: StatementOrigin,
 	statement: ServerStatement,
 ): void {
 	for (const signal of READ_SIGNALS) takeSignal(ctx, heard, statement, signal)
-	for (const header of statement.unknown) noteUnknown(ctx, heard, header)
+	for (const header of statement.unknown) recordUnknown(ctx, heard, header)
 }
 
 function takeSignal<K extends keyof SignalValues>(
 	ctx: GatewayContext,
-	heard: Heard,
+	heard: StatementOrigin,
 	{ signals }: ServerStatement,
 	name: K,
 ): void {
@@ -66,7 +66,7 @@
 			READERS[name](ctx, heard, undefined)
 			return
 		case 'unreadable':
-			noteUnreadable(ctx, heard, name, signal.text)
+			recordUnreadable(ctx, heard, name, signal.text)
 			return
 		default:
 			signal satisfies never
@@ -74,13 +74,13 @@
 }
 
 /** What was believed is held. */
-function noteUnreadable(
+function recordUnreadable(
 	ctx: GatewayContext,
-	{ server }: Heard,
+	{ server }: StatementOrigin,
 	signal: string,
 	text: string,
 ): void {
-	const { unreadable } = ctx.oddSignals
+	const { unreadable } = ctx.unrecognizedSignals
 	ctx.metrics.unreadableSignals.inc({ signal })
 	const key = `${server} ${signal} ${text}`
 	if (unreadable.has(key) || unreadable.size >= MAX_UNREADABLE) return
@@ -88,12 +88,12 @@
 	ctx.log.write('server signal unreadable', { server, signal, text })
 }
 
-function noteUnknown(
+function recordUnknown(
 	ctx: GatewayContext,
-	{ server }: Heard,
+	{ server }: StatementOrigin,
 	header: string,
 ): void {
-	const { unknown } = ctx.oddSignals
+	const { unknownHeaders: unknown } = ctx.unrecognizedSignals
 	const isNew = !unknown.has(header) && unknown.size < MAX_UNKNOWN
 	if (isNew) unknown.add(header)
 	const name = unknown.has(header) ? header : OTHERS
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -5,13 +5,13 @@
 
 import type { ServerResponse } from 'node:http'
 import { readElapsed, readNow } from '@juniperhook/runtime'
-import { logAnswer, logAttempt } from './attemptLog.ts'
+import { logAttempt, logServed } from './attemptLog.ts'
 import type { GatewayContext } from './context.ts'
 import type { StreamEvent } from './eventSplitter.ts'
 import { createEventSplitter, splitEvents } from './eventSplitter.ts'
-import type { AnswerEnd, AttemptResult, Job, Next } from './job.ts'
+import type { AnswerEnd, AttemptResult, Job, NextStep } from './job.ts'
 import { writeStreamHead } from './reply.ts'
-import { mayTryAgain } from './retryDecision.ts'
+import { mayRetry } from './retryDecision.ts'
 
 /** Relays one server's part of a stream. */
 export function relayStream(
@@ -19,7 +19,7 @@
 	job: Job,
 	res: ServerResponse,
 	result: Extract<AttemptResult, { kind: 'answer' }>,
-): Promise<Next> {
+): Promise<NextStep> {
 	const { answer, serverId } = result
 	const { message } = answer
 	const splitter = createEventSplitter()
@@ -51,7 +51,7 @@
 			for (const event of splitEvents(splitter, data)) if (sound) pass(event)
 		})
 		message.on('close', () => {
-			const whole = answer.isWhole() && sound && splitter.held.length === 0
+			const whole = answer.isWhole() && sound && splitter.pending.length === 0
 			result.release(judgeEnd(job, whole, answer.isWhole()))
 			if (job.signal.aborted) {
 				resolve({ kind: 'done' })
@@ -60,12 +60,12 @@
 			if (whole) {
 				if (!res.headersSent) writeStreamHead(ctx, res, message)
 				res.end()
-				logAnswer(ctx, job, serverId, 'stream ended')
+				logServed(ctx, job, serverId, 'stream ended')
 				resolve({ kind: 'done' })
 				return
 			}
 			logAttempt(ctx, job, serverId, 'broken', `after ${job.lastEventId}`)
-			if (!mayTryAgain(ctx, job)) {
+			if (!mayRetry(ctx, job)) {
 				resolve({ kind: 'failed', error: 'truncated' })
 				return
 			}
--- a/packages/gateway/src/suspension.ts
+++ b/packages/gateway/src/suspension.ts
@@ -13,21 +13,24 @@
 const OVERDUE_GRACE_MS = 500
 
 /** Looks whether the VM was suspended since the last look, and does what follows. */
-export function noticeSuspension(ctx: GatewayContext): void {
+export function checkSuspension(ctx: GatewayContext): void {
 	const { suspension } = ctx
-	const forMs = readSuspendedMs() - suspension.knownMs
+	const forMs = readSuspendedMs() - suspension.observedMs
 	if (forMs <= 0) return
-	suspension.knownMs += forMs
-	ctx.log.write('clocks parted', { forMs: Math.round(forMs), open: ctx.open })
+	suspension.observedMs += forMs
+	ctx.log.write('clocks parted', {
+		forMs: Math.round(forMs),
+		open: ctx.openRequests,
+	})
 	setTimeout(() => endOverdue(ctx), OVERDUE_GRACE_MS).unref()
-	for (const wake of [...suspension.onWake]) wake()
+	for (const wake of [...suspension.resumeListeners]) wake()
 }
 
 /** Timers of requests that were open have that much left too long. */
 function endOverdue(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const [request, giveUp] of [...ctx.giveUps])
-		if (now >= request.givenUpAt) giveUp('timeOver')
+	for (const [request, giveUp] of [...ctx.cancelByRequest])
+		if (now >= request.timeoutAt) giveUp('timeOver')
 }
 
 /** Ends a wait early, with `instead`, when the VM has been suspended meanwhile. */
@@ -38,10 +41,12 @@
 ): Promise<T> {
 	return new Promise((resolve, reject) => {
 		const wake = () => {
-			suspension.onWake.delete(wake)
+			suspension.resumeListeners.delete(wake)
 			resolve(instead)
 		}
-		suspension.onWake.add(wake)
-		wait.then(resolve, reject).finally(() => suspension.onWake.delete(wake))
+		suspension.resumeListeners.add(wake)
+		wait
+			.then(resolve, reject)
+			.finally(() => suspension.resumeListeners.delete(wake))
 	})
 }
--- a/packages/gateway/src/suspensionWatch.ts
+++ b/packages/gateway/src/suspensionWatch.ts
@@ -4,11 +4,11 @@
 
 /** How long the VM was suspended by the last look, and what waits for the next one. */
 export interface SuspensionWatch {
-	knownMs: number
-	readonly onWake: Set<() => void>
+	observedMs: number
+	readonly resumeListeners: Set<() => void>
 }
 
 /** Makes a watch from now on. */
 export function createSuspensionWatch(): SuspensionWatch {
-	return { knownMs: readSuspendedMs(), onWake: new Set() }
+	return { observedMs: readSuspendedMs(), resumeListeners: new Set() }
 }
--- a/packages/gateway/src/timeliness.ts
+++ b/packages/gateway/src/timeliness.ts
@@ -19,7 +19,7 @@
 }
 
 /** Judges an answer by its route's objectives. */
-export function judgeTimes(
+export function classifyTimeliness(
 	{ targetMs, maxPauseMs }: TrafficRoute,
 	{ startMs, longestPauseMs }: AnswerTimes,
 ): Timeliness {
--- a/packages/gateway/src/news.ts
+++ b/packages/gateway/src/updateExchange.ts
@@ -4,32 +4,32 @@
  * have them.
  */
 
-import type { NewsOf, ServerNews } from '@juniperhook/core'
-import { listLimitNews, listServerNews } from '@juniperhook/core'
+import type { ServerUpdate, UpdateOf } from '@juniperhook/core'
+import { listLimitUpdates, listServerUpdates } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
 import { drainOutbox } from './outbox.ts'
 import type { WireUpdate } from './peerMessages.ts'
 import { receiveCrashUpdates } from './quarantineGate.ts'
 import { receiveLimits } from './rateLimits.ts'
-import { noteLeaving } from './serverRecords.ts'
-import { receiveBackoffs } from './serverRests.ts'
+import { receiveBackoffs } from './serverBackoffs.ts'
+import { recordLeaving } from './serverRecords.ts'
 
 /** Maximum number of departed servers, the most recent, that are sent on a new link. */
 const MAX_DEPARTED_SENT = 512
 
 /** Merges updates from another entry. */
-export function takeTold(
+export function receiveUpdates(
 	ctx: GatewayContext,
 	items: readonly WireUpdate[],
 	from: string,
 ): void {
 	const now = readElapsed()
 	const updates = items.map(item => fromWire(item, now))
-	const of = <K extends ServerNews['kind']>(...kinds: readonly K[]) =>
-		updates.filter((one): one is NewsOf<K> => kinds.some(k => k === one.kind))
+	const of = <K extends ServerUpdate['kind']>(...kinds: readonly K[]) =>
+		updates.filter((one): one is UpdateOf<K> => kinds.some(k => k === one.kind))
 	receiveLimits(ctx, of('limit'), from)
-	noteLeaving(ctx, of('left'), from)
+	recordLeaving(ctx, of('left'), from)
 	receiveCrashUpdates(ctx, of('end', 'served'), from)
 	receiveBackoffs(ctx, of('rest'), from)
 }
@@ -41,19 +41,23 @@
 }
 
 /** Lists the whole state as updates, for an entry that may have none of it. */
-export function listAllUpdates({ book }: GatewayContext): WireUpdate[] {
+export function listAllUpdates({
+	sharedState: book,
+}: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
-	return listServerNews(book, MAX_DEPARTED_SENT).map(one => toWire(one, now))
+	return listServerUpdates(book, MAX_DEPARTED_SENT).map(one => toWire(one, now))
 }
 
 /** Lists the known rate limits, lifted ones included; each state message repeats them. */
-export function listRateLimits({ book }: GatewayContext): WireUpdate[] {
+export function listRateLimits({
+	sharedState: book,
+}: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
-	return listLimitNews(book).map(one => toWire(one, now))
+	return listLimitUpdates(book).map(one => toWire(one, now))
 }
 
 /** Converts times to ages and remaining times, as the clocks of entries differ. */
-function toWire(update: ServerNews, now: number): WireUpdate {
+function toWire(update: ServerUpdate, now: number): WireUpdate {
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
 	switch (update.kind) {
 		case 'limit': {
@@ -80,7 +84,7 @@
 	}
 }
 
-function fromWire(item: WireUpdate, now: number): ServerNews {
+function fromWire(item: WireUpdate, now: number): ServerUpdate {
 	switch (item.kind) {
 		case 'limit': {
 			const { kind, server, perSecond, agoMs } = item
--- a/packages/gateway/src/waiter.ts
+++ b/packages/gateway/src/waiter.ts
@@ -1,6 +1,6 @@
 /** What a request asks a service's servers for, and what it gets. */
 
-import type { Waiting } from '@juniperhook/core'
+import type { QueueItem } from '@juniperhook/core'
 
 /** What a request that asks for a server gets. */
 export type Grant =
@@ -14,18 +14,18 @@
 	| { readonly kind: 'none' }
 
 /** A request that waits. */
-export interface Waiter extends Waiting {
+export interface Waiter extends QueueItem {
 	readonly service: string
 	/** Ids of servers it has been to. */
 	readonly tried: ReadonlySet<string>
-	readonly luck: number
+	readonly admissionDraw: number
 	/** Until when it may wait, ms. */
 	readonly until: number
 	grant(grant: Grant): void
 }
 
 /** What a request asks for. */
-export interface ServerWish {
+export interface AcquireOptions {
 	readonly service: string
 	readonly team: string
 	readonly priority: number
@@ -34,10 +34,10 @@
 	 * From 0 to 1, drawn once for each request: which part of the requests must be
 	 * taken for this one to be.
 	 */
-	readonly luck: number
+	readonly admissionDraw: number
 	/** How long it may wait, ms. */
 	readonly waitMs: number
 	/** Whether places come free one by one; not while a group forms. */
-	readonly inTurn: boolean
+	readonly slotsFreeOneByOne: boolean
 	readonly signal: AbortSignal
 }
--- a/packages/gateway/test/rest.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -1,14 +1,15 @@
 /** Tests servers that refuse requests and request a backoff with `Retry-After`. */
 
-import type { Rests, TrafficConfig } from '@juniperhook/core'
+import type { ServerBackoffs, TrafficConfig } from '@juniperhook/core'
 import {
-	noteRest,
-	noteSentAfterRest,
-	noteTakenAfterRest,
-	restLeftMs,
+	backoffLeftMs,
+	endBackoff,
+	recordBackoffProbe,
+	startBackoff,
 } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import { ENGINE } from './fakeBackends.ts'
 import type { LimitedServer } from './limitedServers.ts'
 import {
 	ACCEPTED,
@@ -19,7 +20,6 @@
 	relist,
 	sendSteadily,
 } from './limitedServers.ts'
-import { ENGINE } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(25_900)
 /** Allowance for requests in flight when a server requests a backoff, ms. */
@@ -180,7 +180,7 @@
 	closeWorld(world)
 	const failed = responses.filter(({ response }) => response.status !== 200)
 	assert.is(failed.length, 0)
-	for (const { ctx } of world.entries) assert.is(ctx.outages.size, 0)
+	for (const { ctx } of world.entries) assert.is(ctx.blockages.size, 0)
 })
 
 test('a closed group is probed at ranks without a backoff', async () => {
@@ -193,7 +193,7 @@
 	closeWorld(world)
 	assert.ok(server.notices.length > 0)
 	assert.ok(maxInBackoff(server, 3) <= MAX_IN_BACKOFF)
-	assert.ok(world.entries[0]!.ctx.outages.size > 0)
+	assert.ok(world.entries[0]!.ctx.blockages.size > 0)
 })
 
 test('during the backoff of all servers, callers are refused with an accurate Retry-After', async () => {
@@ -244,25 +244,25 @@
 })
 
 test('a backoff is not shortened by a later one, and has a maximum', () => {
-	const backoffs: Rests = new Map()
-	assert.ok(noteRest(backoffs, 'one', 5_000, 0))
+	const backoffs: ServerBackoffs = new Map()
+	assert.ok(startBackoff(backoffs, 'one', 5_000, 0))
 	for (const forMs of [0, 1_000, 5_000])
-		assert.not(noteRest(backoffs, 'one', forMs, 0))
-	assert.is(restLeftMs(backoffs, 'one', 0), 5_000)
-	assert.ok(noteRest(backoffs, 'one', Number.POSITIVE_INFINITY, 0))
-	assert.is(restLeftMs(backoffs, 'one', 0), 600_000)
+		assert.not(startBackoff(backoffs, 'one', forMs, 0))
+	assert.is(backoffLeftMs(backoffs, 'one', 0), 5_000)
+	assert.ok(startBackoff(backoffs, 'one', Number.POSITIVE_INFINITY, 0))
+	assert.is(backoffLeftMs(backoffs, 'one', 0), 600_000)
 })
 
 test('a backoff is not ended by requests sent before it', () => {
-	const backoffs: Rests = new Map()
-	noteRest(backoffs, 'one', 1_000, 100)
-	assert.not(noteTakenAfterRest(backoffs, 'one', 50))
-	assert.not(noteTakenAfterRest(backoffs, 'one', 1_050))
-	assert.is(restLeftMs(backoffs, 'one', 500), 600)
-	noteSentAfterRest(backoffs, 'one', 1_200)
-	assert.ok(restLeftMs(backoffs, 'one', 1_210) > 0)
-	assert.ok(noteTakenAfterRest(backoffs, 'one', 1_200))
-	assert.is(restLeftMs(backoffs, 'one', 1_210), 0)
+	const backoffs: ServerBackoffs = new Map()
+	startBackoff(backoffs, 'one', 1_000, 100)
+	assert.not(endBackoff(backoffs, 'one', 50))
+	assert.not(endBackoff(backoffs, 'one', 1_050))
+	assert.is(backoffLeftMs(backoffs, 'one', 500), 600)
+	recordBackoffProbe(backoffs, 'one', 1_200)
+	assert.ok(backoffLeftMs(backoffs, 'one', 1_210) > 0)
+	assert.ok(endBackoff(backoffs, 'one', 1_200))
+	assert.is(backoffLeftMs(backoffs, 'one', 1_210), 0)
 })
 
 test('the next incarnation of a server has no backoff', async () => {
@@ -285,7 +285,7 @@
 		world.servers[0]!.answer = () => ({ status, retryAfter: '5' })
 		await sendSteadily(world, { perSecond: 20, forMs: 300 })
 		closeWorld(world)
-		assert.is(world.entries[0]!.ctx.rests.size, 0)
+		assert.is(world.entries[0]!.ctx.backoffs.size, 0)
 		assert.ok(world.servers[0]!.arrivals.length > 0)
 	})
 
--- a/packages/gateway/test/configTransfer.test.ts
+++ b/packages/gateway/test/configTransfer.test.ts
@@ -12,7 +12,7 @@
 } from '../src/configTransfer.ts'
 import type { PieceRequest } from '../src/peerMessages.ts'
 import type { PublishedConfig } from '../src/ports.ts'
-import { CONFIG } from './standIns.ts'
+import { CONFIG } from './fakeBackends.ts'
 
 const ADDRESS = '127.0.0.1:21980'
 const VERSION = CONFIG.version
--- a/packages/gateway/test/mortalServers.ts
+++ b/packages/gateway/test/crashingServers.ts
@@ -4,11 +4,11 @@
 import { createServer } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
-import type { StandInCatalog } from './standIns.ts'
-import { nextRevision, WIRE } from './standIns.ts'
+import type { FakeCatalog } from './fakeBackends.ts'
+import { nextRevision, WIRE } from './fakeBackends.ts'
 
 /** A body that contains this text crashes the server that runs it. */
-export const DEADLY = 'deadly'
+export const POISON = 'deadly'
 /** A body that contains this text runs until its server crashes or `release` is called. */
 export const SLOW = 'slow'
 /** Time from the start of a poison request to the crash, ms. */
@@ -17,27 +17,27 @@
 const RESTART_AFTER_MS = 150
 
 /** A request as run by a server. */
-export interface MortalRun {
+export interface ServerRun {
 	readonly body: string
 	readonly server: string
 	readonly at: number
 }
 
 /** Servers that run requests, crash and restart. */
-export interface MortalServers {
+export interface CrashingServers {
 	/** Catalogs that publish restarts. */
-	readonly catalogs: StandInCatalog[]
-	readonly runs: MortalRun[]
+	readonly catalogs: FakeCatalog[]
+	readonly runs: ServerRun[]
 	/** Crashes, with their times, ms. */
 	readonly ends: { readonly server: string; readonly at: number }[]
-	readonly mortals: Mortal[]
+	readonly servers: CrashingServer[]
 	/** Completes all slow requests. */
 	release(): void
 	close(): void
 }
 
 /** A server across its incarnations. */
-interface Mortal {
+interface CrashingServer {
 	readonly port: number
 	/** Number of restarts. */
 	restarts: number
@@ -48,32 +48,32 @@
 }
 
 /** Starts `count` servers of a service. */
-export async function startMortals(
+export async function startCrashingServers(
 	count: number,
 	service = 'plain',
-): Promise<MortalServers> {
-	const all: MortalServers = {
+): Promise<CrashingServers> {
+	const all: CrashingServers = {
 		catalogs: [],
 		runs: [],
 		ends: [],
-		mortals: [],
+		servers: [],
 		release: () => {
-			for (const { slow } of all.mortals) for (const finish of slow) finish()
+			for (const { slow } of all.servers) for (const finish of slow) finish()
 		},
 		close: () => {
-			for (const one of all.mortals) stop(one)
+			for (const one of all.servers) stop(one)
 		},
 	}
 	for (let at = 0; at < count; at++)
-		all.mortals.push(await startCrashingServer(all, at, service))
+		all.servers.push(await startCrashingServer(all, at, service))
 	return all
 }
 
 async function startCrashingServer(
-	all: MortalServers,
+	all: CrashingServers,
 	at: number,
 	service: string,
-): Promise<Mortal> {
+): Promise<CrashingServer> {
 	const http = createServer()
 	await new Promise<void>(resolve => http.listen(0, '127.0.0.1', resolve))
 	const { port } = http.address() as AddressInfo
@@ -87,7 +87,7 @@
 		leaving: false,
 		coldMs: 0,
 	}
-	const server: Mortal = {
+	const server: CrashingServer = {
 		port,
 		restarts: 0,
 		http,
@@ -99,7 +99,7 @@
 	return server
 }
 
-function serve(all: MortalServers, server: Mortal): void {
+function serve(all: CrashingServers, server: CrashingServer): void {
 	server.http.on('connection', socket => {
 		server.sockets.add(socket)
 		socket.on('close', () => server.sockets.delete(socket))
@@ -108,8 +108,8 @@
 }
 
 async function run(
-	all: MortalServers,
-	server: Mortal,
+	all: CrashingServers,
+	server: CrashingServer,
 	req: IncomingMessage,
 	res: ServerResponse,
 ): Promise<void> {
@@ -129,8 +129,8 @@
 	const event = (after: number) => `id: ${last + after}\ndata: text\n\n`
 	const answer = isStream ? event(2) : `answer to ${id}`
 	if (isStream) res.writeHead(200, head).write(event(1))
-	if (body.includes(DEADLY)) {
-		setTimeout(() => end(all, server, name), CRASH_AFTER_MS)
+	if (body.includes(POISON)) {
+		setTimeout(() => crash(all, server, name), CRASH_AFTER_MS)
 		return
 	}
 	const finish = () => {
@@ -143,20 +143,24 @@
 }
 
 /** Crashes a server unless it has restarted since. */
-export function end(all: MortalServers, server: Mortal, name: string): void {
+export function crash(
+	all: CrashingServers,
+	server: CrashingServer,
+	name: string,
+): void {
 	if (server.listed.name !== name || !server.http.listening) return
 	all.ends.push({ server: name, at: performance.now() })
 	stop(server)
 	setTimeout(() => restart(all, server), RESTART_AFTER_MS)
 }
 
-function stop(server: Mortal): void {
+function stop(server: CrashingServer): void {
 	server.http.close()
 	for (const socket of server.sockets) socket.resetAndDestroy()
 	server.slow.clear()
 }
 
-function restart(all: MortalServers, server: Mortal): void {
+function restart(all: CrashingServers, server: CrashingServer): void {
 	const before = server.listed.name
 	server.restarts++
 	const name = `${before.split('-')[0]}-${server.restarts}`
@@ -166,7 +170,7 @@
 	server.http.listen(server.port, '127.0.0.1')
 	for (const catalog of all.catalogs) {
 		const revision = nextRevision(catalog)
-		catalog.tell({
+		catalog.publish({
 			servers: [
 				{ name: before, revision, server: undefined },
 				{ name, revision, server: server.listed },
--- a/packages/gateway/test/ownDelays.ts
+++ b/packages/gateway/test/eventLoopDelays.ts
@@ -26,7 +26,7 @@
 timer.unref()
 
 /** Time by which this process was late between two moments, ms. */
-export function delaysBetween(from: number, to: number): number {
+export function loopDelayBetween(from: number, to: number): number {
 	return delays
 		.filter(({ at }) => at > from && at <= to)
 		.reduce((sum, { at, lateMs }) => sum + Math.min(lateMs, at - from), 0)
--- a/packages/gateway/test/standIns.ts
+++ b/packages/gateway/test/fakeBackends.ts
@@ -69,7 +69,7 @@
 }
 
 /** What a backend server does with one arrival. */
-export type Deed =
+export type BackendAction =
 	| 'serve'
 	/** A 503 that says that it was not run. */
 	| 'refuse'
@@ -105,7 +105,7 @@
 	readonly servers: Server[]
 	readonly listed: ListedServer[]
 	/** Deeds for the next arrivals; then `serve`. */
-	script: Deed[]
+	script: BackendAction[]
 	/** Arrivals so far. */
 	readonly arrivals: IncomingMessage[]
 	/** Ids of requests that were run, in order. */
@@ -301,16 +301,16 @@
 }
 
 /** A catalog whose answers a test sets; watches end when something is told. */
-export interface StandInCatalog extends CatalogSource {
+export interface FakeCatalog extends CatalogSource {
 	snapshot: CatalogSnapshot
 	/** Answers every call with a failure while set. */
-	down: boolean
+	isDown: boolean
 	/** How long the last watch was to wait, ms. */
 	watchMs: number
 	/** How often everything was read. */
 	reads: number
 	/** Tells of changes. */
-	tell(changes: Partial<CatalogSnapshot>): void
+	publish(changes: Partial<CatalogSnapshot>): void
 }
 
 /** A revision of the only term that stand-in catalogs have. */
@@ -319,7 +319,7 @@
 }
 
 /** The revision after a catalog's. */
-export function nextRevision({ snapshot }: StandInCatalog): TermRevision {
+export function nextRevision({ snapshot }: FakeCatalog): TermRevision {
 	return revisionOf(snapshot.revision.revision + 1)
 }
 
@@ -334,7 +334,7 @@
 export function createCatalog(
 	config: TrafficConfig | undefined,
 	listed: readonly ListedServer[],
-): StandInCatalog {
+): FakeCatalog {
 	const published = (held: TrafficConfig) => ({
 		config: held,
 		text: JSON.stringify(held),
@@ -342,8 +342,8 @@
 	let wake = () => {}
 	let changes: Partial<CatalogSnapshot> | undefined
 	const none = { config: undefined, servers: [], faults: [] }
-	const catalog: StandInCatalog = {
-		down: false,
+	const catalog: FakeCatalog = {
+		isDown: false,
 		watchMs: 0,
 		reads: 0,
 		snapshot: {
@@ -356,14 +356,14 @@
 			})),
 			faults: [],
 		},
-		tell(told) {
+		publish(told) {
 			const revision = nextRevision(catalog)
 			catalog.snapshot = { ...catalog.snapshot, ...told, revision }
 			changes = told
 			wake()
 		},
 		async read() {
-			if (catalog.down) return DOWN
+			if (catalog.isDown) return DOWN
 			catalog.reads++
 			return { ok: true, value: catalog.snapshot, bytes: 0 }
 		},
@@ -374,7 +374,7 @@
 					wake = resolve
 					setTimeout(resolve, Math.min(waitMs, 50))
 				})
-			if (catalog.down) return DOWN
+			if (catalog.isDown) return DOWN
 			const told = changes
 			changes = undefined
 			const now = told ? catalog.snapshot.revision : revision
@@ -387,7 +387,7 @@
 }
 
 /** What a caller got. */
-export interface Got {
+export interface CallerResponse {
 	readonly status: number
 	readonly headers: IncomingMessage['headers']
 	readonly body: string
@@ -402,7 +402,7 @@
 	headers: Record<string, string> = {},
 	method = 'GET',
 	body = '',
-): Promise<Got> {
+): Promise<CallerResponse> {
 	const [host, port] = address.split(':')
 	return new Promise(resolve => {
 		const none = { status: 0, headers: {}, body: '', whole: false }
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -5,8 +5,7 @@
 import { connect } from 'node:net'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createOpener, until } from './openGateway.ts'
-import type { Deed } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -14,14 +13,15 @@
 	STREAM_EVENTS,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_340, backends.listed)
 const gateway = await openGateway()
 let nextId = 1
 
-function reset(script: readonly Deed[] = []): void {
+function reset(script: readonly BackendAction[] = []): void {
 	backends.script = [...script]
 	backends.arrivals.length = 0
 	backends.runs.length = 0
@@ -44,7 +44,7 @@
 	headers?: Record<string, string>
 	method?: string
 	body?: string
-	script: readonly Deed[]
+	script: readonly BackendAction[]
 	status: number
 	/** Arrivals at backend servers. */
 	arrivals: number
@@ -314,8 +314,8 @@
 	socket.destroy()
 	await until(() => backends.abandoned === 1)
 	assert.is(backends.abandoned, 1)
-	await until(() => gateway.ctx.fleet.held.size === 0)
-	assert.is(gateway.ctx.fleet.held.size, 0)
+	await until(() => gateway.ctx.fleet.inFlight.size === 0)
+	assert.is(gateway.ctx.fleet.inFlight.size, 0)
 })
 
 const FRAMINGS: { name: string; head: string; body: string }[] = [
--- a/packages/gateway/test/gatewayState.test.ts
+++ b/packages/gateway/test/gatewayState.test.ts
@@ -6,8 +6,7 @@
 import * as assert from 'uvu/assert'
 import { queueOf } from '../src/fleet.ts'
 import { endOpenRequests } from '../src/index.ts'
-import { CONTACT_MS, createOpener, until } from './openGateway.ts'
-import type { Deed } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -16,7 +15,8 @@
 	revisionOf,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { CONTACT_MS, createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_540, backends.listed)
@@ -25,7 +25,7 @@
 /** A pause before the next call, ms. */
 const PAUSE_MS = 100
 
-function reset(script: readonly Deed[] = []): void {
+function reset(script: readonly BackendAction[] = []): void {
 	backends.script = [...script]
 	backends.arrivals.length = 0
 }
@@ -36,7 +36,7 @@
 	const other = await openGateway(catalog)
 	const [first] = backends.listed
 	const leaving = { ...first!, leaving: true }
-	catalog.tell({
+	catalog.publish({
 		servers: [{ name: first!.name, revision: revisionOf(2), server: leaving }],
 	})
 	await until(() => other.ctx.fleet.servers.length === 1)
@@ -49,7 +49,7 @@
 
 test('gateway: without a configuration it is not ready and says 503', async () => {
 	const catalog = createCatalog(undefined, [])
-	catalog.down = true
+	catalog.isDown = true
 	const lone = await openGateway(catalog)
 	const got = await callGateway(lone.callers, '/r/x', { [WIRE.requestId]: 'n' })
 	assert.is(got.status, 503)
@@ -72,28 +72,28 @@
 		callGateway(other.callers, '/o/x', { [WIRE.requestId]: id }, 'POST')
 	for (let at = 0; at < 4; at++) await ask(`former-${at}`)
 	const lost = ask('former-open')
-	await until(() => fleet.held.get(born(10).id) === 1)
+	await until(() => fleet.inFlight.get(born(10).id) === 1)
 	assert.ok(fleet.table.failureRate[0]! > 0)
-	catalog.tell({
+	catalog.publish({
 		servers: [{ name: first!.name, revision: revisionOf(2), server: born(20) }],
 	})
 	await until(() => fleet.table.rowOf.has(born(20).id))
 	assert.is(fleet.table.failureRate[0], 0)
-	assert.is(fleet.table.sentSince[0], 0)
+	assert.is(fleet.table.sentSinceReport[0], 0)
 	const answer = await ask('new-life')
 	assert.is(answer.status, 200)
 	const expected = backends.arrivals.at(-1)?.headers[WIRE.expectServer]
 	assert.is(expected, first!.name, 'it answers to its name')
 	backends.servers[0]!.closeAllConnections()
 	assert.is((await lost).status, 502)
-	assert.not(fleet.held.has(born(10).id))
+	assert.not(fleet.inFlight.has(born(10).id))
 })
 
 test('gateway: a server that is granted and gone in one turn is not sent to', async () => {
 	const [first, second] = backends.listed
 	const catalog = createCatalog(CONFIG, [first!])
 	const other = await openGateway(catalog)
-	reset(new Array<Deed>(10).fill('hang'))
+	reset(new Array<BackendAction>(10).fill('hang'))
 	const open = Array.from({ length: 11 }, (_, at) =>
 		callGateway(other.callers, `/r/${at}`, { [WIRE.requestId]: `turn-${at}` }),
 	)
@@ -102,7 +102,7 @@
 	const engine = { ...ENGINE, slots: 64, experts: undefined }
 	const services = CONFIG.services.map(service => ({ ...service, engine }))
 	const config = { ...CONFIG, version: 5, services }
-	catalog.tell({
+	catalog.publish({
 		config: { config, text: JSON.stringify(config) },
 		servers: [
 			{ name: first!.name, revision: revisionOf(2), server: undefined },
@@ -121,18 +121,20 @@
 	const [first] = backends.listed
 	const { name } = first!
 	// Removals are doubted after an outage; what was written is not.
-	catalog.down = true
+	catalog.isDown = true
 	await new Promise(resolve => setTimeout(resolve, 1_500))
-	catalog.tell({
+	catalog.publish({
 		servers: [
 			{ name, revision: revisionOf(2), server: undefined, fault: 'not JSON' },
 		],
 	})
-	catalog.down = false
+	catalog.isDown = false
 	await until(() => other.ctx.fleet.servers.length === 2)
 	assert.is(other.ctx.fleet.servers.length, 2)
-	assert.is(other.ctx.list.doubted.size, 0)
-	catalog.tell({ servers: [{ name, revision: revisionOf(3), server: first }] })
+	assert.is(other.ctx.list.pendingRemovals.size, 0)
+	catalog.publish({
+		servers: [{ name, revision: revisionOf(3), server: first }],
+	})
 	await until(() => other.ctx.fleet.servers.length === 3)
 	assert.is(other.ctx.fleet.servers.length, 3)
 })
@@ -140,15 +142,15 @@
 test('gateway: a source that comes back tells what changed, not everything', async () => {
 	const catalog = createCatalog(CONFIG, backends.listed)
 	const entry = await openGateway(catalog)
-	catalog.down = true
+	catalog.isDown = true
 	await new Promise(resolve => setTimeout(resolve, 1_500))
 	const [first] = backends.listed
-	catalog.tell({
+	catalog.publish({
 		servers: [
 			{ name: first!.name, revision: revisionOf(2), server: undefined },
 		],
 	})
-	catalog.down = false
+	catalog.isDown = false
 	await until(() => entry.ctx.fleet.servers.length === 2)
 	assert.is(entry.ctx.fleet.servers.length, 2)
 	assert.is(catalog.reads, 1)
@@ -173,7 +175,7 @@
 	await endOpenRequests(stopping.ctx)
 	for (const answer of await Promise.all(answers))
 		assert.is(answer.status, 504, 'it may have run')
-	assert.is(stopping.ctx.giveUps.size, 0)
+	assert.is(stopping.ctx.cancelByRequest.size, 0)
 })
 
 test.after(() => {
--- a/packages/gateway/test/groups.test.ts
+++ b/packages/gateway/test/groups.test.ts
@@ -7,9 +7,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { queueOf } from '../src/fleet.ts'
-import { takePaces } from '../src/toldGroups.ts'
-import { createOpener, until } from './openGateway.ts'
-import type { Deed } from './standIns.ts'
+import { receiveGroupReport } from '../src/groupReports.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -17,7 +16,8 @@
 	ENGINE,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_960, backends.listed)
@@ -31,7 +31,7 @@
 	routes: CONFIG.routes.map(route => ({ ...route, timeoutMs: LONG_MS })),
 }
 
-function reset(script: readonly Deed[] = []): void {
+function reset(script: readonly BackendAction[] = []): void {
 	backends.script = [...script]
 	backends.arrivals.length = 0
 }
@@ -82,7 +82,7 @@
 	const services = CONFIG.services.map(service => ({ ...service, engine }))
 	const config = { ...GROUPED, services }
 	const young = await openGateway(createCatalog(config, backends.listed))
-	reset(new Array<Deed>(8).fill('refuse'))
+	reset(new Array<BackendAction>(8).fill('refuse'))
 	const answer = await callGateway(young.callers, '/r/1', { 'x-id': 'long-1' })
 	assert.is(answer.status, 200)
 	assert.is(backends.arrivals.length, 9)
@@ -123,7 +123,7 @@
 	const young = await openGateway(createCatalog(GROUPED, listed))
 	reset()
 	const tell = (group: string, number: number, broken: boolean) =>
-		takePaces(young.ctx, {
+		receiveGroupReport(young.ctx, {
 			group,
 			by: 'one',
 			number,
@@ -150,7 +150,7 @@
 	const known = await openGateway(createCatalog(GROUPED, backends.listed))
 	reset()
 	await callGateway(known.callers, '/r/1', { 'x-id': 'broken-1' })
-	reset(new Array<Deed>(8).fill('refuse'))
+	reset(new Array<BackendAction>(8).fill('refuse'))
 	const ids = [2, 3, 4].map(id => `broken-${id}`)
 	const answers = await Promise.all(
 		ids.map(id => callGateway(known.callers, `/r/${id}`, { 'x-id': id })),
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -2,6 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import { callGateway } from './fakeBackends.ts'
 import type { LimitedServer, LimitedWorld } from './limitedServers.ts'
 import {
 	closeWorld,
@@ -11,7 +12,6 @@
 	relist,
 	sendSteadily,
 } from './limitedServers.ts'
-import { callGateway } from './standIns.ts'
 
 const openWorld = createLimitedWorlds(26_100)
 const LOAD = { perSecond: 60, forMs: 500 }
@@ -78,7 +78,7 @@
 				const revision = { term: 2, revision: 1 }
 				const { servers } = catalog.snapshot
 				const copied = servers.map(one => ({ ...one, revision }))
-				catalog.tell({ servers: copied })
+				catalog.publish({ servers: copied })
 			}
 		},
 		getsRequests: false,
@@ -86,7 +86,7 @@
 	{
 		name: 'the source is unavailable',
 		change: ({ catalogs }) => {
-			for (const catalog of catalogs) catalog.down = true
+			for (const catalog of catalogs) catalog.isDown = true
 		},
 		getsRequests: false,
 	},
@@ -117,7 +117,7 @@
 	const started = await openEntry(world)
 	while ((await callGateway(started.readiness, '/')).status !== 200)
 		await pause(5)
-	assert.ok(started.ctx.list.left.has(server.listed.id))
+	assert.ok(started.ctx.list.departed.has(server.listed.id))
 	const before = server.arrivals.length
 	await sendSteadily(world, LOAD)
 	closeWorld(world)
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -4,10 +4,8 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { ListedServer, TrafficConfig } from '@juniperhook/core'
-import type { OpenGateway } from './openGateway.ts'
-import { openGatewayAt, until } from './openGateway.ts'
-import { delaysBetween } from './ownDelays.ts'
-import type { Got, StandInCatalog } from './standIns.ts'
+import { loopDelayBetween } from './eventLoopDelays.ts'
+import type { CallerResponse, FakeCatalog } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
@@ -15,7 +13,9 @@
 	nextRevision,
 	SIGNALS,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { OpenGateway } from './openGateway.ts'
+import { openGatewayAt, until } from './openGateway.ts'
 
 /** Window over which requests are counted, ms. */
 export const SPAN_MS = 4_000
@@ -88,7 +88,7 @@
 	readonly port: number
 	readonly config: TrafficConfig
 	/** Catalog of each entry. */
-	readonly catalogs: StandInCatalog[]
+	readonly catalogs: FakeCatalog[]
 }
 
 /** Creates a function that opens worlds, whose entries listen from `firstPort` on. */
@@ -138,7 +138,7 @@
 ): void {
 	for (const catalog of catalogs) {
 		const revision = nextRevision(catalog)
-		catalog.tell({ servers: [{ name, revision, server }] })
+		catalog.publish({ servers: [{ name, revision, server }] })
 	}
 }
 
@@ -222,7 +222,7 @@
 
 /** Response to a request. */
 export interface TimedResponse {
-	readonly response: Got
+	readonly response: CallerResponse
 	/** Response time without delays of this process's event loop, ms. */
 	readonly tookMs: number
 }
@@ -271,7 +271,7 @@
 	}
 	const response = await callGateway(entries[entry]!.callers, path, headers)
 	const endedAt = performance.now()
-	const tookMs = endedAt - startedAt - delaysBetween(startedAt, endedAt)
+	const tookMs = endedAt - startedAt - loopDelayBetween(startedAt, endedAt)
 	return { response, tookMs }
 }
 
--- a/packages/gateway/test/openGateway.ts
+++ b/packages/gateway/test/openGateway.ts
@@ -4,8 +4,8 @@
 import { createEventLog } from '@juniperhook/runtime'
 import type { CatalogSource, GatewayContext } from '../src/index.ts'
 import { startGateway } from '../src/index.ts'
-import type { StandInCatalog } from './standIns.ts'
-import { CONFIG, createCatalog, SERVER_WIRE } from './standIns.ts'
+import type { FakeCatalog } from './fakeBackends.ts'
+import { CONFIG, createCatalog, SERVER_WIRE } from './fakeBackends.ts'
 
 /** After trouble, a gateway must be up to date again after this time, ms. */
 export const CONTACT_MS = 3_000
@@ -22,12 +22,12 @@
 
 /** A running gateway and the catalog that it follows. */
 export interface TestGateway extends OpenGateway {
-	readonly catalog: StandInCatalog
+	readonly catalog: FakeCatalog
 }
 
 /** Opens a gateway that follows a catalog; by default one that lists all. */
 export type Opener = (
-	catalog?: StandInCatalog,
+	catalog?: FakeCatalog,
 	seeds?: readonly string[],
 ) => Promise<TestGateway>
 
@@ -41,7 +41,7 @@
 		const at = ports
 		ports += PORTS_EACH
 		const gateway = await openGatewayAt(at, catalog, seeds)
-		await until(() => catalog.down || gateway.ctx.routes !== undefined)
+		await until(() => catalog.isDown || gateway.ctx.routes !== undefined)
 		return { ...gateway, catalog }
 	}
 }
@@ -67,8 +67,8 @@
 		stopMs: 2_000,
 		contactMs: CONTACT_MS,
 		retries: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
-		heededShare: 1 / 3,
-		patience: { leastMs: 2_000, targetTimes: 4, pauseTimes: 8 },
+		retryAfterShare: 1 / 3,
+		eventTimeout: { minMs: 2_000, targetFactor: 4, pauseFactor: 8 },
 	}
 	const ctx = await startGateway(settings, SERVER_WIRE, source, log)
 	return { ctx, callers, readiness, control }
--- a/packages/gateway/test/peers.test.ts
+++ b/packages/gateway/test/peers.test.ts
@@ -4,16 +4,16 @@
 import { call, connectRpc, serveRpc } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { OpenGateway } from './openGateway.ts'
-import { createOpener, openGatewayAt, until } from './openGateway.ts'
-import type { Deed } from './standIns.ts'
+import type { BackendAction } from './fakeBackends.ts'
 import {
 	CONFIG,
 	callGateway,
 	createCatalog,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { OpenGateway } from './openGateway.ts'
+import { createOpener, openGatewayAt, until } from './openGateway.ts'
 
 const backends = await startBackends(3)
 const openGateway = createOpener(21_900, backends.listed)
@@ -21,7 +21,7 @@
 /** Entries that discover each other listen on the same ports. */
 const MESH_PORT = 21_700
 
-function reset(script: readonly Deed[] = []): void {
+function reset(script: readonly BackendAction[] = []): void {
 	backends.script = [...script]
 	backends.arrivals.length = 0
 }
@@ -49,18 +49,18 @@
 
 test('gateway: peers replace an unavailable source', async () => {
 	const catalog = createCatalog(undefined, [])
-	catalog.down = true
+	catalog.isDown = true
 	const cut = await openGateway(catalog, [gateway.control])
 	await until(() => cut.ctx.routes !== undefined)
 	assert.is(cut.ctx.routes?.config.version, CONFIG.version)
 	assert.is(cut.ctx.fleet.servers.length, backends.listed.length)
 	const newer = { ...CONFIG, version: 9 }
-	gateway.catalog.tell({
+	gateway.catalog.publish({
 		config: { config: newer, text: JSON.stringify(newer) },
 	})
 	await until(() => cut.ctx.routes?.config.version === 9)
 	assert.is(cut.ctx.routes?.config.version, 9)
-	gateway.catalog.tell({
+	gateway.catalog.publish({
 		config: { config: CONFIG, text: JSON.stringify(CONFIG) },
 	})
 	await new Promise(resolve => setTimeout(resolve, 200))
@@ -126,7 +126,7 @@
 		await new Promise(resolve => setTimeout(resolve, 20))
 	await checkStatuses('behind')
 	const newer = { ...CONFIG, version: CONFIG.version + 1 }
-	catalog.tell({ config: { config: newer, text: JSON.stringify(newer) } })
+	catalog.publish({ config: { config: newer, text: JSON.stringify(newer) } })
 	await until(() => behind.ctx.routes?.config.version === newer.version)
 	await checkStatuses('upToDate')
 	peer.close()
@@ -141,10 +141,10 @@
 		}),
 	)
 	const first = all[0]!
-	await until(() => all.every(one => one.ctx.fleet.heldByPeer.size === 2))
+	await until(() => all.every(one => one.ctx.fleet.inFlightByPeer.size === 2))
 	const link = await connectRpc(first.control, {})
 	const limitOf = (entry: OpenGateway) =>
-		entry.ctx.fleet.toldGroups.get('s/g')?.limit
+		entry.ctx.fleet.groupReports.get('s/g')?.limit
 	const sendReport = (by: string, number: number, limit: number) =>
 		call(link, 'paces', { group: 's/g', by, number, hops: 0, slow: {}, limit })
 	await sendReport('first', 1, 2.5)
--- a/packages/gateway/test/deadlyRequests.test.ts
+++ b/packages/gateway/test/poisonRequests.test.ts
@@ -9,11 +9,11 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { World } from './deadlyWorld.ts'
-import { ask, createWorlds, pause } from './deadlyWorld.ts'
-import { DEADLY } from './mortalServers.ts'
+import { POISON } from './crashingServers.ts'
+import { WIRE } from './fakeBackends.ts'
 import { CONTACT_MS } from './openGateway.ts'
-import { WIRE } from './standIns.ts'
+import type { World } from './poisonWorld.ts'
+import { ask, createWorlds, pause } from './poisonWorld.ts'
 
 /** Maximum number of sends after the contact time that follows the third crash. */
 const MAX_LATE_SENDS = 3
@@ -43,7 +43,7 @@
 	return statuses
 }
 
-const BIG = `${'x'.repeat(300_000)} ${DEADLY}`
+const BIG = `${'x'.repeat(300_000)} ${POISON}`
 interface PoisonCase {
 	readonly name: string
 	readonly entries: number
@@ -52,14 +52,14 @@
 	readonly headers?: (attempt: number) => object
 }
 const CASES: readonly PoisonCase[] = [
-	{ name: 'one entry', entries: 1, path: '/o/x', body: DEADLY },
-	{ name: 'three entries', entries: 3, path: '/o/x', body: DEADLY },
-	{ name: 'retried by entries', entries: 3, path: '/r/x', body: DEADLY },
+	{ name: 'one entry', entries: 1, path: '/o/x', body: POISON },
+	{ name: 'three entries', entries: 3, path: '/o/x', body: POISON },
+	{ name: 'retried by entries', entries: 3, path: '/r/x', body: POISON },
 	{
 		name: 'a stream resumed by entries and by its caller',
 		entries: 3,
 		path: '/s/x',
-		body: DEADLY,
+		body: POISON,
 		headers: attempt => (attempt % 2 === 0 ? {} : { [WIRE.lastEventId]: '1' }),
 	},
 	{
--- a/packages/gateway/test/deadlyWorld.ts
+++ b/packages/gateway/test/poisonWorld.ts
@@ -1,12 +1,12 @@
 /** Test setup: entries in front of servers that crash under poison requests. */
 
 import type { EngineProfile, TrafficConfig } from '@juniperhook/core'
-import type { MortalServers } from './mortalServers.ts'
-import { startMortals } from './mortalServers.ts'
+import type { CrashingServers } from './crashingServers.ts'
+import { startCrashingServers } from './crashingServers.ts'
+import type { CallerResponse } from './fakeBackends.ts'
+import { CONFIG, callGateway, createCatalog, WIRE } from './fakeBackends.ts'
 import type { OpenGateway } from './openGateway.ts'
 import { openGatewayAt, until } from './openGateway.ts'
-import type { Got } from './standIns.ts'
-import { CONFIG, callGateway, createCatalog, WIRE } from './standIns.ts'
 
 const PORTS_EACH = 4
 /** Time for entries to link to each other, ms. */
@@ -19,7 +19,7 @@
 
 /** Linked entries in front of servers that crash and restart. */
 export interface World {
-	readonly servers: MortalServers
+	readonly servers: CrashingServers
 	readonly entries: OpenGateway[]
 	/** First port of all entries, which differ in their IP addresses. */
 	readonly port: number
@@ -46,7 +46,7 @@
 	servers: number,
 	engine: EngineProfile | undefined,
 ): Promise<World> {
-	const mortals = await startMortals(servers)
+	const mortals = await startCrashingServers(servers)
 	const entries: OpenGateway[] = []
 	const services = CONFIG.services.map(one => ({ ...one, engine }))
 	const config = { ...CONFIG, routes: ROUTES, services, limits: LIMITS }
@@ -59,7 +59,7 @@
 /** Opens another entry, which discovers the existing ones. */
 export async function openEntry(world: World): Promise<OpenGateway> {
 	const { servers, entries, port, config } = world
-	const listed = servers.mortals.map(one => one.listed)
+	const listed = servers.servers.map(one => one.listed)
 	const catalog = createCatalog(config, listed)
 	servers.catalogs.push(catalog)
 	const seeds = [`127.0.0.1:${port + 2}`, `127.0.0.2:${port + 2}`]
@@ -81,7 +81,7 @@
 	path: string,
 	body: string,
 	headers = {},
-): Promise<Got> {
+): Promise<CallerResponse> {
 	const id = `d${nextId++}`
 	return callGateway(
 		entry.callers,
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -4,16 +4,16 @@
 import { clocks } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import { recordBrokenConnection } from '../src/crashDetector.ts'
 import { fingerprintOf } from '../src/fingerprint.ts'
 import { groupOf } from '../src/fleet.ts'
-import { takeTold } from '../src/news.ts'
-import { noteBroken } from '../src/serverEnds.ts'
-import type { World } from './deadlyWorld.ts'
-import { ask, createWorlds, openEntry, pause } from './deadlyWorld.ts'
-import { DEADLY, end, SLOW } from './mortalServers.ts'
+import { receiveUpdates } from '../src/updateExchange.ts'
+import { crash, POISON, SLOW } from './crashingServers.ts'
+import { ENGINE, revisionOf, startBackends } from './fakeBackends.ts'
 import type { OpenGateway } from './openGateway.ts'
 import { createOpener, until } from './openGateway.ts'
-import { ENGINE, revisionOf, startBackends } from './standIns.ts'
+import type { World } from './poisonWorld.ts'
+import { ask, createWorlds, openEntry, pause } from './poisonWorld.ts'
 
 const openWorld = createWorlds(23_500)
 /** Ends further apart than what ends together, ms. */
@@ -27,7 +27,7 @@
 async function learn(world: World): Promise<number> {
 	const { entries, servers } = world
 	for (let at = 0; at < 6; at++) {
-		const got = await ask(entries[at % entries.length]!, '/o/x', DEADLY)
+		const got = await ask(entries[at % entries.length]!, '/o/x', POISON)
 		await pause(APART_MS)
 		if (got.status === 503) break
 	}
@@ -56,7 +56,7 @@
 	const { now } = clocks
 	clocks.now = () => now() + BARRED_MS
 	await pause(APART_MS)
-	const asked = world.entries.map(entry => ask(entry, '/o/x', DEADLY))
+	const asked = world.entries.map(entry => ask(entry, '/o/x', POISON))
 	const statuses = (await Promise.all(asked)).map(({ status }) => status)
 	clocks.now = now
 	assert.is(world.servers.ends.length - before, 1)
@@ -68,7 +68,7 @@
 	const world = await openWorld(3)
 	await learn(world)
 	for (const entry of world.entries) {
-		const got = await ask(entry, '/o/x', DEADLY)
+		const got = await ask(entry, '/o/x', POISON)
 		assert.is(got.status, 503)
 		assert.match(got.body, '"quarantined"')
 		const seconds = Number(got.headers['retry-after'])
@@ -83,8 +83,8 @@
 	const world = await openWorld(2)
 	await learn(world)
 	const late = await openEntry(world)
-	await until(() => late.ctx.gate.barred.size > 0)
-	assert.is((await ask(late, '/o/x', DEADLY)).status, 503)
+	await until(() => late.ctx.quarantineGate.barred.size > 0)
+	assert.is((await ask(late, '/o/x', POISON)).status, 503)
 	assert.is(world.servers.ends.length, 2)
 	world.servers.close()
 })
@@ -92,13 +92,13 @@
 test('what was told on a link that broke comes with the next one', async () => {
 	const world = await openWorld(2)
 	const [first, second] = world.entries as [OpenGateway, OpenGateway]
-	const request = { method: 'POST', path: '/o/x', body: Buffer.from(DEADLY) }
+	const request = { method: 'POST', path: '/o/x', body: Buffer.from(POISON) }
 	const team = first.ctx.routes!.teamOfKey.get('key-1')
 	const fingerprint = fingerprintOf({ ...request, team } as never)
 	// As if the news had been on its way when the link broke.
 	first.ctx.outbox.clear()
 	const agos = [5_000, 1_000]
-	takeTold(
+	receiveUpdates(
 		first.ctx,
 		agos.map(agoMs => ({
 			kind: 'end' as const,
@@ -109,11 +109,11 @@
 		'peer',
 	)
 	first.ctx.outbox.clear()
-	assert.is(second.ctx.gate.barred.size, 0)
+	assert.is(second.ctx.quarantineGate.barred.size, 0)
 	const late = await openEntry(world)
-	await until(() => late.ctx.gate.barred.size > 0)
-	await until(() => second.ctx.gate.barred.size > 0)
-	assert.is((await ask(second, '/o/x', DEADLY)).status, 503)
+	await until(() => late.ctx.quarantineGate.barred.size > 0)
+	await until(() => second.ctx.quarantineGate.barred.size > 0)
+	assert.is((await ask(second, '/o/x', POISON)).status, 503)
 	world.servers.close()
 })
 
@@ -121,10 +121,10 @@
 	const world = await openWorld(1)
 	const [entry] = world.entries as [OpenGateway]
 	const asked = ask(entry, '/o/x', SLOW)
-	await until(() => entry.ctx.runs.running.size > 0)
-	const [run] = [...[...entry.ctx.runs.running.values()][0]!]
+	await until(() => entry.ctx.sentRequests.inFlight.size > 0)
+	const [run] = [...[...entry.ctx.sentRequests.inFlight.values()][0]!]
 	const fingerprint = fingerprintOf(run!.request)
-	takeTold(
+	receiveUpdates(
 		entry.ctx,
 		[5_000, 1_000].map(agoMs => ({
 			kind: 'end' as const,
@@ -146,7 +146,7 @@
 	)
 	for (let at = 0; at < 3; at++) {
 		await pause(APART_MS / 4)
-		await ask(world.entries[at]!, '/o/x', DEADLY)
+		await ask(world.entries[at]!, '/o/x', POISON)
 		await pause(APART_MS)
 		world.servers.release()
 	}
@@ -166,8 +166,8 @@
 			ask(world.entries[at % 3]!, '/r/x', body),
 		)
 		await pause(50)
-		for (const one of world.servers.mortals)
-			end(world.servers, one, one.listed.name)
+		for (const one of world.servers.servers)
+			crash(world.servers, one, one.listed.name)
 		await Promise.all(asked)
 		await pause(APART_MS)
 	}
@@ -184,10 +184,10 @@
 	const asked = ask(world.entries[0]!, '/o/x', SLOW)
 	await until(() => world.servers.runs.length > 0)
 	const [run] = world.servers.runs
-	const rank = world.servers.mortals.find(
+	const rank = world.servers.servers.find(
 		one => one.listed.name === run!.server,
 	)
-	end(world.servers, rank!, run!.server)
+	crash(world.servers, rank!, run!.server)
 	for (const { ctx } of world.entries) await until(() => ctx.closures.size > 0)
 	assert.is((await asked).status, 502)
 	// The other ranks would hold it until they refuse.
@@ -217,20 +217,20 @@
 		await until(() => servers.runs.length > 0)
 		const row = entry.ctx.fleet.table.rowOf.get(servers.runs[0]!.server)!
 		const server = entry.ctx.fleet.servers[row]!
-		noteBroken(entry.ctx, server)
-		await until(() => entry.ctx.ends.answered.size > 0)
-		assert.is(entry.ctx.gate.quarantine.ends.size, 0)
+		recordBrokenConnection(entry.ctx, server)
+		await until(() => entry.ctx.ends.inconclusive.size > 0)
+		assert.is(entry.ctx.quarantineGate.quarantine.ends.size, 0)
 		// What is sent on meanwhile meets the one in between, not the server.
-		const [run] = entry.ctx.runs.running.get(server.id)!
-		entry.ctx.runs.running.clear()
-		noteBroken(entry.ctx, server)
-		await until(() => entry.ctx.ends.doubts.size === 0)
+		const [run] = entry.ctx.sentRequests.inFlight.get(server.id)!
+		entry.ctx.sentRequests.inFlight.clear()
+		recordBrokenConnection(entry.ctx, server)
+		await until(() => entry.ctx.ends.checks.size === 0)
 		const record = { name: server.name, revision: revisionOf(9) }
-		servers.catalogs[0]!.tell({
+		servers.catalogs[0]!.publish({
 			servers: [{ ...record, server: next(server) }],
 		})
-		await until(() => entry.ctx.gate.quarantine.ends.size > 0)
-		const [end] = entry.ctx.gate.quarantine.ends.values()
+		await until(() => entry.ctx.quarantineGate.quarantine.ends.size > 0)
+		const [end] = entry.ctx.quarantineGate.quarantine.ends.values()
 		assert.equal(
 			[end?.server, [...end!.ran.keys()]],
 			[server.id, [fingerprintOf(run!.request)]],
@@ -245,17 +245,17 @@
 	const [entry] = entries as [OpenGateway]
 	const { ctx } = entry
 	const server = ctx.fleet.servers[0]!
-	noteBroken(ctx, server)
-	await until(() => ctx.ends.answered.size > 0)
+	recordBrokenConnection(ctx, server)
+	await until(() => ctx.ends.inconclusive.size > 0)
 	const tell = (at: number, one: ListedServer | undefined) =>
-		servers.catalogs[0]!.tell({
+		servers.catalogs[0]!.publish({
 			servers: [{ name: server.name, revision: revisionOf(at), server: one }],
 		})
 	tell(9, { ...server, leaving: true })
-	await until(() => ctx.list.left.has(server.id))
+	await until(() => ctx.list.departed.has(server.id))
 	tell(10, undefined)
 	await until(() => ctx.list.records.get(server.name)?.server === undefined)
-	assert.is(ctx.gate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
 	servers.close()
 })
 
@@ -272,8 +272,8 @@
 		const closure = { since: now - forMs, until: now + 500, tryMs: 500 }
 		const [rank] = entry.ctx.fleet.servers
 		entry.ctx.closures.set(groupOf(rank!), closure)
-		noteBroken(entry.ctx, rank!)
-		assert.is(entry.ctx.ends.doubts.size, doubts)
+		recordBrokenConnection(entry.ctx, rank!)
+		assert.is(entry.ctx.ends.checks.size, doubts)
 		servers.close()
 	})
 
@@ -283,9 +283,9 @@
 	for (let at = 0; at < 6; at++) {
 		backends.script = ['cut', 'reset', 'cut']
 		await ask({ ctx, callers } as OpenGateway, '/r/x', 'the same')
-		await until(() => ctx.ends.doubts.size === 0)
+		await until(() => ctx.ends.checks.size === 0)
 	}
-	assert.is(ctx.gate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
 	for (const server of backends.servers) server.close()
 })
 
--- a/packages/gateway/test/serverPool.test.ts
+++ b/packages/gateway/test/serverPool.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { idleShare } from '../src/serverPool.ts'
+import { maxIdlePerServer } from '../src/serverPool.ts'
 
 const CASES = [
 	{ name: 'one entry', most: 200, entries: 1, idle: 12 },
@@ -13,7 +13,7 @@
 
 for (const { name, most, entries, idle } of CASES)
 	test(`idle connections: ${name} never keep more than half`, () => {
-		assert.is(idleShare(most, entries), idle)
+		assert.is(maxIdlePerServer(most, entries), idle)
 		assert.ok(idle * entries <= most / 2)
 	})
 
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -3,16 +3,16 @@
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { takeTold } from '../src/news.ts'
-import type { TestGateway } from './openGateway.ts'
-import { createOpener, until } from './openGateway.ts'
+import { receiveUpdates } from '../src/updateExchange.ts'
 import {
 	CONFIG,
 	callGateway,
 	createCatalog,
 	startBackends,
 	WIRE,
-} from './standIns.ts'
+} from './fakeBackends.ts'
+import type { TestGateway } from './openGateway.ts'
+import { createOpener, until } from './openGateway.ts'
 
 const SUSPENDED_MS = 20_000
 /** Far less than the time that such a request had left. */
@@ -42,7 +42,7 @@
 	const startedAt = performance.now()
 	const headers = { [WIRE.requestId]: 'late' }
 	const asked = callGateway(gateway.callers, '/o/x', headers)
-	await until(() => gateway.ctx.open > 0)
+	await until(() => gateway.ctx.openRequests > 0)
 	suspend()
 	const got = await asked
 	assert.is(got.status, 504)
@@ -56,7 +56,7 @@
 	const arrivals = backends.arrivals.length
 	const asked = ask(gateway, 'again', { [WIRE.deadlineMs]: '60000' })
 	await until(() => backends.arrivals.length > arrivals)
-	ctx.giveUps.clear()
+	ctx.cancelByRequest.clear()
 	suspend()
 	await asked
 	const [first, second] = backends.arrivals.slice(arrivals)
@@ -73,10 +73,10 @@
 		{ kind: 'end' as const, server: 'a', agoMs: 5_000, ran },
 		{ kind: 'end' as const, server: 'b', agoMs: 1_000, ran },
 	]
-	takeTold(ctx, told, 'peer')
-	const [first] = ctx.gate.quarantine.ends.values()
+	receiveUpdates(ctx, told, 'peer')
+	const [first] = ctx.quarantineGate.quarantine.ends.values()
 	const before = readElapsed() - first!.at
-	ctx.fleet.toldGroups.set('g', {
+	ctx.fleet.groupReports.set('g', {
 		slow: {},
 		limit: 1,
 		broken: false,
@@ -85,8 +85,8 @@
 	suspend()
 	const after = readElapsed() - first!.at
 	assert.ok(after - before >= SUSPENDED_MS)
-	await until(() => ctx.fleet.toldGroups.size === 0)
-	assert.is(ctx.fleet.toldGroups.size, 0)
+	await until(() => ctx.fleet.groupReports.size === 0)
+	assert.is(ctx.fleet.groupReports.size, 0)
 })
 
 test('the source is asked at once, not when its watch is over', async () => {
@@ -104,7 +104,7 @@
 	suspend()
 	await until(() => catalog.watchMs < hung)
 	assert.ok(catalog.watchMs < hung)
-	assert.ok(ctx.suspension.knownMs >= SUSPENDED_MS)
+	assert.ok(ctx.suspension.observedMs >= SUSPENDED_MS)
 })
 
 test.after(() => {
--- a/packages/gateway/test/newsTimes.test.ts
+++ b/packages/gateway/test/updatePropagation.test.ts
@@ -3,12 +3,12 @@
  * virtual time: the production merge, outbox and topology, over links with latency.
  */
 
-import type { NewsBook, Random, ServerNews } from '@juniperhook/core'
+import type { Random, ServerUpdate, SharedState } from '@juniperhook/core'
 import {
-	createNewsBook,
 	createRandom,
-	drawIndex,
-	takeServerNews,
+	createSharedState,
+	mergeServerUpdates,
+	randomIndex,
 } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -23,7 +23,7 @@
 const SEEDS = 5
 
 interface Entry {
-	readonly book: NewsBook
+	readonly book: SharedState
 	readonly outbox: Outbox
 	/** Linked entries, whichever side opened the link. */
 	readonly links: number[]
@@ -46,7 +46,7 @@
 	const indexOf = new Map(addresses.map((address, at) => [address, at]))
 	const entries = addresses.map(
 		(): Entry => ({
-			book: createNewsBook(),
+			book: createSharedState(),
 			outbox: new Map(),
 			links: [],
 			phaseMs: random() * TICK_MS,
@@ -64,17 +64,21 @@
 /** Gives an update to one entry and simulates its dissemination. */
 function disseminate(
 	entries: readonly Entry[],
-	update: ServerNews,
+	update: ServerUpdate,
 	random: Random,
 ): Dissemination {
 	// Messages in flight, by the time of their arrival in ms.
-	const inFlight = new Map<number, { to: number; updates: ServerNews[] }[]>()
+	const inFlight = new Map<number, { to: number; updates: ServerUpdate[] }[]>()
 	let bytes = 0
 	let lastAt = 0
 	let reached = 0
-	const receive = (to: number, updates: readonly ServerNews[], now: number) => {
+	const receive = (
+		to: number,
+		updates: readonly ServerUpdate[],
+		now: number,
+	) => {
 		const { book, outbox, phaseMs } = entries[to]!
-		const changes = takeServerNews(book, updates, now)
+		const changes = mergeServerUpdates(book, updates, now)
 		if (changes.length === 0) return
 		reached++
 		lastAt = now
@@ -94,7 +98,7 @@
 			due.push({ to, updates })
 		}
 	}
-	receive(drawIndex(random, entries.length), [update], 0)
+	receive(randomIndex(random, entries.length), [update], 0)
 	for (let now = 0; inFlight.size > 0; now++) {
 		for (const { to, updates } of inFlight.get(now) ?? [])
 			receive(to, updates, now)
@@ -104,7 +108,7 @@
 	return { tookMs: lastAt, bytesEach: bytes / entries.length }
 }
 
-const UPDATES: readonly { name: string; update: ServerNews }[] = [
+const UPDATES: readonly { name: string; update: ServerUpdate }[] = [
 	{
 		name: 'a limit',
 		update: { kind: 'limit', server: 'a', perSecond: 1, at: 0 },
--- a/packages/groups/src/demandWatch.ts
+++ b/packages/groups/src/demandWatch.ts
@@ -3,7 +3,7 @@
  * slow ranks are, when demand shifts, and what the group may hold for that.
  */
 
-import { allowedHeld, isBeyondLimits } from '@juniperhook/core'
+import { isRankTooSlow, maxInFlightPerRank } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import { sampleBytes } from './choices.ts'
 import type { Coordinator } from './coordinatorState.ts'
@@ -194,12 +194,12 @@
 	const { group, map, shiftedFactor, steadyMs, fitter } = co
 	if (!group || !map) return undefined
 	const slowest = Math.max(1, ...co.paces.values())
-	if (isBeyondLimits(group, group.cost, slowest)) return undefined
+	if (isRankTooSlow(group, group.cost, slowest)) return undefined
 	const factor = lastingFactor(co, factorNow(co, group, map))
 	const copiesLong = co.copyingMs === undefined || co.copyingMs > co.passMs
 	const { fit } = fitter
 	const state = { factor, shiftedFactor, steadyMs, copiesLong, fit }
-	const limit = allowedHeld(state, group, group.cost)
+	const limit = maxInFlightPerRank(state, group, group.cost)
 	if (limit === undefined) return undefined
 	return Math.floor(limit / LIMIT_STEP) * LIMIT_STEP
 }
--- a/packages/groups/src/mapChanges.ts
+++ b/packages/groups/src/mapChanges.ts
@@ -6,7 +6,7 @@
 
 import { crc32 } from 'node:zlib'
 import type { GroupMap } from '@juniperhook/core'
-import { dealExperts } from '@juniperhook/core'
+import { distributeRoundRobin } from '@juniperhook/core'
 import { packNumbers, unpackNumbers } from './packedNumbers.ts'
 
 /** Maps that an agent remembers: the one in use, and one in the making. */
@@ -151,6 +151,6 @@
 	{ base, sets, ranks, experts }: MapChanges,
 ): GroupMap | undefined {
 	if (base !== 0) return useMap(known, epoch, base)
-	const dealt = dealExperts(ranks, { experts })
+	const dealt = distributeRoundRobin(ranks, { experts })
 	return Array.from({ length: sets }, () => dealt)
 }
--- a/packages/groups/src/mapWork.ts
+++ b/packages/groups/src/mapWork.ts
@@ -2,11 +2,16 @@
 
 import type {
 	GroupMap,
+	MapChangeCost,
 	MapPlan,
 	RankReport,
-	RoundCost,
 } from '@juniperhook/core'
-import { dealExperts, passFactor, planMap, skewOfSet } from '@juniperhook/core'
+import {
+	computeSetSkew,
+	distributeRoundRobin,
+	passFactor,
+	planMap,
+} from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
 import { shareOfSet } from './demand.ts'
@@ -29,7 +34,7 @@
 	const layout = co.group?.layout
 	if (!layout) return undefined
 	if (report.map === 0) {
-		const dealt = dealExperts(report.size, layout)
+		const dealt = distributeRoundRobin(report.size, layout)
 		setMap(
 			co,
 			Array.from({ length: layout.sets }, () => dealt),
@@ -113,7 +118,7 @@
 	paces: readonly number[] = pacesOf(co, map),
 ): number {
 	const skews = map.map((placement, set) =>
-		skewOfSet(placement, shareOfSet(co.demand, set), layout, paces),
+		computeSetSkew(placement, shareOfSet(co.demand, set), layout, paces),
 	)
 	return passFactor(skews, layout.expertShare)
 }
@@ -135,7 +140,7 @@
 }
 
 /** What the next round is expected to cost. */
-function costOfRound(co: Coordinator, group: PublishedGroup): RoundCost {
+function costOfRound(co: Coordinator, group: PublishedGroup): MapChangeCost {
 	return {
 		copyMs: copyMsOf(group),
 		overheadMs: co.overheadMs,
--- a/packages/groups/src/orderGiver.ts
+++ b/packages/groups/src/orderGiver.ts
@@ -3,8 +3,12 @@
  * the next, and straight to engines whose agents cannot be reached.
  */
 
-import type { GroupRound, OrderAnswer, WantedOrder } from '@juniperhook/core'
-import { ANCHOR_RANK, listWanted, takeOrderAnswer } from '@juniperhook/core'
+import type { GroupRound, OrderAnswer, PendingOrder } from '@juniperhook/core'
+import {
+	ANCHOR_RANK,
+	applyOrderAnswer,
+	listPendingOrders,
+} from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
 import { baseOf, copyMsOf } from './mapWork.ts'
@@ -68,7 +72,9 @@
 /** Gives all orders that are wanted and not under way. */
 export function giveAll(co: Coordinator, run: Run): void {
 	const { asked } = run
-	const wanted = listWanted(run.round).filter(one => !asked.has(keyOf(one)))
+	const wanted = listPendingOrders(run.round).filter(
+		one => !asked.has(keyOf(one)),
+	)
 	if (wanted.length === 0) return
 	const spread = wanted.filter(one => isSpread(co, one))
 	const isTree = spread.length >= LEAST_SPREAD
@@ -78,7 +84,7 @@
 }
 
 /** Whether an order goes the way that others like it go. */
-function isSpread(co: Coordinator, { rank, order }: WantedOrder): boolean {
+function isSpread(co: Coordinator, { rank, order }: PendingOrder): boolean {
 	const client = co.clients.get(rank)
 	return (
 		client !== undefined &&
@@ -92,7 +98,7 @@
 async function give(
 	co: Coordinator,
 	run: Run,
-	wanted: WantedOrder,
+	wanted: PendingOrder,
 ): Promise<void> {
 	const { asked } = run
 	const { rank, order } = wanted
@@ -109,21 +115,21 @@
 	takeAnswer(co, run, wanted, answer, askedAt)
 }
 
-function keyOf({ rank, order }: WantedOrder): string {
+function keyOf({ rank, order }: PendingOrder): string {
 	return `${rank} ${order.type} ${'step' in order ? order.step : ''}`
 }
 
 function takeAnswer(
 	co: Coordinator,
 	run: Run,
-	wanted: WantedOrder,
+	wanted: PendingOrder,
 	answer: OrderAnswer,
 	askedAt: number,
 ): void {
 	const { round } = run
 	const { rank, order } = wanted
 	const { phase } = round
-	takeOrderAnswer(round, wanted, answer)
+	applyOrderAnswer(round, wanted, answer)
 	const now = readNow()
 	if (answer === 'done') run.progressAt = readElapsed()
 	const tookMs = Math.round(now - askedAt)
@@ -146,7 +152,7 @@
 function giveByTree(
 	co: Coordinator,
 	run: Run,
-	spread: readonly WantedOrder[],
+	spread: readonly PendingOrder[],
 ): void {
 	const { order: wanted } = spread[0]!
 	const isAgain = run.tries % 2 === 1
@@ -170,7 +176,7 @@
 async function giveBranch(
 	co: Coordinator,
 	run: Run,
-	branch: readonly WantedOrder[],
+	branch: readonly PendingOrder[],
 	order: OrderMessage,
 	terms: RelayTerms,
 ): Promise<void> {
--- a/packages/groups/src/passWatch.ts
+++ b/packages/groups/src/passWatch.ts
@@ -4,8 +4,8 @@
  * passes were predicted within 10% (p50) and 16% (p90).
  */
 
-import type { PassSeen, RankReport } from '@juniperhook/core'
-import { notePasses, predictPassMs } from '@juniperhook/core'
+import type { PassSample, RankReport } from '@juniperhook/core'
+import { addPassSample, predictPassMs } from '@juniperhook/core'
 import { countClockJumps, readNow, rpcCounts } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
 import { factorNow } from './mapWork.ts'
@@ -54,13 +54,13 @@
 function takePasses(
 	co: Coordinator,
 	group: PublishedGroup,
-	seen: PassSeen,
+	seen: PassSample,
 ): void {
 	if (seen.passMs > MAX_PASS_MS || seen.held <= 0) return
 	const { fitter, passes } = co
 	const { fit } = fitter
 	const predicted = predictPassMs(group.cost, fit, seen.held, seen)
-	notePasses(fitter, group.cost, seen)
+	addPassSample(fitter, group.cost, seen)
 	const now = readNow()
 	if (now - passes.loggedAt < LOG_MS) return
 	const sinceMs = now - passes.loggedAt
--- a/packages/groups/src/roundRunner.ts
+++ b/packages/groups/src/roundRunner.ts
@@ -7,11 +7,11 @@
 	RoundPhase,
 } from '@juniperhook/core'
 import {
+	abandonProbing,
+	applyAnchorReport,
 	createRound,
-	giveUpProbing,
-	isOver,
+	isRoundOver,
 	REFUSED_TO_ARM,
-	takeAnchorReport,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import { leadMsOf, noteArmed, noteMissed, probeLimitMs } from './armingTime.ts'
@@ -74,7 +74,7 @@
 	let urgentMs = 0
 	let shown = round.phase
 	let phaseAt = startedAt
-	while (!isOver(round) && !co.stopped) {
+	while (!isRoundOver(round) && !co.stopped) {
 		giveAll(co, run)
 		await pause(isUrgentPhase(round.phase) ? LOOK_MS / 8 : LOOK_MS / 2)
 		if (needsReport(round)) {
@@ -82,7 +82,7 @@
 			const fresh = await readAnchor(co)
 			const leadMs = leadMsOf(co.armingMs, trip)
 			const lead = Math.max(1, Math.ceil(leadMs / co.passMs))
-			if (fresh && round.phase === phase) takeAnchorReport(round, fresh, lead)
+			if (fresh && round.phase === phase) applyAnchorReport(round, fresh, lead)
 		}
 		if (round.phase !== shown) {
 			const tookMs = readNow() - phaseAt
@@ -100,7 +100,7 @@
 		const probeMs = probeLimitMs(co.armingMs, trip)
 		if (round.phase === 'probing' && readNow() - phaseAt > probeMs) {
 			co.armingMs = noteMissed(co.armingMs, probeMs)
-			giveUpProbing(round)
+			abandonProbing(round)
 		}
 		if (co.shiftedAt > startedAt && round.map && isHarmless(round)) {
 			round.reason = OUTDATED
--- a/packages/groups/test/orderTree.test.ts
+++ b/packages/groups/test/orderTree.test.ts
@@ -8,7 +8,11 @@
  */
 
 import type { GroupMap } from '@juniperhook/core'
-import { createRandom, dealExperts, drawIndex } from '@juniperhook/core'
+import {
+	createRandom,
+	distributeRoundRobin,
+	randomIndex,
+} from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import {
@@ -50,12 +54,12 @@
 function changeBytes(ranks: number): number {
 	const random = createRandom(192)
 	const experts = 2 * ranks
-	const dealt = dealExperts(ranks, { experts })
+	const dealt = distributeRoundRobin(ranks, { experts })
 	const map: GroupMap = Array.from({ length: 10 }, () => dealt)
 	const changed = map.map(placement => placement.map(own => [...own]))
 	for (let copy = 0; copy < COPIES_PER_RANK * ranks; copy++) {
-		const own = changed[drawIndex(random, 10)]![drawIndex(random, ranks)]!
-		const expert = drawIndex(random, experts)
+		const own = changed[randomIndex(random, 10)]![randomIndex(random, ranks)]!
+		const expert = randomIndex(random, experts)
 		if (own.length < 3 && !own.includes(expert)) own.push(expert)
 	}
 	const base = { epoch: 1, version: 0, map, experts }
--- a/packages/groups/test/roundRunner.test.ts
+++ b/packages/groups/test/roundRunner.test.ts
@@ -1,7 +1,7 @@
 /** Rounds that are left before their end. */
 
 import type { MapPlan, RankReport } from '@juniperhook/core'
-import { createRandom, dealExperts } from '@juniperhook/core'
+import { createRandom, distributeRoundRobin } from '@juniperhook/core'
 import { clocks, createEventLog, readNow } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -41,7 +41,7 @@
 	maxPauseMs: 100,
 }
 const PLAN: MapPlan = {
-	placements: [dealExperts(1, LAYOUT)],
+	placements: [distributeRoundRobin(1, LAYOUT)],
 	mostNew: 1,
 	copies: 1,
 	skews: [1],
--- a/packages/groups/test/standInGroup.ts
+++ b/packages/groups/test/standInGroup.ts
@@ -4,7 +4,7 @@
  */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
-import { createRandom, dealExperts } from '@juniperhook/core'
+import { createRandom, distributeRoundRobin } from '@juniperhook/core'
 import type { EnginePort, PublishedGroup } from '../src/index.ts'
 
 /** Size of the stand-in. */
@@ -64,7 +64,7 @@
 		expertShare: 0.85,
 		reformMs: 10,
 	}
-	const dealt = dealExperts(ranks, layout)
+	const dealt = distributeRoundRobin(ranks, layout)
 	const createEngine = (rank: number): Engine => ({
 		map: 0,
 		placements: Array.from({ length: SETS }, () => [...dealt[rank]!]),
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -5,29 +5,29 @@
  */
 
 import type {
-	HeldConfig,
+	ActiveConfig,
+	GossipEffect,
+	GossipMessage,
+	GossipNode,
 	Member,
 	RevisionState,
-	SpreadEffect,
-	SpreadMessage,
-	SpreadNode,
 	Topic,
 } from '@juniperhook/core'
 import {
-	askMembers,
-	askWhole,
+	applyPublished,
+	compareWithMember,
+	compareWithRandomMembers,
+	createGossipNode,
 	createRandom,
 	createRevisionState,
-	createSpreadNode,
-	greetMember,
+	handleGossipMessage,
 	isReader,
-	keepGood,
 	offerRevision,
+	requestFullValue,
+	setLastValid,
 	setMembers,
 	TOPICS,
-	takePublished,
-	takeSpreadMessage,
-	tickSpread,
+	tickGossip,
 } from '@juniperhook/core'
 import * as v from 'valibot'
 import type { Settings } from '../types/settings.ts'
@@ -53,7 +53,7 @@
 
 /** What a daemon wants to hear. */
 export interface FollowerEvents {
-	onAdopt(held: HeldConfig): void
+	onAdopt(held: ActiveConfig): void
 	onVms(vms: readonly Vm[]): void
 }
 
@@ -63,7 +63,7 @@
 	readonly metrics: Metrics
 	readonly events: FollowerEvents
 	readonly state: RevisionState
-	readonly node: SpreadNode
+	readonly node: GossipNode
 	readonly links: Map<string, MemberLink>
 	/** What the other side of a link may call. */
 	readonly methods: Methods
@@ -96,7 +96,7 @@
 		metrics,
 		events,
 		state: createRevisionState(),
-		node: createSpreadNode(name, dataCentre, readNow()),
+		node: createGossipNode(name, dataCentre, readNow()),
 		links: new Map(),
 		methods: { ...createFollowerMethods(() => follower), ...methods },
 		random: createRandom(seed),
@@ -118,7 +118,7 @@
 			const follower = find()
 			const { from, message } = v.parse(SpreadParamsSchema, params)
 			follower.links.set(from, { link, usedAt: readNow() })
-			hearFrom(follower, from, message as SpreadMessage)
+			hearFrom(follower, from, message as GossipMessage)
 		},
 	}
 }
@@ -129,7 +129,7 @@
 	from: string,
 	revision: number,
 ): void {
-	if (revision <= follower.node.held.config.revision) return
+	if (revision <= follower.node.topics.config.revision) return
 	hearFrom(follower, from, { type: 'notice', topic: 'config', revision })
 }
 
@@ -140,7 +140,7 @@
 	link: RpcLink,
 ): void {
 	follower.links.set(name, { link, usedAt: readNow() })
-	carryOut(follower, greetMember(follower.node, name))
+	carryOut(follower, compareWithMember(follower.node, name))
 }
 
 /** Revision of the configuration in force; 0 before the first. */
@@ -166,7 +166,7 @@
 	if (follower.node.members.length === 0) askConfiguredPeers(follower)
 	carryOut(
 		follower,
-		askMembers(follower.node, START_QUESTIONS, follower.random),
+		compareWithRandomMembers(follower.node, START_QUESTIONS, follower.random),
 	)
 	await waitForPeers(follower)
 	follower.settled = true
@@ -206,9 +206,9 @@
 	if (follower.stopped) return
 	const now = readNow()
 	const { node, state } = follower
-	carryOut(follower, tickSpread(node, now, follower.random))
+	carryOut(follower, tickGossip(node, now, follower.random))
 	if (state.refused && !state.held)
-		carryOut(follower, askWhole(node, 'config', follower.random))
+		carryOut(follower, requestFullValue(node, 'config', follower.random))
 	if (isReader(node, now))
 		for (const topic of TOPICS) void watch(follower, topic)
 	closeIdleLinks(follower, now)
@@ -220,7 +220,7 @@
 	follower.watching.add(topic)
 	while (!follower.stopped && isReader(follower.node, readNow())) {
 		try {
-			const { revision } = follower.node.held[topic]
+			const { revision } = follower.node.topics[topic]
 			const after = follower.answered.get(topic) ?? revision
 			await readTopic(follower, topic, after)
 		} catch (err) {
@@ -244,19 +244,19 @@
 		text: found.document,
 	}
 	if (published) follower.answered.set(topic, published.revision)
-	carryOut(follower, takePublished(node, topic, published, readNow()))
+	carryOut(follower, applyPublished(node, topic, published, readNow()))
 }
 
 function hearFrom(
 	follower: Follower,
 	from: string,
-	message: SpreadMessage,
+	message: GossipMessage,
 ): void {
 	const { node } = follower
-	carryOut(follower, takeSpreadMessage(node, from, message, readNow()))
+	carryOut(follower, handleGossipMessage(node, from, message, readNow()))
 }
 
-function carryOut(follower: Follower, effects: readonly SpreadEffect[]): void {
+function carryOut(follower: Follower, effects: readonly GossipEffect[]): void {
 	for (const effect of effects)
 		switch (effect.do) {
 			case 'send':
@@ -296,7 +296,7 @@
 	switch (verdict) {
 		case 'adopted':
 			metrics.revision.set(revision)
-			keepGood(node, 'config', undefined)
+			setLastValid(node, 'config', undefined)
 			if (held) follower.events.onAdopt(held)
 			setMembersFrom(follower)
 			break
@@ -304,7 +304,7 @@
 			metrics.invalidConfigs.inc()
 			if (held) {
 				const good = { revision: held.revision, text: held.document }
-				keepGood(node, 'config', good)
+				setLastValid(node, 'config', good)
 			}
 			log({ msg: 'document refused', revision })
 			break
--- a/packages/runtime/src/io/memberLinks.ts
+++ b/packages/runtime/src/io/memberLinks.ts
@@ -1,6 +1,6 @@
 /** Links to other processes that the spread of configurations goes over. */
 
-import type { SpreadMessage } from '@juniperhook/core'
+import type { GossipMessage } from '@juniperhook/core'
 import { splitAddress } from '@juniperhook/core'
 import { readNow } from '../utils/clock.ts'
 import type { Follower } from './follower.ts'
@@ -20,7 +20,7 @@
 export async function sendToMember(
 	follower: Follower,
 	name: string,
-	message: SpreadMessage,
+	message: GossipMessage,
 ): Promise<void> {
 	await sendTo(follower, name, addressOf(follower, name), message)
 }
@@ -30,7 +30,7 @@
 	follower: Follower,
 	name: string,
 	address: string | undefined,
-	message: SpreadMessage,
+	message: GossipMessage,
 ): Promise<void> {
 	try {
 		const link = await openLink(follower, name, address)
--- a/packages/runtime/src/utils/clock.ts
+++ b/packages/runtime/src/utils/clock.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Moment } from '@juniperhook/core'
-import { createElapsedClock, tellElapsed } from '@juniperhook/core'
+import { createElapsedClock, updateElapsedClock } from '@juniperhook/core'
 
 /** Where the two clocks are read; tests step them apart. */
 export const clocks = {
@@ -32,7 +32,9 @@
 /** Time that also counts while the VM is suspended; it never goes back. */
 export function readElapsed(): number {
 	const at = readBothAtOnce()
-	return at ? tellElapsed(elapsed, at) : clocks.now() + elapsed.suspendedMs
+	return at
+		? updateElapsedClock(elapsed, at)
+		: clocks.now() + elapsed.suspendedMs
 }
 
 /**
--- a/scripts/load.ts
+++ b/scripts/load.ts
@@ -1,7 +1,7 @@
 /** A bounded mixed load: streamed chat, rosters, bookings. */
 
 import { randomBytes } from 'node:crypto'
-import { createRandom, drawIndex, makeKey } from '@juniperhook/core'
+import { createRandom, makeKey, randomIndex } from '@juniperhook/core'
 import { PORTS, TEAM_KEY } from '@juniperhook/fakes'
 import { build, type Histogram } from 'hdr-histogram-js'
 import { Agent, request } from 'undici'
@@ -69,7 +69,7 @@
 	const random = createRandom(options.seed)
 	const pending = new Set<Promise<void>>()
 	const launch = (kind: LoadKind) => {
-		const ip = options.entries[drawIndex(random, options.entries.length)]!
+		const ip = options.entries[randomIndex(random, options.entries.length)]!
 		const sent = send(rows[kind], kind, ip, options).finally(() =>
 			pending.delete(sent),
 		)
