--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -122,8 +122,8 @@
 		),
 	}))
 	mergeCrashEvidence(gate.quarantine, { ends, served: [] }, ENDS * APART_MS)
-	gate.lengths = new Set([...gate.quarantine.suspects.keys()].map(bodyLengthOf))
-	gate.barred = new Set(listQuarantined(gate.quarantine))
+	gate.bodyLengths = new Set([...gate.quarantine.suspects.keys()].map(bodyLengthOf))
+	gate.quarantined = new Set(listQuarantined(gate.quarantine))
 	return gate
 }
 
--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -59,7 +59,7 @@
 
 /** Marks a group as closed because one of its ranks has refused a request. */
 export function handleGroupRefusal(ctx: GatewayContext, group: string): void {
-	beginOutage(ctx, group, 'answer')
+	markClosed(ctx, group, 'answer')
 	recordGroupRefused(ctx.closures, group, readNow())
 }
 
@@ -69,7 +69,7 @@
 	group: string,
 	from: 'coordinator' | 'end',
 ): void {
-	beginOutage(ctx, group, from)
+	markClosed(ctx, group, from)
 	recordGroupReportedBroken(ctx.closures, group, readNow())
 }
 
@@ -100,10 +100,10 @@
 /** Evidence that a group is closed or open. */
 type Witness = 'answer' | 'coordinator' | 'end'
 
-function beginOutage(ctx: GatewayContext, group: string, from: Witness): void {
+function markClosed(ctx: GatewayContext, group: string, from: Witness): void {
 	const now = readNow()
 	if (!ctx.closures.has(group)) ctx.log.write('group closed', { group, from })
-	markBlocked(outageOf(ctx, group), now)
+	markBlocked(blockageOf(ctx, group), now)
 	if (ctx.expectedOpenAt.has(group)) return
 	ctx.expectedOpenAt.set(group, now + FIRST_OUTAGE_MS + reformMsOf(ctx, group))
 }
@@ -119,7 +119,7 @@
 	if (since === undefined || !clearGroupClosure(ctx.closures, group))
 		return false
 	const now = readNow()
-	markUnblocked(outageOf(ctx, group), now)
+	markUnblocked(blockageOf(ctx, group), now)
 	const closedMs = Math.round(now - since)
 	ctx.log.write('group open', { group, closedMs, from })
 	return true
@@ -133,7 +133,7 @@
 }
 
 /** Returns the outage history of a group. */
-function outageOf(ctx: GatewayContext, group: string): BlockageTracker {
+function blockageOf(ctx: GatewayContext, group: string): BlockageTracker {
 	const known = ctx.blockages.get(group)
 	if (known) return known
 	const outage = createBlockageTracker(FIRST_OUTAGE_MS + reformMsOf(ctx, group))
@@ -154,7 +154,7 @@
 	if (!isServiceClosed(ctx, service)) return 0
 	const rows = ctx.fleet.rowsByService.get(service) ?? []
 	const outages = rows.map(row =>
-		outageOf(ctx, groupOf(ctx.fleet.servers[row]!)),
+		blockageOf(ctx, groupOf(ctx.fleet.servers[row]!)),
 	)
 	return Math.min(...outages.map(outage => estimateBlockageMs(outage, now)))
 }
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -12,7 +12,7 @@
 import { handleRankCrash, isGroupStalled } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import type { CrashCheck } from './crashDetectorState.ts'
-import { noteServerCrash } from './quarantineGate.ts'
+import { recordServerCrash } from './quarantineGate.ts'
 import { listInFlight } from './sentRequests.ts'
 
 /** Maximum number of concurrent probes; each takes one round trip. */
@@ -24,7 +24,7 @@
  * How long an inconclusive check waits for the server list, ms. A crashed server stays
  * listed for three heartbeats, some seconds.
  */
-const CHECK_TTL_MS = 6_000
+const CHECK_TIMEOUT_MS = 6_000
 /**
  * Delay between abandoning a suspected request and the check of its server, ms; shorter
  * than the retention of abandoned requests.
@@ -46,14 +46,14 @@
 	server: ListedServer,
 ): void {
 	if (isGroupStalled(ctx, server)) return
-	const { checks: doubts, queue } = ctx.ends
-	const running = listInFlight(ctx.sentRequests, server.id)
-	const known = doubts.get(server.id)
-	if (!known && doubts.size >= MAX_CHECKS) return
+	const { checks, queue } = ctx.ends
+	const inFlight = listInFlight(ctx.sentRequests, server.id)
+	const known = checks.get(server.id)
+	if (!known && checks.size >= MAX_CHECKS) return
 	const check = known ?? createCheck(ctx, server)
-	for (const one of running) check.inFlight.set(one.id, one)
+	for (const one of inFlight) check.inFlight.set(one.id, one)
 	if (known) return
-	doubts.set(server.id, check)
+	checks.set(server.id, check)
 	queue.push(server.id)
 	probeNext(ctx)
 }
@@ -76,9 +76,9 @@
 	{ list }: GatewayContext,
 	server: ListedServer,
 ): CrashCheck {
-	let settle = () => {}
-	const settled = new Promise<void>(resolve => {
-		settle = resolve
+	let resolve = () => {}
+	const resolved = new Promise<void>(resolvePromise => {
+		resolve = resolvePromise
 	})
 	return {
 		server,
@@ -86,8 +86,8 @@
 		hadLeft: list.departed.has(server.id),
 		inFlight: new Map(),
 		attempts: 0,
-		resolved: settled,
-		resolve: settle,
+		resolved,
+		resolve,
 	}
 }
 
@@ -114,15 +114,15 @@
 	const { ip, port } = splitAddress(address)
 	return new Promise(resolve => {
 		const socket = connect({ host: ip, port })
-		const settleWith = (result: ProbeResult) => {
+		const finish = (result: ProbeResult) => {
 			clearTimeout(timer)
 			socket.destroy()
 			resolve(result)
 		}
-		const timer = setTimeout(() => settleWith('unclear'), PROBE_TIMEOUT_MS)
-		socket.on('connect', () => settleWith('yes'))
+		const timer = setTimeout(() => finish('unclear'), PROBE_TIMEOUT_MS)
+		socket.on('connect', () => finish('yes'))
 		socket.on('error', (err: NodeJS.ErrnoException) =>
-			settleWith(err.code === 'ECONNREFUSED' ? 'no' : 'unclear'),
+			finish(err.code === 'ECONNREFUSED' ? 'no' : 'unclear'),
 		)
 	})
 }
@@ -132,13 +132,13 @@
 	check: CrashCheck,
 	result: ProbeResult,
 ): void {
-	const { checks: doubts, inconclusive: answered, queue } = ctx.ends
+	const { checks, inconclusive, queue } = ctx.ends
 	const { id } = check.server
-	if (doubts.get(id) !== check) return
+	if (checks.get(id) !== check) return
 	switch (result) {
 		case 'yes':
-			doubts.delete(id)
-			if (!answered.has(id)) answered.set(id, check)
+			checks.delete(id)
+			if (!inconclusive.has(id)) inconclusive.set(id, check)
 			check.resolve()
 			return
 		case 'no':
@@ -170,18 +170,19 @@
 
 function closeCheck(
 	{ ends }: GatewayContext,
-	{ server, resolve: settle }: CrashCheck,
+	{ server, resolve }: CrashCheck,
 ): void {
 	ends.checks.delete(server.id)
 	ends.inconclusive.delete(server.id)
-	settle()
+	resolve()
 }
 
 /** Drops checks that got no result. */
 export function expireCrashChecks(ctx: GatewayContext): void {
 	const now = readElapsed()
 	for (const map of [ctx.ends.checks, ctx.ends.inconclusive])
-		for (const [id, { at }] of map) if (now - at >= CHECK_TTL_MS) map.delete(id)
+		for (const [id, { at }] of map)
+			if (now - at >= CHECK_TIMEOUT_MS) map.delete(id)
 }
 
 /** Records a complete answer, which proves that the server has not crashed before. */
@@ -207,7 +208,7 @@
 ): void {
 	const { server, at } = check
 	closeCheck(ctx, check)
-	const running = [...check.inFlight.values()]
+	const inFlight = [...check.inFlight.values()]
 		.sort((a, b) => b.since - a.since)
 		.slice(0, MAX_REQUESTS_PER_CRASH)
 	ctx.metrics.serverEnds.inc({ witness })
@@ -216,9 +217,9 @@
 		address: server.address,
 		witness,
 		agoMs: Math.round(readElapsed() - at),
-		requests: running.map(one => one.id),
-		fingerprints: [...new Set(running.map(one => one.fingerprint))],
+		requests: inFlight.map(one => one.id),
+		fingerprints: [...new Set(inFlight.map(one => one.fingerprint))],
 	})
-	noteServerCrash(ctx, server.id, at, running)
+	recordServerCrash(ctx, server.id, at, inFlight)
 	if (witness === 'refused') handleRankCrash(ctx, server)
 }
--- a/packages/gateway/src/groupReports.ts
+++ b/packages/gateway/src/groupReports.ts
@@ -13,12 +13,12 @@
 import { serveQueues } from './serverQueue.ts'
 
 /** Lifetime of a report, ms; coordinators repeat theirs each second. */
-const REPORT_TTL_MS = 2_500
+const REPORT_RETENTION_MS = 2_500
 /**
  * Retention of sequence numbers, ms: far longer than a report takes on any path between
  * entries, so that no report circulates forever.
  */
-const SEQUENCE_TTL_MS = 30_000
+const SEQUENCE_RETENTION_MS = 30_000
 
 /** A report as it is forwarded between entries. */
 export type GroupReportMessage = v.InferOutput<typeof GroupReportSchema>
@@ -30,17 +30,17 @@
 ): GroupReportMessage | undefined {
 	const report = v.parse(GroupReportSchema, params)
 	const { group, by, number, slow, limit, broken, hops } = report
-	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
+	const { groupReports, lastGroupReports } = ctx.fleet
 	const key = `${group} ${by}`
-	const last = heardNews.get(key)
+	const last = lastGroupReports.get(key)
 	if (last && last.number >= number) return undefined
 	const at = readElapsed()
-	heardNews.set(key, { number, at })
+	lastGroupReports.set(key, { number, at })
 	const ranks = Object.keys(slow)
-	const wasBroken = toldGroups.get(group)?.broken
+	const wasBroken = groupReports.get(group)?.broken
 	const isHealthy = ranks.length === 0 && limit === undefined && !broken
-	if (isHealthy) toldGroups.delete(group)
-	else toldGroups.set(group, { slow, limit, broken, at })
+	if (isHealthy) groupReports.delete(group)
+	else groupReports.set(group, { slow, limit, broken, at })
 	const { log } = ctx
 	log.write('paces told', { group, slow: ranks, limit, broken, by, hops })
 	applyGroupReports(ctx.fleet)
@@ -64,13 +64,13 @@
 
 /** Drops reports that were not repeated in time. */
 export function expireGroupReports(ctx: GatewayContext, now: number): void {
-	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
-	for (const [key, { at }] of heardNews)
-		if (now - at > SEQUENCE_TTL_MS) heardNews.delete(key)
-	const expired = [...toldGroups].filter(
-		([, { at }]) => now - at > REPORT_TTL_MS,
+	const { groupReports, lastGroupReports } = ctx.fleet
+	for (const [key, { at }] of lastGroupReports)
+		if (now - at > SEQUENCE_RETENTION_MS) lastGroupReports.delete(key)
+	const expired = [...groupReports].filter(
+		([, { at }]) => now - at > REPORT_RETENTION_MS,
 	)
 	if (expired.length === 0) return
-	for (const [group] of expired) toldGroups.delete(group)
+	for (const [group] of expired) groupReports.delete(group)
 	applyGroupReports(ctx.fleet)
 }
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -7,7 +7,7 @@
 import { chooseLinks } from './peerMesh.ts'
 
 /** Exponential backoff between connection attempts to an entry, ms. */
-const RECONNECT_MS = 100
+const MIN_RECONNECT_MS = 100
 const MAX_RECONNECT_MS = 1_500
 /**
  * Connection timeout, ms; it doubles up to the maximum. Connection attempts to a VM that
@@ -15,8 +15,8 @@
  * started before their seeds were linked only 0.7 s after the last had started, about
  * when groups opened to the requests queued at all of them.
  */
-const CONNECT_MS = 120
-const MAX_CONNECT_MS = 500
+const CONNECT_TIMEOUT_MS = 120
+const MAX_CONNECT_TIMEOUT_MS = 500
 /** Maximum number of addresses returned to a coordinator, whose own list may be stale. */
 const MAX_LISTED = 6
 
@@ -111,13 +111,13 @@
 	peers: PeerLinks,
 	address: string,
 ): Promise<void> {
-	let backoffMs = RECONNECT_MS
-	let connectMs = CONNECT_MS
+	let backoffMs = MIN_RECONNECT_MS
+	let connectTimeoutMs = CONNECT_TIMEOUT_MS
 	while (peers.maintained.has(address)) {
 		try {
-			const link = await connectRpc(address, peers.methods, connectMs)
-			backoffMs = RECONNECT_MS
-			connectMs = CONNECT_MS
+			const link = await connectRpc(address, peers.methods, connectTimeoutMs)
+			backoffMs = MIN_RECONNECT_MS
+			connectTimeoutMs = CONNECT_TIMEOUT_MS
 			peers.links.set(address, link)
 			ctx.log.write('peer linked', { peer: address })
 			peers.onLink(link)
@@ -125,7 +125,7 @@
 			peers.links.set(address, undefined)
 			ctx.log.write('peer lost', { peer: address })
 		} catch (err) {
-			if (backoffMs === RECONNECT_MS)
+			if (backoffMs === MIN_RECONNECT_MS)
 				ctx.log.write('peer not reached', {
 					peer: address,
 					reason: messageOf(err),
@@ -133,7 +133,7 @@
 		}
 		await sleep(backoffMs * (0.5 + ctx.random()))
 		backoffMs = Math.min(backoffMs * 2, MAX_RECONNECT_MS)
-		connectMs = Math.min(connectMs * 2, MAX_CONNECT_MS)
+		connectTimeoutMs = Math.min(connectTimeoutMs * 2, MAX_CONNECT_TIMEOUT_MS)
 	}
 }
 
--- a/packages/gateway/src/peerMessages.ts
+++ b/packages/gateway/src/peerMessages.ts
@@ -53,7 +53,7 @@
 export type WireUpdate = v.InferOutput<typeof WireUpdateSchema>
 /** A batch of updates. */
 export const UpdatesSchema = v.object({ items: v.array(WireUpdateSchema) })
-/** A request for permits, sent to a server's home. */
+/** A request for permits, sent to a server's permit home. */
 export const PermitQuerySchema = v.object({
 	/** The server's limit as known to the sender, requests a second. */
 	limit: v.optional(v.pipe(CountSchema, v.minValue(0))),
@@ -75,7 +75,7 @@
 		/** Time until more may be granted, ms. */
 		waitMs: v.pipe(v.number(), v.finite()),
 	}),
-	/** In the receiver's view of the membership, another entry is the server's home. */
+	/** In the receiver's view of the membership, the permit home is another entry. */
 	v.object({ type: v.literal('notHome') }),
 ])
 /** See {@link PermitReplySchema}. */
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -41,14 +41,14 @@
  * Minimum interval between broadcasts while something changes, ms, and its increase for
  * each link. A message to or from a peer costs a small entry about 0.2 ms of CPU time.
  */
-const BROADCAST_MS = 150
-const BROADCAST_PER_LINK_MS = 6
+const BROADCAST_INTERVAL_MS = 150
+const BROADCAST_INTERVAL_PER_LINK_MS = 6
 /** Interval between full states, ms; only changes are sent in between. */
-const HEARTBEAT_MS = 500
+const HEARTBEAT_INTERVAL_MS = 500
 /** Interval between address lists, ms; a discovered entry triggers one at once. */
-const ADDRESSES_MS = 5_000
+const ADDRESSES_INTERVAL_MS = 5_000
 /** How long a silent peer is counted as an entry, ms. */
-const MEMBER_TTL_MS = 10_000
+const MEMBER_RETENTION_MS = 10_000
 /** Timeout for a peer's confirmation of a state, ms; the link is then reopened. */
 const CONFIRM_TIMEOUT_MS = 1_500
 
@@ -129,7 +129,13 @@
 	const now = readNow()
 	const links = listOpenLinks(peers)
 	const elapsedMs = now - states.broadcastAt
-	if (elapsedMs < Math.max(BROADCAST_MS, BROADCAST_PER_LINK_MS * links.length))
+	if (
+		elapsedMs <
+		Math.max(
+			BROADCAST_INTERVAL_MS,
+			BROADCAST_INTERVAL_PER_LINK_MS * links.length,
+		)
+	)
 		return
 	states.broadcastAt = now
 	updateDemand(ctx, elapsedMs, countUnlinked(peers), now)
@@ -143,7 +149,7 @@
 	const isVersionChanged =
 		state.config !== lastSent.config ||
 		!isSameRevision(state.list, lastSent.list)
-	if (isVersionChanged || now - states.heartbeatAt >= HEARTBEAT_MS) {
+	if (isVersionChanged || now - states.heartbeatAt >= HEARTBEAT_INTERVAL_MS) {
 		states.heartbeatAt = now
 		const fullState = { ...state, peers: listDueAddresses(peers, states, now) }
 		for (const link of links) sendState(ctx, link, fullState)
@@ -161,7 +167,7 @@
 	states: PeerStates,
 	now: number,
 ): string[] {
-	const isDue = now - states.addressesAt >= ADDRESSES_MS
+	const isDue = now - states.addressesAt >= ADDRESSES_INTERVAL_MS
 	if (links.size === states.addressCount && !isDue) return []
 	states.addressesAt = now
 	states.addressCount = links.size
@@ -204,11 +210,11 @@
 		isOtherEntry(ctx, address),
 	)
 	recordAddresses(peers, addresses)
-	const { roster } = ctx.permitHomes
+	const { membership } = ctx.permitHomes
 	for (const address of addresses)
-		recordEntryDiscovered(roster, address, readElapsed())
+		recordEntryDiscovered(membership, address, readElapsed())
 	if (isOtherEntry(ctx, state.control))
-		recordEntryContact(roster, state.control, readElapsed())
+		recordEntryContact(membership, state.control, readElapsed())
 	receiveUpdates(ctx, state.limits, state.name)
 	ctx.hasPeerState = true
 	if (state.sourceAway) states.withoutSource.add(link)
@@ -257,7 +263,7 @@
 	for (const [name, lastSeenAt] of states.lastSeenAt) {
 		if (now - lastSeenAt > PEER_TIMEOUT_MS)
 			dropPeerLoad(ctx.fleet, name, readNow())
-		if (now - lastSeenAt > MEMBER_TTL_MS) states.lastSeenAt.delete(name)
+		if (now - lastSeenAt > MEMBER_RETENTION_MS) states.lastSeenAt.delete(name)
 	}
 	const seeds = ctx.settings.seeds.length
 	ctx.entryCount = Math.max(states.lastSeenAt.size + 1, seeds)
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -38,13 +38,13 @@
 	sendFullState,
 	sendRemovals,
 } from './peerStates.ts'
-import { answerPermits, updateHomes } from './permitHome.ts'
+import { answerPermits, updatePermitHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
 import { drainUpdates, receiveUpdates } from './updateExchange.ts'
 
 /** Interval of the periodic work on links and messages, ms. */
 const TICK_MS = 50
-/** Timeout for a home's answer, ms; a home that exceeds it is suspended or gone. */
+/** Timeout for a permit home's answer, ms; one that exceeds it is suspended or gone. */
 const PERMIT_TIMEOUT_MS = 300
 
 /** Serves peers and maintains links to them. */
@@ -85,14 +85,15 @@
 	const peers = createPeerLinks(methods, link => {
 		sendFullState(ctx, peers, link)
 	})
-	ctx.permits.queryHome = (home, query) => queryHome(peers, home, query)
+	ctx.permits.queryPermitHome = (home, query) =>
+		queryPermitHome(peers, home, query)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
-			recordEntryDiscovered(ctx.permitHomes.roster, seed, readElapsed())
+			recordEntryDiscovered(ctx.permitHomes.membership, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
 		updateLinks(ctx, peers)
-		updateHomes(ctx, address => peers.maintained.has(address))
+		updatePermitHomes(ctx, address => peers.maintained.has(address))
 		broadcastUpdates(ctx, peers)
 		sendRemovals(ctx, states)
 		broadcastState(ctx, peers, states)
@@ -101,8 +102,8 @@
 	}, TICK_MS)
 }
 
-/** Requests permits from a server's home; without a link, requests the link instead. */
-function queryHome(
+/** Requests permits from a permit home; without a link, requests the link instead. */
+function queryPermitHome(
 	peers: PeerLinks,
 	home: string,
 	query: PermitQuery,
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -60,7 +60,7 @@
 	permits.held.delete(server)
 }
 
-/** Drops permits held, pools and homes of servers that have no limit any more. */
+/** Drops permits, pools and permit homes of servers that have no limit any more. */
 export function dropUnlimitedPermits(ctx: GatewayContext): void {
 	const { permits, permitHomes, rateLimits } = ctx
 	for (const map of [permits.held, permitHomes.pools, permitHomes.homes])
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -1,7 +1,7 @@
 /**
- * Grants permits for rate-limited servers. Each such server has a home, the entry that
- * grants its permits. It is chosen by rendezvous hashing, so that entries with the same
- * view of the membership choose the same home.
+ * Grants permits for rate-limited servers. Each such server has a permit home, the entry
+ * that grants its permits. It is chosen by rendezvous hashing, so that entries with the
+ * same view of the membership choose the same one.
  */
 
 import type { PermitGrant, PermitRequest } from '@juniperhook/core'
@@ -20,46 +20,48 @@
 import { PermitQuerySchema } from './peerMessages.ts'
 import { receiveLimits } from './rateLimits.ts'
 
-/** Updates the membership, and moves homes when the reachable entries have changed. */
-export function updateHomes(
+/** Updates the membership, and permit homes when the reachable entries have changed. */
+export function updatePermitHomes(
 	ctx: GatewayContext,
 	isLinked: (address: string) => boolean,
 ): void {
-	const { roster, pools, homes } = ctx.permitHomes
+	const { membership, pools, homes } = ctx.permitHomes
 	const { control } = ctx.settings
-	if (!updateEntryMembership(roster, control, isLinked, readElapsed())) return
+	if (!updateEntryMembership(membership, control, isLinked, readElapsed()))
+		return
 	const before = [...homes]
 	homes.clear()
 	for (const server of [...pools.keys()])
-		if (homeOf(ctx, server) !== control) pools.delete(server)
+		if (permitHomeOf(ctx, server) !== control) pools.delete(server)
 	for (const [server, home] of before) {
-		const after = homeOf(ctx, server)
+		const after = permitHomeOf(ctx, server)
 		if (after !== home)
 			ctx.log.write('permit home', { server, home: after, before: home })
 	}
 }
 
-/** Returns the control address of a server's home. */
-export function homeOf(ctx: GatewayContext, server: string): string {
-	const { homes, roster } = ctx.permitHomes
+/** Returns the control address of a server's permit home. */
+export function permitHomeOf(ctx: GatewayContext, server: string): string {
+	const { homes, membership } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
-	const home = findPermitHome(server, roster.reachable) ?? ctx.settings.control
+	const home =
+		findPermitHome(server, membership.reachable) ?? ctx.settings.control
 	homes.set(server, home)
 	return home
 }
 
-/** Grants permits for a server whose home is this entry. */
+/** Grants permits for a server whose permit home is this entry. */
 export function grantFromPool(
 	ctx: GatewayContext,
 	server: string,
 	perSecond: number,
 	wish: PermitRequest,
 ): PermitGrant {
-	const { pools, roster } = ctx.permitHomes
+	const { pools, membership } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
-	const schedule = permitScheduleFor(perSecond, roster.count)
+	const schedule = permitScheduleFor(perSecond, membership.count)
 	return grantPermits(pool, schedule, wish, readElapsed())
 }
 
@@ -72,9 +74,10 @@
 	const { server, limit, limitAgoMs, count, withinMs } = query
 	const at = readElapsed() - limitAgoMs
 	receiveLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
-	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
+	if (permitHomeOf(ctx, server) !== ctx.settings.control)
+		return { type: 'notHome' }
 	const perSecond = rateLimitOf(ctx.rateLimits, server)
-	// The limit has been lifted; the sender learns that by gossip.
+	// The limit has been lifted; the sender will receive that update.
 	if (perSecond === undefined) return { type: 'notHome' }
 	const permits = grantFromPool(ctx, server, perSecond, { count, withinMs })
 	return { type: 'permits', ...permits, dueMs: [...permits.dueMs] }
--- a/packages/gateway/src/permitRequest.ts
+++ b/packages/gateway/src/permitRequest.ts
@@ -1,6 +1,7 @@
 /**
- * Requests permits from the homes of rate-limited servers. The caller's request does not
- * wait for the answer while another server has room; a later request uses the permit.
+ * Requests permits from the permit homes of rate-limited servers. The caller's request
+ * does not wait for the answer while another server has room; a later request uses the
+ * permit.
  */
 
 import type { HeldPermits, PermitGrant, PermitRequest } from '@juniperhook/core'
@@ -13,11 +14,11 @@
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
 import { heldPermitsOf, listLimited } from './permitGate.ts'
-import { grantFromPool, homeOf } from './permitHome.ts'
+import { grantFromPool, permitHomeOf } from './permitHome.ts'
 
 /** Maximum number of permits per request. */
 const MAX_REQUESTED = 16
-/** Delay before another request to a home that granted no permits, ms. */
+/** Delay before another request to a permit home that did not grant permits, ms. */
 const RETRY_MS = 100
 
 /**
@@ -53,7 +54,7 @@
 	const known = ctx.rateLimits.get(server)
 	if (known?.perSecond === undefined) return
 	const { perSecond, at } = known
-	const home = homeOf(ctx, server)
+	const home = permitHomeOf(ctx, server)
 	if (home === ctx.settings.control) {
 		addPermits(
 			ctx,
@@ -65,9 +66,9 @@
 	}
 	const limitAgoMs = readElapsed() - at
 	const query = { server, limit: perSecond, limitAgoMs, ...wish }
-	const reply = ctx.permits.queryHome(home, query)
+	const reply = ctx.permits.queryPermitHome(home, query)
 	if (!reply) {
-		noteNotGranted(ctx, held, 'unlinked')
+		recordNotGranted(ctx, held, 'unlinked')
 		return
 	}
 	held.isRequestPending = true
@@ -80,7 +81,7 @@
 					home,
 					reason: messageOf(err),
 				})
-				noteNotGranted(ctx, held, 'failed')
+				recordNotGranted(ctx, held, 'failed')
 			},
 		)
 		.finally(() => {
@@ -100,7 +101,7 @@
 			addPermits(ctx, held, perSecond, reply)
 			return
 		case 'notHome':
-			noteNotGranted(ctx, held, 'notHome')
+			recordNotGranted(ctx, held, 'notHome')
 			return
 		default:
 			reply satisfies never
@@ -118,7 +119,7 @@
 	ctx.metrics.permits.inc({ outcome })
 }
 
-function noteNotGranted(
+function recordNotGranted(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	outcome: 'unlinked' | 'failed' | 'notHome',
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -8,8 +8,8 @@
 import { createEntryMembership } from '@juniperhook/core'
 import type { PermitQuery, PermitReply } from './peerMessages.ts'
 
-/** Sends a query to a home; returns undefined while there is no link to it. */
-export type QueryHome = (
+/** Sends a query to a permit home; returns undefined while there is no link to it. */
+export type QueryPermitHome = (
 	home: string,
 	query: PermitQuery,
 ) => Promise<PermitReply> | undefined
@@ -19,27 +19,27 @@
 	/** Permits by server id. */
 	readonly held: Map<string, HeldPermits>
 	/** Sends queries to other entries; set when the exchange with peers starts. */
-	queryHome: QueryHome
+	queryPermitHome: QueryPermitHome
 }
 
 /** Creates an empty store. */
 export function createPermitStore(): PermitStore {
-	return { held: new Map(), queryHome: () => undefined }
+	return { held: new Map(), queryPermitHome: () => undefined }
 }
 
-/** Homes of rate-limited servers, and the pools of those with this entry as their home. */
+/** Permit homes of rate-limited servers, and the pools of this entry's servers. */
 export interface PermitHomes {
-	readonly roster: EntryMembership
+	readonly membership: EntryMembership
 	/** Pools by server id. */
 	readonly pools: Map<string, PermitPool>
-	/** Control addresses of homes, by server id. */
+	/** Control addresses of permit homes, by server id. */
 	readonly homes: Map<string, string>
 }
 
 /** Creates the state of an entry that has not discovered others. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
-		roster: createEntryMembership(own),
+		membership: createEntryMembership(own),
 		pools: new Map(),
 		homes: new Map(),
 	}
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -31,8 +31,11 @@
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	const { quarantineGate: gate } = ctx
-	if (gate.barred.size === 0 || !gate.lengths.has(request.body.length))
+	const { quarantineGate } = ctx
+	if (
+		quarantineGate.quarantined.size === 0 ||
+		!quarantineGate.bodyLengths.has(request.body.length)
+	)
 		return false
 	return quarantinedForMs(ctx, request) > 0
 }
@@ -50,18 +53,18 @@
 
 /** Returns how many other entries retry a request before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
-	const { reachable: heard } = permitHomes.roster
-	const order = topByRendezvous(key, heard, heard.length)
+	const { reachable } = permitHomes.membership
+	const order = topByRendezvous(key, reachable, reachable.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
 
 /** Whether a server crashed under a request that no server has answered since. */
 export function isSuspected(
-	{ quarantineGate: gate }: GatewayContext,
+	{ quarantineGate }: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	if (!gate.lengths.has(request.body.length)) return false
-	return gate.quarantine.suspects.has(fingerprintOf(request))
+	if (!quarantineGate.bodyLengths.has(request.body.length)) return false
+	return quarantineGate.quarantine.suspects.has(fingerprintOf(request))
 }
 
 /** Records that a server answered a request completely. */
@@ -76,7 +79,7 @@
 }
 
 /** Records a server's crash with the requests that it was running for this entry. */
-export function noteServerCrash(
+export function recordServerCrash(
 	ctx: GatewayContext,
 	server: string,
 	at: number,
@@ -113,17 +116,17 @@
 }
 
 function updateQuarantine(ctx: GatewayContext, from: string): void {
-	const { quarantineGate: gate } = ctx
-	const { quarantine } = gate
+	const { quarantineGate } = ctx
+	const { quarantine } = quarantineGate
 	const suspects = [...quarantine.suspects.keys()]
-	gate.lengths = new Set(suspects.map(bodyLengthOf))
-	const before = gate.barred
-	gate.barred = new Set(listQuarantined(quarantine))
-	ctx.metrics.quarantined.set(gate.barred.size)
-	for (const fingerprint of gate.barred)
+	quarantineGate.bodyLengths = new Set(suspects.map(bodyLengthOf))
+	const before = quarantineGate.quarantined
+	quarantineGate.quarantined = new Set(listQuarantined(quarantine))
+	ctx.metrics.quarantined.set(quarantineGate.quarantined.size)
+	for (const fingerprint of quarantineGate.quarantined)
 		if (!before.has(fingerprint)) cancelQuarantined(ctx, fingerprint, from)
 	for (const fingerprint of before)
-		if (!gate.barred.has(fingerprint))
+		if (!quarantineGate.quarantined.has(fingerprint))
 			ctx.log.write('request released', { fingerprint, from })
 }
 
--- a/packages/gateway/src/quarantineState.ts
+++ b/packages/gateway/src/quarantineState.ts
@@ -7,18 +7,18 @@
 export interface QuarantineGate {
 	readonly quarantine: Quarantine
 	/** Body lengths of suspected requests; others need not be fingerprinted. */
-	lengths: ReadonlySet<number>
+	bodyLengths: ReadonlySet<number>
 	/** Fingerprints of quarantined requests. */
-	barred: ReadonlySet<string>
+	quarantined: ReadonlySet<string>
 }
 
-/** Creates a gate that quarantines no request. */
+/** Creates a gate without quarantined requests. */
 export function createQuarantineGate(
 	quarantine = createQuarantine(),
 ): QuarantineGate {
 	return {
 		quarantine,
-		lengths: new Set(),
-		barred: new Set(),
+		bodyLengths: new Set(),
+		quarantined: new Set(),
 	}
 }
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -1,4 +1,4 @@
-/** Rate limits that servers announce in their answers, and that entries gossip. */
+/** Rate limits that servers announce in their answers, and that entries exchange. */
 
 import type { UpdateOf } from '@juniperhook/core'
 import {
@@ -42,10 +42,10 @@
 	update: UpdateOf<'limit'>,
 	from: string,
 ): void {
-	const { rateLimits, sharedState: book, outbox } = ctx
+	const { rateLimits, sharedState, outbox } = ctx
 	const { server, perSecond } = update
 	const before = rateLimitOf(rateLimits, server)
-	const changes = mergeServerUpdates(book, [update], readElapsed())
+	const changes = mergeServerUpdates(sharedState, [update], readElapsed())
 	if (changes.length === 0) return
 	enqueueUpdates(outbox, changes)
 	dropPermits(ctx, server)
--- a/packages/gateway/src/sentRequests.ts
+++ b/packages/gateway/src/sentRequests.ts
@@ -8,7 +8,7 @@
  * Retention of abandoned requests, ms. A server may go on with a request for some time
  * after its connection was closed, so a crash within this time may be due to it.
  */
-const ABANDONED_TTL_MS = 1_000
+const ABANDONED_RETENTION_MS = 1_000
 /** Maximum number of abandoned requests, the most recent, that are kept per server. */
 const MAX_ABANDONED = 8
 
@@ -74,11 +74,11 @@
 	sent: SentRequest,
 ): void {
 	const abandonedAt = readElapsed()
-	const left = (requests.abandoned.get(server) ?? []).filter(
-		one => abandonedAt - one.abandonedAt < ABANDONED_TTL_MS,
+	const abandoned = (requests.abandoned.get(server) ?? []).filter(
+		one => abandonedAt - one.abandonedAt < ABANDONED_RETENTION_MS,
 	)
-	left.push({ ...describe(sent), abandonedAt })
-	requests.abandoned.set(server, left.slice(-MAX_ABANDONED))
+	abandoned.push({ ...describe(sent), abandonedAt })
+	requests.abandoned.set(server, abandoned.slice(-MAX_ABANDONED))
 }
 
 /** Lists the requests that a server may be running for this entry. */
@@ -87,19 +87,19 @@
 	server: string,
 ): InFlightSummary[] {
 	const now = readElapsed()
-	const running = [...(requests.inFlight.get(server) ?? [])].map(describe)
-	const left = requests.abandoned.get(server) ?? []
+	const inFlight = [...(requests.inFlight.get(server) ?? [])].map(describe)
+	const abandoned = requests.abandoned.get(server) ?? []
 	return [
-		...left.filter(one => now - one.abandonedAt < ABANDONED_TTL_MS),
-		...running,
+		...abandoned.filter(one => now - one.abandonedAt < ABANDONED_RETENTION_MS),
+		...inFlight,
 	]
 }
 
 /** Drops expired records of abandoned requests. */
 export function expireAbandoned(requests: SentRequests): void {
 	const now = readElapsed()
-	for (const [server, left] of requests.abandoned)
-		if (now - left.at(-1)!.abandonedAt >= ABANDONED_TTL_MS)
+	for (const [server, abandoned] of requests.abandoned)
+		if (now - abandoned.at(-1)!.abandonedAt >= ABANDONED_RETENTION_MS)
 			requests.abandoned.delete(server)
 }
 
--- a/packages/gateway/src/serverBackoffs.ts
+++ b/packages/gateway/src/serverBackoffs.ts
@@ -69,14 +69,14 @@
 
 /** Lists the rows of a service's servers that must not be sent requests now. */
 export function listBackingOff(
-	{ backoffs: rests, fleet }: GatewayContext,
+	{ backoffs, fleet }: GatewayContext,
 	service: string,
 ): number[] {
-	if (rests.size === 0) return []
+	if (backoffs.size === 0) return []
 	const now = readElapsed()
 	const rows = fleet.rowsByService.get(service) ?? []
 	return rows.filter(
-		row => backoffLeftMs(rests, fleet.servers[row]!.id, now) > 0,
+		row => backoffLeftMs(backoffs, fleet.servers[row]!.id, now) > 0,
 	)
 }
 
@@ -89,9 +89,9 @@
 }
 
 function updateBackoffMetric(
-	{ backoffs: rests, metrics }: GatewayContext,
+	{ backoffs, metrics }: GatewayContext,
 	now: number,
 ): void {
-	const resting = [...rests.values()].filter(({ endsAt }) => now < endsAt)
-	metrics.restingServers.set(resting.length)
+	const active = [...backoffs.values()].filter(({ endsAt }) => now < endsAt)
+	metrics.restingServers.set(active.length)
 }
--- a/packages/gateway/src/updateExchange.ts
+++ b/packages/gateway/src/updateExchange.ts
@@ -1,7 +1,7 @@
 /**
- * Gossip about servers between entries: changes are sent at once, the whole state on a
- * new link, and each entry forwards the updates that change its state, until all entries
- * have them.
+ * Exchange of server updates between entries: changes are sent at once, the whole state
+ * on a new link, and each entry forwards the updates that change its state, until all
+ * entries have them.
  */
 
 import type { ServerUpdate, UpdateOf } from '@juniperhook/core'
@@ -41,19 +41,17 @@
 }
 
 /** Lists the whole state as updates, for an entry that may have none of it. */
-export function listAllUpdates({
-	sharedState: book,
-}: GatewayContext): WireUpdate[] {
+export function listAllUpdates({ sharedState }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
-	return listServerUpdates(book, MAX_DEPARTED_SENT).map(one => toWire(one, now))
+	return listServerUpdates(sharedState, MAX_DEPARTED_SENT).map(one =>
+		toWire(one, now),
+	)
 }
 
 /** Lists the known rate limits, lifted ones included; each state message repeats them. */
-export function listRateLimits({
-	sharedState: book,
-}: GatewayContext): WireUpdate[] {
+export function listRateLimits({ sharedState }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
-	return listLimitUpdates(book).map(one => toWire(one, now))
+	return listLimitUpdates(sharedState).map(one => toWire(one, now))
 }
 
 /** Converts times to ages and remaining times, as the clocks of entries differ. */
--- a/packages/gateway/test/backoff.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -229,8 +229,8 @@
 	const world = await openWorld(1, 1)
 	const server = world.servers[0]!
 	requestBackoff(server, 0.6)
-	const rest = server.answer
-	server.answer = entry => ({ ...rest(entry), status: 503 })
+	const refuse = server.answer
+	server.answer = entry => ({ ...refuse(entry), status: 503 })
 	await sendSteadily(world, { perSecond: 200, forMs: 1_600 })
 	closeWorld(world)
 	const from = server.notices[0]!.at + 0.6 * SECOND_MS
--- a/packages/gateway/test/crashingServers.ts
+++ b/packages/gateway/test/crashingServers.ts
@@ -29,7 +29,7 @@
 	readonly catalogs: FakeCatalog[]
 	readonly runs: ServerRun[]
 	/** Crashes, with their times, ms. */
-	readonly ends: { readonly server: string; readonly at: number }[]
+	readonly crashes: { readonly server: string; readonly at: number }[]
 	readonly servers: CrashingServer[]
 	/** Completes all slow requests. */
 	release(): void
@@ -55,7 +55,7 @@
 	const all: CrashingServers = {
 		catalogs: [],
 		runs: [],
-		ends: [],
+		crashes: [],
 		servers: [],
 		release: () => {
 			for (const { slow } of all.servers) for (const finish of slow) finish()
@@ -149,7 +149,7 @@
 	name: string,
 ): void {
 	if (server.listed.name !== name || !server.http.listening) return
-	all.ends.push({ server: name, at: performance.now() })
+	all.crashes.push({ server: name, at: performance.now() })
 	stop(server)
 	setTimeout(() => restart(all, server), RESTART_AFTER_MS)
 }
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -36,7 +36,7 @@
 })
 
 /** Time for updates to reach all entries, ms. */
-const GOSSIP_MS = 300
+const PROPAGATION_MS = 300
 
 /** Opens a world of three entries, the first of which got a server's announcement. */
 async function openLeaving(): Promise<[LimitedWorld, LimitedServer]> {
@@ -44,7 +44,7 @@
 	const server = world.servers[0]!
 	server.isLeaving = true
 	await sendSteadily(world, { ...LOAD, pick: () => 0 })
-	await pause(GOSSIP_MS)
+	await pause(PROPAGATION_MS)
 	assert.is(server.arrivals.filter(({ entry }) => entry !== '0').length, 0)
 	return [world, server]
 }
@@ -105,7 +105,7 @@
 		const [world, server] = await openLeaving()
 		const before = server.arrivals.length
 		change(world, server)
-		await pause(GOSSIP_MS)
+		await pause(PROPAGATION_MS)
 		const responses = await sendSteadily(world, LOAD)
 		closeWorld(world)
 		assert.ok(responses.every(({ response }) => response.status === 200))
--- a/packages/gateway/test/poisonRequests.test.ts
+++ b/packages/gateway/test/poisonRequests.test.ts
@@ -13,7 +13,7 @@
 import { WIRE } from './fakeBackends.ts'
 import { CONTACT_MS } from './openGateway.ts'
 import type { World } from './poisonWorld.ts'
-import { ask, createWorlds, pause } from './poisonWorld.ts'
+import { createWorlds, pause, send } from './poisonWorld.ts'
 
 /** Maximum number of sends after the contact time that follows the third crash. */
 const MAX_LATE_SENDS = 3
@@ -36,7 +36,7 @@
 	const statuses: number[] = []
 	for (let attempt = 0; attempt < attempts; attempt++) {
 		const entry = entries[attempt % entries.length]!
-		const response = await ask(entry, path, body, headers(attempt))
+		const response = await send(entry, path, body, headers(attempt))
 		statuses.push(response.status)
 		await pause(ATTEMPT_DELAY_MS)
 	}
@@ -83,7 +83,7 @@
 	headers,
 }: PoisonCase): Promise<string[]> {
 	const world = await openWorld(entries)
-	const { ends, runs } = world.servers
+	const { crashes: ends, runs } = world.servers
 	const early = await sendRepeatedly(world, path, body, ATTEMPTS / 2, headers)
 	await pause(CONTACT_MS)
 	const late = await sendRepeatedly(world, path, body, ATTEMPTS / 2, headers)
--- a/packages/gateway/test/poisonWorld.ts
+++ b/packages/gateway/test/poisonWorld.ts
@@ -11,7 +11,7 @@
 const PORTS_EACH = 4
 /** Time for entries to link to each other, ms. */
 const LINK_MS = 250
-/** Longer than a busy machine takes to crash a server and to gossip about it, ms. */
+/** Longer than a busy machine takes to crash a server and to report that, ms. */
 const TIMEOUT_MS = 6_000
 const ROUTES = CONFIG.routes.map(one => ({ ...one, timeoutMs: TIMEOUT_MS }))
 const LIMITS = { ...CONFIG.limits, maxBodyBytes: 2_000_000 }
@@ -76,7 +76,7 @@
 }
 
 /** Posts a body to an entry. */
-export function ask(
+export function send(
 	entry: OpenGateway,
 	path: string,
 	body: string,
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -13,7 +13,7 @@
 import type { OpenGateway } from './openGateway.ts'
 import { createOpener, until } from './openGateway.ts'
 import type { World } from './poisonWorld.ts'
-import { ask, createWorlds, openEntry, pause } from './poisonWorld.ts'
+import { send, createWorlds, openEntry, pause } from './poisonWorld.ts'
 
 const openWorld = createWorlds(23_500)
 /** Ends further apart than what ends together, ms. */
@@ -27,18 +27,18 @@
 async function learn(world: World): Promise<number> {
 	const { entries, servers } = world
 	for (let at = 0; at < 6; at++) {
-		const got = await ask(entries[at % entries.length]!, '/o/x', POISON)
+		const got = await send(entries[at % entries.length]!, '/o/x', POISON)
 		await pause(APART_MS)
 		if (got.status === 503) break
 	}
-	return servers.ends.length
+	return servers.crashes.length
 }
 
 /** Asks until it is served, as callers do; gives the statuses. */
 async function askUntilServed(entry: OpenGateway, body: string) {
 	const statuses: number[] = []
 	for (let at = 0; at < 4 && statuses.at(-1) !== 200; at++) {
-		statuses.push((await ask(entry, '/r/x', body)).status)
+		statuses.push((await send(entry, '/r/x', body)).status)
 		if (statuses.at(-1) !== 200) await pause(APART_MS)
 	}
 	return statuses
@@ -56,10 +56,10 @@
 	const { now } = clocks
 	clocks.now = () => now() + BARRED_MS
 	await pause(APART_MS)
-	const asked = world.entries.map(entry => ask(entry, '/o/x', POISON))
+	const asked = world.entries.map(entry => send(entry, '/o/x', POISON))
 	const statuses = (await Promise.all(asked)).map(({ status }) => status)
 	clocks.now = now
-	assert.is(world.servers.ends.length - before, 1)
+	assert.is(world.servers.crashes.length - before, 1)
 	assert.is(statuses.filter(status => status === 503).length, 2)
 	world.servers.close()
 })
@@ -68,13 +68,13 @@
 	const world = await openWorld(3)
 	await learn(world)
 	for (const entry of world.entries) {
-		const got = await ask(entry, '/o/x', POISON)
+		const got = await send(entry, '/o/x', POISON)
 		assert.is(got.status, 503)
 		assert.match(got.body, '"quarantined"')
 		const seconds = Number(got.headers['retry-after'])
 		// Entries try it again in turn, ten seconds after each other.
 		assert.ok(seconds > 500 && seconds <= 620, String(seconds))
-		assert.is((await ask(entry, '/o/x', 'another body')).status, 200)
+		assert.is((await send(entry, '/o/x', 'another body')).status, 200)
 	}
 	world.servers.close()
 })
@@ -83,9 +83,9 @@
 	const world = await openWorld(2)
 	await learn(world)
 	const late = await openEntry(world)
-	await until(() => late.ctx.quarantineGate.barred.size > 0)
-	assert.is((await ask(late, '/o/x', POISON)).status, 503)
-	assert.is(world.servers.ends.length, 2)
+	await until(() => late.ctx.quarantineGate.quarantined.size > 0)
+	assert.is((await send(late, '/o/x', POISON)).status, 503)
+	assert.is(world.servers.crashes.length, 2)
 	world.servers.close()
 })
 
@@ -109,18 +109,18 @@
 		'peer',
 	)
 	first.ctx.outbox.clear()
-	assert.is(second.ctx.quarantineGate.barred.size, 0)
+	assert.is(second.ctx.quarantineGate.quarantined.size, 0)
 	const late = await openEntry(world)
-	await until(() => late.ctx.quarantineGate.barred.size > 0)
-	await until(() => second.ctx.quarantineGate.barred.size > 0)
-	assert.is((await ask(second, '/o/x', POISON)).status, 503)
+	await until(() => late.ctx.quarantineGate.quarantined.size > 0)
+	await until(() => second.ctx.quarantineGate.quarantined.size > 0)
+	assert.is((await send(second, '/o/x', POISON)).status, 503)
 	world.servers.close()
 })
 
 test('a copy that is under way is ended, with no promise', async () => {
 	const world = await openWorld(1)
 	const [entry] = world.entries as [OpenGateway]
-	const asked = ask(entry, '/o/x', SLOW)
+	const asked = send(entry, '/o/x', SLOW)
 	await until(() => entry.ctx.sentRequests.inFlight.size > 0)
 	const [run] = [...[...entry.ctx.sentRequests.inFlight.values()][0]!]
 	const fingerprint = fingerprintOf(run!.request)
@@ -146,7 +146,7 @@
 	)
 	for (let at = 0; at < 3; at++) {
 		await pause(APART_MS / 4)
-		await ask(world.entries[at]!, '/o/x', POISON)
+		await send(world.entries[at]!, '/o/x', POISON)
 		await pause(APART_MS)
 		world.servers.release()
 	}
@@ -154,7 +154,7 @@
 	const statuses = await Promise.all(asked)
 	clearInterval(release)
 	for (const one of statuses) assert.is(one.at(-1), 200, one.join())
-	assert.ok(world.servers.ends.length >= 2)
+	assert.ok(world.servers.crashes.length >= 2)
 	world.servers.close()
 })
 
@@ -163,7 +163,7 @@
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	for (let round = 0; round < 3; round++) {
 		const asked = bodies.map((body, at) =>
-			ask(world.entries[at % 3]!, '/r/x', body),
+			send(world.entries[at % 3]!, '/r/x', body),
 		)
 		await pause(50)
 		for (const one of world.servers.servers)
@@ -173,15 +173,15 @@
 	}
 	const release = setInterval(() => world.servers.release(), 20)
 	for (const [at, body] of bodies.entries())
-		assert.is((await ask(world.entries[at % 3]!, '/r/x', body)).status, 200)
+		assert.is((await send(world.entries[at % 3]!, '/r/x', body)).status, 200)
 	clearInterval(release)
-	assert.ok(world.servers.ends.length >= 12)
+	assert.ok(world.servers.crashes.length >= 12)
 	world.servers.close()
 })
 
 test('a rank that ends closes its group at all entries', async () => {
 	const world = await openWorld(3, 4, ENGINE)
-	const asked = ask(world.entries[0]!, '/o/x', SLOW)
+	const asked = send(world.entries[0]!, '/o/x', SLOW)
 	await until(() => world.servers.runs.length > 0)
 	const [run] = world.servers.runs
 	const rank = world.servers.servers.find(
@@ -192,7 +192,7 @@
 	assert.is((await asked).status, 502)
 	// The other ranks would hold it until they refuse.
 	const before = world.servers.runs.length
-	const late = ask(world.entries[2]!, '/o/x', 'after the end')
+	const late = send(world.entries[2]!, '/o/x', 'after the end')
 	await pause(STILL_MS)
 	assert.is(world.servers.runs.length, before)
 	await late
@@ -213,7 +213,7 @@
 	test(`a server behind something that listens for it has ended when the list ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2)
 		const [entry] = entries as [OpenGateway]
-		const asked = ask(entry, '/o/x', SLOW)
+		const asked = send(entry, '/o/x', SLOW)
 		await until(() => servers.runs.length > 0)
 		const row = entry.ctx.fleet.table.rowOf.get(servers.runs[0]!.server)!
 		const server = entry.ctx.fleet.servers[row]!
@@ -282,7 +282,7 @@
 	const { ctx, callers } = await createOpener(23_700, backends.listed)()
 	for (let at = 0; at < 6; at++) {
 		backends.script = ['cut', 'reset', 'cut']
-		await ask({ ctx, callers } as OpenGateway, '/r/x', 'the same')
+		await send({ ctx, callers } as OpenGateway, '/r/x', 'the same')
 		await until(() => ctx.ends.checks.size === 0)
 	}
 	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
--- a/packages/gateway/test/rateLimits.test.ts
+++ b/packages/gateway/test/rateLimits.test.ts
@@ -163,7 +163,7 @@
 	assert.ok(max <= allowedInSpan(1), `${max} requests`)
 })
 
-test('entries that learn a limit by gossip keep it, as does a starting entry', async () => {
+test('entries that learn a limit from peers keep it, as does a starting entry', async () => {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
 	server.perSecond = 0.25
--- a/packages/gateway/test/updatePropagation.test.ts
+++ b/packages/gateway/test/updatePropagation.test.ts
@@ -23,7 +23,7 @@
 const SEEDS = 5
 
 interface Entry {
-	readonly book: SharedState
+	readonly sharedState: SharedState
 	readonly outbox: Outbox
 	/** Linked entries, whichever side opened the link. */
 	readonly links: number[]
@@ -31,7 +31,7 @@
 	readonly phaseMs: number
 }
 
-interface Dissemination {
+interface Propagation {
 	/** Time from the first entry's update to the last entry that gets it, ms. */
 	readonly tookMs: number
 	/** Average number of bytes sent per entry. */
@@ -46,7 +46,7 @@
 	const indexOf = new Map(addresses.map((address, at) => [address, at]))
 	const entries = addresses.map(
 		(): Entry => ({
-			book: createSharedState(),
+			sharedState: createSharedState(),
 			outbox: new Map(),
 			links: [],
 			phaseMs: random() * TICK_MS,
@@ -62,11 +62,11 @@
 }
 
 /** Gives an update to one entry and simulates its dissemination. */
-function disseminate(
+function propagate(
 	entries: readonly Entry[],
 	update: ServerUpdate,
 	random: Random,
-): Dissemination {
+): Propagation {
 	// Messages in flight, by the time of their arrival in ms.
 	const inFlight = new Map<number, { to: number; updates: ServerUpdate[] }[]>()
 	let bytes = 0
@@ -77,8 +77,8 @@
 		updates: readonly ServerUpdate[],
 		now: number,
 	) => {
-		const { book, outbox, phaseMs } = entries[to]!
-		const changes = mergeServerUpdates(book, updates, now)
+		const { sharedState, outbox, phaseMs } = entries[to]!
+		const changes = mergeServerUpdates(sharedState, updates, now)
 		if (changes.length === 0) return
 		reached++
 		lastAt = now
@@ -128,12 +128,12 @@
 
 for (const { entries: count, maxMs } of SIZES)
 	for (const { name, update } of UPDATES)
-		test(`gossip: ${name} reaches ${count} entries within ${maxMs} ms`, () => {
-			const results: Dissemination[] = []
+		test(`updates: ${name} reaches ${count} entries within ${maxMs} ms`, () => {
+			const results: Propagation[] = []
 			for (let seed = 1; seed <= SEEDS; seed++) {
 				const random = createRandom(seed)
 				const entries = createEntries(count, random)
-				results.push(disseminate(entries, update, random))
+				results.push(propagate(entries, update, random))
 			}
 			const longest = Math.max(...results.map(({ tookMs }) => tookMs))
 			const bytes = Math.max(...results.map(({ bytesEach }) => bytesEach))
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -145,15 +145,15 @@
 	},
 	{
 		name: 'toldOpen',
-		file: 'packages/gateway/src/toldGroups.ts',
-		on: "	if (broken) shutGroup(ctx, group, 'coordinator')",
-		off: "	if (broken && !at) shutGroup(ctx, group, 'coordinator')",
+		file: 'packages/gateway/src/groupReports.ts',
+		on: "	if (broken) handleGroupBroken(ctx, group, 'coordinator')",
+		off: "	if (broken && !at) handleGroupBroken(ctx, group, 'coordinator')",
 	},
 	{
 		name: 'rankEnds',
 		file: 'packages/gateway/src/closedGroups.ts',
-		on: '	if (isGrouped(ctx, server.service)) shutGroup(',
-		off: '	if (!server.service) shutGroup(',
+		on: '	if (isGrouped(ctx, server.service))',
+		off: '	if (!server.service)',
 	},
 	{
 		name: 'quarantine',
@@ -272,7 +272,7 @@
 	{
 		name: 'restOfOneRank',
 		file: 'packages/gateway/src/closedGroups.ts',
-		on: 'isGrouped(ctx, service) && !ctx.rests.has(id)',
+		on: 'isGrouped(ctx, service) && !ctx.backoffs.has(id)',
 		off: "isGrouped(ctx, service) && id !== ''",
 	},
 	{
