--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -206,8 +206,8 @@
 	{
 		name: 'dealtServers',
 		file: ENTRY_DEMAND,
-		on: '		fleet.table.dealtElsewhere[row] = assigned.has(index) ? 0 : 1',
-		off: '		fleet.table.dealtElsewhere[row] = assigned.has(index) ? 0 : 0',
+		on: '		fleet.table.assignedElsewhere[row] = assigned.has(index) ? 0 : 1',
+		off: '		fleet.table.assignedElsewhere[row] = assigned.has(index) ? 0 : 0',
 	},
 	{
 		name: 'engineRoom',
