--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -179,10 +179,6 @@
 	{ settings }: GatewayContext,
 	{ targetMs, maxPauseMs }: TrafficRoute,
 ): number {
-	const {
-		minMs: leastMs,
-		targetFactor: targetTimes,
-		pauseFactor: pauseTimes,
-	} = settings.eventTimeout
-	return Math.max(leastMs, targetTimes * targetMs, pauseTimes * maxPauseMs)
+	const { minMs, targetFactor, pauseFactor } = settings.eventTimeout
+	return Math.max(minMs, targetFactor * targetMs, pauseFactor * maxPauseMs)
 }
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -15,26 +15,27 @@
 	/** Rows with a usable permit. */
 	readonly permitted: ReadonlySet<number>
 	/** Rows without a usable permit. */
-	readonly spent: ReadonlySet<number>
+	readonly exhausted: ReadonlySet<number>
 }
 
 const NO_ROWS: ReadonlySet<number> = new Set()
 
 /** Lists the rate-limited servers of a service, with and without a usable permit. */
 export function listLimited(ctx: GatewayContext, service: string): LimitedRows {
-	if (ctx.rateLimits.size === 0) return { permitted: NO_ROWS, spent: NO_ROWS }
+	if (ctx.rateLimits.size === 0)
+		return { permitted: NO_ROWS, exhausted: NO_ROWS }
 	const { fleet, rateLimits, permits } = ctx
 	const permitted = new Set<number>()
-	const spent = new Set<number>()
+	const exhausted = new Set<number>()
 	const now = readElapsed()
 	for (const row of fleet.rowsByService.get(service) ?? []) {
 		const { id } = fleet.servers[row]!
 		if (rateLimitOf(rateLimits, id) === undefined) continue
 		const held = permits.held.get(id)
 		if (held && hasPermit(held, now)) permitted.add(row)
-		else spent.add(row)
+		else exhausted.add(row)
 	}
-	return { permitted, spent }
+	return { permitted, exhausted }
 }
 
 /** Consumes a permit for a request about to be sent, if the server is rate-limited. */
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -56,13 +56,13 @@
 	ctx: GatewayContext,
 	server: string,
 	perSecond: number,
-	wish: PermitRequest,
+	request: PermitRequest,
 ): PermitGrant {
 	const { pools, membership } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
 	const schedule = permitScheduleFor(perSecond, membership.count)
-	return grantPermits(pool, schedule, wish, readElapsed())
+	return grantPermits(pool, schedule, request, readElapsed())
 }
 
 /** Answers another entry's request for permits. */
--- a/packages/gateway/src/permitRequest.ts
+++ b/packages/gateway/src/permitRequest.ts
@@ -28,13 +28,13 @@
 export function requestPermits(
 	ctx: GatewayContext,
 	service: string,
-	wish: PermitRequest,
+	request: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	if (ctx.rateLimits.size === 0) return
-	const count = Math.min(MAX_REQUESTED, wish.count)
-	const { withinMs } = wish
-	for (const row of listLimited(ctx, service).spent) {
+	const count = Math.min(MAX_REQUESTED, request.count)
+	const { withinMs } = request
+	for (const row of listLimited(ctx, service).exhausted) {
 		const { id } = ctx.fleet.servers[row]!
 		const held = heldPermitsOf(ctx, id)
 		const now = readElapsed()
@@ -48,25 +48,25 @@
 	ctx: GatewayContext,
 	server: string,
 	held: HeldPermits,
-	wish: PermitRequest,
+	request: PermitRequest,
 	onAnswer: () => void,
 ): void {
-	const known = ctx.rateLimits.get(server)
-	if (known?.perSecond === undefined) return
-	const { perSecond, at } = known
-	const home = permitHomeOf(ctx, server)
-	if (home === ctx.settings.control) {
+	const limit = ctx.rateLimits.get(server)
+	if (limit?.perSecond === undefined) return
+	const { perSecond, at } = limit
+	const permitHome = permitHomeOf(ctx, server)
+	if (permitHome === ctx.settings.control) {
 		addPermits(
 			ctx,
 			held,
 			perSecond,
-			grantFromPool(ctx, server, perSecond, wish),
+			grantFromPool(ctx, server, perSecond, request),
 		)
 		return
 	}
 	const limitAgoMs = readElapsed() - at
-	const query = { server, limit: perSecond, limitAgoMs, ...wish }
-	const reply = ctx.permits.queryPermitHome(home, query)
+	const query = { server, limit: perSecond, limitAgoMs, ...request }
+	const reply = ctx.permits.queryPermitHome(permitHome, query)
 	if (!reply) {
 		recordNotGranted(ctx, held, 'unlinked')
 		return
@@ -78,7 +78,7 @@
 			err => {
 				ctx.log.write('permit not given', {
 					server,
-					home,
+					home: permitHome,
 					reason: messageOf(err),
 				})
 				recordNotGranted(ctx, held, 'failed')
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -147,10 +147,10 @@
 		from,
 	})
 	const length = bodyLengthOf(fingerprint)
-	for (const [request, giveUp] of [...ctx.cancelByRequest])
+	for (const [request, cancel] of [...ctx.cancelByRequest])
 		if (
 			request.body.length === length &&
 			fingerprintOf(request) === fingerprint
 		)
-			giveUp('quarantined')
+			cancel('quarantined')
 }
--- a/packages/gateway/src/serverQueue.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -167,7 +167,7 @@
 	}
 	const now = readNow()
 	const isEngine = routes?.services.get(service)?.engine !== undefined
-	const { permitted, spent } = listLimited(ctx, service)
+	const { permitted, exhausted: spent } = listLimited(ctx, service)
 	const query = {
 		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
--- a/packages/gateway/test/peers.test.ts
+++ b/packages/gateway/test/peers.test.ts
@@ -122,7 +122,7 @@
 		const id = { [WIRE.requestId]: 'look' }
 		return (await callGateway(behind.callers, '/new/x', id)).status === 503
 	}
-	for (let look = 0; look < 100 && !(await isBehind()); look++)
+	for (let attempt = 0; attempt < 100 && !(await isBehind()); attempt++)
 		await new Promise(resolve => setTimeout(resolve, 20))
 	await checkStatuses('behind')
 	const newer = { ...CONFIG, version: CONFIG.version + 1 }
--- a/packages/gateway/test/updatePropagation.test.ts
+++ b/packages/gateway/test/updatePropagation.test.ts
@@ -89,10 +89,10 @@
 	const send = (from: number, now: number) => {
 		const { outbox, links } = entries[from]!
 		const updates = drainOutbox(outbox)
-		const [least, most] = LATENCY_MS
+		const [minMs, maxMs] = LATENCY_MS
 		for (const to of links) {
 			bytes += JSON.stringify(updates).length
-			const at = Math.ceil(now + least + random() * (most - least))
+			const at = Math.ceil(now + minMs + random() * (maxMs - minMs))
 			const due = inFlight.get(at) ?? []
 			inFlight.set(at, due)
 			due.push({ to, updates })
