--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -28,7 +28,7 @@
 const SLOTS = 64
 /** Timeout of the routes, ms: answers delayed by a busy machine must not time out. */
 const LONG_TIMEOUT_MS = 6_000
-/** Configuration without time-outs, so that tests see the decisions of entries only. */
+/** Configuration without timeouts, so that tests see the decisions of entries only. */
 export const LONG_TIMEOUT_CONFIG: TrafficConfig = {
 	...CONFIG,
 	routes: CONFIG.routes.map(route => ({
--- a/packages/gateway/test/updatePropagation.test.ts
+++ b/packages/gateway/test/updatePropagation.test.ts
@@ -61,7 +61,7 @@
 	return entries
 }
 
-/** Gives an update to one entry and simulates its dissemination. */
+/** Gives an update to one entry and simulates its propagation. */
 function propagate(
 	entries: readonly Entry[],
 	update: ServerUpdate,
