--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -28,7 +28,7 @@
 	restarts: 0,
 	pauses: 0,
 	losses: 0,
-	doubles: 0,
+	duplicates: 0,
 	leaves: 0,
 	silences: 0,
 }
@@ -48,7 +48,7 @@
 			pauses: 1,
 			leaves: 1,
 			restarts: 1,
-			doubles: 2,
+			duplicates: 2,
 		},
 	},
 ]
@@ -118,7 +118,7 @@
 			const event = pickEvent(model.list(state), random)
 			if (!event) break
 			const open = state.lifecycles[0]!.state.at !== 'settled'
-			if (open && state.asked[0] && FAILURES.includes(event.do)) failed = true
+			if (open && state.requested[0] && FAILURES.includes(event.do)) failed = true
 			state = model.apply(state, event)
 		}
 		if (model.findFault(state) !== undefined) tally.broken++
--- a/bench/teamLimits.ts
+++ b/bench/teamLimits.ts
@@ -5,11 +5,11 @@
 
 import type { TeamConfig } from '@juniperhook/core'
 import {
-	admitAtHome,
+	admitAtTeamHome,
 	admitWithinShare,
 	createLimits,
 	createRandom,
-	isEnforcedAtHome,
+	isEnforcedAtTeamHome,
 	readConfig,
 	releaseTeam,
 } from '@juniperhook/core'
@@ -51,7 +51,7 @@
 ): number {
 	const random = createRandom(5)
 	const tables = Array.from({ length: entries }, createLimits)
-	const isTogether = isEnforcedAtHome(limit, seen)
+	const isTogether = isEnforcedAtTeamHome(limit, seen)
 	const demand = limit.ratePerSecond * 1.5
 	const seconds = 60
 	const burst = 5
@@ -64,7 +64,7 @@
 		const keeper = isTogether ? tables[at - (at % seen)]! : tables[at]!
 		const place = at % seen
 		const refused = isTogether
-			? admitAtHome(keeper, 't', limit, 0, now)
+			? admitAtTeamHome(keeper, 't', limit, 0, now)
 			: admitWithinShare(
 					keeper,
 					't',
--- a/packages/core/src/core/affinity.ts
+++ b/packages/core/src/core/affinity.ts
@@ -17,12 +17,12 @@
 
 /** Marks of prefixes seen, oldest first. */
 export interface AffinityTable {
-	readonly marks: Map<number, PrefixRecord>
+	readonly records: Map<number, PrefixRecord>
 }
 
 /** Makes an empty table. */
 export function createAffinity(): AffinityTable {
-	return { marks: new Map() }
+	return { records: new Map() }
 }
 
 /** The table key of a prompt. */
@@ -37,11 +37,11 @@
 	server: string,
 	now: number,
 ): void {
-	table.marks.delete(prefix)
-	table.marks.set(prefix, { server, at: now })
-	if (table.marks.size <= MAX_MARKS) return
-	const oldest = table.marks.keys().next().value
-	if (oldest !== undefined) table.marks.delete(oldest)
+	table.records.delete(prefix)
+	table.records.set(prefix, { server, at: now })
+	if (table.records.size <= MAX_MARKS) return
+	const oldest = table.records.keys().next().value
+	if (oldest !== undefined) table.records.delete(oldest)
 }
 
 /** The likely holder of a prefix and how far to trust it, 0 to 1. */
@@ -50,7 +50,7 @@
 	prefix: number,
 	now: number,
 ): { readonly server: string; readonly credit: number } | undefined {
-	const mark = table.marks.get(prefix)
+	const mark = table.records.get(prefix)
 	if (!mark) return undefined
 	return {
 		server: mark.server,
--- a/packages/core/src/core/gossipValues.ts
+++ b/packages/core/src/core/gossipValues.ts
@@ -75,9 +75,9 @@
 	now: number,
 ): GossipEffect[] {
 	const held = node.topics[topic]
-	const tries = held.fetching ? held.fetching.tries + 1 : 0
+	const tries = held.fetching ? held.fetching.retries + 1 : 0
 	const waitMs = FETCH_TIMEOUT_MS * 2 ** Math.min(tries, MAX_DOUBLINGS)
-	held.fetching = { from, until: now + waitMs, tries }
+	held.fetching = { from, until: now + waitMs, retries: tries }
 	return [sendTo(from, { type: 'fetch', topic, have: held.revision })]
 }
 
--- a/packages/core/src/core/groupClosure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -5,13 +5,13 @@
  */
 
 /** Between tries while a group refuses, ms; a forming takes some 600. */
-export const GROUP_RETRY_MS = 100
+export const GROUP_PROBE_INTERVAL_MS = 100
 
 /**
  * The same while a coordinator says that the group is broken and will say when it
  * runs again: the tries of all entries count toward what may be sent again.
  */
-export const BROKEN_GROUP_RETRY_MS = 500
+export const BROKEN_GROUP_PROBE_INTERVAL_MS = 500
 
 /** What is known of a group that refuses. */
 export interface GroupClosure {
@@ -34,7 +34,7 @@
 ): void {
 	const known = closures.get(group)
 	const since = known?.since ?? now
-	const tryMs = known?.tryMs ?? GROUP_RETRY_MS
+	const tryMs = known?.tryMs ?? GROUP_PROBE_INTERVAL_MS
 	closures.set(group, { since, until: now + tryMs, tryMs })
 }
 
@@ -47,8 +47,8 @@
 	const since = closures.get(group)?.since ?? now
 	closures.set(group, {
 		since,
-		until: now + BROKEN_GROUP_RETRY_MS,
-		tryMs: BROKEN_GROUP_RETRY_MS,
+		until: now + BROKEN_GROUP_PROBE_INTERVAL_MS,
+		tryMs: BROKEN_GROUP_PROBE_INTERVAL_MS,
 	})
 }
 
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -41,7 +41,7 @@
 export interface PassSample extends PassConditions {
 	readonly passMs: number
 	/** Requests that each rank held, in the mean. */
-	readonly held: number
+	readonly inFlight: number
 }
 
 /** Sums of a least-squares fit that forgets. */
@@ -87,7 +87,7 @@
 export function addPassSample(
 	fitter: PassFitter,
 	cost: PassCost,
-	{ passMs, held, factor, copying }: PassSample,
+	{ passMs, inFlight: held, factor, copying }: PassSample,
 ): void {
 	const { stepMs, perRequestMs, stepsPerPass } = cost
 	const stretched = stepMs + held * perRequestMs * factor
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -75,7 +75,7 @@
 
 /** What an entry knows of requests under which servers ended. */
 export interface Quarantine {
-	readonly ends: Map<string, ServerCrash>
+	readonly crashes: Map<string, ServerCrash>
 	/** When each was last answered whole, ms, by fingerprint. */
 	readonly served: Map<string, number>
 	/** Points of requests under which servers ended and that were not served since. */
@@ -96,7 +96,7 @@
 
 /** Makes a quarantine that knows of no end. */
 export function createQuarantine(): Quarantine {
-	return { ends: new Map(), served: new Map(), suspects: new Map() }
+	return { crashes: new Map(), served: new Map(), suspects: new Map() }
 }
 
 /** Fingerprints of requests that end servers: they are sent to none for a time. */
@@ -145,7 +145,7 @@
 }
 
 /** All that is remembered, for an entry that may know nothing. */
-export function listCrashEvidence({ ends, served }: Quarantine): CrashEvidence {
+export function listCrashEvidence({ crashes: ends, served }: Quarantine): CrashEvidence {
 	return {
 		ends: [...ends.values()],
 		served: [...served].map(([fingerprint, at]) => ({ fingerprint, at })),
@@ -153,7 +153,7 @@
 }
 
 /** True when it is news. */
-function takeEnd({ ends }: Quarantine, end: ServerCrash): boolean {
+function takeEnd({ crashes: ends }: Quarantine, end: ServerCrash): boolean {
 	const known = ends.get(end.server)
 	const ran = new Map(known?.ran)
 	for (const [fingerprint, ms] of end.ran) {
@@ -180,13 +180,13 @@
 }
 
 function forgetOld(quarantine: Quarantine, now: number): void {
-	const { ends } = quarantine
+	const { crashes: ends } = quarantine
 	for (const [server, { at }] of ends)
 		if (now - at >= KEPT_MS) ends.delete(server)
 }
 
 function judge(quarantine: Quarantine): void {
-	const { ends, served } = quarantine
+	const { crashes: ends, served } = quarantine
 	const sorted = [...ends.values()].sort((a, b) => a.at - b.at)
 	quarantine.suspects = findSuspects(sorted, served)
 	if (ends.size > MAX_ENDS) forgetLeast(quarantine, sorted)
@@ -198,7 +198,7 @@
 
 /** Forgets the oldest ends that bar nothing; if all do, the oldest. */
 function forgetLeast(
-	{ ends, suspects }: Quarantine,
+	{ crashes: ends, suspects }: Quarantine,
 	sorted: readonly ServerCrash[],
 ): void {
 	const bars = new Set<string>()
--- a/packages/core/src/core/serverBackoff.ts
+++ b/packages/core/src/core/serverBackoff.ts
@@ -9,7 +9,7 @@
 /** A server that asks for more is tried again after this time all the same, ms. */
 export const MAX_BACKOFF_MS = 600_000
 /** Between requests to a server after its rest, until it takes one, ms. */
-export const BACKOFF_PROBE_MS = 50
+export const BACKOFF_PROBE_INTERVAL_MS = 50
 /** A rest that is over is remembered for this long while nothing is sent, ms. */
 const KEPT_MS = 10_000
 
@@ -63,7 +63,7 @@
 	now: number,
 ): void {
 	const rest = rests.get(server)
-	if (rest) rest.nextAt = Math.max(rest.nextAt, now + BACKOFF_PROBE_MS)
+	if (rest) rest.nextAt = Math.max(rest.nextAt, now + BACKOFF_PROBE_INTERVAL_MS)
 }
 
 /** Notes that a server took a request that was sent at `sentAt`; true if that is news. */
--- a/packages/core/src/core/serverUpdates.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -103,7 +103,7 @@
 	one: T,
 ): T {
 	if (one.kind !== 'end') return one
-	return { ...one, ...quarantine.ends.get(one.server) }
+	return { ...one, ...quarantine.crashes.get(one.server) }
 }
 
 function takeOne(book: SharedState, news: ServerUpdate, now: number): boolean {
--- a/packages/core/src/core/startLimits.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -5,7 +5,7 @@
 
 import type { AdmissionState, StartLimit } from '../internal.ts'
 import {
-	BACKOFF_PROBE_MS,
+	BACKOFF_PROBE_INTERVAL_MS,
 	createPermitPool,
 	grantPermits,
 	MAX_BACKOFF_MS,
@@ -51,7 +51,7 @@
 	const { limit, nextProbeAt: nextTryAt } = state
 	if (nextTryAt !== undefined && now < nextTryAt) return false
 	if (limit && !takeLimited(limit, now)) return false
-	if (nextTryAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_MS
+	if (nextTryAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_INTERVAL_MS
 	return true
 }
 
@@ -86,7 +86,7 @@
 	now: number,
 ): number {
 	if (nextTryAt === undefined) return 0
-	return Math.max(0, nextTryAt + ahead * BACKOFF_PROBE_MS - now)
+	return Math.max(0, nextTryAt + ahead * BACKOFF_PROBE_INTERVAL_MS - now)
 }
 
 function limitWaitMs(
--- a/packages/core/src/core/teamLimits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -66,7 +66,7 @@
 }
 
 /** Whether a team's home decides for all of `entries` live entries. */
-export function isEnforcedAtHome(limit: TeamConfig, entries: number): boolean {
+export function isEnforcedAtTeamHome(limit: TeamConfig, entries: number): boolean {
 	if (entries <= 1) return false
 	const { concurrency, ratePerSecond, tokensPerSecond } = limit
 	return (
@@ -121,7 +121,7 @@
 }
 
 /** Admits a request of the team's home itself. */
-export function admitAtHome(
+export function admitAtTeamHome(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
@@ -135,7 +135,7 @@
 }
 
 /** Notes that the team's home is about to be asked; gives what to tell it as held. */
-export function beginHomeAdmission(
+export function beginTeamHomeAdmission(
 	table: LimitTable,
 	team: string,
 	limit: TeamConfig,
@@ -152,7 +152,7 @@
  * Notes what came of a question to the team's home; answers come in the order of the
  * questions. True when the home believes something else than what is under way.
  */
-export function endHomeAdmission(
+export function endTeamHomeAdmission(
 	table: LimitTable,
 	team: string,
 	isAdmitted: boolean,
--- a/packages/core/src/core/tokenBucket.ts
+++ b/packages/core/src/core/tokenBucket.ts
@@ -8,12 +8,12 @@
 export interface TokenBucket {
 	level: number
 	/** When it was last filled up, ms. */
-	filledAt: number
+	refilledAt: number
 }
 
 /** Makes a full bucket of a rate a second. */
 export function createTokenBucket(rate: number, now: number): TokenBucket {
-	return { level: capacityOf(rate), filledAt: now }
+	return { level: capacityOf(rate), refilledAt: now }
 }
 
 /** Fills the bucket up to `now`; gives the ms until `amount` may be taken. */
@@ -24,9 +24,9 @@
 	now: number,
 ): number {
 	const capacity = capacityOf(rate)
-	const gained = ((now - bucket.filledAt) / MS) * rate
+	const gained = ((now - bucket.refilledAt) / MS) * rate
 	bucket.level = Math.min(capacity, bucket.level + gained)
-	bucket.filledAt = now
+	bucket.refilledAt = now
 	// What is larger than the bucket may be taken when it is full.
 	const needed = Math.min(amount, capacity)
 	if (bucket.level >= needed) return 0
--- a/packages/core/src/types/gossip.ts
+++ b/packages/core/src/types/gossip.ts
@@ -14,7 +14,7 @@
 	/** When it counts as lost, ms. */
 	readonly until: number
 	/** Questions for the same value before it. */
-	readonly tries: number
+	readonly retries: number
 }
 
 /** A value as held. */
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -8,7 +8,7 @@
 	clearGroupClosure,
 	createRandom,
 	createServerTable,
-	GROUP_RETRY_MS,
+	GROUP_PROBE_INTERVAL_MS,
 	listFullGroups,
 	recordAttempt,
 	recordGroupRefused,
@@ -220,11 +220,11 @@
 test('a closed group takes one try at a time', () => {
 	const closures = new Map()
 	recordGroupRefused(closures, 's', 0)
-	assert.not(tryEnterGroup(closures, 's', GROUP_RETRY_MS - 1))
-	assert.ok(tryEnterGroup(closures, 's', GROUP_RETRY_MS))
-	assert.not(tryEnterGroup(closures, 's', GROUP_RETRY_MS + 1))
+	assert.not(tryEnterGroup(closures, 's', GROUP_PROBE_INTERVAL_MS - 1))
+	assert.ok(tryEnterGroup(closures, 's', GROUP_PROBE_INTERVAL_MS))
+	assert.not(tryEnterGroup(closures, 's', GROUP_PROBE_INTERVAL_MS + 1))
 	assert.ok(clearGroupClosure(closures, 's'))
-	assert.ok(tryEnterGroup(closures, 's', GROUP_RETRY_MS + 1))
+	assert.ok(tryEnterGroup(closures, 's', GROUP_PROBE_INTERVAL_MS + 1))
 })
 
 test.run()
--- a/packages/core/test/models/lifecycleModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -71,7 +71,7 @@
 ): LifecycleModelEvent[] {
 	const { used } = state
 	const events: LifecycleModelEvent[] = []
-	for (const [entry, asked] of state.asked.entries()) {
+	for (const [entry, asked] of state.requested.entries()) {
 		if (!asked) {
 			events.push({ do: 'ask', entry })
 			break
@@ -85,7 +85,7 @@
 	}
 	for (const message of state.messages) {
 		events.push({ do: 'deliver', message, again: false })
-		if (used.doubles < bounds.doubles)
+		if (used.doubles < bounds.duplicates)
 			events.push({ do: 'deliver', message, again: true })
 	}
 	for (const [run, row] of state.agent.attempts)
@@ -106,7 +106,7 @@
 	const { state } = draft
 	switch (event.do) {
 		case 'ask':
-			state.asked[event.entry] = true
+			state.requested[event.entry] = true
 			offer(draft, event.entry)
 			break
 		case 'deliver': {
--- a/packages/core/test/models/lifecycleModelState.ts
+++ b/packages/core/test/models/lifecycleModelState.ts
@@ -25,7 +25,7 @@
 	readonly restarts: number
 	readonly pauses: number
 	readonly losses: number
-	readonly doubles: number
+	readonly duplicates: number
 	readonly leaves: number
 	readonly silences: number
 }
@@ -75,7 +75,7 @@
 /** A state of the model. */
 export interface LifecycleModelState {
 	readonly lifecycles: RequestLifecycle[]
-	readonly asked: boolean[]
+	readonly requested: boolean[]
 	/** Incarnation that each entry believes in. */
 	readonly believes: number[]
 	readonly agent: AdmissionState
@@ -134,7 +134,7 @@
 		lifecycles: each(() =>
 			createLifecycle(bounds.repeatable, !bounds.freshKey),
 		),
-		asked: each(() => false),
+		requested: each(() => false),
 		believes: each(() => 0),
 		agent,
 		incarnation: 0,
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -5,15 +5,15 @@
 
 import type { LimitTable, TeamConfig } from '../../src/index.ts'
 import {
-	admitAtHome,
+	admitAtTeamHome,
 	admitForEntry,
 	admitWithinShare,
-	beginHomeAdmission,
+	beginTeamHomeAdmission,
 	createLimits,
 	createRandom,
-	endHomeAdmission,
+	endTeamHomeAdmission,
 	findTeamHome,
-	isEnforcedAtHome,
+	isEnforcedAtTeamHome,
 	pruneInFlightElsewhere,
 	recordTeamInFlight,
 	releaseTeam,
@@ -110,7 +110,7 @@
 	}
 
 	function ask(entry: Entry, home: string): void {
-		const held = beginHomeAdmission(entry.limits, TEAM, limit, now)
+		const held = beginTeamHomeAdmission(entry.limits, TEAM, limit, now)
 		let isOver = false
 		const settle = (then: () => void) => {
 			if (isOver) return
@@ -119,7 +119,7 @@
 		}
 		after(ASK_MS, () =>
 			settle(() => {
-				endHomeAdmission(entry.limits, TEAM, false)
+				endTeamHomeAdmission(entry.limits, TEAM, false)
 				tell(entry)
 				keepPart(entry)
 			}),
@@ -131,7 +131,7 @@
 			const refusal = admitForEntry(keeper.limits, TEAM, limit, asked, now)
 			send(home, entry.name, () =>
 				settle(() => {
-					if (endHomeAdmission(entry.limits, TEAM, !refusal)) tell(entry)
+					if (endTeamHomeAdmission(entry.limits, TEAM, !refusal)) tell(entry)
 					if (!refusal) begin(entry)
 				}),
 			)
@@ -140,9 +140,9 @@
 
 	function take(entry: Entry): void {
 		const home = findTeamHome(TEAM, entry.names)!
-		if (!isEnforcedAtHome(limit, entry.names.length)) keepPart(entry)
+		if (!isEnforcedAtTeamHome(limit, entry.names.length)) keepPart(entry)
 		else if (home !== entry.name) ask(entry, home)
-		else if (!admitAtHome(entry.limits, TEAM, limit, tokens, now)) begin(entry)
+		else if (!admitAtTeamHome(entry.limits, TEAM, limit, tokens, now)) begin(entry)
 	}
 
 	function loseHome(): void {
--- a/packages/core/test/passModel.test.ts
+++ b/packages/core/test/passModel.test.ts
@@ -56,7 +56,7 @@
 			const state = { factor, copying }
 			const noise = 1 + 0.1 * (random() - 0.5)
 			const passMs = predictPassMs(COST, truth, held, state) * noise
-			addPassSample(fitter, COST, { passMs, held, factor, copying })
+			addPassSample(fitter, COST, { passMs, inFlight: held, factor, copying })
 		}
 		assert.ok(Math.abs(fitter.fit.base - truth.base) < 0.08)
 		assert.ok(Math.abs(fitter.fit.stepSkew - truth.stepSkew) < 0.12)
--- a/packages/core/test/quarantine.test.ts
+++ b/packages/core/test/quarantine.test.ts
@@ -227,7 +227,7 @@
 	const quarantine = createQuarantine()
 	take(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
 	take(quarantine, ['z', DAY_MS + 4_000, { other: 1 }])
-	assert.equal([...quarantine.ends.keys()], ['z'])
+	assert.equal([...quarantine.crashes.keys()], ['z'])
 })
 
 test('a flood of ends is forgotten before what bars a request', () => {
@@ -237,9 +237,9 @@
 		const crowd = Array.from({ length: 50 }, (_, one) => [`x${at}-${one}`, 5])
 		take(quarantine, [`s${at}`, 10_000 + at * 1_000, Object.fromEntries(crowd)])
 	}
-	assert.ok(quarantine.ends.size <= 256)
+	assert.ok(quarantine.crashes.size <= 256)
 	assert.ok(
-		Math.max(...[...quarantine.ends.values()].map(e => e.ran.size)) <= 16,
+		Math.max(...[...quarantine.crashes.values()].map(e => e.ran.size)) <= 16,
 	)
 	assert.equal(listQuarantined(quarantine), ['bad'])
 })
--- a/packages/core/test/requestLifecycle.test.ts
+++ b/packages/core/test/requestLifecycle.test.ts
@@ -18,7 +18,7 @@
 	restarts: 0,
 	pauses: 0,
 	losses: 0,
-	doubles: 0,
+	duplicates: 0,
 	leaves: 0,
 	silences: 0,
 }
@@ -31,7 +31,7 @@
 	},
 	{
 		name: 'a booking, a lost link, a doubled message',
-		bounds: { ...QUIET, losses: 1, doubles: 1 },
+		bounds: { ...QUIET, losses: 1, duplicates: 1 },
 	},
 	{
 		name: 'a booking with an own key, a pause, a leave, a silence',
@@ -53,7 +53,7 @@
 			freshKey: true,
 			pauses: 1,
 			silences: 1,
-			doubles: 1,
+			duplicates: 1,
 		},
 	},
 	{
@@ -119,7 +119,7 @@
 		restarts: 3,
 		pauses: 3,
 		losses: 6,
-		doubles: 6,
+		duplicates: 6,
 		leaves: 1,
 		silences: 4,
 	})
--- a/packages/core/test/serverUpdates.test.ts
+++ b/packages/core/test/serverUpdates.test.ts
@@ -159,7 +159,7 @@
 	return {
 		limits: SERVERS.map(one => rateLimitOf(book.rateLimits, one) ?? 'none'),
 		left: [...book.departed].sort(),
-		ends: [...book.quarantine.ends.values()]
+		ends: [...book.quarantine.crashes.values()]
 			.map(({ server, ran }) => `${server} ${[...ran.keys()].sort()}`)
 			.sort(),
 		rests: [...book.backoffs.values()]
--- a/packages/core/test/teamLimits.test.ts
+++ b/packages/core/test/teamLimits.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { TeamConfig } from '../src/index.ts'
-import { isEnforcedAtHome } from '../src/index.ts'
+import { isEnforcedAtTeamHome } from '../src/index.ts'
 import type { TeamRun, TeamStory } from './models/teamNet.ts'
 import { playTeam } from './models/teamNet.ts'
 
@@ -133,9 +133,9 @@
 
 test('an entry that is alone, or has enough, asks nobody', () => {
 	const small = { ...LIMIT, concurrency: 10 }
-	assert.not(isEnforcedAtHome(small, 1))
-	assert.ok(isEnforcedAtHome(small, 3))
-	assert.not(isEnforcedAtHome(LIMIT, 330))
+	assert.not(isEnforcedAtTeamHome(small, 1))
+	assert.ok(isEnforcedAtTeamHome(small, 3))
+	assert.not(isEnforcedAtTeamHome(LIMIT, 330))
 })
 
 test.run()
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -5,14 +5,14 @@
 
 import type { LimitShare, NotRun } from '@juniperhook/core'
 import {
-	admitAtHome,
+	admitAtTeamHome,
 	admitForEntry,
 	admitWithinShare,
-	beginHomeAdmission,
-	endHomeAdmission,
+	beginTeamHomeAdmission,
+	endTeamHomeAdmission,
 	FULL_SHARE,
 	findTeamHome,
-	isEnforcedAtHome,
+	isEnforcedAtTeamHome,
 	notRun,
 	pruneInFlightElsewhere,
 	recordTeamInFlight,
@@ -89,7 +89,7 @@
 	const { part } = keepers
 	const home = homeOf(ctx, intake)
 	if (home === ctx.name)
-		return admitAtHome(limits, teamName, team, tokens, readNow())
+		return admitAtTeamHome(limits, teamName, team, tokens, readNow())
 	const reply = home === undefined ? NOT_HOME : await askHome(ctx, home, intake)
 	switch (reply.type) {
 		case 'admitted':
@@ -117,7 +117,7 @@
 	for (const team of limits.keys()) {
 		const limit = config?.team[team]
 		const home = findTeamHome(team, keepers.names)
-		if (!limit || !isEnforcedAtHome(limit, keepers.part.count)) continue
+		if (!limit || !isEnforcedAtTeamHome(limit, keepers.part.count)) continue
 		if (home !== undefined && home !== ctx.name) void tellHeld(ctx, home, team)
 	}
 }
@@ -138,7 +138,7 @@
 	{ keepers }: EntryContext,
 	{ teamName, team }: Intake,
 ): string | undefined {
-	if (!isEnforcedAtHome(team, keepers.part.count)) return undefined
+	if (!isEnforcedAtTeamHome(team, keepers.part.count)) return undefined
 	return findTeamHome(teamName, keepers.names)
 }
 
@@ -149,7 +149,7 @@
 ): Promise<TeamReply> {
 	const silentUntil = ctx.keepers.silentUntil.get(home) ?? 0
 	if (readElapsed() < silentUntil) return NOT_HOME
-	const held = beginHomeAdmission(ctx.limits, teamName, team, readNow())
+	const held = beginTeamHomeAdmission(ctx.limits, teamName, team, readNow())
 	const ask = { entry: ctx.name, team: teamName, held, tokens }
 	try {
 		const link = await openMemberLink(ctx.follower(), home, ASK_MS)
@@ -157,11 +157,11 @@
 		const answer = await call(link, 'admitTeam', ask, ASK_MS)
 		const reply = v.parse(TeamReplySchema, answer)
 		const isAdmitted = reply.type === 'admitted'
-		if (endHomeAdmission(ctx.limits, teamName, isAdmitted))
+		if (endTeamHomeAdmission(ctx.limits, teamName, isAdmitted))
 			void tellHeld(ctx, home, teamName)
 		return reply
 	} catch (err) {
-		endHomeAdmission(ctx.limits, teamName, false)
+		endTeamHomeAdmission(ctx.limits, teamName, false)
 		ctx.keepers.silentUntil.set(home, readElapsed() + SILENT_MS)
 		const detail = messageOf(err)
 		log({
--- a/packages/entry/test/quarantine.test.ts
+++ b/packages/entry/test/quarantine.test.ts
@@ -82,7 +82,7 @@
 	assert.equal(sent, [])
 	assert.ok(quarantinedForMs(ctx, DEADLY) > 0)
 	assert.is(quarantinedForMs(ctx, OTHER), 0)
-	assert.is(ctx.quarantined.quarantine.ends.size, 3)
+	assert.is(ctx.quarantined.quarantine.crashes.size, 3)
 })
 
 test('a request that is answered whole is taken back, everywhere', async () => {
@@ -101,7 +101,7 @@
 		assert.throws(() => (methods.serverEnd as Call)(params))
 		assert.throws(() => (methods.endNews as Call)(params))
 	}
-	assert.is(ctx.quarantined.quarantine.ends.size, 0)
+	assert.is(ctx.quarantined.quarantine.crashes.size, 0)
 })
 
 test.run()
--- a/packages/gateway/src/availabilityForecast.ts
+++ b/packages/gateway/src/availabilityForecast.ts
@@ -4,7 +4,7 @@
  */
 
 import {
-	BACKOFF_PROBE_MS,
+	BACKOFF_PROBE_INTERVAL_MS,
 	backoffLeftMs,
 	listDueMs,
 	rateLimitOf,
@@ -51,7 +51,7 @@
 		kind,
 		dueMs,
 		nextMs: moreMs,
-		intervalMs: kind === 'resting' ? BACKOFF_PROBE_MS : 0,
+		intervalMs: kind === 'resting' ? BACKOFF_PROBE_INTERVAL_MS : 0,
 	}
 }
 
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -106,7 +106,7 @@
 	/** What servers run for this entry. */
 	readonly sentRequests: SentRequests
 	/** Servers that may have ended. */
-	readonly ends: CrashDetector
+	readonly crashDetector: CrashDetector
 	/** What is known of servers and shared with other entries; what they are to be told. */
 	readonly sharedState: SharedState
 	readonly outbox: Outbox
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -46,7 +46,7 @@
 	server: ListedServer,
 ): void {
 	if (isGroupStalled(ctx, server)) return
-	const { checks, queue } = ctx.ends
+	const { checks, queue } = ctx.crashDetector
 	const inFlight = listInFlight(ctx.sentRequests, server.id)
 	const known = checks.get(server.id)
 	if (!known && checks.size >= MAX_CHECKS) return
@@ -92,7 +92,7 @@
 }
 
 function probeNext(ctx: GatewayContext): void {
-	const { ends } = ctx
+	const { crashDetector: ends } = ctx
 	while (ends.probing < MAX_PROBES) {
 		const id = ends.queue.shift()
 		if (id === undefined) return
@@ -132,7 +132,7 @@
 	check: CrashCheck,
 	result: ProbeResult,
 ): void {
-	const { checks, inconclusive, queue } = ctx.ends
+	const { checks, inconclusive, queue } = ctx.crashDetector
 	const { id } = check.server
 	if (checks.get(id) !== check) return
 	switch (result) {
@@ -159,7 +159,7 @@
  * announced its leaving has crashed; one that is listed as leaving has not.
  */
 export function resolveChecksByList(ctx: GatewayContext): void {
-	const { ends, list } = ctx
+	const { crashDetector: ends, list } = ctx
 	for (const [id, check] of [...ends.inconclusive, ...ends.checks]) {
 		const listed = list.records.get(check.server.name)?.server
 		const isListed = listed?.id === id
@@ -169,7 +169,7 @@
 }
 
 function closeCheck(
-	{ ends }: GatewayContext,
+	{ crashDetector: ends }: GatewayContext,
 	{ server, resolve }: CrashCheck,
 ): void {
 	ends.checks.delete(server.id)
@@ -180,14 +180,14 @@
 /** Drops checks that got no result. */
 export function expireCrashChecks(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const map of [ctx.ends.checks, ctx.ends.inconclusive])
+	for (const map of [ctx.crashDetector.checks, ctx.crashDetector.inconclusive])
 		for (const [id, { at }] of map)
 			if (now - at >= CHECK_TIMEOUT_MS) map.delete(id)
 }
 
 /** Records a complete answer, which proves that the server has not crashed before. */
 export function recordServerAlive(
-	{ ends }: GatewayContext,
+	{ crashDetector: ends }: GatewayContext,
 	server: string,
 ): void {
 	ends.inconclusive.delete(server)
@@ -195,7 +195,7 @@
 
 /** Waits for the result of a server's crash check, if one is in progress. */
 export async function awaitCrashCheck(
-	{ ends }: GatewayContext,
+	{ crashDetector: ends }: GatewayContext,
 	server: string,
 ): Promise<void> {
 	await ends.checks.get(server)?.resolved
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -93,7 +93,7 @@
 		retries: new Map(),
 		entryCount: Math.max(1, settings.seeds.length),
 		sentRequests: createSentRequests(),
-		ends: createCrashDetector(),
+		crashDetector: createCrashDetector(),
 		suspension: createSuspensionWatch(),
 		sharedState: book,
 		outbox: new Map(),
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -19,4 +19,4 @@
 	SourceResult,
 	WireNames,
 } from './ports.ts'
-export { READ_SIGNALS } from './serverStatement.ts'
+export { HANDLED_SIGNALS as READ_SIGNALS } from './serverStatement.ts'
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -39,7 +39,7 @@
 	}
 
 /** Names of the signals that have a reader. */
-export const READ_SIGNALS = Object.keys(READERS) as (keyof SignalValues)[]
+export const HANDLED_SIGNALS = Object.keys(READERS) as (keyof SignalValues)[]
 
 /** Takes all that an answer says of its server. */
 export function applyStatement(
@@ -47,7 +47,7 @@
 	heard: StatementOrigin,
 	statement: ServerStatement,
 ): void {
-	for (const signal of READ_SIGNALS) takeSignal(ctx, heard, statement, signal)
+	for (const signal of HANDLED_SIGNALS) takeSignal(ctx, heard, statement, signal)
 	for (const header of statement.unknown) recordUnknown(ctx, heard, header)
 }
 
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -218,19 +218,19 @@
 		const row = entry.ctx.fleet.table.rowOf.get(servers.runs[0]!.server)!
 		const server = entry.ctx.fleet.servers[row]!
 		recordBrokenConnection(entry.ctx, server)
-		await until(() => entry.ctx.ends.inconclusive.size > 0)
-		assert.is(entry.ctx.quarantineGate.quarantine.ends.size, 0)
+		await until(() => entry.ctx.crashDetector.inconclusive.size > 0)
+		assert.is(entry.ctx.quarantineGate.quarantine.crashes.size, 0)
 		// What is sent on meanwhile meets the one in between, not the server.
 		const [run] = entry.ctx.sentRequests.inFlight.get(server.id)!
 		entry.ctx.sentRequests.inFlight.clear()
 		recordBrokenConnection(entry.ctx, server)
-		await until(() => entry.ctx.ends.checks.size === 0)
+		await until(() => entry.ctx.crashDetector.checks.size === 0)
 		const record = { name: server.name, revision: revisionOf(9) }
 		servers.catalogs[0]!.publish({
 			servers: [{ ...record, server: next(server) }],
 		})
-		await until(() => entry.ctx.quarantineGate.quarantine.ends.size > 0)
-		const [end] = entry.ctx.quarantineGate.quarantine.ends.values()
+		await until(() => entry.ctx.quarantineGate.quarantine.crashes.size > 0)
+		const [end] = entry.ctx.quarantineGate.quarantine.crashes.values()
 		assert.equal(
 			[end?.server, [...end!.ran.keys()]],
 			[server.id, [fingerprintOf(run!.request)]],
@@ -246,7 +246,7 @@
 	const { ctx } = entry
 	const server = ctx.fleet.servers[0]!
 	recordBrokenConnection(ctx, server)
-	await until(() => ctx.ends.inconclusive.size > 0)
+	await until(() => ctx.crashDetector.inconclusive.size > 0)
 	const tell = (at: number, one: ListedServer | undefined) =>
 		servers.catalogs[0]!.publish({
 			servers: [{ name: server.name, revision: revisionOf(at), server: one }],
@@ -255,7 +255,7 @@
 	await until(() => ctx.list.departed.has(server.id))
 	tell(10, undefined)
 	await until(() => ctx.list.records.get(server.name)?.server === undefined)
-	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	servers.close()
 })
 
@@ -273,7 +273,7 @@
 		const [rank] = entry.ctx.fleet.servers
 		entry.ctx.closures.set(groupOf(rank!), closure)
 		recordBrokenConnection(entry.ctx, rank!)
-		assert.is(entry.ctx.ends.checks.size, doubts)
+		assert.is(entry.ctx.crashDetector.checks.size, doubts)
 		servers.close()
 	})
 
@@ -283,9 +283,9 @@
 	for (let at = 0; at < 6; at++) {
 		backends.script = ['cut', 'reset', 'cut']
 		await send({ ctx, callers } as OpenGateway, '/r/x', 'the same')
-		await until(() => ctx.ends.checks.size === 0)
+		await until(() => ctx.crashDetector.checks.size === 0)
 	}
-	assert.is(ctx.quarantineGate.quarantine.ends.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	for (const server of backends.servers) server.close()
 })
 
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -74,7 +74,7 @@
 		{ kind: 'end' as const, server: 'b', agoMs: 1_000, ran },
 	]
 	receiveUpdates(ctx, told, 'peer')
-	const [first] = ctx.quarantineGate.quarantine.ends.values()
+	const [first] = ctx.quarantineGate.quarantine.crashes.values()
 	const before = readElapsed() - first!.at
 	ctx.fleet.groupReports.set('g', {
 		slow: {},
--- a/packages/groups/src/passWatch.ts
+++ b/packages/groups/src/passWatch.ts
@@ -43,7 +43,7 @@
 	if (isSame && report.step - since.report.step < PASSES) return
 	if (isSame) {
 		const passMs = (at - since.at) / (report.step - since.report.step)
-		takePasses(co, group, { passMs, held: co.held, factor, copying })
+		takePasses(co, group, { passMs, inFlight: co.held, factor, copying })
 	}
 	passes.since = { report, at }
 	passes.copying = copying
@@ -56,10 +56,10 @@
 	group: PublishedGroup,
 	seen: PassSample,
 ): void {
-	if (seen.passMs > MAX_PASS_MS || seen.held <= 0) return
+	if (seen.passMs > MAX_PASS_MS || seen.inFlight <= 0) return
 	const { fitter, passes } = co
 	const { fit } = fitter
-	const predicted = predictPassMs(group.cost, fit, seen.held, seen)
+	const predicted = predictPassMs(group.cost, fit, seen.inFlight, seen)
 	addPassSample(fitter, group.cost, seen)
 	const now = readNow()
 	if (now - passes.loggedAt < LOG_MS) return
@@ -74,7 +74,7 @@
 	co.log.write('passes seen', {
 		passMs: Math.round(seen.passMs),
 		predictedMs: Math.round(predicted),
-		held: Number(seen.held.toFixed(2)),
+		held: Number(seen.inFlight.toFixed(2)),
 		factor: Number(seen.factor.toFixed(2)),
 		copying: seen.copying,
 		base: Number(fit.base.toFixed(2)),
