--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -1,183 +1,191 @@
 /**
- * Notices that a server has ended, and which requests it was running. A connection
- * that breaks says little: servers also break off single answers, and the ranks of a
- * group that stands still cut theirs. Whether a process still listens there tells.
+ * Detects server crashes and the requests in flight at that time. A broken connection
+ * alone proves nothing: servers also abort single answers, and the ranks of a stalled
+ * group close theirs. Therefore a probe checks whether a process still listens at the
+ * server's address.
  */
 
 import { connect } from 'node:net'
 import type { ListedServer } from '@juniperhook/core'
 import { MAX_REQUESTS_PER_CRASH, splitAddress } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
-import { handleRankCrash, standsStill } from './closedGroups.ts'
+import { handleRankCrash, isGroupStalled } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import type { CrashCheck } from './crashDetectorState.ts'
-import { recordServerEnd } from './quarantineGate.ts'
+import { recordServerCrash } from './quarantineGate.ts'
 import { listInFlight } from './sentRequests.ts'
 
-/** Servers that are asked at the same time; each takes one round trip. */
+/** Maximum number of concurrent probes; each takes one round trip. */
 const MAX_PROBES = 4
-/** A server that does not say whether a process listens is asked again, ms. */
-const PROBE_MS = 250
-const MAX_TRIES = 3
+/** Timeout of a probe, ms, and the maximum number of inconclusive probes per check. */
+const PROBE_TIMEOUT_MS = 250
+const MAX_ATTEMPTS = 3
 /**
- * What stays unclear is settled by the list, in which a server that has ended
- * stays for three of its heartbeats; some seconds, ms.
+ * How long an inconclusive check waits for the server list, ms. A crashed server stays
+ * listed for three heartbeats, some seconds.
  */
-const DOUBT_MS = 6_000
-/** After a suspected request was left at a server, ms; within what is remembered. */
-const LEFT_LOOK_MS = 900
-/** Servers in doubt at the same time; more than fail with a data centre. */
-const MAX_DOUBTS = 512
+const CHECK_TIMEOUT_MS = 6_000
+/**
+ * Delay between abandoning a suspected request and the check of its server, ms; shorter
+ * than the retention of abandoned requests.
+ */
+const ABANDONED_CHECK_MS = 900
+/** Maximum number of concurrent checks; more servers than fail with a data centre. */
+const MAX_CHECKS = 512
 
-/** How it is known that a server has ended. */
-export type EndWitness = 'refused' | 'list'
+/** Evidence of a crash: a refused connection, or the server list. */
+export type CrashWitness = 'refused' | 'list'
 
 /**
- * Notes that a server closed a connection before its answer was whole. Nothing is
- * asked of the ranks of a group that is known to stand still: each entry would open a
- * connection to every rank.
+ * Starts a crash check for a server that closed a connection before its answer was
+ * complete. Ranks of a group known to be stalled are not probed: each entry would open
+ * a connection to every rank.
  */
 export function recordBrokenConnection(
 	ctx: GatewayContext,
 	server: ListedServer,
 ): void {
-	if (standsStill(ctx, server)) return
-	const { checks: doubts, queue } = ctx.crashDetector
-	const running = listInFlight(ctx.sentRequests, server.id)
-	const known = doubts.get(server.id)
-	if (!known && doubts.size >= MAX_DOUBTS) return
-	const doubt = known ?? createDoubt(ctx, server)
-	for (const one of running) doubt.inFlight.set(one.id, one)
+	if (isGroupStalled(ctx, server)) return
+	const { checks, queue } = ctx.crashDetector
+	const inFlight = listInFlight(ctx.sentRequests, server.id)
+	const known = checks.get(server.id)
+	if (!known && checks.size >= MAX_CHECKS) return
+	const check = known ?? createCheck(ctx, server)
+	for (const one of inFlight) check.inFlight.set(one.id, one)
 	if (known) return
-	doubts.set(server.id, doubt)
+	checks.set(server.id, check)
 	queue.push(server.id)
-	askNext(ctx)
+	probeNext(ctx)
 }
 
 /**
- * Looks later whether a server has ended under a request that this entry left there:
- * no connection of its own will tell. Only for requests that are suspected already.
+ * Schedules a crash check for a server at which this entry abandoned a request: no
+ * connection is left that would break. Used only for requests already under suspicion.
  */
 export function scheduleCrashCheck(
 	ctx: GatewayContext,
 	server: ListedServer,
 ): void {
-	setTimeout(() => recordBrokenConnection(ctx, server), LEFT_LOOK_MS).unref()
+	setTimeout(
+		() => recordBrokenConnection(ctx, server),
+		ABANDONED_CHECK_MS,
+	).unref()
 }
 
-function createDoubt(
+function createCheck(
 	{ list }: GatewayContext,
 	server: ListedServer,
 ): CrashCheck {
-	let settle = () => {}
-	const settled = new Promise<void>(resolve => {
-		settle = resolve
+	let resolve = () => {}
+	const resolved = new Promise<void>(resolvePromise => {
+		resolve = resolvePromise
 	})
 	return {
 		server,
 		at: readElapsed(),
 		hadLeft: list.departed.has(server.id),
 		inFlight: new Map(),
-		tries: 0,
-		resolved: settled,
-		resolve: settle,
+		attempts: 0,
+		resolved,
+		resolve,
 	}
 }
 
-function askNext(ctx: GatewayContext): void {
+function probeNext(ctx: GatewayContext): void {
 	const { crashDetector: ends } = ctx
 	while (ends.probing < MAX_PROBES) {
 		const id = ends.queue.shift()
 		if (id === undefined) return
-		const doubt = ends.checks.get(id)
-		if (!doubt) continue
+		const check = ends.checks.get(id)
+		if (!check) continue
 		ends.probing++
-		void probe(doubt.server.address).then(listens => {
+		void probe(check.server.address).then(result => {
 			ends.probing--
-			judgeProbe(ctx, doubt, listens)
-			askNext(ctx)
+			applyProbe(ctx, check, result)
+			probeNext(ctx)
 		})
 	}
 }
 
 /** Whether a process listens at an address. */
-type Listens = 'yes' | 'no' | 'unclear'
+type ProbeResult = 'yes' | 'no' | 'unclear'
 
-function probe(address: string): Promise<Listens> {
+function probe(address: string): Promise<ProbeResult> {
 	const { ip, port } = splitAddress(address)
 	return new Promise(resolve => {
 		const socket = connect({ host: ip, port })
-		const settleWith = (listens: Listens) => {
+		const finish = (result: ProbeResult) => {
 			clearTimeout(timer)
 			socket.destroy()
-			resolve(listens)
+			resolve(result)
 		}
-		const timer = setTimeout(() => settleWith('unclear'), PROBE_MS)
-		socket.on('connect', () => settleWith('yes'))
+		const timer = setTimeout(() => finish('unclear'), PROBE_TIMEOUT_MS)
+		socket.on('connect', () => finish('yes'))
 		socket.on('error', (err: NodeJS.ErrnoException) =>
-			settleWith(err.code === 'ECONNREFUSED' ? 'no' : 'unclear'),
+			finish(err.code === 'ECONNREFUSED' ? 'no' : 'unclear'),
 		)
 	})
 }
 
-function judgeProbe(
+function applyProbe(
 	ctx: GatewayContext,
-	doubt: CrashCheck,
-	listens: Listens,
+	check: CrashCheck,
+	result: ProbeResult,
 ): void {
-	const { checks: doubts, inconclusive: answered, queue } = ctx.crashDetector
-	const { id } = doubt.server
-	if (doubts.get(id) !== doubt) return
-	switch (listens) {
+	const { checks, inconclusive, queue } = ctx.crashDetector
+	const { id } = check.server
+	if (checks.get(id) !== check) return
+	switch (result) {
 		case 'yes':
-			doubts.delete(id)
-			if (!answered.has(id)) answered.set(id, doubt)
-			doubt.resolve()
+			checks.delete(id)
+			if (!inconclusive.has(id)) inconclusive.set(id, check)
+			check.resolve()
 			return
 		case 'no':
-			believeEnd(ctx, doubt, 'refused')
+			confirmCrash(ctx, check, 'refused')
 			return
 		case 'unclear':
-			doubt.tries++
-			if (doubt.tries < MAX_TRIES) queue.push(id)
-			else doubt.resolve()
+			check.attempts++
+			if (check.attempts < MAX_ATTEMPTS) queue.push(id)
+			else check.resolve()
 			return
 		default:
-			listens satisfies never
+			result satisfies never
 	}
 }
 
 /**
- * Settles doubts by a list that no longer names a server's life, though it had not said
- * that it leaves. One that says so later has lived on.
+ * Resolves checks with the server list. A server that disappeared without having
+ * announced its leaving has crashed; one that is listed as leaving has not.
  */
-export function settleByList(ctx: GatewayContext): void {
+export function resolveChecksByList(ctx: GatewayContext): void {
 	const { crashDetector: ends, list } = ctx
-	for (const [id, doubt] of [...ends.inconclusive, ...ends.checks]) {
-		const listed = list.records.get(doubt.server.name)?.server
+	for (const [id, check] of [...ends.inconclusive, ...ends.checks]) {
+		const listed = list.records.get(check.server.name)?.server
 		const isListed = listed?.id === id
-		if (isListed && listed.leaving) dropDoubt(ctx, doubt)
-		else if (!isListed && !doubt.hadLeft) believeEnd(ctx, doubt, 'list')
+		if (isListed && listed.leaving) closeCheck(ctx, check)
+		else if (!isListed && !check.hadLeft) confirmCrash(ctx, check, 'list')
 	}
 }
 
-function dropDoubt(
+function closeCheck(
 	{ crashDetector: ends }: GatewayContext,
-	{ server, resolve: settle }: CrashCheck,
+	{ server, resolve }: CrashCheck,
 ): void {
 	ends.checks.delete(server.id)
 	ends.inconclusive.delete(server.id)
-	settle()
+	resolve()
 }
 
-/** Forgets doubts that nothing has settled. */
+/** Drops checks that got no result. */
 export function expireCrashChecks(ctx: GatewayContext): void {
 	const now = readElapsed()
-	for (const some of [ctx.crashDetector.checks, ctx.crashDetector.inconclusive])
-		for (const [id, { at }] of some) if (now - at >= DOUBT_MS) some.delete(id)
+	for (const map of [ctx.crashDetector.checks, ctx.crashDetector.inconclusive])
+		for (const [id, { at }] of map)
+			if (now - at >= CHECK_TIMEOUT_MS) map.delete(id)
 }
 
-/** Notes that a server gave a whole answer: it has not ended before. */
+/** Records a complete answer, which proves that the server has not crashed before. */
 export function recordServerAlive(
 	{ crashDetector: ends }: GatewayContext,
 	server: string,
@@ -185,7 +193,7 @@
 	ends.inconclusive.delete(server)
 }
 
-/** Waits until it is known whether a server that broke off has ended. */
+/** Waits for the result of a server's crash check, if one is in progress. */
 export async function awaitCrashCheck(
 	{ crashDetector: ends }: GatewayContext,
 	server: string,
@@ -193,14 +201,14 @@
 	await ends.checks.get(server)?.resolved
 }
 
-function believeEnd(
+function confirmCrash(
 	ctx: GatewayContext,
-	doubt: CrashCheck,
-	witness: EndWitness,
+	check: CrashCheck,
+	witness: CrashWitness,
 ): void {
-	const { server, at } = doubt
-	dropDoubt(ctx, doubt)
-	const running = [...doubt.inFlight.values()]
+	const { server, at } = check
+	closeCheck(ctx, check)
+	const inFlight = [...check.inFlight.values()]
 		.sort((a, b) => b.since - a.since)
 		.slice(0, MAX_REQUESTS_PER_CRASH)
 	ctx.metrics.serverEnds.inc({ witness })
@@ -209,9 +217,9 @@
 		address: server.address,
 		witness,
 		agoMs: Math.round(readElapsed() - at),
-		requests: running.map(one => one.id),
-		fingerprints: [...new Set(running.map(one => one.fingerprint))],
+		requests: inFlight.map(one => one.id),
+		fingerprints: [...new Set(inFlight.map(one => one.fingerprint))],
 	})
-	recordServerEnd(ctx, server.id, at, running)
+	recordServerCrash(ctx, server.id, at, inFlight)
 	if (witness === 'refused') handleRankCrash(ctx, server)
 }
--- a/packages/gateway/src/groupReports.ts
+++ b/packages/gateway/src/groupReports.ts
@@ -1,7 +1,7 @@
 /**
- * Lock-step groups that are broken, have slow ranks or a limit. A coordinator tells
- * some entries, and news go on from entry to entry until all know them: a limit that
- * some keep and others do not turns callers away for nothing.
+ * Reports of coordinators on lock-step groups that are broken, have slow ranks or a
+ * limit. A coordinator sends a report to some entries, which forward it until all have
+ * it: a limit that only some entries apply rejects callers needlessly.
  */
 
 import { readElapsed } from '@juniperhook/runtime'
@@ -9,65 +9,68 @@
 import { handleGroupBroken, handleGroupOpened } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import { applyGroupReports, serviceOf } from './fleet.ts'
-import { PacesSchema } from './peerMessages.ts'
+import { GroupReportSchema } from './peerMessages.ts'
 import { serveQueues } from './serverQueue.ts'
 
-/** Coordinators repeat what they tell each second; older is forgotten, ms. */
-const PACES_MS = 2_500
+/** Lifetime of a report, ms; coordinators repeat theirs each second. */
+const REPORT_RETENTION_MS = 2_500
 /**
- * News that have been heard are known again for this long, ms: far more than any
- * way from entry to entry takes, so that none of them goes round for ever.
+ * Retention of sequence numbers, ms: far longer than a report takes on any path between
+ * entries, so that no report circulates forever.
  */
-const HEARD_MS = 30_000
+const SEQUENCE_RETENTION_MS = 30_000
 
-/** News of a group, as they are told on. */
-export type GroupNews = v.InferOutput<typeof PacesSchema>
+/** A report as it is forwarded between entries. */
+export type GroupReportMessage = v.InferOutput<typeof GroupReportSchema>
 
-/** Takes news of a group; gives them for others if they are new here. */
+/** Applies a report. Returns it for forwarding, or undefined if it was known already. */
 export function receiveGroupReport(
 	ctx: GatewayContext,
 	params: unknown,
-): GroupNews | undefined {
-	const news = v.parse(PacesSchema, params)
-	const { group, by, number, slow, limit, broken, hops } = news
-	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
+): GroupReportMessage | undefined {
+	const report = v.parse(GroupReportSchema, params)
+	const { group, by, number, slow, limit, broken, hops } = report
+	const { groupReports, lastGroupReports } = ctx.fleet
 	const key = `${group} ${by}`
-	const heard = heardNews.get(key)
-	if (heard && heard.number >= number) return undefined
+	const last = lastGroupReports.get(key)
+	if (last && last.number >= number) return undefined
 	const at = readElapsed()
-	heardNews.set(key, { number, at })
+	lastGroupReports.set(key, { number, at })
 	const ranks = Object.keys(slow)
-	const wasBroken = toldGroups.get(group)?.broken
-	const isWell = ranks.length === 0 && limit === undefined && !broken
-	if (isWell) toldGroups.delete(group)
-	else toldGroups.set(group, { slow, limit, broken, at })
+	const wasBroken = groupReports.get(group)?.broken
+	const isHealthy = ranks.length === 0 && limit === undefined && !broken
+	if (isHealthy) groupReports.delete(group)
+	else groupReports.set(group, { slow, limit, broken, at })
 	const { log } = ctx
 	log.write('paces told', { group, slow: ranks, limit, broken, by, hops })
 	applyGroupReports(ctx.fleet)
 	if (broken) handleGroupBroken(ctx, group, 'coordinator')
-	// Older news of a group that runs may come after a rank's refusal.
+	// An outdated report of a healthy group may arrive after a rank's refusal.
 	else if (wasBroken && handleGroupOpened(ctx, group, 'coordinator'))
-		serveOpened(ctx, group)
-	return { ...news, hops: hops + 1 }
+		dispatchQueued(ctx, group)
+	return { ...report, hops: hops + 1 }
 }
 
 /**
- * Grants what waits for a group that has opened. Groups that broke together open
- * within some ms, and the first one would be given what all of them are to serve. While another one is closed, the next look at the queues does it.
+ * Dispatches the requests that wait for a group that has opened. Groups that broke
+ * together open within some ms, and the first one would get the requests meant for all
+ * of them; while another one is closed, dispatch is left to the next periodic run.
  */
-function serveOpened(ctx: GatewayContext, group: string): void {
+function dispatchQueued(ctx: GatewayContext, group: string): void {
 	const service = serviceOf(group)
 	const closed = [...ctx.closures.keys()]
 	if (!closed.some(other => serviceOf(other) === service)) serveQueues(ctx)
 }
 
-/** What has not been told again is no longer believed. */
-export function forgetGroups(ctx: GatewayContext, now: number): void {
-	const { groupReports: toldGroups, lastGroupReports: heardNews } = ctx.fleet
-	for (const [key, { at }] of heardNews)
-		if (now - at > HEARD_MS) heardNews.delete(key)
-	const old = [...toldGroups].filter(([, { at }]) => now - at > PACES_MS)
-	if (old.length === 0) return
-	for (const [group] of old) toldGroups.delete(group)
+/** Drops reports that were not repeated in time. */
+export function expireGroupReports(ctx: GatewayContext, now: number): void {
+	const { groupReports, lastGroupReports } = ctx.fleet
+	for (const [key, { at }] of lastGroupReports)
+		if (now - at > SEQUENCE_RETENTION_MS) lastGroupReports.delete(key)
+	const expired = [...groupReports].filter(
+		([, { at }]) => now - at > REPORT_RETENTION_MS,
+	)
+	if (expired.length === 0) return
+	for (const [group] of expired) groupReports.delete(group)
 	applyGroupReports(ctx.fleet)
 }
--- a/packages/gateway/src/outbox.ts
+++ b/packages/gateway/src/outbox.ts
@@ -1,19 +1,22 @@
-/** What other entries are to be told. */
+/** Updates that are queued for other entries. */
 
 import type { ServerUpdate } from '@juniperhook/core'
 import { updateKeyOf } from '@juniperhook/core'
 
-/** The last news of each subject that have not been told yet. */
+/** The latest unsent update of each subject. */
 export type Outbox = Map<string, ServerUpdate>
 
-/** Notes news that are to be told. */
-export function postNews(outbox: Outbox, news: readonly ServerUpdate[]): void {
-	for (const one of news) outbox.set(updateKeyOf(one), one)
+/** Queues updates; an update replaces a queued one of the same subject. */
+export function enqueueUpdates(
+	outbox: Outbox,
+	updates: readonly ServerUpdate[],
+): void {
+	for (const one of updates) outbox.set(updateKeyOf(one), one)
 }
 
-/** Takes out what is to be told. */
+/** Removes and returns all queued updates. */
 export function drainOutbox(outbox: Outbox): ServerUpdate[] {
-	const news = [...outbox.values()]
+	const updates = [...outbox.values()]
 	outbox.clear()
-	return news
+	return updates
 }
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -1,56 +1,57 @@
-/** Links to other entries: which are kept, and that they come up again. */
+/** Links to other entries: choosing, connecting and reconnecting them. */
 
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { connectRpc, messageOf, notify, sleep } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import type { GroupNews } from './groupReports.ts'
+import type { GroupReportMessage } from './groupReports.ts'
 import { chooseLinks } from './peerMesh.ts'
 
-/** Before another try to link to an entry, ms; it doubles up to the second. */
-const RECONNECT_MS = 100
+/** Exponential backoff between connection attempts to an entry, ms. */
+const MIN_RECONNECT_MS = 100
 const MAX_RECONNECT_MS = 1_500
 /**
- * How long a link may take to come up, ms; it doubles up to the second. What is sent
- * to a VM without power is lost without a word: where entries started before the ones
- * that they were told of, waits of 500 ms made them know each other 0.7 s after the
- * last had started, about when groups opened to what waited at all of them.
+ * Connection timeout, ms; it doubles up to the maximum. Connection attempts to a VM that
+ * is not running yet are dropped silently. With a fixed timeout of 500 ms, entries that
+ * started before their seeds were linked only 0.7 s after the last had started, about
+ * when groups opened to the requests queued at all of them.
  */
-const CONNECT_MS = 120
-const MAX_CONNECT_MS = 500
-/** Entries named to a coordinator, in case those that it knows are stopped. */
-const SOME = 6
+const CONNECT_TIMEOUT_MS = 120
+const MAX_CONNECT_TIMEOUT_MS = 500
+/** Maximum number of addresses returned to a coordinator, whose own list may be stale. */
+const MAX_LISTED = 6
 
 /** Links to other entries. */
 export interface PeerLinks {
-	/** Known addresses of entries, and the links to those that are kept. */
+	/** Open links by address; undefined for known entries without one. */
 	readonly links: Map<string, RpcLink | undefined>
-	/** Addresses that links are kept to. */
-	kept: ReadonlySet<string>
-	/** Addresses that links are wanted to besides those chosen. */
-	readonly wanted: Set<string>
-	/** Known and wanted addresses when links were last chosen. */
-	chosenOf: number
-	/** What is served on links, and what follows when one comes up. */
+	/** Addresses that links are maintained to. */
+	maintained: ReadonlySet<string>
+	/** Addresses that need a link in addition to the chosen ones. */
+	readonly requested: Set<string>
+	/** Number of known and requested addresses when links were last chosen. */
+	chosenAtSize: number
+	/** RPC methods served on links. */
 	readonly methods: Methods
+	/** Called when a link has been opened. */
 	onLink(link: RpcLink): void
 }
 
-/** Makes links to nobody yet. */
+/** Creates an empty set of links. */
 export function createPeerLinks(
 	methods: Methods,
 	onLink: PeerLinks['onLink'],
 ): PeerLinks {
 	return {
 		links: new Map(),
-		kept: new Set(),
-		wanted: new Set(),
-		chosenOf: 0,
+		maintained: new Set(),
+		requested: new Set(),
+		chosenAtSize: 0,
 		methods,
 		onLink,
 	}
 }
 
-/** Notes addresses of entries. */
+/** Adds addresses to the known entries. */
 export function recordAddresses(
 	{ links }: PeerLinks,
 	addresses: readonly string[],
@@ -59,61 +60,64 @@
 		if (!links.has(address)) links.set(address, undefined)
 }
 
-/** Keeps a link to an entry whether it is chosen or not. */
-export function wantLink({ wanted, kept }: PeerLinks, address: string): void {
-	if (!kept.has(address)) wanted.add(address)
+/** Maintains a link to an entry even if the topology does not include it. */
+export function requestLink(
+	{ requested, maintained }: PeerLinks,
+	address: string,
+): void {
+	if (!maintained.has(address)) requested.add(address)
 }
 
-/** Links that are up. */
-export function listOpen({ links }: PeerLinks): RpcLink[] {
+/** Lists the open links. */
+export function listOpenLinks({ links }: PeerLinks): RpcLink[] {
 	return [...links.values()].filter(link => link !== undefined)
 }
 
-/** Addresses of some entries that are linked to, for who knows few. */
-export function listSome({ links }: PeerLinks): string[] {
+/** Lists the addresses of some linked entries, for a process that knows few. */
+export function listLinkedAddresses({ links }: PeerLinks): string[] {
 	return [...links]
 		.filter(([, link]) => link !== undefined)
 		.map(([address]) => address)
-		.slice(0, SOME)
+		.slice(0, MAX_LISTED)
 }
 
-/** Entries that are known and not linked to. */
-export function countUnlinked({ links, kept }: PeerLinks): number {
-	return links.size - kept.size
+/** Counts known entries without a maintained link. */
+export function countUnlinked({ links, maintained }: PeerLinks): number {
+	return links.size - maintained.size
 }
 
-/** Chooses links anew when entries have become known. */
-export function keepLinks(ctx: GatewayContext, peers: PeerLinks): void {
+/** Chooses links again when entries have been discovered. */
+export function updateLinks(ctx: GatewayContext, peers: PeerLinks): void {
 	const { links } = peers
 	const { control, seeds } = ctx.settings
 	recordAddresses(
 		peers,
 		seeds.filter(address => address !== control),
 	)
-	const size = links.size + peers.wanted.size
-	if (size === peers.chosenOf) return
-	peers.chosenOf = size
-	const before = peers.kept
+	const size = links.size + peers.requested.size
+	if (size === peers.chosenAtSize) return
+	peers.chosenAtSize = size
+	const before = peers.maintained
 	const chosen = chooseLinks(control, [...links.keys()])
-	peers.kept = new Set([...chosen, ...peers.wanted])
-	for (const address of peers.kept)
-		if (!before.has(address)) void keepLink(ctx, peers, address)
+	peers.maintained = new Set([...chosen, ...peers.requested])
+	for (const address of peers.maintained)
+		if (!before.has(address)) void maintainLink(ctx, peers, address)
 	for (const address of before)
-		if (!peers.kept.has(address)) links.get(address)?.socket.destroy()
+		if (!peers.maintained.has(address)) links.get(address)?.socket.destroy()
 }
 
-async function keepLink(
+async function maintainLink(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	address: string,
 ): Promise<void> {
-	let pause = RECONNECT_MS
-	let connectMs = CONNECT_MS
-	while (peers.kept.has(address)) {
+	let backoffMs = MIN_RECONNECT_MS
+	let connectTimeoutMs = CONNECT_TIMEOUT_MS
+	while (peers.maintained.has(address)) {
 		try {
-			const link = await connectRpc(address, peers.methods, connectMs)
-			pause = RECONNECT_MS
-			connectMs = CONNECT_MS
+			const link = await connectRpc(address, peers.methods, connectTimeoutMs)
+			backoffMs = MIN_RECONNECT_MS
+			connectTimeoutMs = CONNECT_TIMEOUT_MS
 			peers.links.set(address, link)
 			ctx.log.write('peer linked', { peer: address })
 			peers.onLink(link)
@@ -121,26 +125,30 @@
 			peers.links.set(address, undefined)
 			ctx.log.write('peer lost', { peer: address })
 		} catch (err) {
-			if (pause === RECONNECT_MS)
+			if (backoffMs === MIN_RECONNECT_MS)
 				ctx.log.write('peer not reached', {
 					peer: address,
 					reason: messageOf(err),
 				})
 		}
-		await sleep(pause * (0.5 + ctx.random()))
-		pause = Math.min(pause * 2, MAX_RECONNECT_MS)
-		connectMs = Math.min(connectMs * 2, MAX_CONNECT_MS)
+		await sleep(backoffMs * (0.5 + ctx.random()))
+		backoffMs = Math.min(backoffMs * 2, MAX_RECONNECT_MS)
+		connectTimeoutMs = Math.min(connectTimeoutMs * 2, MAX_CONNECT_TIMEOUT_MS)
 	}
 }
 
-/** Whether each entry hears every other one directly, as far as is known. */
-function isFullMesh({ kept, links }: PeerLinks): boolean {
-	return kept.size === links.size
+/** Whether this entry maintains links to all known entries. */
+function isFullMesh({ maintained, links }: PeerLinks): boolean {
+	return maintained.size === links.size
 }
 
-/** Tells peers what a coordinator has told, unless it has reached them all. */
-export function tellOn(peers: PeerLinks, news: GroupNews, from: RpcLink): void {
-	if (news.hops > 1 && isFullMesh(peers)) return
-	for (const link of listOpen(peers))
-		if (link !== from) notify(link, 'paces', news)
+/** Forwards a coordinator's report to peers, unless all of them have received it. */
+export function forwardGroupReport(
+	peers: PeerLinks,
+	report: GroupReportMessage,
+	from: RpcLink,
+): void {
+	if (report.hops > 1 && isFullMesh(peers)) return
+	for (const link of listOpenLinks(peers))
+		if (link !== from) notify(link, 'paces', report)
 }
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -1,6 +1,6 @@
 /**
- * What entries tell each other of themselves, and what they take of it: versions
- * held, what comes to each, and how many requests each has at every server.
+ * Exchange of state between entries: versions, request rates, and the number of requests
+ * in flight at each server.
  */
 
 import type { TermRevision } from '@juniperhook/core'
@@ -23,144 +23,158 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
-import { settleDemand, tellFlows } from './entryDemand.ts'
+import { reportFlows, updateDemand } from './entryDemand.ts'
 import { dropPeerLoad, recordPeerLoad } from './fleet.ts'
 import type { PeerLinks } from './peerLinks.ts'
-import { countUnlinked, listOpen, recordAddresses } from './peerLinks.ts'
-import type { HeldNews, State } from './peerMessages.ts'
-import { HeldNewsSchema, StateSchema } from './peerMessages.ts'
-import type { PeerNews } from './peerPull.ts'
-import { heldVersion, takeNews } from './peerPull.ts'
-import { listLimits, listNews, receiveUpdates } from './updateExchange.ts'
+import { countUnlinked, listOpenLinks, recordAddresses } from './peerLinks.ts'
+import type { InFlightDelta, PeerState } from './peerMessages.ts'
+import { InFlightDeltaSchema, PeerStateSchema } from './peerMessages.ts'
+import type { PeerPulls } from './peerPull.ts'
+import { activeVersion, pullIfBehind } from './peerPull.ts'
+import {
+	listAllUpdates,
+	listRateLimits,
+	receiveUpdates,
+} from './updateExchange.ts'
 
 /**
- * Between states told to peers while something changes, ms: so much at least, and
- * so much for each link. A message to or from a peer takes a small entry some
- * 0.2 ms of its core.
+ * Minimum interval between broadcasts while something changes, ms, and its increase for
+ * each link. A message to or from a peer costs a small entry about 0.2 ms of CPU time.
  */
-const TELL_MS = 150
-const TELL_PER_LINK_MS = 6
-/** A whole state is told at least this often, ms; in between, what has changed. */
-const HEARTBEAT_MS = 500
-/** Addresses of all known entries are told this often, and when one is new, ms. */
-const ROSTER_MS = 5_000
-/** A peer counts as an entry for this long after its last word, ms. */
-const REMEMBERED_MS = 10_000
-/** A peer that has not confirmed a state by then is told on a new link, ms. */
-const CONFIRM_MS = 1_500
+const BROADCAST_INTERVAL_MS = 150
+const BROADCAST_INTERVAL_PER_LINK_MS = 6
+/** Interval between full states, ms; only changes are sent in between. */
+const HEARTBEAT_INTERVAL_MS = 500
+/** Interval between address lists, ms; a discovered entry triggers one at once. */
+const ADDRESSES_INTERVAL_MS = 5_000
+/** How long a silent peer is counted as an entry, ms. */
+const MEMBER_RETENTION_MS = 10_000
+/** Timeout for a peer's confirmation of a state, ms; the link is then reopened. */
+const CONFIRM_TIMEOUT_MS = 1_500
 
-/** What this entry has told, and when it heard of others. */
+/** State of the exchange with peers. */
 export interface PeerStates {
-	/** When each peer, by name, was last heard, ms. */
-	readonly heardAt: Map<string, number>
-	readonly news: PeerNews
-	/** Links to peers that learn of servers from their peers alone. */
+	/** When the last state of each peer arrived, by name, ms. */
+	readonly lastSeenAt: Map<string, number>
+	readonly pulls: PeerPulls
+	/** Links to peers that have lost the source. */
 	readonly withoutSource: Set<RpcLink>
-	/** When what is held was last settled, and last told whole, ms. */
-	settledAt: number
+	/** Times of the last broadcast, the last full state and the last address list, ms. */
+	broadcastAt: number
 	heartbeatAt: number
-	rosterAt: number
-	/** Known addresses when they were last told. */
-	rosterOf: number
-	/** What peers were last told. */
-	told: ToldState
+	addressesAt: number
+	/** Number of known addresses in the last address list. */
+	addressCount: number
+	/** State at the last broadcast. */
+	lastSent: SentState
 }
 
-/** What a peer that has heard everything knows of this entry. */
-interface ToldState {
+/** The part of a state that broadcasts compare. */
+interface SentState {
 	readonly config: number
 	readonly list: TermRevision
 	readonly held: ReadonlyMap<string, number>
 }
 
-/** Makes an entry's states, with nothing told or heard. */
-export function createPeerStates(news: PeerNews): PeerStates {
+/** Creates a state without messages sent or received. */
+export function createPeerStates(pulls: PeerPulls): PeerStates {
 	return {
-		heardAt: new Map(),
-		news,
+		lastSeenAt: new Map(),
+		pulls,
 		withoutSource: new Set(),
-		settledAt: readNow(),
+		broadcastAt: readNow(),
 		heartbeatAt: 0,
-		rosterAt: 0,
-		rosterOf: 0,
-		told: { config: -1, list: NO_REVISION, held: new Map() },
+		addressesAt: 0,
+		addressCount: 0,
+		lastSent: { config: -1, list: NO_REVISION, held: new Map() },
 	}
 }
 
-/** Tells a peer everything, on a link that is new or behind. */
-export function tellAll(
+/** Sends everything to a peer whose link is new or whose state is behind. */
+export function sendFullState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	link: RpcLink,
 ): void {
-	const items = listNews(ctx)
+	const items = listAllUpdates(ctx)
 	if (items.length > 0) notify(link, 'news', { items })
-	// Last: by a state an entry that has started knows that it was told all.
-	tell(ctx, link, { ...loadOf(ctx), peers: [...peers.links.keys()] })
+	// Sent last: a starting entry takes the first state as the end of the initial sync.
+	sendState(ctx, link, {
+		...describeState(ctx),
+		peers: [...peers.links.keys()],
+	})
 }
 
-/** What an entry tells each time: all of its state but its peers. */
-function loadOf(ctx: GatewayContext): Omit<State, 'peers'> {
+/** Returns this entry's state without the addresses of peers. */
+function describeState(ctx: GatewayContext): Omit<PeerState, 'peers'> {
 	return {
 		name: ctx.settings.name,
 		control: ctx.settings.control,
-		config: heldVersion(ctx),
+		config: activeVersion(ctx),
 		list: ctx.list.revision,
 		sourceAway: ctx.sourceAway,
 		held: Object.fromEntries(ctx.fleet.inFlight),
 		dataCentre: ctx.settings.dataCentre,
-		flows: tellFlows(ctx.fleet),
-		limits: listLimits(ctx),
+		flows: reportFlows(ctx.fleet),
+		limits: listRateLimits(ctx),
 	}
 }
 
-/** Tells all peers what is new, if it is time. */
-export function tellPeers(
+/** Sends a full state or the changes to all peers when a broadcast is due. */
+export function broadcastState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	states: PeerStates,
 ): void {
 	const now = readNow()
-	const links = listOpen(peers)
-	const elapsedMs = now - states.settledAt
-	if (elapsedMs < Math.max(TELL_MS, TELL_PER_LINK_MS * links.length)) return
-	states.settledAt = now
-	settleDemand(ctx, elapsedMs, countUnlinked(peers), now)
-	const { told } = states
-	const state = loadOf(ctx)
-	states.told = {
+	const links = listOpenLinks(peers)
+	const elapsedMs = now - states.broadcastAt
+	if (
+		elapsedMs <
+		Math.max(
+			BROADCAST_INTERVAL_MS,
+			BROADCAST_INTERVAL_PER_LINK_MS * links.length,
+		)
+	)
+		return
+	states.broadcastAt = now
+	updateDemand(ctx, elapsedMs, countUnlinked(peers), now)
+	const { lastSent } = states
+	const state = describeState(ctx)
+	states.lastSent = {
 		config: state.config,
 		list: state.list,
 		held: new Map(ctx.fleet.inFlight),
 	}
-	const isNews =
-		state.config !== told.config || !isSameRevision(state.list, told.list)
-	if (isNews || now - states.heartbeatAt >= HEARTBEAT_MS) {
+	const isVersionChanged =
+		state.config !== lastSent.config ||
+		!isSameRevision(state.list, lastSent.list)
+	if (isVersionChanged || now - states.heartbeatAt >= HEARTBEAT_INTERVAL_MS) {
 		states.heartbeatAt = now
-		const whole = { ...state, peers: rosterNow(peers, states, now) }
-		for (const link of links) tell(ctx, link, whole)
+		const fullState = { ...state, peers: listDueAddresses(peers, states, now) }
+		for (const link of links) sendState(ctx, link, fullState)
 		return
 	}
-	const changed = findChanged(told.held, states.told.held)
+	const changed = findChanged(lastSent.held, states.lastSent.held)
 	if (Object.keys(changed).length === 0) return
-	const news: HeldNews = { name: state.name, changed }
-	for (const link of links) notify(link, 'held', news)
+	const delta: InFlightDelta = { name: state.name, changed }
+	for (const link of links) notify(link, 'held', delta)
 }
 
-/** Addresses of known entries when they are to be told, none otherwise. */
-function rosterNow(
+/** Returns the addresses of known entries when a list is due, otherwise none. */
+function listDueAddresses(
 	{ links }: PeerLinks,
 	states: PeerStates,
 	now: number,
 ): string[] {
-	const isDue = now - states.rosterAt >= ROSTER_MS
-	if (links.size === states.rosterOf && !isDue) return []
-	states.rosterAt = now
-	states.rosterOf = links.size
+	const isDue = now - states.addressesAt >= ADDRESSES_INTERVAL_MS
+	if (links.size === states.addressCount && !isDue) return []
+	states.addressesAt = now
+	states.addressCount = links.size
 	return [...links.keys()]
 }
 
-/** Servers whose number of requests has changed; 0 for none any more. */
+/** Returns the changed numbers of requests, by server id; 0 for none any more. */
 function findChanged(
 	before: ReadonlyMap<string, number>,
 	after: ReadonlyMap<string, number>,
@@ -172,35 +186,35 @@
 	return changed
 }
 
-function tell(ctx: GatewayContext, link: RpcLink, state: State): void {
-	call(link, 'state', state, CONFIRM_MS).catch(err => {
+function sendState(ctx: GatewayContext, link: RpcLink, state: PeerState): void {
+	call(link, 'state', state, CONFIRM_TIMEOUT_MS).catch(err => {
 		if (link.socket.destroyed) return
-		// Without a reset, only the missing answer tells of a link gone silent.
+		// A half-open connection is not reset; only the missing answer reveals it.
 		ctx.log.write('peer silent', { reason: messageOf(err) })
 		link.socket.destroy()
 	})
 }
 
-/** Takes a peer's whole state, and asks for what this entry lacks. */
-export function takeState(
+/** Applies a peer's full state, and pulls what this entry is behind with. */
+export function receiveState(
 	ctx: GatewayContext,
 	peers: PeerLinks,
 	states: PeerStates,
 	params: unknown,
 	link: RpcLink,
 ): void {
-	const state = v.parse(StateSchema, params)
+	const state = v.parse(PeerStateSchema, params)
 	const now = readNow()
-	states.heardAt.set(state.name, readElapsed())
+	states.lastSeenAt.set(state.name, readElapsed())
 	const addresses = [state.control, ...state.peers].filter(address =>
 		isOtherEntry(ctx, address),
 	)
 	recordAddresses(peers, addresses)
-	const { membership: roster } = ctx.permitHomes
+	const { membership } = ctx.permitHomes
 	for (const address of addresses)
-		recordEntryDiscovered(roster, address, readElapsed())
+		recordEntryDiscovered(membership, address, readElapsed())
 	if (isOtherEntry(ctx, state.control))
-		recordEntryContact(roster, state.control, readElapsed())
+		recordEntryContact(membership, state.control, readElapsed())
 	receiveUpdates(ctx, state.limits, state.name)
 	ctx.hasPeerState = true
 	if (state.sourceAway) states.withoutSource.add(link)
@@ -210,18 +224,21 @@
 	ctx.fleet.peerDemand.set(state.name, { dataCentre, flows })
 	recordPeerLoad(ctx.fleet, state.name, held, now)
 	ctx.newestPeerVersion = Math.max(ctx.newestPeerVersion, state.config)
-	// A peer that is behind may not be reached from here but by its own link.
+	// A peer that is behind may only be reachable through the link that it has opened.
 	const isBehind =
-		state.config < heldVersion(ctx) || isLater(ctx.list.revision, state.list)
-	if (isBehind && link.opened === 'there') tellAll(ctx, peers, link)
-	takeNews(ctx, states.news, state, link)
+		state.config < activeVersion(ctx) || isLater(ctx.list.revision, state.list)
+	if (isBehind && link.opened === 'there') sendFullState(ctx, peers, link)
+	pullIfBehind(ctx, states.pulls, state, link)
 }
 
-/** Takes what has changed since a peer's last words. */
-export function takeHeld(ctx: GatewayContext, params: unknown): void {
-	const { name, changed } = v.parse(HeldNewsSchema, params)
+/** Applies the changes since a peer's last message. */
+export function receiveInFlightDelta(
+	ctx: GatewayContext,
+	params: unknown,
+): void {
+	const { name, changed } = v.parse(InFlightDeltaSchema, params)
 	const known = ctx.fleet.inFlightByPeer.get(name)
-	// Without a whole state before, the changes alone say nothing.
+	// Changes are relative to a full state, which has not arrived yet.
 	if (!known) return
 	const held = new Map(known)
 	for (const [id, count] of Object.entries(changed))
@@ -230,27 +247,30 @@
 	recordPeerLoad(ctx.fleet, name, held, readNow())
 }
 
-/** Peers listen on the same control port everywhere. */
+/** Whether an address belongs to another entry: all use the same control port. */
 function isOtherEntry(ctx: GatewayContext, address: string): boolean {
 	const { control } = ctx.settings
-	const own = splitAddress(control).port
-	return address !== control && splitAddress(address).port === own
+	const ownPort = splitAddress(control).port
+	return address !== control && splitAddress(address).port === ownPort
 }
 
-/** Forgets peers that have gone silent. */
-export function forgetSilent(ctx: GatewayContext, states: PeerStates): void {
+/** Expires the state of silent peers. */
+export function expireSilentPeers(
+	ctx: GatewayContext,
+	states: PeerStates,
+): void {
 	const now = readElapsed()
-	for (const [name, heardAt] of states.heardAt) {
-		if (now - heardAt > PEER_TIMEOUT_MS)
+	for (const [name, lastSeenAt] of states.lastSeenAt) {
+		if (now - lastSeenAt > PEER_TIMEOUT_MS)
 			dropPeerLoad(ctx.fleet, name, readNow())
-		if (now - heardAt > REMEMBERED_MS) states.heardAt.delete(name)
+		if (now - lastSeenAt > MEMBER_RETENTION_MS) states.lastSeenAt.delete(name)
 	}
 	const seeds = ctx.settings.seeds.length
-	ctx.entryCount = Math.max(states.heardAt.size + 1, seeds)
+	ctx.entryCount = Math.max(states.lastSeenAt.size + 1, seeds)
 }
 
-/** Tells removals that were doubted here to peers that cannot learn of them otherwise. */
-export function tellRemovals(ctx: GatewayContext, states: PeerStates): void {
+/** Sends confirmed removals to peers that have lost the source. */
+export function sendRemovals(ctx: GatewayContext, states: PeerStates): void {
 	const records = ctx.settledRemovals.splice(0)
 	if (records.length === 0) return
 	for (const link of states.withoutSource)
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -1,7 +1,4 @@
-/**
- * The side of an entry that other entries and coordinators speak to, and its links
- * to other entries.
- */
+/** RPC server of an entry for other entries and coordinators, and its links to entries. */
 
 import { recordEntryDiscovered } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
@@ -15,60 +12,60 @@
 import * as v from 'valibot'
 import { answerPiece, createConfigServer } from './configTransfer.ts'
 import type { GatewayContext } from './context.ts'
-import { forgetGroups, receiveGroupReport } from './groupReports.ts'
+import { expireGroupReports, receiveGroupReport } from './groupReports.ts'
 import type { PeerLinks } from './peerLinks.ts'
 import {
 	createPeerLinks,
-	keepLinks,
-	listOpen,
-	listSome,
-	tellOn,
-	wantLink,
+	forwardGroupReport,
+	listLinkedAddresses,
+	listOpenLinks,
+	requestLink,
+	updateLinks,
 } from './peerLinks.ts'
-import type { PermitAsk, PermitReply } from './peerMessages.ts'
+import type { PermitQuery, PermitReply } from './peerMessages.ts'
 import {
-	NewsSchema,
 	PermitReplySchema,
 	PieceRequestSchema,
+	UpdatesSchema,
 } from './peerMessages.ts'
-import { answerRecords, createPeerNews, takeRemovals } from './peerPull.ts'
+import { answerRecords, createPeerPulls, receiveRemovals } from './peerPull.ts'
 import {
+	broadcastState,
 	createPeerStates,
-	forgetSilent,
-	takeHeld,
-	takeState,
-	tellAll,
-	tellPeers,
-	tellRemovals,
+	expireSilentPeers,
+	receiveInFlightDelta,
+	receiveState,
+	sendFullState,
+	sendRemovals,
 } from './peerStates.ts'
-import { answerPermits, lookAtHomes } from './permitHome.ts'
+import { answerPermits, updatePermitHomes } from './permitHome.ts'
 import type { CatalogSource } from './ports.ts'
-import { drainNews, receiveUpdates } from './updateExchange.ts'
+import { drainUpdates, receiveUpdates } from './updateExchange.ts'
 
-/** Between looks at whether peers are to be told, ms. */
-const LOOK_MS = 50
-/** A home that has not answered by then stands still or is gone, ms. */
-const ASK_MS = 300
+/** Interval of the periodic work on links and messages, ms. */
+const TICK_MS = 50
+/** Timeout for a permit home's answer, ms; one that exceeds it is suspended or gone. */
+const PERMIT_TIMEOUT_MS = 300
 
-/** Serves peers and keeps links to them. */
+/** Serves peers and maintains links to them. */
 export async function startPeers(
 	ctx: GatewayContext,
 	source: CatalogSource,
 ): Promise<void> {
-	const states = createPeerStates(createPeerNews(source))
+	const states = createPeerStates(createPeerPulls(source))
 	const configs = createConfigServer()
 	const methods: Methods = {
 		state: (params: unknown, link: RpcLink) => {
 			try {
-				takeState(ctx, peers, states, params, link)
+				receiveState(ctx, peers, states, params, link)
 			} catch (err) {
 				ctx.log.write('peer state refused', { reason: messageOf(err) })
 			}
 			return true
 		},
-		held: (params: unknown) => takeHeld(ctx, params),
+		held: (params: unknown) => receiveInFlightDelta(ctx, params),
 		news: (params: unknown) =>
-			receiveUpdates(ctx, v.parse(NewsSchema, params).items, 'peer'),
+			receiveUpdates(ctx, v.parse(UpdatesSchema, params).items, 'peer'),
 		permits: (params: unknown) => answerPermits(ctx, params),
 		configPiece: (params: unknown, link: RpcLink) =>
 			answerPiece(
@@ -78,50 +75,51 @@
 				link,
 			),
 		records: (params: unknown) => answerRecords(ctx, params),
-		removals: (params: unknown) => takeRemovals(ctx, params),
+		removals: (params: unknown) => receiveRemovals(ctx, params),
 		paces: (params: unknown, link: RpcLink) => {
-			const news = receiveGroupReport(ctx, params)
-			if (news) tellOn(peers, news, link)
-			return listSome(peers)
+			const report = receiveGroupReport(ctx, params)
+			if (report) forwardGroupReport(peers, report, link)
+			return listLinkedAddresses(peers)
 		},
 	}
 	const peers = createPeerLinks(methods, link => {
-		tellAll(ctx, peers, link)
+		sendFullState(ctx, peers, link)
 	})
-	ctx.permits.askHome = (home, ask) => askHome(peers, home, ask)
+	ctx.permits.queryPermitHome = (home, query) =>
+		queryPermitHome(peers, home, query)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
 			recordEntryDiscovered(ctx.permitHomes.membership, seed, readElapsed())
 	await serveRpc(ctx.settings.control, methods)
 	setInterval(() => {
-		keepLinks(ctx, peers)
-		lookAtHomes(ctx, address => peers.kept.has(address))
-		tellNews(ctx, peers)
-		tellRemovals(ctx, states)
-		tellPeers(ctx, peers, states)
-		forgetSilent(ctx, states)
-		forgetGroups(ctx, readElapsed())
-	}, LOOK_MS)
+		updateLinks(ctx, peers)
+		updatePermitHomes(ctx, address => peers.maintained.has(address))
+		broadcastUpdates(ctx, peers)
+		sendRemovals(ctx, states)
+		broadcastState(ctx, peers, states)
+		expireSilentPeers(ctx, states)
+		expireGroupReports(ctx, readElapsed())
+	}, TICK_MS)
 }
 
-/** Asks a server's home for permits; without a link, one is made from now on. */
-function askHome(
+/** Requests permits from a permit home; without a link, requests the link instead. */
+function queryPermitHome(
 	peers: PeerLinks,
 	home: string,
-	ask: PermitAsk,
+	query: PermitQuery,
 ): Promise<PermitReply> | undefined {
 	const link = peers.links.get(home)
 	if (link)
-		return call(link, 'permits', ask, ASK_MS).then(reply =>
+		return call(link, 'permits', query, PERMIT_TIMEOUT_MS).then(reply =>
 			v.parse(PermitReplySchema, reply),
 		)
-	wantLink(peers, home)
+	requestLink(peers, home)
 	return undefined
 }
 
-/** What is news to this entry is told to all, whoever it came from. */
-function tellNews(ctx: GatewayContext, peers: PeerLinks): void {
-	const items = drainNews(ctx)
+/** Sends updates that changed this entry's state to all peers, whatever their origin. */
+function broadcastUpdates(ctx: GatewayContext, peers: PeerLinks): void {
+	const items = drainUpdates(ctx)
 	if (items.length === 0) return
-	for (const link of listOpen(peers)) notify(link, 'news', { items })
+	for (const link of listOpenLinks(peers)) notify(link, 'news', { items })
 }
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -1,6 +1,7 @@
 /**
- * The side of an entry that hands out the permits of servers with a limit. All entries
- * that hear each other take the same one of them for a server's home.
+ * Grants permits for rate-limited servers. Each such server has a permit home, the entry
+ * that grants its permits. It is chosen by rendezvous hashing, so that entries with the
+ * same view of the membership choose the same one.
  */
 
 import type { PermitGrant, PermitRequest } from '@juniperhook/core'
@@ -16,65 +17,68 @@
 import * as v from 'valibot'
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
-import { PermitAskSchema } from './peerMessages.ts'
-import { recordLimits } from './rateLimits.ts'
+import { PermitQuerySchema } from './peerMessages.ts'
+import { receiveLimits } from './rateLimits.ts'
 
-/** Takes stock of the entries that are heard; homes move with them. */
-export function lookAtHomes(
+/** Updates the membership, and permit homes when the reachable entries have changed. */
+export function updatePermitHomes(
 	ctx: GatewayContext,
 	isLinked: (address: string) => boolean,
 ): void {
-	const { membership: roster, pools, homes } = ctx.permitHomes
+	const { membership, pools, homes } = ctx.permitHomes
 	const { control } = ctx.settings
-	if (!updateEntryMembership(roster, control, isLinked, readElapsed())) return
+	if (!updateEntryMembership(membership, control, isLinked, readElapsed()))
+		return
 	const before = [...homes]
 	homes.clear()
 	for (const server of [...pools.keys()])
-		if (homeOf(ctx, server) !== control) pools.delete(server)
+		if (permitHomeOf(ctx, server) !== control) pools.delete(server)
 	for (const [server, home] of before) {
-		const after = homeOf(ctx, server)
+		const after = permitHomeOf(ctx, server)
 		if (after !== home)
 			ctx.log.write('permit home', { server, home: after, before: home })
 	}
 }
 
-/** Control address of a server's home. */
-export function homeOf(ctx: GatewayContext, server: string): string {
-	const { homes, membership: roster } = ctx.permitHomes
+/** Returns the control address of a server's permit home. */
+export function permitHomeOf(ctx: GatewayContext, server: string): string {
+	const { homes, membership } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
-	const home = findPermitHome(server, roster.reachable) ?? ctx.settings.control
+	const home =
+		findPermitHome(server, membership.reachable) ?? ctx.settings.control
 	homes.set(server, home)
 	return home
 }
 
-/** Gives permits of a server that this entry is home to. */
-export function givePermits(
+/** Grants permits for a server whose permit home is this entry. */
+export function grantFromPool(
 	ctx: GatewayContext,
 	server: string,
 	perSecond: number,
-	wish: PermitRequest,
+	request: PermitRequest,
 ): PermitGrant {
-	const { pools, membership: roster } = ctx.permitHomes
+	const { pools, membership } = ctx.permitHomes
 	const pool = pools.get(server) ?? createPermitPool()
 	pools.set(server, pool)
-	const pace = permitScheduleFor(perSecond, roster.count)
-	return grantPermits(pool, pace, wish, readElapsed())
+	const schedule = permitScheduleFor(perSecond, membership.count)
+	return grantPermits(pool, schedule, request, readElapsed())
 }
 
-/** Answers another entry that asks for permits. */
+/** Answers another entry's request for permits. */
 export function answerPermits(
 	ctx: GatewayContext,
 	params: unknown,
 ): PermitReply {
-	const ask = v.parse(PermitAskSchema, params)
-	const { server, limit, limitAgoMs, count, withinMs } = ask
+	const query = v.parse(PermitQuerySchema, params)
+	const { server, limit, limitAgoMs, count, withinMs } = query
 	const at = readElapsed() - limitAgoMs
-	recordLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
-	if (homeOf(ctx, server) !== ctx.settings.control) return { type: 'notHome' }
+	receiveLimits(ctx, [{ kind: 'limit', server, perSecond: limit, at }], 'peer')
+	if (permitHomeOf(ctx, server) !== ctx.settings.control)
+		return { type: 'notHome' }
 	const perSecond = rateLimitOf(ctx.rateLimits, server)
-	// What is believed to have no limit any more: the asker will hear of it.
+	// The limit has been lifted; the sender will receive that update.
 	if (perSecond === undefined) return { type: 'notHome' }
-	const permits = givePermits(ctx, server, perSecond, { count, withinMs })
+	const permits = grantFromPool(ctx, server, perSecond, { count, withinMs })
 	return { type: 'permits', ...permits, dueMs: [...permits.dueMs] }
 }
--- a/packages/gateway/src/permitRequest.ts
+++ b/packages/gateway/src/permitRequest.ts
@@ -1,6 +1,7 @@
 /**
- * Asks servers' homes for permits. A request does not wait for one while another server
- * has room; the next request finds it.
+ * Requests permits from the permit homes of rate-limited servers. The caller's request
+ * does not wait for the answer while another server has room; a later request uses the
+ * permit.
  */
 
 import type { HeldPermits, PermitGrant, PermitRequest } from '@juniperhook/core'
@@ -13,69 +14,74 @@
 import type { GatewayContext } from './context.ts'
 import type { PermitReply } from './peerMessages.ts'
 import { heldPermitsOf, listLimited } from './permitGate.ts'
-import { givePermits, homeOf } from './permitHome.ts'
+import { grantFromPool, permitHomeOf } from './permitHome.ts'
 
-/** Permits that one question asks for at most. */
-const MAX_ASKED = 16
-/** Before a home is asked again that did not give an answer, ms. */
-const ASK_AGAIN_MS = 100
+/** Maximum number of permits per request. */
+const MAX_REQUESTED = 16
+/** Delay before another request to a permit home that did not grant permits, ms. */
+const RETRY_MS = 100
 
 /**
- * Asks for permits of a service's servers that have none left. `onAnswer` follows
- * answers that come later.
+ * Requests permits for the rate-limited servers of a service that have none left.
+ * `onAnswer` is called after each answer of another entry.
  */
 export function requestPermits(
 	ctx: GatewayContext,
 	service: string,
-	wish: PermitRequest,
+	request: PermitRequest,
 	onAnswer: () => void,
 ): void {
 	if (ctx.rateLimits.size === 0) return
-	const count = Math.min(MAX_ASKED, wish.count)
-	const { withinMs } = wish
+	const count = Math.min(MAX_REQUESTED, request.count)
+	const { withinMs } = request
 	for (const row of listLimited(ctx, service).exhausted) {
 		const { id } = ctx.fleet.servers[row]!
 		const held = heldPermitsOf(ctx, id)
 		const now = readElapsed()
 		if (backoffLeftMs(ctx.backoffs, id, now) > withinMs) continue
 		if (shouldRequestPermits(held, withinMs, now))
-			askFor(ctx, id, held, { count, withinMs }, onAnswer)
+			requestFor(ctx, id, held, { count, withinMs }, onAnswer)
 	}
 }
 
-function askFor(
+function requestFor(
 	ctx: GatewayContext,
 	server: string,
 	held: HeldPermits,
-	wish: PermitRequest,
+	request: PermitRequest,
 	onAnswer: () => void,
 ): void {
-	const known = ctx.rateLimits.get(server)
-	if (known?.perSecond === undefined) return
-	const { perSecond, at } = known
-	const home = homeOf(ctx, server)
-	if (home === ctx.settings.control) {
-		keepPermits(ctx, held, perSecond, givePermits(ctx, server, perSecond, wish))
+	const limit = ctx.rateLimits.get(server)
+	if (limit?.perSecond === undefined) return
+	const { perSecond, at } = limit
+	const permitHome = permitHomeOf(ctx, server)
+	if (permitHome === ctx.settings.control) {
+		addPermits(
+			ctx,
+			held,
+			perSecond,
+			grantFromPool(ctx, server, perSecond, request),
+		)
 		return
 	}
 	const limitAgoMs = readElapsed() - at
-	const ask = { server, limit: perSecond, limitAgoMs, ...wish }
-	const reply = ctx.permits.askHome(home, ask)
+	const query = { server, limit: perSecond, limitAgoMs, ...request }
+	const reply = ctx.permits.queryPermitHome(permitHome, query)
 	if (!reply) {
-		recordNone(ctx, held, 'unlinked')
+		recordNotGranted(ctx, held, 'unlinked')
 		return
 	}
 	held.isRequestPending = true
 	void reply
 		.then(
-			got => takeReply(ctx, held, perSecond, got),
+			answer => applyReply(ctx, held, perSecond, answer),
 			err => {
 				ctx.log.write('permit not given', {
 					server,
-					home,
+					home: permitHome,
 					reason: messageOf(err),
 				})
-				recordNone(ctx, held, 'failed')
+				recordNotGranted(ctx, held, 'failed')
 			},
 		)
 		.finally(() => {
@@ -84,7 +90,7 @@
 		})
 }
 
-function takeReply(
+function applyReply(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
@@ -92,17 +98,17 @@
 ): void {
 	switch (reply.type) {
 		case 'permits':
-			keepPermits(ctx, held, perSecond, reply)
+			addPermits(ctx, held, perSecond, reply)
 			return
 		case 'notHome':
-			recordNone(ctx, held, 'notHome')
+			recordNotGranted(ctx, held, 'notHome')
 			return
 		default:
 			reply satisfies never
 	}
 }
 
-function keepPermits(
+function addPermits(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	perSecond: number,
@@ -113,11 +119,11 @@
 	ctx.metrics.permits.inc({ outcome })
 }
 
-function recordNone(
+function recordNotGranted(
 	ctx: GatewayContext,
 	held: HeldPermits,
 	outcome: 'unlinked' | 'failed' | 'notHome',
 ): void {
-	held.notBefore = readElapsed() + ASK_AGAIN_MS
+	held.notBefore = readElapsed() + RETRY_MS
 	ctx.metrics.permits.inc({ outcome })
 }
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -1,4 +1,4 @@
-/** What an entry knows of permits to send to servers with a limit. */
+/** State of the permits for rate-limited servers. */
 
 import type {
 	EntryMembership,
@@ -6,37 +6,37 @@
 	PermitPool,
 } from '@juniperhook/core'
 import { createEntryMembership } from '@juniperhook/core'
-import type { PermitAsk, PermitReply } from './peerMessages.ts'
+import type { PermitQuery, PermitReply } from './peerMessages.ts'
 
-/** Asks a home; undefined while there is no link to it. */
-export type AskHome = (
+/** Sends a query to a permit home; returns undefined while there is no link to it. */
+export type QueryPermitHome = (
 	home: string,
-	ask: PermitAsk,
+	query: PermitQuery,
 ) => Promise<PermitReply> | undefined
 
-/** What this entry has of the permits of all servers with a limit. */
+/** Permits granted to this entry. */
 export interface PermitStore {
-	/** By server id. */
+	/** Permits by server id. */
 	readonly held: Map<string, HeldPermits>
-	/** What other entries are asked by; set once there are any. */
-	askHome: AskHome
+	/** Sends queries to other entries; set when the exchange with peers starts. */
+	queryPermitHome: QueryPermitHome
 }
 
-/** Makes a gate that has nothing. */
+/** Creates an empty store. */
 export function createPermitStore(): PermitStore {
-	return { held: new Map(), askHome: () => undefined }
+	return { held: new Map(), queryPermitHome: () => undefined }
 }
 
-/** Homes, and the pools of those servers that this entry is home to. */
+/** Permit homes of rate-limited servers, and the pools of this entry's servers. */
 export interface PermitHomes {
 	readonly membership: EntryMembership
-	/** By server id. */
+	/** Pools by server id. */
 	readonly pools: Map<string, PermitPool>
-	/** Control address of each server's home, by server id. */
+	/** Control addresses of permit homes, by server id. */
 	readonly homes: Map<string, string>
 }
 
-/** Makes an entry's homes while it knows of itself only. */
+/** Creates the state of an entry that has not discovered others. */
 export function createPermitHomes(own: string): PermitHomes {
 	return {
 		membership: createEntryMembership(own),
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that end servers from all servers: what this entry sees of them and
- * hears from others, and whom it refuses.
+ * Quarantines poison requests, which crash the servers that run them: collects evidence
+ * from this entry and its peers, and refuses quarantined requests.
  */
 
 import type { UpdateOf } from '@juniperhook/core'
@@ -15,29 +15,32 @@
 import type { GatewayContext } from './context.ts'
 import { bodyLengthOf, fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
-import { postNews } from './outbox.ts'
+import { enqueueUpdates } from './outbox.ts'
 import type { InFlightSummary } from './sentRequests.ts'
 
 /**
- * For which each entry has the turn to try a request again, ms: longer than a server takes
- * to end under it, and than the news of that take.
+ * Time between the entries' turns to retry a quarantined request, ms: longer than the
+ * server takes to crash and the evidence to reach all entries.
  */
 const TURN_MS = 10_000
-/** An end that is told later than this may be over for its group, ms. */
+/** A crash reported later than this no longer closes a group, which may run again, ms. */
 const FRESH_MS = 500
 
-/** Whether a request is to be sent to no server. */
+/** Whether a request must not be sent to any server. */
 export function isQuarantined(
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	const { quarantineGate: gate } = ctx
-	if (gate.quarantined.size === 0 || !gate.bodyLengths.has(request.body.length))
+	const { quarantineGate } = ctx
+	if (
+		quarantineGate.quarantined.size === 0 ||
+		!quarantineGate.bodyLengths.has(request.body.length)
+	)
 		return false
 	return quarantinedForMs(ctx, request) > 0
 }
 
-/** For how long it is, ms; 0 if it is not. */
+/** Returns how long a request stays quarantined, ms; 0 if it is not. */
 export function quarantinedForMs(
 	ctx: GatewayContext,
 	request: CallerRequest,
@@ -48,35 +51,35 @@
 	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
-/** How many other entries try a request again before this one. */
+/** Returns how many other entries retry a request before this one. */
 function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
-	const { reachable: heard } = permitHomes.membership
-	const order = topByRendezvous(key, heard, heard.length)
+	const { reachable } = permitHomes.membership
+	const order = topByRendezvous(key, reachable, reachable.length)
 	return Math.max(0, order.indexOf(settings.control))
 }
 
-/** Whether a server ended under a request that no other has answered since. */
+/** Whether a server crashed under a request that no server has answered since. */
 export function isSuspected(
-	{ quarantineGate: gate }: GatewayContext,
+	{ quarantineGate }: GatewayContext,
 	request: CallerRequest,
 ): boolean {
-	if (!gate.bodyLengths.has(request.body.length)) return false
-	return gate.quarantine.suspects.has(fingerprintOf(request))
+	if (!quarantineGate.bodyLengths.has(request.body.length)) return false
+	return quarantineGate.quarantine.suspects.has(fingerprintOf(request))
 }
 
-/** Notes that a server gave a request its whole answer. */
+/** Records that a server answered a request completely. */
 export function recordServed(
 	ctx: GatewayContext,
 	request: CallerRequest,
 ): void {
 	if (!isSuspected(ctx, request)) return
 	const fingerprint = fingerprintOf(request)
-	const news = { kind: 'served', fingerprint, at: readElapsed() } as const
-	recordEndNews(ctx, [news], 'here')
+	const update = { kind: 'served', fingerprint, at: readElapsed() } as const
+	receiveCrashUpdates(ctx, [update], 'here')
 }
 
-/** Notes that a server ended, and what it was running for this entry. */
-export function recordServerEnd(
+/** Records a server's crash with the requests that it was running for this entry. */
+export function recordServerCrash(
 	ctx: GatewayContext,
 	server: string,
 	at: number,
@@ -87,47 +90,55 @@
 		const ranMs = Math.max(0, at - since)
 		ran.set(fingerprint, Math.min(ranMs, ran.get(fingerprint) ?? ranMs))
 	}
-	recordEndNews(ctx, [{ kind: 'end', server, at, ran }], 'here')
+	receiveCrashUpdates(ctx, [{ kind: 'end', server, at, ran }], 'here')
 }
 
-function shutFor(ctx: GatewayContext, id: string): void {
+function closeGroupOf(ctx: GatewayContext, id: string): void {
 	const row = ctx.fleet.table.rowOf.get(id)
 	if (row !== undefined) handleRankCrash(ctx, ctx.fleet.servers[row]!)
 }
 
-/** Takes news of servers that ended, and of requests that others have served. */
-export function recordEndNews(
+/** Merges updates of crashes and of requests that were answered. */
+export function receiveCrashUpdates(
 	ctx: GatewayContext,
-	told: readonly UpdateOf<'end' | 'served'>[],
+	updates: readonly UpdateOf<'end' | 'served'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = mergeServerUpdates(ctx.sharedState, told, now)
-	if (fresh.length === 0) return
-	postNews(ctx.outbox, fresh)
-	judgeAnew(ctx, from)
+	const changes = mergeServerUpdates(ctx.sharedState, updates, now)
+	if (changes.length === 0) return
+	enqueueUpdates(ctx.outbox, changes)
+	updateQuarantine(ctx, from)
 	if (from === 'here') return
-	for (const one of fresh)
-		if (one.kind === 'end' && now - one.at < FRESH_MS) shutFor(ctx, one.server)
+	for (const one of changes)
+		if (one.kind === 'end' && now - one.at < FRESH_MS)
+			closeGroupOf(ctx, one.server)
 }
 
-function judgeAnew(ctx: GatewayContext, from: string): void {
-	const { quarantineGate: gate } = ctx
-	const { quarantine } = gate
+function updateQuarantine(ctx: GatewayContext, from: string): void {
+	const { quarantineGate } = ctx
+	const { quarantine } = quarantineGate
 	const suspects = [...quarantine.suspects.keys()]
-	gate.bodyLengths = new Set(suspects.map(bodyLengthOf))
-	const before = gate.quarantined
-	gate.quarantined = new Set(listQuarantined(quarantine))
-	ctx.metrics.quarantined.set(gate.quarantined.size)
-	for (const fingerprint of gate.quarantined)
-		if (!before.has(fingerprint)) bar(ctx, fingerprint, from)
+	quarantineGate.bodyLengths = new Set(suspects.map(bodyLengthOf))
+	const before = quarantineGate.quarantined
+	quarantineGate.quarantined = new Set(listQuarantined(quarantine))
+	ctx.metrics.quarantined.set(quarantineGate.quarantined.size)
+	for (const fingerprint of quarantineGate.quarantined)
+		if (!before.has(fingerprint)) cancelQuarantined(ctx, fingerprint, from)
 	for (const fingerprint of before)
-		if (!gate.quarantined.has(fingerprint))
+		if (!quarantineGate.quarantined.has(fingerprint))
 			ctx.log.write('request released', { fingerprint, from })
 }
 
-/** Whatever of it is under way is ended: its server may still be saved. */
-function bar(ctx: GatewayContext, fingerprint: string, from: string): void {
+/**
+ * Logs a newly quarantined request and cancels its instances in flight, which may still
+ * prevent the crash of their servers.
+ */
+function cancelQuarantined(
+	ctx: GatewayContext,
+	fingerprint: string,
+	from: string,
+): void {
 	const suspicion = ctx.quarantineGate.quarantine.suspects.get(fingerprint)
 	ctx.log.write('request quarantined', {
 		fingerprint,
@@ -136,10 +147,10 @@
 		from,
 	})
 	const length = bodyLengthOf(fingerprint)
-	for (const [request, giveUp] of [...ctx.cancelByRequest])
+	for (const [request, cancel] of [...ctx.cancelByRequest])
 		if (
 			request.body.length === length &&
 			fingerprintOf(request) === fingerprint
 		)
-			giveUp('quarantined')
+			cancel('quarantined')
 }
--- a/packages/gateway/src/rateLimits.ts
+++ b/packages/gateway/src/rateLimits.ts
@@ -1,7 +1,4 @@
-/**
- * What servers say, in their answers, of how many requests a second they take; entries
- * tell each other.
- */
+/** Rate limits that servers announce in their answers, and that entries exchange. */
 
 import type { UpdateOf } from '@juniperhook/core'
 import {
@@ -11,11 +8,11 @@
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { postNews } from './outbox.ts'
+import { enqueueUpdates } from './outbox.ts'
 import { dropPermits } from './permitGate.ts'
 import type { StatementOrigin } from './ports.ts'
 
-/** Takes the limit that an answer names, or that it names none. */
+/** Applies the limit that an answer announces, or the absence of one. */
 export function recordAnnouncedLimit(
 	ctx: GatewayContext,
 	{ server, sentAt, ran }: StatementOrigin,
@@ -25,32 +22,32 @@
 	const known = ctx.rateLimits.get(server)
 	if (perSecond === undefined) {
 		if (known?.perSecond === undefined || !ran) return
-		// An answer to a request from before the limit says nothing of its end.
+		// A request sent before the limit began cannot show that it has ended.
 		if (sentAt <= known.since) return
 	}
-	recordLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
+	receiveLimits(ctx, [{ kind: 'limit', server, perSecond, at }], 'answer')
 }
 
-/** Takes news of limits. */
-export function recordLimits(
+/** Merges updates of limits. */
+export function receiveLimits(
 	ctx: GatewayContext,
-	told: readonly UpdateOf<'limit'>[],
+	updates: readonly UpdateOf<'limit'>[],
 	from: string,
 ): void {
-	for (const news of told) recordLimit(ctx, news, from)
+	for (const update of updates) applyLimit(ctx, update, from)
 }
 
-function recordLimit(
+function applyLimit(
 	ctx: GatewayContext,
-	news: UpdateOf<'limit'>,
+	update: UpdateOf<'limit'>,
 	from: string,
 ): void {
-	const { rateLimits, sharedState: book, outbox } = ctx
-	const { server, perSecond } = news
+	const { rateLimits, sharedState, outbox } = ctx
+	const { server, perSecond } = update
 	const before = rateLimitOf(rateLimits, server)
-	const fresh = mergeServerUpdates(book, [news], readElapsed())
-	if (fresh.length === 0) return
-	postNews(outbox, fresh)
+	const changes = mergeServerUpdates(sharedState, [update], readElapsed())
+	if (changes.length === 0) return
+	enqueueUpdates(outbox, changes)
 	dropPermits(ctx, server)
 	ctx.log.write('server limit', { server, perSecond, before, from })
 	const inForce = [...rateLimits.keys()].filter(
@@ -59,7 +56,7 @@
 	ctx.metrics.limitedServers.set(inForce.length)
 }
 
-/** Forgets old notices of servers. */
+/** Drops expired notices of limits. */
 export function expireRateLimits({ rateLimits, fleet }: GatewayContext): void {
 	if (rateLimits.size === 0) return
 	const isListed = (id: string) => fleet.table.rowOf.has(id)
--- a/packages/gateway/src/sentRequests.ts
+++ b/packages/gateway/src/sentRequests.ts
@@ -1,30 +1,30 @@
-/** Which requests each server runs for this entry, and which were left there. */
+/** Requests of this entry that are in flight at servers or were abandoned there. */
 
 import { readElapsed } from '@juniperhook/runtime'
 import { fingerprintOf } from './fingerprint.ts'
 import type { CallerRequest } from './job.ts'
 
 /**
- * A server may go on with a request for some time after its connection was closed,
- * ms: what ends within it may have ended under that request.
+ * Retention of abandoned requests, ms. A server may go on with a request for some time
+ * after its connection was closed, so a crash within this time may be due to it.
  */
-const LEFT_MS = 1_000
-/** Requests left at one server that are remembered; the last ones. */
-const MAX_LEFT = 8
+const ABANDONED_RETENTION_MS = 1_000
+/** Maximum number of abandoned requests, the most recent, that are kept per server. */
+const MAX_ABANDONED = 8
 
-/** A request at a server. */
+/** A request in flight at a server. */
 export interface SentRequest {
 	readonly request: CallerRequest
 	/** When it was sent, ms. */
 	readonly since: number
 }
 
-/** A request whose connection this entry closed before its answer was whole. */
-interface LeftRun extends InFlightSummary {
-	readonly leftAt: number
+/** A request whose connection this entry closed before its answer was complete. */
+interface AbandonedRequest extends InFlightSummary {
+	readonly abandonedAt: number
 }
 
-/** What is told of a request at a server. */
+/** Identifies a request that a server was running. */
 export interface InFlightSummary {
 	readonly id: string
 	readonly fingerprint: string
@@ -32,71 +32,75 @@
 	readonly since: number
 }
 
-/** Requests at servers, by server id. */
+/** Requests at servers, both by server id. */
 export interface SentRequests {
 	readonly inFlight: Map<string, Set<SentRequest>>
-	readonly abandoned: Map<string, LeftRun[]>
+	readonly abandoned: Map<string, AbandonedRequest[]>
 }
 
-/** Makes a record of no requests. */
+/** Creates an empty record. */
 export function createSentRequests(): SentRequests {
 	return { inFlight: new Map(), abandoned: new Map() }
 }
 
-/** Notes that a request is sent to a server. */
+/** Records that a request is sent to a server. */
 export function trackRequest(
-	runs: SentRequests,
+	requests: SentRequests,
 	server: string,
 	request: CallerRequest,
 ): SentRequest {
-	const run = { request, since: readElapsed() }
-	const there = runs.inFlight.get(server)
-	if (there) there.add(run)
-	else runs.inFlight.set(server, new Set([run]))
-	return run
+	const sent = { request, since: readElapsed() }
+	const atServer = requests.inFlight.get(server)
+	if (atServer) atServer.add(sent)
+	else requests.inFlight.set(server, new Set([sent]))
+	return sent
 }
 
-/** Notes that a request is no longer waited for at its server. */
+/** Removes a request that this entry no longer waits for. */
 export function untrackRequest(
-	runs: SentRequests,
+	requests: SentRequests,
 	server: string,
-	run: SentRequest,
+	sent: SentRequest,
 ): void {
-	const there = runs.inFlight.get(server)
-	there?.delete(run)
-	if (there?.size === 0) runs.inFlight.delete(server)
+	const atServer = requests.inFlight.get(server)
+	atServer?.delete(sent)
+	if (atServer?.size === 0) requests.inFlight.delete(server)
 }
 
-/** Notes that this entry closed a request's connection; its server may go on. */
+/** Records that this entry closed a request's connection; the server may go on with it. */
 export function trackAbandoned(
-	runs: SentRequests,
+	requests: SentRequests,
 	server: string,
-	run: SentRequest,
+	sent: SentRequest,
 ): void {
-	const leftAt = readElapsed()
-	const left = (runs.abandoned.get(server) ?? []).filter(
-		one => leftAt - one.leftAt < LEFT_MS,
+	const abandonedAt = readElapsed()
+	const abandoned = (requests.abandoned.get(server) ?? []).filter(
+		one => abandonedAt - one.abandonedAt < ABANDONED_RETENTION_MS,
 	)
-	left.push({ ...describe(run), leftAt })
-	runs.abandoned.set(server, left.slice(-MAX_LEFT))
+	abandoned.push({ ...describe(sent), abandonedAt })
+	requests.abandoned.set(server, abandoned.slice(-MAX_ABANDONED))
 }
 
-/** Requests that a server may be running for this entry. */
+/** Lists the requests that a server may be running for this entry. */
 export function listInFlight(
-	runs: SentRequests,
+	requests: SentRequests,
 	server: string,
 ): InFlightSummary[] {
 	const now = readElapsed()
-	const running = [...(runs.inFlight.get(server) ?? [])].map(describe)
-	const left = runs.abandoned.get(server) ?? []
-	return [...left.filter(one => now - one.leftAt < LEFT_MS), ...running]
+	const inFlight = [...(requests.inFlight.get(server) ?? [])].map(describe)
+	const abandoned = requests.abandoned.get(server) ?? []
+	return [
+		...abandoned.filter(one => now - one.abandonedAt < ABANDONED_RETENTION_MS),
+		...inFlight,
+	]
 }
 
-/** Forgets what was left at servers long ago. */
-export function expireAbandoned(runs: SentRequests): void {
+/** Drops expired records of abandoned requests. */
+export function expireAbandoned(requests: SentRequests): void {
 	const now = readElapsed()
-	for (const [server, left] of runs.abandoned)
-		if (now - left.at(-1)!.leftAt >= LEFT_MS) runs.abandoned.delete(server)
+	for (const [server, abandoned] of requests.abandoned)
+		if (now - abandoned.at(-1)!.abandonedAt >= ABANDONED_RETENTION_MS)
+			requests.abandoned.delete(server)
 }
 
 function describe({ request, since }: SentRequest): InFlightSummary {
--- a/packages/gateway/src/serverBackoffs.ts
+++ b/packages/gateway/src/serverBackoffs.ts
@@ -1,4 +1,4 @@
-/** Rests that servers have asked this entry for. */
+/** Backoffs that servers have requested from this entry with `Retry-After`. */
 
 import type { UpdateOf } from '@juniperhook/core'
 import {
@@ -12,9 +12,9 @@
 } from '@juniperhook/core'
 import { readElapsed } from '@juniperhook/runtime'
 import type { GatewayContext } from './context.ts'
-import { postNews } from './outbox.ts'
+import { enqueueUpdates } from './outbox.ts'
 
-/** Takes a server's word that it wants nothing from this entry for `forMs`. */
+/** Starts a backoff of `forMs` that a server has requested. */
 export function recordRequestedBackoff(
 	ctx: GatewayContext,
 	server: string,
@@ -22,26 +22,26 @@
 ): void {
 	const entry = ctx.settings.control
 	const endsAt = readElapsed() + Math.min(forMs, MAX_BACKOFF_MS)
-	recordRests(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
+	receiveBackoffs(ctx, [{ kind: 'rest', server, entry, endsAt }], 'answer')
 }
 
 /**
- * Takes news of rests. Those of other entries are kept for them: one that starts again
- * is told them.
+ * Merges updates of backoffs. Those of other entries are kept as well: an entry that
+ * restarts gets its own back from its peers.
  */
-export function recordRests(
+export function receiveBackoffs(
 	ctx: GatewayContext,
-	told: readonly UpdateOf<'rest'>[],
+	updates: readonly UpdateOf<'rest'>[],
 	from: string,
 ): void {
 	const now = readElapsed()
-	const fresh = mergeServerUpdates(ctx.sharedState, told, now)
-	if (from === 'answer') postNews(ctx.outbox, fresh)
-	for (const { entry, server, endsAt } of fresh)
-		if (entry === ctx.settings.control) keepRest(ctx, server, endsAt, from)
+	const changes = mergeServerUpdates(ctx.sharedState, updates, now)
+	if (from === 'answer') enqueueUpdates(ctx.outbox, changes)
+	for (const { entry, server, endsAt } of changes)
+		if (entry === ctx.settings.control) applyBackoff(ctx, server, endsAt, from)
 }
 
-function keepRest(
+function applyBackoff(
 	ctx: GatewayContext,
 	server: string,
 	endsAt: number,
@@ -52,10 +52,10 @@
 	const forMs = Math.round(endsAt - now)
 	if (!startBackoff(ctx.backoffs, server, forMs, now)) return
 	ctx.log.write('server rests', { server, forMs, before, from })
-	countResting(ctx, now)
+	updateBackoffMetric(ctx, now)
 }
 
-/** Notes that a server took a request that was sent at `sentAt`. */
+/** Ends a server's backoff if the accepted request was sent after it, at `sentAt`. */
 export function recordAccepted(
 	ctx: GatewayContext,
 	server: string,
@@ -64,34 +64,34 @@
 	if (ctx.backoffs.size === 0) return
 	if (!endBackoff(ctx.backoffs, server, sentAt)) return
 	ctx.log.write('server rested', { server })
-	countResting(ctx, readElapsed())
+	updateBackoffMetric(ctx, readElapsed())
 }
 
-/** Rows of a service's servers that are to be left alone now. */
+/** Lists the rows of a service's servers that must not be sent requests now. */
 export function listBackingOff(
-	{ backoffs: rests, fleet }: GatewayContext,
+	{ backoffs, fleet }: GatewayContext,
 	service: string,
 ): number[] {
-	if (rests.size === 0) return []
+	if (backoffs.size === 0) return []
 	const now = readElapsed()
 	const rows = fleet.rowsByService.get(service) ?? []
 	return rows.filter(
-		row => backoffLeftMs(rests, fleet.servers[row]!.id, now) > 0,
+		row => backoffLeftMs(backoffs, fleet.servers[row]!.id, now) > 0,
 	)
 }
 
-/** Forgets rests that are long over. */
+/** Drops expired backoffs. */
 export function expireBackoffs(ctx: GatewayContext): void {
 	const now = readElapsed()
 	pruneBackoffs(ctx.backoffs, now)
 	pruneExpiredBackoffs(ctx.sharedState, now)
-	countResting(ctx, now)
+	updateBackoffMetric(ctx, now)
 }
 
-function countResting(
-	{ backoffs: rests, metrics }: GatewayContext,
+function updateBackoffMetric(
+	{ backoffs, metrics }: GatewayContext,
 	now: number,
 ): void {
-	const resting = [...rests.values()].filter(({ endsAt }) => now < endsAt)
-	metrics.restingServers.set(resting.length)
+	const active = [...backoffs.values()].filter(({ endsAt }) => now < endsAt)
+	metrics.restingServers.set(active.length)
 }
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -1,79 +1,79 @@
-/** Servers that say in their answers that they leave. */
+/** Tests servers that announce in their answers that they are leaving. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { callGateway } from './fakeBackends.ts'
 import type { LimitedServer, LimitedWorld } from './limitedServers.ts'
 import {
-	askSteadily,
 	closeWorld,
 	createLimitedWorlds,
 	openEntry,
 	pause,
 	relist,
+	sendSteadily,
 } from './limitedServers.ts'
 
 const openWorld = createLimitedWorlds(26_100)
-const ASKED = { perSecond: 60, forMs: 500 }
+const LOAD = { perSecond: 60, forMs: 500 }
 
-/** For what was under way when an answer said that its server leaves, ms. */
-const LEAVE_MS = 200
+/** Allowance for requests in flight at the time of the announcement, ms. */
+const IN_FLIGHT_MS = 200
 
-// A server that said in its answers that it leaves got requests until it was gone.
-test('a server that says that it leaves is sent nothing more', async () => {
+// Guards against requests sent to a leaving server until the source removes it.
+test('a server that announces its leaving gets no more requests', async () => {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
-	server.leaves = true
-	await askSteadily(world, { perSecond: 60, forMs: 2_000 })
+	server.isLeaving = true
+	await sendSteadily(world, { perSecond: 60, forMs: 2_000 })
 	closeWorld(world)
-	const late = server.told.map(
+	const late = server.notices.map(
 		({ entry, at: from }) =>
 			server.arrivals.filter(
-				one => one.entry === entry && one.at > from + LEAVE_MS,
+				one => one.entry === entry && one.at > from + IN_FLIGHT_MS,
 			).length,
 	)
 	assert.is(Math.max(...late), 0)
 })
 
-/** For what entries tell each other, ms. */
-const NEWS_MS = 300
+/** Time for updates to reach all entries, ms. */
+const PROPAGATION_MS = 300
 
-/** A world of three entries, whose first one has heard that a server leaves. */
+/** Opens a world of three entries, the first of which got a server's announcement. */
 async function openLeaving(): Promise<[LimitedWorld, LimitedServer]> {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
-	server.leaves = true
-	await askSteadily(world, { ...ASKED, pick: () => 0 })
-	await pause(NEWS_MS)
+	server.isLeaving = true
+	await sendSteadily(world, { ...LOAD, pick: () => 0 })
+	await pause(PROPAGATION_MS)
 	assert.is(server.arrivals.filter(({ entry }) => entry !== '0').length, 0)
 	return [world, server]
 }
 
 interface LaterCase {
 	readonly name: string
-	/** What the source says or does after the server's word. */
-	happen(world: LimitedWorld, server: LimitedServer): void
-	/** Whether the server is sent to after that. */
-	readonly sent: boolean
+	/** Changes the source after the server's announcement. */
+	change(world: LimitedWorld, server: LimitedServer): void
+	/** Whether the server gets requests afterwards. */
+	readonly getsRequests: boolean
 }
-const LATER: readonly LaterCase[] = [
-	{ name: 'nothing more is told', happen: () => {}, sent: false },
+const LATER_CASES: readonly LaterCase[] = [
+	{ name: 'the source does not change', change: () => {}, getsRequests: false },
 	{
-		name: 'the source lists it as serving, again',
-		happen: (world, { listed }) => relist(world, listed, listed.name),
-		sent: false,
+		name: 'the source lists it as serving again',
+		change: (world, { listed }) => relist(world, listed, listed.name),
+		getsRequests: false,
 	},
 	{
-		name: 'the source loses and lists it, again',
-		happen: (world, { listed }) => {
+		name: 'the source removes it and lists it again',
+		change: (world, { listed }) => {
 			relist(world, undefined, listed.name)
 			relist(world, listed, listed.name)
 		},
-		sent: false,
+		getsRequests: false,
 	},
 	{
-		name: 'the source comes back from an older copy',
-		happen: ({ catalogs }) => {
+		name: 'the source is restored from an older copy',
+		change: ({ catalogs }) => {
 			for (const catalog of catalogs) {
 				const revision = { term: 2, revision: 1 }
 				const { servers } = catalog.snapshot
@@ -81,58 +81,58 @@
 				catalog.publish({ servers: copied })
 			}
 		},
-		sent: false,
+		getsRequests: false,
 	},
 	{
-		name: 'the source is away',
-		happen: ({ catalogs }) => {
+		name: 'the source is unavailable',
+		change: ({ catalogs }) => {
 			for (const catalog of catalogs) catalog.isDown = true
 		},
-		sent: false,
+		getsRequests: false,
 	},
 	{
-		name: 'its next life is listed',
-		happen: (world, server) => {
+		name: 'its next incarnation is listed',
+		change: (world, server) => {
 			const { listed } = server
-			server.leaves = false
+			server.isLeaving = false
 			relist(world, { ...listed, id: `${listed.id}@2` }, listed.name)
 		},
-		sent: true,
+		getsRequests: true,
 	},
 ]
-for (const { name, happen, sent } of LATER)
-	test(`all entries leave a leaving server alone when ${name}: ${!sent}`, async () => {
+for (const { name, change, getsRequests } of LATER_CASES)
+	test(`a leaving server gets no requests when ${name}: ${!getsRequests}`, async () => {
 		const [world, server] = await openLeaving()
 		const before = server.arrivals.length
-		happen(world, server)
-		await pause(NEWS_MS)
-		const asked = await askSteadily(world, ASKED)
+		change(world, server)
+		await pause(PROPAGATION_MS)
+		const responses = await sendSteadily(world, LOAD)
 		closeWorld(world)
-		assert.ok(asked.every(({ got }) => got.status === 200))
-		assert.is(server.arrivals.length > before, sent)
+		assert.ok(responses.every(({ response }) => response.status === 200))
+		assert.is(server.arrivals.length > before, getsRequests)
 	})
 
-test('an entry that starts knows which servers leave before it is ready', async () => {
+test('a starting entry knows leaving servers before it is ready', async () => {
 	const [world, server] = await openLeaving()
 	const started = await openEntry(world)
 	while ((await callGateway(started.readiness, '/')).status !== 200)
 		await pause(5)
 	assert.ok(started.ctx.list.departed.has(server.listed.id))
 	const before = server.arrivals.length
-	await askSteadily(world, ASKED)
+	await sendSteadily(world, LOAD)
 	closeWorld(world)
 	assert.is(server.arrivals.length, before)
 })
 
-test('while all servers leave, callers are refused at once', async () => {
+test('callers are refused at once while all servers are leaving', async () => {
 	const world = await openWorld(1, 1)
-	world.servers[0]!.leaves = true
-	const [first, ...others] = await askSteadily(world, ASKED)
+	world.servers[0]!.isLeaving = true
+	const [first, ...others] = await sendSteadily(world, LOAD)
 	closeWorld(world)
-	// What was taken is answered whole.
-	assert.is(first!.got.status, 200)
+	// An accepted request is answered completely.
+	assert.is(first!.response.status, 200)
 	const refused = others.slice(10)
-	for (const { got } of refused) assert.match(got.body, 'noServer')
+	for (const { response } of refused) assert.match(response.body, 'noServer')
 })
 
 test.after(() => {
