--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -118,7 +118,8 @@
 			const event = pickEvent(model.list(state), random)
 			if (!event) break
 			const open = state.lifecycles[0]!.state.at !== 'settled'
-			if (open && state.requested[0] && FAILURES.includes(event.do)) failed = true
+			if (open && state.requested[0] && FAILURES.includes(event.do))
+				failed = true
 			state = model.apply(state, event)
 		}
 		if (model.findFault(state) !== undefined) tally.broken++
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -122,7 +122,9 @@
 		),
 	}))
 	mergeCrashEvidence(gate.quarantine, { ends, served: [] }, ENDS * APART_MS)
-	gate.bodyLengths = new Set([...gate.quarantine.suspects.keys()].map(bodyLengthOf))
+	gate.bodyLengths = new Set(
+		[...gate.quarantine.suspects.keys()].map(bodyLengthOf),
+	)
 	gate.quarantined = new Set(listQuarantined(gate.quarantine))
 	return gate
 }
--- a/packages/core/src/core/startLimits.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -55,7 +55,8 @@
 	const { limit, nextProbeAt } = state
 	if (nextProbeAt !== undefined && now < nextProbeAt) return false
 	if (limit && !acquirePermit(limit, now)) return false
-	if (nextProbeAt !== undefined) state.nextProbeAt = now + BACKOFF_PROBE_INTERVAL_MS
+	if (nextProbeAt !== undefined)
+		state.nextProbeAt = now + BACKOFF_PROBE_INTERVAL_MS
 	return true
 }
 
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -13,7 +13,7 @@
 import type { OpenGateway } from './openGateway.ts'
 import { createOpener, until } from './openGateway.ts'
 import type { World } from './poisonWorld.ts'
-import { send, createWorlds, openEntry, pause } from './poisonWorld.ts'
+import { createWorlds, openEntry, pause, send } from './poisonWorld.ts'
 
 const openWorld = createWorlds(23_500)
 /** Crashes this far apart do not count as simultaneous, ms. */
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -44,8 +44,8 @@
 	{
 		name: 'limits',
 		file: NEED,
-		on: '	if (held >= slots) return undefined',
-		off: '	if (held > Number.NEGATIVE_INFINITY) return undefined',
+		on: '	if (limit >= slots) return undefined',
+		off: '	if (limit > Number.NEGATIVE_INFINITY) return undefined',
 	},
 	{
 		name: 'forgetting',
@@ -68,14 +68,14 @@
 	{
 		name: 'fit',
 		file: 'packages/core/src/core/passModel.ts',
-		on: '	fitter.fit = solve(fitter)',
-		off: '	solve(fitter)',
+		on: '	fitter.fit = solveFit(fitter)',
+		off: '	solveFit(fitter)',
 	},
 	{
 		name: 'predictedWaits',
 		file: WAITING,
-		on: '	if (!wish.slotsFreeOneByOne) return wish.waitMs <= 0',
-		off: '	if (flow) return wish.waitMs <= 0',
+		on: '	if (!options.slotsFreeOneByOne) return options.waitMs <= 0',
+		off: '	if (flow) return options.waitMs <= 0',
 	},
 	{
 		name: 'fairQueue',
@@ -98,14 +98,14 @@
 	{
 		name: 'pace',
 		file: DISPATCH,
-		on: 'const PACE_LOAD = 0.5',
-		off: 'const PACE_LOAD = 0',
+		on: 'const SLOWDOWN_LOAD = 0.5',
+		off: 'const SLOWDOWN_LOAD = 0',
 	},
 	{
 		name: 'groupPace',
 		file: DISPATCH,
-		on: 'const GROUP_PACE_LOAD = 0.6',
-		off: 'const GROUP_PACE_LOAD = 0',
+		on: 'const GROUP_SLOWDOWN_LOAD = 0.6',
+		off: 'const GROUP_SLOWDOWN_LOAD = 0',
 	},
 	{
 		name: 'ejection',
@@ -116,14 +116,14 @@
 	{
 		name: 'patience',
 		file: SEND,
-		on: 'const PATIENCE_SHARE = 0.5',
-		off: 'const PATIENCE_SHARE = 1_000',
+		on: 'const HEAD_TIMEOUT_SHARE = 0.5',
+		off: 'const HEAD_TIMEOUT_SHARE = 1_000',
 	},
 	{
 		name: 'secondSends',
 		file: RETRIES,
-		on: '	if (runs >= request.route.maxAttempts) return false',
-		off: '	if (runs >= 0) return false',
+		on: '	if (attempts >= request.route.maxAttempts) return false',
+		off: '	if (attempts >= 0) return false',
 	},
 	{
 		name: 'resume',
@@ -134,8 +134,8 @@
 	{
 		name: 'peerCounts',
 		file: 'packages/gateway/src/fleet.ts',
-		on: '		const sum = (heldByOthers.get(id) ?? 0) + sign * count',
-		off: '		const sum = (heldByOthers.get(id) ?? 0) + 0 * sign * count',
+		on: '		const sum = (inFlightOfPeers.get(id) ?? 0) + sign * count',
+		off: '		const sum = (inFlightOfPeers.get(id) ?? 0) + 0 * sign * count',
 	},
 	{
 		name: 'closures',
@@ -147,7 +147,7 @@
 		name: 'toldOpen',
 		file: 'packages/gateway/src/groupReports.ts',
 		on: "	if (broken) handleGroupBroken(ctx, group, 'coordinator')",
-		off: "	if (broken && !at) shutGroup(ctx, group, 'coordinator')",
+		off: "	if (broken && !at) handleGroupBroken(ctx, group, 'coordinator')",
 	},
 	{
 		name: 'rankEnds',
@@ -158,8 +158,8 @@
 	{
 		name: 'quarantine',
 		file: QUARANTINE,
-		on: 'const BARRED_POINTS = 6',
-		off: 'const BARRED_POINTS = Number.POSITIVE_INFINITY',
+		on: 'const QUARANTINE_POINTS = 6',
+		off: 'const QUARANTINE_POINTS = Number.POSITIVE_INFINITY',
 	},
 	{
 		name: 'singledOut',
@@ -170,14 +170,14 @@
 	{
 		name: 'groupRefusals',
 		file: RETRIES,
-		on: '	const refused = job.refusedSends - job.groupRefusals',
-		off: '	const refused = job.refusedSends',
+		on: '	const refusals = job.refusedSends - job.groupRefusals',
+		off: '	const refusals = job.refusedSends',
 	},
 	{
 		name: 'drawnServers',
 		file: DISPATCH,
-		on: 'const LEAST_DRAWN = 2',
-		off: 'const LEAST_DRAWN = 1_000',
+		on: 'const MIN_SAMPLED = 2',
+		off: 'const MIN_SAMPLED = 1_000',
 	},
 	{
 		name: 'untoldSends',
@@ -194,8 +194,8 @@
 	{
 		name: 'newsOfGroups',
 		file: 'packages/gateway/src/peerLinks.ts',
-		on: '	if (news.hops > 1 && isFullMesh(peers)) return',
-		off: '	if (news.hops > 0 || isFullMesh(peers)) return',
+		on: '	if (report.hops > 1 && isFullMesh(peers)) return',
+		off: '	if (report.hops > 0 || isFullMesh(peers)) return',
 	},
 	{
 		name: 'partTaken',
@@ -206,20 +206,20 @@
 	{
 		name: 'dealtServers',
 		file: ENTRY_DEMAND,
-		on: '		fleet.table.assignedElsewhere[row] = dealt.has(place) ? 0 : 1',
-		off: '		fleet.table.assignedElsewhere[row] = dealt.has(place) ? 0 : 0',
+		on: '		fleet.table.assignedElsewhere[row] = assigned.has(index) ? 0 : 1',
+		off: '		fleet.table.assignedElsewhere[row] = assigned.has(index) ? 0 : 0',
 	},
 	{
 		name: 'engineRoom',
 		file: WAITING,
-		on: 'const ENGINE_QUEUE_ROOM = 0',
-		off: 'const ENGINE_QUEUE_ROOM = 2',
+		on: 'const ENGINE_QUEUE_CAPACITY = 0',
+		off: 'const ENGINE_QUEUE_CAPACITY = 2',
 	},
 	{
 		name: 'fullSpells',
 		file: WAITING,
-		on: '			if (!isRationed(ctx.fleet, wish.service))',
-		off: '			if (isRationed(ctx.fleet, wish.service) || now)',
+		on: '			if (!isRationed(ctx.fleet, options.service))',
+		off: '			if (isRationed(ctx.fleet, options.service) || now)',
 	},
 	{
 		name: 'shiftBounds',
@@ -260,8 +260,8 @@
 	{
 		name: 'gathering',
 		file: 'packages/gateway/src/catalog.ts',
-		on: '		gatherMs = now - begunAt < SERIES_MS ? gatherMs * 2 : GATHER_MS',
-		off: '		gatherMs = now - begunAt < SERIES_MS ? gatherMs : GATHER_MS',
+		on: '			now - startedAt < BURST_MS ? batchDelayMs * 2 : BATCH_DELAY_MS',
+		off: '			now - startedAt < BURST_MS ? batchDelayMs : BATCH_DELAY_MS',
 	},
 	{
 		name: 'rests',
@@ -278,8 +278,8 @@
 	{
 		name: 'afterRest',
 		file: 'packages/core/src/core/serverBackoff.ts',
-		on: 'export const BACKOFF_PROBE_MS = 50',
-		off: 'export const BACKOFF_PROBE_MS = 0',
+		on: 'export const BACKOFF_PROBE_INTERVAL_MS = 50',
+		off: 'export const BACKOFF_PROBE_INTERVAL_MS = 0',
 	},
 	{
 		name: 'leavingByAnswers',
