--- a/packages/core/test/models/lifecycleModelState.ts
+++ b/packages/core/test/models/lifecycleModelState.ts
@@ -129,7 +129,7 @@
 	const each = <T>(make: () => T) =>
 		Array.from({ length: bounds.entries }, make)
 	const at = { now: 0, wall: KEY_WALL }
-	const agent = { ...createAdmission(at, 1), bornWall: BORN_WALL }
+	const agent = { ...createAdmission(at, 1), startedWall: BORN_WALL }
 	return {
 		lifecycles: each(() =>
 			createLifecycle(bounds.repeatable, !bounds.freshKey),
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -103,14 +103,14 @@
 })
 
 const BUDGETS = [
-	{ firstMs: 0, elapsedMs: 0, budget: 500 },
-	{ firstMs: 200, elapsedMs: 0, budget: 250 },
-	{ firstMs: 200, elapsedMs: 400, budget: -150 },
+	{ firstByteMs: 0, elapsedMs: 0, budget: 500 },
+	{ firstByteMs: 200, elapsedMs: 0, budget: 250 },
+	{ firstByteMs: 200, elapsedMs: 400, budget: -150 },
 ]
 
-for (const { firstMs, elapsedMs, budget } of BUDGETS)
-	test(`wait budget: first byte after ${firstMs} ms, ${elapsedMs} ms elapsed`, () => {
-		const pressure = { ...pressureOf(ctx.pressures, SERVICE), firstMs }
+for (const { firstByteMs, elapsedMs, budget } of BUDGETS)
+	test(`wait budget: first byte after ${firstByteMs} ms, ${elapsedMs} ms elapsed`, () => {
+		const pressure = { ...pressureOf(ctx.pressures, SERVICE), firstByteMs }
 		assert.is(waitBudgetMs(pressure, 500, elapsedMs), budget)
 	})
 
