--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -92,15 +92,15 @@
 }
 
 function probeNext(ctx: GatewayContext): void {
-	const { crashDetector: ends } = ctx
-	while (ends.probing < MAX_PROBES) {
-		const id = ends.queue.shift()
+	const { crashDetector } = ctx
+	while (crashDetector.probing < MAX_PROBES) {
+		const id = crashDetector.queue.shift()
 		if (id === undefined) return
-		const check = ends.checks.get(id)
+		const check = crashDetector.checks.get(id)
 		if (!check) continue
-		ends.probing++
+		crashDetector.probing++
 		void probe(check.server.address).then(result => {
-			ends.probing--
+			crashDetector.probing--
 			applyProbe(ctx, check, result)
 			probeNext(ctx)
 		})
@@ -159,8 +159,11 @@
  * announced its leaving has crashed; one that is listed as leaving has not.
  */
 export function resolveChecksByList(ctx: GatewayContext): void {
-	const { crashDetector: ends, list } = ctx
-	for (const [id, check] of [...ends.inconclusive, ...ends.checks]) {
+	const { crashDetector, list } = ctx
+	for (const [id, check] of [
+		...crashDetector.inconclusive,
+		...crashDetector.checks,
+	]) {
 		const listed = list.records.get(check.server.name)?.server
 		const isListed = listed?.id === id
 		if (isListed && listed.leaving) closeCheck(ctx, check)
@@ -169,11 +172,11 @@
 }
 
 function closeCheck(
-	{ crashDetector: ends }: GatewayContext,
+	{ crashDetector }: GatewayContext,
 	{ server, resolve }: CrashCheck,
 ): void {
-	ends.checks.delete(server.id)
-	ends.inconclusive.delete(server.id)
+	crashDetector.checks.delete(server.id)
+	crashDetector.inconclusive.delete(server.id)
 	resolve()
 }
 
@@ -187,18 +190,18 @@
 
 /** Records a complete answer, which proves that the server has not crashed before. */
 export function recordServerAlive(
-	{ crashDetector: ends }: GatewayContext,
+	{ crashDetector }: GatewayContext,
 	server: string,
 ): void {
-	ends.inconclusive.delete(server)
+	crashDetector.inconclusive.delete(server)
 }
 
 /** Waits for the result of a server's crash check, if one is in progress. */
 export async function awaitCrashCheck(
-	{ crashDetector: ends }: GatewayContext,
+	{ crashDetector }: GatewayContext,
 	server: string,
 ): Promise<void> {
-	await ends.checks.get(server)?.resolved
+	await crashDetector.checks.get(server)?.resolved
 }
 
 function confirmCrash(
--- a/packages/gateway/test/poisonRequests.test.ts
+++ b/packages/gateway/test/poisonRequests.test.ts
@@ -83,17 +83,18 @@
 	headers,
 }: PoisonCase): Promise<string[]> {
 	const world = await openWorld(entries)
-	const { crashes: ends, runs } = world.servers
+	const { crashes, runs } = world.servers
 	const early = await sendRepeatedly(world, path, body, ATTEMPTS / 2, headers)
 	await pause(CONTACT_MS)
 	const late = await sendRepeatedly(world, path, body, ATTEMPTS / 2, headers)
 	world.servers.close()
-	const countedFrom = (ends[MAX_CRASHES - 1] ?? ends.at(-1)!).at + CONTACT_MS
+	const countedFrom =
+		(crashes[MAX_CRASHES - 1] ?? crashes.at(-1)!).at + CONTACT_MS
 	const after = runs.filter(run => run.at > countedFrom)
-	if (after.length <= MAX_LATE_SENDS && ends.length <= MAX_CRASHES) return []
+	if (after.length <= MAX_LATE_SENDS && crashes.length <= MAX_CRASHES) return []
 	const statuses = [...early, ...late].join()
 	return [
-		`${name}: ${ends.length} crashes, ${after.length} late sends, statuses ${statuses}`,
+		`${name}: ${crashes.length} crashes, ${after.length} late sends, statuses ${statuses}`,
 	]
 }
 
