--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,4 +1,7 @@
-/** An agent: one small process beside each backend server. */
+/**
+ * The agent: one small process beside each backend server. It admits requests, runs them
+ * on the server and reports the server's load to entries.
+ */
 
 import { randomBytes } from 'node:crypto'
 import type { ActiveConfig } from '@juniperhook/core'
@@ -27,31 +30,36 @@
 import * as v from 'valibot'
 import type { AgentProcess } from './agentState.ts'
 import {
+	computeStepShare,
 	createGroupMethods,
 	describeGroup,
 	joinGroup,
-	stepShareOf,
 } from './io/group.ts'
 import type { GroupMember } from './io/groupMember.ts'
 import { createOfferApp } from './io/offers.ts'
-import { beatRequests, isIdle, tickRequests } from './io/openAnswers.ts'
+import { isIdle, sendHeartbeats, tickRequests } from './io/openAnswers.ts'
 import { cancelAttempt, stepTable, voidAttempt } from './io/requests.ts'
 import type { RequestTable } from './io/requestTable.ts'
 import { createRequestTable } from './io/requestTable.ts'
-import { LIFE_LOOK_MS, lookForNextLife } from './io/serverLife.ts'
+import { BACKEND_CHECK_INTERVAL_MS, checkBackend } from './io/serverLife.ts'
 import { describeServer } from './io/serverSignals.ts'
-import { pushReport, pushReports, reportChanges, stateOf } from './reports.ts'
+import {
+	pushReport,
+	pushReports,
+	readServerState,
+	reportChanges,
+} from './reports.ts'
 
-const TICK_MS = 100
-/** Answers carry load reports too; these are for entries that get none. */
-const REPORT_MS = 2_000
-const BEAT_MS = 1_000
-const IDLE_CHECK_MS = 50
-/** The offer's header holds the caller's own headers. */
+const TICK_INTERVAL_MS = 100
+/** Answers carry load reports too; these are for entries that receive no answers. */
+const REPORT_INTERVAL_MS = 2_000
+const HEARTBEAT_INTERVAL_MS = 1_000
+const IDLE_CHECK_INTERVAL_MS = 50
+/** The offer's header contains the caller's own headers. */
 const MAX_OFFER_HEADER_BYTES = 65_536
 const log = createLog('agent')
 
-/** Starts an agent and resolves when it listens. */
+/** Starts an agent and resolves when it is listening. */
 export async function startAgent(settings: Settings): Promise<AgentProcess> {
 	const incarnation = `${Date.now()}-${randomBytes(4).toString('hex')}`
 	const metrics = createMetrics()
@@ -60,7 +68,7 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => adopt(agent, held),
+			onAdopt: active => applyConfig(agent, active),
 			onVms: vms => leaveIfListed(agent, vms),
 		},
 		seed,
@@ -71,8 +79,8 @@
 		metrics,
 		follower,
 		links: new Set(),
-		lastSaid: '',
-		periods: 0,
+		lastReportedLoad: '',
+		reportPeriods: 0,
 		requests: undefined,
 		group: undefined,
 	}
@@ -89,7 +97,7 @@
 	)
 	await listenOperators(settings.listen.operators, {
 		metrics,
-		isReady: () => stateOf(agent.requests) === 'serving',
+		isReady: () => readServerState(agent.requests) === 'serving',
 		status: () => describeAgent(agent),
 	})
 	startTimers(agent)
@@ -98,44 +106,44 @@
 	return agent
 }
 
-function adopt(agent: AgentProcess, held: ActiveConfig): void {
+function applyConfig(agent: AgentProcess, active: ActiveConfig): void {
 	const name = agent.settings.process.name
-	const server = held.config.server[name]
+	const server = active.config.server[name]
 	if (!server) {
 		log({ msg: 'this server is not configured', server: name })
-		if (agent.requests) leave(agent)
+		if (agent.requests) startLeaving(agent)
 		return
 	}
 	agent.requests ??= createRequestTable(
 		name,
 		agent.incarnation,
-		held.config,
+		active.config,
 		server,
 		agent.metrics,
 		{
 			onChange: () => pushReports(agent),
-			onBroken: () => lookAtServer(agent),
+			onConnectionBroken: () => checkServer(agent),
 		},
 	)
 	const table = agent.requests
-	table.config = held.config
+	table.config = active.config
 	table.server = server
 	table.admission.slots = server.slots
-	joinOrFollow(agent, held)
+	updateGroup(agent, active)
 	if (server.service) {
-		const servers = listServiceServers(held.config, server.service)
+		const servers = listServiceServers(active.config, server.service)
 		recordServerSet(table.homes, servers, Date.now())
 	}
 	pushReports(agent)
 }
 
-function joinOrFollow(agent: AgentProcess, held: ActiveConfig): void {
+function updateGroup(agent: AgentProcess, active: ActiveConfig): void {
 	const { name } = agent.settings.process
 	const { port } = splitAddress(agent.settings.listen.control)
-	agent.group ??= joinGroup(name, held.config, port)
+	agent.group ??= joinGroup(name, active.config, port)
 	if (!agent.group) return
-	agent.group.config = held.config
-	const groups = Object.values(held.config.group)
+	agent.group.config = active.config
+	const groups = Object.values(active.config.group)
 	const group = groups.find(one => one.ranks.includes(name))
 	if (group) agent.group.group = group
 }
@@ -166,47 +174,48 @@
 function startTimers(agent: AgentProcess): void {
 	setInterval(() => {
 		if (agent.requests) tickRequests(agent.requests)
-		if (agent.requests && agent.group) followGroup(agent.requests, agent.group)
-	}, TICK_MS)
+		if (agent.requests && agent.group)
+			applyGroupState(agent.requests, agent.group)
+	}, TICK_INTERVAL_MS)
 	setInterval(() => {
-		if (agent.requests) beatRequests(agent.requests)
-	}, BEAT_MS)
-	setInterval(() => reportChanges(agent), REPORT_MS)
-	setInterval(() => lookAtServer(agent), LIFE_LOOK_MS)
+		if (agent.requests) sendHeartbeats(agent.requests)
+	}, HEARTBEAT_INTERVAL_MS)
+	setInterval(() => reportChanges(agent), REPORT_INTERVAL_MS)
+	setInterval(() => checkServer(agent), BACKEND_CHECK_INTERVAL_MS)
 }
 
-function lookAtServer({ requests, links }: AgentProcess): void {
+function checkServer({ requests, links }: AgentProcess): void {
 	if (!requests) return
-	void lookForNextLife(requests, notice => {
+	void checkBackend(requests, notice => {
 		for (const link of links)
 			if (link.remoteName !== '') notify(link, 'serverEnd', notice)
 	})
 }
 
-function followGroup(table: RequestTable, group: GroupMember): void {
-	table.stepShare = stepShareOf(group)
+function applyGroupState(table: RequestTable, group: GroupMember): void {
+	table.stepShare = computeStepShare(group)
 	if (group.split) stepTable(table, { type: 'suspect' })
 }
 
 function leaveIfListed(agent: AgentProcess, vms: readonly Vm[]): void {
 	const { name } = agent.settings.process
 	const own = vms.find(vm => vm.name === name)
-	if (own?.state === 'leaving') leave(agent)
+	if (own?.state === 'leaving') startLeaving(agent)
 }
 
-function leave(agent: AgentProcess): void {
+function startLeaving(agent: AgentProcess): void {
 	if (!agent.requests || agent.requests.admission.mode === 'leaving') return
 	log({ msg: 'leaving', server: agent.settings.process.name })
 	stepTable(agent.requests, { type: 'leave' })
 	pushReports(agent)
 }
 
-/** Takes no more work, finishes what is in flight, then ends the process. */
+/** Refuses new requests, finishes those in flight, then exits the process. */
 async function stopAgent(agent: AgentProcess): Promise<void> {
-	leave(agent)
+	startLeaving(agent)
 	agent.follower.stopped = true
 	while (agent.requests && !isIdle(agent.requests))
-		await new Promise(resolve => setTimeout(resolve, IDLE_CHECK_MS))
+		await new Promise(resolve => setTimeout(resolve, IDLE_CHECK_INTERVAL_MS))
 	process.exit(0)
 }
 
--- a/packages/agent/src/agentState.ts
+++ b/packages/agent/src/agentState.ts
@@ -1,4 +1,4 @@
-/** What the parts of an agent share. */
+/** State shared by the modules of an agent. */
 
 import type { Follower, Metrics, RpcLink, Settings } from '@juniperhook/runtime'
 import type { GroupMember } from './io/groupMember.ts'
@@ -11,11 +11,12 @@
 	readonly metrics: Metrics
 	readonly follower: Follower
 	readonly links: Set<RpcLink>
-	/** Load as last reported, and report periods so far. */
-	lastSaid: string
-	periods: number
-	/** Missing until a configuration that names this server is in force. */
+	/** Key of the last reported load, to skip unchanged reports. */
+	lastReportedLoad: string
+	/** Report periods since the start. */
+	reportPeriods: number
+	/** Undefined until a configuration that names this server is in force. */
 	requests: RequestTable | undefined
-	/** Missing for a server outside any group. */
+	/** Undefined for a server outside any group. */
 	group: GroupMember | undefined
 }
--- a/packages/agent/src/bin.ts
+++ b/packages/agent/src/bin.ts
@@ -1,12 +1,12 @@
 /**
- * The binary `juniperhook-agent`. `juniperhook-agent FILE` goes straight to the
- * daemon, so that the command-line library never stands in its memory.
+ * The binary `juniperhook-agent`. `juniperhook-agent FILE` starts the daemon directly, so
+ * that the command-line library is never loaded into its memory.
  */
 
 const args = process.argv.slice(2)
 const [file] = args
-const plainStart = args.length === 1 && !file?.startsWith('-')
-if (plainStart) {
+const isDirectStart = args.length === 1 && !file?.startsWith('-')
+if (isDirectStart) {
 	const { runAgent } = await import('./main.ts')
 	await runAgent(file!)
 } else {
--- a/packages/agent/src/command.ts
+++ b/packages/agent/src/command.ts
@@ -1,6 +1,6 @@
 import { Args, Command } from '@oclif/core'
 
-/** `juniperhook-agent FILE`: runs an agent until it is told to stop. */
+/** `juniperhook-agent FILE`: runs an agent until it receives SIGTERM. */
 export default class Agent extends Command {
 	static override summary = 'Run the agent beside one backend server.'
 	static override description = `Reads its own addresses from the settings file
--- a/packages/agent/src/io/answerLog.ts
+++ b/packages/agent/src/io/answerLog.ts
@@ -1,60 +1,61 @@
 /**
- * The frames of one answer, kept so that a reader who lost its link takes the
- * answer up again at any number, and a second reader gets it whole.
+ * The frames of one answer, retained so that a reader that lost its connection can resume
+ * at any retained frame number and a second reader can receive the whole answer.
  */
 
 import type { ServerResponse } from 'node:http'
 import type { AnswerFrame } from '@juniperhook/runtime'
 import { packFrame } from '@juniperhook/runtime'
 
-/** Frames behind the slowest reader that are kept for a resume. */
-const KEEP_FRAMES = 512
-/** A log is trimmed only beyond this, in bytes. */
-const TRIM_BYTES = 262_144
-/** Largest answer kept whole for later askers of its key, in bytes. */
-export const MAX_KEPT_BYTES = 262_144
+/** Frames before the slowest reader's position that are retained for a resumption. */
+const RETAINED_FRAMES = 512
+/** A log is trimmed only above this size. */
+const TRIM_THRESHOLD_BYTES = 262_144
+/** Largest answer retained whole for later requests with the same idempotency key. */
+export const MAX_RETAINED_BYTES = 262_144
 
 interface Reader {
 	readonly res: ServerResponse
+	/** Number of the next frame to send. */
 	next: number
 	/** Whether the socket's buffer is full. */
 	full: boolean
 }
 
-/** One answer as it is made. */
+/** The log of one answer. */
 export interface AnswerLog {
 	readonly frames: Buffer[]
-	/** Number of the first frame still kept. */
+	/** Number of the first frame that is still retained. */
 	base: number
 	bytes: number
-	/** The closing frame, once there is one. */
-	last: Buffer | undefined
+	/** Undefined until the answer has ended. */
+	closingFrame: Buffer | undefined
 	readonly readers: Set<Reader>
-	/** Whether every frame must be kept, for askers by key. */
-	readonly keepAll: boolean
-	/** Called when a reader has caught up or gone. */
-	onRoom: (() => void) | undefined
+	/** Whether to retain every frame, for requests with the same idempotency key. */
+	readonly retainAll: boolean
+	/** Called when a reader's buffer has drained or the reader has disconnected. */
+	onReaderProgress: (() => void) | undefined
 }
 
-/** Makes an empty log. */
-export function createAnswerLog(keepAll: boolean): AnswerLog {
+/** Creates an empty log. */
+export function createAnswerLog(retainAll: boolean): AnswerLog {
 	return {
 		frames: [],
 		base: 0,
 		bytes: 0,
-		last: undefined,
+		closingFrame: undefined,
 		readers: new Set(),
-		keepAll,
-		onRoom: undefined,
+		retainAll,
+		onReaderProgress: undefined,
 	}
 }
 
-/** Number that the next chunk gets. */
-export function nextNumber(log: AnswerLog): number {
+/** Returns the number of the next frame. */
+export function nextFrameNumber(log: AnswerLog): number {
 	return log.base + log.frames.length
 }
 
-/** Adds a numbered frame and sends it to all readers. */
+/** Appends a numbered frame and sends it to all readers. */
 export function appendFrame(log: AnswerLog, frame: AnswerFrame): void {
 	const packed = packFrame(frame)
 	log.frames.push(packed)
@@ -63,13 +64,16 @@
 	trim(log)
 }
 
-/** Adds the closing frame; readers end after it. */
+/** Adds the closing frame and ends every reader after it. */
 export function closeLog(log: AnswerLog, frame: AnswerFrame): void {
-	log.last = packFrame(frame)
+	log.closingFrame = packFrame(frame)
 	for (const reader of log.readers) pump(log, reader)
 }
 
-/** Sends `res` the answer from number `from`; false if that is gone. */
+/**
+ * Sends the answer from frame `from` on to `res`. Returns false if that frame is no longer
+ * retained.
+ */
 export function attachReader(
 	log: AnswerLog,
 	res: ServerResponse,
@@ -81,47 +85,50 @@
 	res.on('drain', () => {
 		reader.full = false
 		pump(log, reader)
-		log.onRoom?.()
+		log.onReaderProgress?.()
 	})
 	res.on('close', () => {
 		log.readers.delete(reader)
-		log.onRoom?.()
+		log.onReaderProgress?.()
 	})
 	pump(log, reader)
 	return true
 }
 
-/** Whether some reader is far behind, so that the backend should wait. */
-export function isBehind(log: AnswerLog): boolean {
-	if (log.bytes <= TRIM_BYTES) return false
+/** Whether some reader is so far behind that the backend should be paused. */
+export function hasSlowReader(log: AnswerLog): boolean {
+	if (log.bytes <= TRIM_THRESHOLD_BYTES) return false
 	for (const reader of log.readers)
-		if (reader.full && nextNumber(log) - reader.next > KEEP_FRAMES) return true
+		if (reader.full && nextFrameNumber(log) - reader.next > RETAINED_FRAMES)
+			return true
 	return false
 }
 
-/** Tells every reader that work goes on. */
-export function sendBeat(log: AnswerLog, beat: Buffer): void {
-	for (const reader of log.readers) if (!reader.full) reader.res.write(beat)
+/** Sends a heartbeat to every reader whose buffer has room. */
+export function sendHeartbeat(log: AnswerLog, heartbeat: Buffer): void {
+	for (const reader of log.readers)
+		if (!reader.full) reader.res.write(heartbeat)
 }
 
 function pump(log: AnswerLog, reader: Reader): void {
 	const { res } = reader
 	if (res.writableEnded || res.destroyed) return
-	while (!reader.full && reader.next < nextNumber(log)) {
+	while (!reader.full && reader.next < nextFrameNumber(log)) {
 		const frame = log.frames[reader.next - log.base]
 		if (!frame) break
 		reader.next++
 		reader.full = !res.write(frame)
 	}
-	if (log.last && reader.next >= nextNumber(log)) res.end(log.last)
+	if (log.closingFrame && reader.next >= nextFrameNumber(log))
+		res.end(log.closingFrame)
 }
 
 function trim(log: AnswerLog): void {
-	if (log.keepAll && log.bytes <= MAX_KEPT_BYTES) return
-	if (log.bytes <= TRIM_BYTES) return
-	let slowest = nextNumber(log)
+	if (log.retainAll && log.bytes <= MAX_RETAINED_BYTES) return
+	if (log.bytes <= TRIM_THRESHOLD_BYTES) return
+	let slowest = nextFrameNumber(log)
 	for (const reader of log.readers) slowest = Math.min(slowest, reader.next)
-	const count = slowest - KEEP_FRAMES - log.base
+	const count = slowest - RETAINED_FRAMES - log.base
 	if (count <= 0) return
 	for (const frame of log.frames.splice(0, count)) log.bytes -= frame.length
 	log.base += count
--- a/packages/agent/src/io/backend.ts
+++ b/packages/agent/src/io/backend.ts
@@ -1,6 +1,6 @@
 /**
- * The port to a backend server: one function per kind. A run reports what it
- * sees to a sink; it never decides a request's fate.
+ * The port to a backend server, with one function per kind of server. A run passes the
+ * answer to a sink and returns its result; it does not decide on a request's outcome.
  */
 
 import type { EventEmitter } from 'node:events'
@@ -13,13 +13,13 @@
 import { createParser } from 'eventsource-parser'
 import { Agent, type Dispatcher, request } from 'undici'
 
-/** What an engine sends as its last event. */
+/** Data of the last event of an engine's stream. */
 const STREAM_END = '[DONE]'
 const MAX_ENGINE_RESUMES = 3
-const CONNECT_MS = 1_000
-const ENGINE_RESUME_PAUSE_MS = 100
+const CONNECT_TIMEOUT_MS = 1_000
+const ENGINE_RESUME_DELAY_MS = 100
 
-/** Stops a run; cheaper a request than an AbortController. */
+/** Stops a run; costs less per request than an AbortController. */
 export interface StopSignal extends EventEmitter {
 	stopped?: boolean
 }
@@ -34,35 +34,35 @@
 	readonly headers: Record<string, string>
 	readonly body: Buffer
 	readonly priority: number
-	/** Emits `abort` when the run is to stop. */
+	/** Emits `abort` to stop the run. */
 	readonly stop: StopSignal
 }
 
-/** Where a run's answer goes. */
+/** Receives a run's answer. */
 export interface AnswerSink {
 	head(status: number, headers: Record<string, string | string[]>): void
-	/** Resolves when more may be sent. */
+	/** Resolves when more data may be written; undefined if it may at once. */
 	chunk(data: Uint8Array): Promise<void> | undefined
 }
 
-/** How a run ended. */
-export type RunEnd =
+/** The result of a run. `unstarted`: the request never reached the server. */
+export type RunResult =
 	| { readonly how: 'whole' }
 	| { readonly how: 'unstarted'; readonly detail: string }
 	| { readonly how: 'broken'; readonly detail: string }
 
 const dispatcher = new Agent({
-	connect: { timeout: CONNECT_MS },
+	connect: { timeout: CONNECT_TIMEOUT_MS },
 	headersTimeout: 0,
 	bodyTimeout: 0,
 	pipelining: 1,
 })
 
-/** Runs a request on a plain service: all bytes pass through. */
+/** Runs a request on a plain service and passes all bytes through. */
 export async function runService(
 	run: BackendRun,
 	sink: AnswerSink,
-): Promise<RunEnd> {
+): Promise<RunResult> {
 	return await runOnce(run, async res => {
 		sink.head(res.statusCode, splitHopHeaders(res.headers))
 		for await (const data of res.body) await sink.chunk(data)
@@ -70,11 +70,11 @@
 	})
 }
 
-/** Runs a request on a model engine; takes up a broken stream again. */
+/** Runs a request on a model engine and resumes a broken event stream. */
 export async function runEngine(
 	run: BackendRun,
 	sink: AnswerSink,
-): Promise<RunEnd> {
+): Promise<RunResult> {
 	return await runOnce(run, async res => {
 		sink.head(res.statusCode, splitHopHeaders(res.headers))
 		if (!isEventStream(res.headers)) {
@@ -85,7 +85,7 @@
 	})
 }
 
-/** Tells an engine to stop working on a request. */
+/** Cancels a request on an engine. */
 export async function cancelOnEngine(
 	address: string,
 	reqId: string,
@@ -97,8 +97,8 @@
 
 async function runOnce(
 	run: BackendRun,
-	relay: (res: Dispatcher.ResponseData) => Promise<RunEnd>,
-): Promise<RunEnd> {
+	relay: (res: Dispatcher.ResponseData) => Promise<RunResult>,
+): Promise<RunResult> {
 	let res: Dispatcher.ResponseData
 	try {
 		res = await request(`http://${run.address}${run.path}`, {
@@ -127,37 +127,37 @@
 	run: BackendRun,
 	first: Dispatcher.ResponseData,
 	sink: AnswerSink,
-): Promise<RunEnd> {
-	let seen = -1
+): Promise<RunResult> {
+	let lastNumber = -1
 	let ended = false
-	let room: Promise<void> | undefined
+	let writable: Promise<void> | undefined
 	const parser = createParser({
 		onEvent: event => {
-			const number = Number(event.id ?? seen + 1)
-			if (number <= seen || ended) return
-			seen = number
+			const number = Number(event.id ?? lastNumber + 1)
+			if (number <= lastNumber || ended) return
+			lastNumber = number
 			ended = event.data === STREAM_END
-			room = sink.chunk(Buffer.from(`data: ${event.data}\n\n`))
+			writable = sink.chunk(Buffer.from(`data: ${event.data}\n\n`))
 		},
 	})
 	let res: Dispatcher.ResponseData | undefined = first
-	for (let tries = 0; tries <= MAX_ENGINE_RESUMES; tries++) {
+	for (let resumes = 0; resumes <= MAX_ENGINE_RESUMES; resumes++) {
 		const decoder = new TextDecoder()
 		try {
 			if (res)
 				for await (const data of res.body) {
 					parser.feed(decoder.decode(data, { stream: true }))
-					if (room) await room
+					if (writable) await writable
 				}
 		} catch (err) {
 			if (run.stop.stopped) throw err
 		}
 		if (ended) return { how: 'whole' }
 		parser.reset()
-		await new Promise(r => setTimeout(r, ENGINE_RESUME_PAUSE_MS))
-		res = await resumeOnEngine(run, seen + 1)
+		await new Promise(r => setTimeout(r, ENGINE_RESUME_DELAY_MS))
+		res = await resumeOnEngine(run, lastNumber + 1)
 	}
-	return { how: 'broken', detail: 'the stream ended without its end mark' }
+	return { how: 'broken', detail: 'the event stream ended without [DONE]' }
 }
 
 async function resumeOnEngine(
@@ -171,7 +171,7 @@
 		if (res.statusCode === 200) return res
 		await res.body.dump()
 	} catch {
-		// The engine is away; the caller of this function tries again.
+		// The engine is unreachable; relayEvents retries.
 	}
 	return undefined
 }
--- a/packages/agent/src/io/engine.ts
+++ b/packages/agent/src/io/engine.ts
@@ -1,45 +1,45 @@
-/** The control side of a model engine: what it reports, what it is ordered. */
+/** The control interface of a model engine: its reports and the orders to it. */
 
 import type { EngineReply, RankEngineOrder } from '@juniperhook/runtime'
 import { Agent, request } from 'undici'
 import * as v from 'valibot'
 
-const CALL_MS = 2_000
+const CALL_TIMEOUT_MS = 2_000
 const dispatcher = new Agent({
 	connect: { timeout: 1_000 },
-	headersTimeout: CALL_MS,
-	bodyTimeout: CALL_MS,
+	headersTimeout: CALL_TIMEOUT_MS,
+	bodyTimeout: CALL_TIMEOUT_MS,
 })
-/** Staging waits for the weight store. */
+/** Without timeouts, because staging waits until the weight store has sent all weights. */
 const stagingDispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
 
 const count = v.pipe(v.number(), v.integer())
 
-/** What an engine reports of itself and of its group's last step. */
+/** Report of an engine about itself and its group's last step. */
 export const EngineReportSchema = v.object({
 	generation: count,
 	step: count,
 	mapId: v.string(),
-	/** Step from which that map has been used. */
+	/** Step since which `mapId` has been in use. */
 	mapSince: count,
-	/** Map that is committed, in force or about to be. */
+	/** Map committed last, whether already in force or not. */
 	nextMapId: v.string(),
-	/** Whether it waits at a gate for a decision. */
+	/** Whether the engine waits at a gate for the decision on a change. */
 	inDoubt: v.boolean(),
 	joined: v.boolean(),
 	stepMs: v.number(),
 	meanStepMs: v.number(),
 	groupStepMs: v.number(),
-	/** Experts held, a list a layer. */
+	/** Experts held, one list per layer. */
 	slots: v.array(v.array(count)),
-	/** Tokens since the start, `layer * experts + expert`. */
+	/** Tokens since the start, indexed by `layer * experts + expert`. */
 	tokens: v.array(v.number()),
 })
 
 /** See {@link EngineReportSchema}. */
 export type EngineReport = v.InferOutput<typeof EngineReportSchema>
 
-/** What a rank tells the coordinator: counts of the experts it holds alone. */
+/** Report of a rank to the coordinator; it counts only the rank's own experts. */
 export const RankReportSchema = v.object({
 	generation: count,
 	mapId: v.string(),
@@ -47,7 +47,7 @@
 	nextMapId: v.string(),
 	joined: v.boolean(),
 	groupStepMs: v.number(),
-	/** Experts held, a list a layer. */
+	/** Experts held, one list per layer. */
 	slots: v.array(v.array(count)),
 	/** Tokens since the start, in the order of `slots`. */
 	counts: v.array(v.array(count)),
@@ -56,7 +56,7 @@
 /** See {@link RankReportSchema}. */
 export type RankReport = v.InferOutput<typeof RankReportSchema>
 
-/** Leaves out what the coordinator does not need; it asks many ranks. */
+/** Drops what the coordinator does not need, because it fetches reports of many ranks. */
 export function toRankReport(
 	report: EngineReport,
 	experts: number,
@@ -78,14 +78,14 @@
 	}
 }
 
-/** Reads an engine's report. */
+/** Fetches an engine's report. */
 export async function readEngine(address: string): Promise<EngineReport> {
 	const res = await request(`http://${address}/load`, { dispatcher })
 	return v.parse(EngineReportSchema, await res.body.json())
 }
 
-/** Gives an engine an order. */
-export async function giveOrder(
+/** Sends an order to an engine and returns its reply. */
+export async function sendOrder(
 	address: string,
 	order: RankEngineOrder,
 ): Promise<EngineReply> {
--- a/packages/agent/src/io/group.ts
+++ b/packages/agent/src/io/group.ts
@@ -1,7 +1,7 @@
 /**
- * A group of ranks as its agents run it. Every agent answers for its rank; the
- * agent of the first rank plans moves and coordinates changes; any agent whose
- * rank is left in doubt recovers.
+ * The agents' part in running a group of ranks. Every agent serves the map protocol for its
+ * rank. The agent of the first rank plans expert loads and coordinates map changes. Any
+ * agent whose rank remains in doubt starts a recovery round.
  */
 
 import { randomBytes } from 'node:crypto'
@@ -20,32 +20,32 @@
 import { createLog, messageOf, readNow, sleep } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { EngineReport, RankReport } from './engine.ts'
-import { giveOrder, readEngine, toRankReport } from './engine.ts'
-import type { GroupMember, PlanWish } from './groupMember.ts'
-import { ask } from './groupMember.ts'
+import { readEngine, sendOrder, toRankReport } from './engine.ts'
+import type { GroupMember, PlanSummary } from './groupMember.ts'
+import { callAgent } from './groupMember.ts'
 import {
-	agree,
+	areMapsConsistent,
 	collectReports,
 	countTokens,
-	planSlices,
+	planLayers,
 	readLayers,
 	summarize,
 } from './groupPlan.ts'
-import { FENCE_SPACE, runRound, takeFence } from './mapRound.ts'
-import { askRank, createRankPort } from './rankPort.ts'
+import { FENCE_SPACE, issueFence, runRound } from './mapRound.ts'
+import { callRank, createRankPort } from './rankPort.ts'
 
 const FENCE_BYTES = 4
-const WATCH_MS = 500
-/** A rank in doubt for so long recovers by itself, ms. */
-const DOUBT_MS = 1_000
-const STAGE_MS = 600_000
-/** How far ahead of the last step a change is set, ms of steps. */
-const LEAD_MS = 400
+const WATCH_INTERVAL_MS = 500
+/** After this time in doubt, the agent of the first rank starts a recovery round. */
+const IN_DOUBT_TIMEOUT_MS = 1_000
+const STAGE_TIMEOUT_MS = 600_000
+/** How long after the last step a change takes effect; converted into steps. */
+const CHANGE_LEAD_MS = 400
 const FIRST_MAP = 'first'
 const MS = 1_000
 const log = createLog('agent:group')
 
-const NO_WISH: PlanWish = {
+const EMPTY_PLAN: PlanSummary = {
 	layers: [],
 	loads: 0,
 	skewBefore: 1,
@@ -54,13 +54,13 @@
 	costMs: 0,
 }
 
-/** Asks a rank to fetch what a coming map needs. */
+/** Parameters of `mapStage`: the experts that a rank must load for a map. */
 export const StageSchema = v.object({
 	mapId: v.string(),
 	slots: v.array(v.array(v.number())),
 })
 
-/** Joins the group that names this server, if one does. */
+/** Joins the group whose configuration names this server, if there is one. */
 export function joinGroup(
 	name: string,
 	config: Config,
@@ -86,52 +86,52 @@
 		config,
 		group,
 		report: undefined,
-		counted: undefined,
-		doubtSince: undefined,
+		lastCounts: undefined,
+		inDoubtSince: undefined,
 		plannedAt: now,
 		split: false,
-		wish: NO_WISH,
+		wish: EMPTY_PLAN,
 	}
 	void watchGroup(member)
 	return member
 }
 
-/** Methods that an agent of a group serves to the others. */
-export function createGroupMethods(find: () => GroupMember) {
+/** Creates the RPC methods that an agent of a group serves to the other agents. */
+export function createGroupMethods(findMember: () => GroupMember) {
 	return {
 		mapRequest: (req: RankRequest): Promise<RankReply> =>
-			askRank(find().port, req, readNow()),
+			callRank(findMember().port, req, readNow()),
 		mapStage: (params: unknown) => {
 			const { mapId, slots } = v.parse(StageSchema, params)
-			const { address } = find().port
-			return giveOrder(address, { order: 'stage', mapId, slots })
+			const { address } = findMember().port
+			return sendOrder(address, { order: 'stage', mapId, slots })
 		},
 		mapReport: async () => {
-			const { port, group } = find()
+			const { port, group } = findMember()
 			return toRankReport(await readEngine(port.address), group.experts)
 		},
 		mapSplit: () => {
-			find().split = true
+			findMember().split = true
 			return true
 		},
 	}
 }
 
-/** The rank's own step time over its group's mean. */
-export function stepShareOf(member: GroupMember): number {
+/** Returns the rank's own step time divided by its group's mean. */
+export function computeStepShare(member: GroupMember): number {
 	const { report } = member
 	if (!report || report.meanStepMs === 0) return 1
 	return report.stepMs / report.meanStepMs
 }
 
-/** For `juniperhook status`. */
+/** Describes the rank's map state for `juniperhook status`. */
 export function describeGroup(member: GroupMember): object {
 	const { report, wish, coordinator, split } = member
 	const skew = report?.meanStepMs ? report.groupStepMs / report.meanStepMs : 1
 	return {
 		rank: member.rank,
 		mapId: report?.mapId ?? '',
-		// The round of the fence; the rest is the coordinator's id.
+		// The round part of the fence; the remainder is the coordinator's id.
 		fence: Math.floor(coordinator.fence / FENCE_SPACE),
 		step: report?.step ?? 0,
 		generation: report?.generation ?? 0,
@@ -148,30 +148,33 @@
 		try {
 			const { address } = member.port
 			member.report = await readEngine(address)
-			await act(member, member.report)
+			await handleEngineReport(member, member.report)
 		} catch (err) {
 			log({ msg: 'group watch failed', detail: messageOf(err) })
 		}
-		await sleep(WATCH_MS)
+		await sleep(WATCH_INTERVAL_MS)
 	}
 }
 
-async function act(member: GroupMember, report: EngineReport): Promise<void> {
+async function handleEngineReport(
+	member: GroupMember,
+	report: EngineReport,
+): Promise<void> {
 	const now = readNow()
-	const first = member.rank === 0
-	if (report.inDoubt || !report.joined) member.doubtSince ??= now
-	else member.doubtSince = undefined
-	// The first rank goes first; the others wait longer by their number.
-	const patience = DOUBT_MS * (1 + member.rank)
-	if (member.doubtSince !== undefined) {
-		if (now - member.doubtSince < patience) return
-		member.doubtSince = now
+	const isPlanner = member.rank === 0
+	if (report.inDoubt || !report.joined) member.inDoubtSince ??= now
+	else member.inDoubtSince = undefined
+	// Staggered by rank: the first rank recovers first, the others only if it does not.
+	const recoveryDelayMs = IN_DOUBT_TIMEOUT_MS * (1 + member.rank)
+	if (member.inDoubtSince !== undefined) {
+		if (now - member.inDoubtSince < recoveryDelayMs) return
+		member.inDoubtSince = now
 		log({ msg: 'rank in doubt, recovering', server: member.name })
-		await restage(member)
+		await stageForRecovery(member)
 		await runRound(member, undefined)
 		return
 	}
-	if (!first || member.split) return
+	if (!isPlanner || member.split) return
 	if (now - member.plannedAt < member.group.planSeconds * MS) return
 	member.plannedAt = now
 	await rebalance(member)
@@ -180,7 +183,7 @@
 async function rebalance(member: GroupMember): Promise<void> {
 	const reports = await collectReports(member)
 	if (!reports) return
-	if (!agree(reports)) {
+	if (!areMapsConsistent(reports)) {
 		await declareSplit(member)
 		return
 	}
@@ -189,25 +192,27 @@
 	if (!tokens) return
 	observeTokens(member.estimate, tokens)
 	const layers = readLayers(member, reports)
-	const plans = await planSlices(member, layers)
+	const plans = await planLayers(member, layers)
 	member.wish = summarize(plans)
 	if (member.wish.loads === 0) return
-	await change(member, plans, reports)
+	await changeMap(member, plans, reports)
 }
 
 async function declareSplit(member: GroupMember): Promise<void> {
 	log({ msg: 'ranks use different maps; out of routing', kind: 'groupSplit' })
 	member.split = true
 	const { ranks } = member.group
-	await Promise.allSettled(ranks.map(name => ask(member, name, 'mapSplit', {})))
+	await Promise.allSettled(
+		ranks.map(name => callAgent(member, name, 'mapSplit', {})),
+	)
 }
 
-async function change(
+async function changeMap(
 	member: GroupMember,
 	plans: readonly LayerPlan[],
 	reports: readonly RankReport[],
 ): Promise<void> {
-	const fence = takeFence(member)
+	const fence = issueFence(member)
 	const mapId = `map-${fence}`
 	const byLayer = plans.map(plan => listExpertsByRank(plan.placement))
 	const staged = await stageAll(member, mapId, rank =>
@@ -215,18 +220,21 @@
 	)
 	if (!staged) return
 	const stepMs = Math.max(1, ...reports.map(report => report.groupStepMs))
-	const lead = Math.ceil(LEAD_MS / stepMs)
+	const lead = Math.ceil(CHANGE_LEAD_MS / stepMs)
 	const done = await runRound(member, mapId, lead, fence)
 	log({ msg: done ? 'map changed' : 'map not changed', detail: mapId })
 }
 
-/** A rank that came back empty needs the weights of the map in force. */
-async function restage(member: GroupMember): Promise<void> {
+/**
+ * Stages the current map on ranks that restarted and lost their weights, so that the
+ * recovery round can include them.
+ */
+async function stageForRecovery(member: GroupMember): Promise<void> {
 	const reports = await collectReports(member)
 	const members = reports?.filter(report => report.joined) ?? []
-	const lost = reports?.some(report => !report.joined)
-	if (!reports || !lost) return
-	// The new generation takes the newest committed map, begun or not.
+	const restarted = reports?.some(report => !report.joined)
+	if (!reports || !restarted) return
+	// The new generation uses the newest committed map, whether in use yet or not.
 	const mapIds = new Set(members.flatMap(one => [one.mapId, one.nextMapId]))
 	if (mapIds.size === 0) mapIds.add(FIRST_MAP)
 	const slots = rebuildSlots(member, reports)
@@ -236,7 +244,10 @@
 		)
 }
 
-/** Members keep their slots; a rank that lost its own gets what is missing. */
+/**
+ * Returns the slots of each rank: those it reports or, if it lost them, its block of
+ * experts from the initial placement.
+ */
 function rebuildSlots(
 	member: GroupMember,
 	reports: readonly RankReport[],
@@ -256,7 +267,7 @@
 async function stageAll(
 	member: GroupMember,
 	mapId: string,
-	/** Nothing for a rank that holds the map already. */
+	/** Returns undefined for a rank that already holds the map. */
 	slotsOf: (rank: number) => number[][] | undefined,
 ): Promise<boolean> {
 	const { ranks } = member.group
@@ -265,7 +276,7 @@
 			const slots = slotsOf(rank)
 			if (!slots) return undefined
 			const params = { mapId, slots }
-			return ask(member, name, 'mapStage', params, STAGE_MS)
+			return callAgent(member, name, 'mapStage', params, STAGE_TIMEOUT_MS)
 		}),
 	)
 	return answers.every(answer => answer.status === 'fulfilled')
--- a/packages/agent/src/io/groupMember.ts
+++ b/packages/agent/src/io/groupMember.ts
@@ -1,4 +1,4 @@
-/** One rank's agent in a group, and its links to the other ranks' agents. */
+/** State of one rank's agent in a group, and its links to the other ranks' agents. */
 
 import type {
 	Config,
@@ -12,9 +12,9 @@
 import type { EngineReport } from './engine.ts'
 import type { RankPort } from './rankPort.ts'
 
-const CALL_MS = 1_000
+const CALL_TIMEOUT_MS = 1_000
 
-/** One rank's agent in a group. */
+/** State of one rank's agent in a group. */
 export interface GroupMember {
 	readonly name: string
 	readonly rank: number
@@ -27,20 +27,20 @@
 	config: Config
 	group: GroupConfig
 	report: EngineReport | undefined
-	/** Tokens a rank had reported at the last plan. */
-	counted: Float64Array[] | undefined
-	doubtSince: number | undefined
+	/** Tokens reported by each rank at the last planning. */
+	lastCounts: Float64Array[] | undefined
+	inDoubtSince: number | undefined
 	plannedAt: number
-	/** Whether ranks were seen on different maps in one step. */
+	/** Whether ranks were found to use different maps in one step. */
 	split: boolean
-	/** What the last plan wanted, for operators. */
-	wish: PlanWish
+	/** Summary of the last plan, for operators. */
+	wish: PlanSummary
 }
 
-/** What a plan wants in one layer, and why. */
-export interface LayerWish {
+/** The planned loads of one layer with their benefit and cost. */
+export interface LayerSummary {
 	readonly layer: number
-	/** Loads as `expert>rank`. */
+	/** Expert loads as `expert>rank`. */
 	readonly loads: readonly string[]
 	readonly skewBefore: number
 	readonly skewAfter: number
@@ -48,33 +48,33 @@
 	readonly costMs: number
 }
 
-/** A plan in figures. */
-export interface PlanWish {
-	/** The layers that gain most. */
-	readonly layers: readonly LayerWish[]
+/** Summary of a plan over all layers. */
+export interface PlanSummary {
+	/** The layers with the largest net benefit. */
+	readonly layers: readonly LayerSummary[]
 	readonly loads: number
 	readonly skewBefore: number
 	readonly skewAfter: number
-	/** Worth and cost, ms of the group's capacity. */
+	/** Benefit and cost, in ms of the group's capacity. */
 	readonly benefitMs: number
 	readonly costMs: number
 }
 
-/** Calls a method of the agent beside the server `name`. */
-export async function ask<T>(
+/** Calls an RPC method of the agent beside the server `name`. */
+export async function callAgent<T>(
 	member: GroupMember,
 	name: string,
 	method: string,
 	params: object,
-	limitMs = CALL_MS,
+	timeoutMs = CALL_TIMEOUT_MS,
 ): Promise<T> {
 	const link = member.links.get(name) ?? (await connect(member, name))
-	return await call<T>(link, method, params, limitMs)
+	return await call<T>(link, method, params, timeoutMs)
 }
 
 async function connect(member: GroupMember, name: string): Promise<RpcLink> {
 	const server = member.config.server[name]
-	if (!server) throw new Error(`no server ${name}`)
+	if (!server) throw new Error(`server ${name} is not configured`)
 	const { ip } = splitAddress(server.agent)
 	const link = await connectRpc(`${ip}:${member.controlPort}`, {})
 	member.links.get(name)?.socket.destroy()
--- a/packages/agent/src/io/groupPlan.ts
+++ b/packages/agent/src/io/groupPlan.ts
@@ -1,6 +1,6 @@
-/** From the ranks' reports to a plan: counts, layers, loads that pay. */
+/** Computes a plan of expert loads from the ranks' reports. */
 
-import { setImmediate as nextTurn } from 'node:timers/promises'
+import { setImmediate as yieldToEventLoop } from 'node:timers/promises'
 import type { LayerPlacement, LayerPlan } from '@juniperhook/core'
 import {
 	createLayerFromRanks,
@@ -13,21 +13,21 @@
 import * as v from 'valibot'
 import type { RankReport } from './engine.ts'
 import { RankReportSchema } from './engine.ts'
-import type { GroupMember, LayerWish, PlanWish } from './groupMember.ts'
-import { ask } from './groupMember.ts'
+import type { GroupMember, LayerSummary, PlanSummary } from './groupMember.ts'
+import { callAgent } from './groupMember.ts'
 
-/** Layers that operators are shown of a plan. */
-const SHOWN_LAYERS = 8
+/** Most layers in the summary of a plan. */
+const MAX_SHOWN_LAYERS = 8
 
 /**
- * Ranks of a generation that use a map use it from the same step, and no two
- * maps from one step. Anything else is a broken promise.
+ * Whether all ranks of a generation use a map from the same step on, and no two maps from
+ * one step. Otherwise, the map protocol was violated.
  */
-export function agree(reports: readonly RankReport[]): boolean {
+export function areMapsConsistent(reports: readonly RankReport[]): boolean {
 	const mapOf = new Map<string, string>()
 	const sinceOf = new Map<string, number>()
 	for (const { generation, mapId, mapSince } of reports) {
-		// A rank that restarted and has not begun a step yet runs no map.
+		// A restarted rank that has not begun a step yet uses no map.
 		if (mapId === '') continue
 		const step = `${generation}/${mapSince}`
 		const map = `${generation}/${mapId}`
@@ -39,13 +39,13 @@
 	return true
 }
 
-/** Reports of all ranks, or nothing when one is missing. */
+/** Fetches the reports of all ranks; returns undefined if one is missing. */
 export async function collectReports(
 	member: GroupMember,
 ): Promise<RankReport[] | undefined> {
 	const { ranks } = member.group
 	const answers = await Promise.allSettled(
-		ranks.map(name => ask<unknown>(member, name, 'mapReport', {})),
+		ranks.map(name => callAgent<unknown>(member, name, 'mapReport', {})),
 	)
 	const reports = answers.flatMap(answer =>
 		answer.status === 'fulfilled'
@@ -55,26 +55,26 @@
 	return reports.length === ranks.length ? reports : undefined
 }
 
-/** Tokens a layer and expert since the last plan, over all ranks. */
+/** Counts the tokens per layer and expert since the last plan, over all ranks. */
 export function countTokens(
 	member: GroupMember,
 	reports: readonly RankReport[],
 ): Float64Array | undefined {
-	const before = member.counted
+	const before = member.lastCounts
 	const after = reports.map((report, rank) =>
 		addCounts(member, report, before?.[rank]),
 	)
-	member.counted = after
+	member.lastCounts = after
 	if (!before) return undefined
 	const total = new Float64Array(after[0]!.length)
-	// An engine that restarted counts from zero again.
+	// The counts of a restarted engine start at zero again.
 	for (const [rank, counts] of after.entries())
 		for (const [at, count] of counts.entries())
 			total[at]! += Math.max(0, count - before[rank]![at]!)
 	return total
 }
 
-/** Counts of a rank; an expert it no longer holds keeps its last one. */
+/** Merges a rank's counts; an expert that it no longer holds keeps its last count. */
 function addCounts(
 	member: GroupMember,
 	report: RankReport,
@@ -88,7 +88,7 @@
 	return counts
 }
 
-/** Placement of each layer by the reports. */
+/** Returns the placement of each layer according to the reports. */
 export function readLayers(
 	member: GroupMember,
 	reports: readonly RankReport[],
@@ -100,8 +100,8 @@
 	})
 }
 
-/** Plans a layer a turn, so that requests are served in between. */
-export async function planSlices(
+/** Plans one layer per event-loop turn, so that requests are served in between. */
+export async function planLayers(
 	member: GroupMember,
 	layers: readonly LayerPlacement[],
 ): Promise<LayerPlan[]> {
@@ -119,17 +119,17 @@
 	const plans: LayerPlan[] = []
 	for (const [at, layer] of layers.entries()) {
 		plans.push(planLayer(layer, shares, at, terms))
-		await nextTurn()
+		await yieldToEventLoop()
 	}
 	return plans
 }
 
-/** A plan in figures, over all layers. */
-export function summarize(plans: readonly LayerPlan[]): PlanWish {
+/** Summarizes a plan over all layers. */
+export function summarize(plans: readonly LayerPlan[]): PlanSummary {
 	const sum = (pick: (plan: LayerPlan) => number) =>
 		plans.reduce((total, plan) => total + pick(plan), 0)
 	return {
-		layers: describeLayers(plans),
+		layers: summarizeLayers(plans),
 		loads: sum(plan => plan.loads.length),
 		skewBefore: sum(plan => plan.skewBefore) / plans.length,
 		skewAfter: sum(plan => plan.skewAfter) / plans.length,
@@ -138,12 +138,12 @@
 	}
 }
 
-function describeLayers(plans: readonly LayerPlan[]): LayerWish[] {
+function summarizeLayers(plans: readonly LayerPlan[]): LayerSummary[] {
 	const moving = plans
 		.map((plan, layer) => ({ plan, layer }))
 		.filter(({ plan }) => plan.loads.length > 0)
 	moving.sort((a, b) => netBenefitMs(b.plan) - netBenefitMs(a.plan))
-	return moving.slice(0, SHOWN_LAYERS).map(({ plan, layer }) => ({
+	return moving.slice(0, MAX_SHOWN_LAYERS).map(({ plan, layer }) => ({
 		layer,
 		loads: plan.loads.map(load => `${load.expert}>${load.rank}`),
 		skewBefore: plan.skewBefore,
--- a/packages/agent/src/io/mapRound.ts
+++ b/packages/agent/src/io/mapRound.ts
@@ -13,42 +13,46 @@
 } from '@juniperhook/core'
 import { createLog, messageOf, readNow, sleep } from '@juniperhook/runtime'
 import type { GroupMember } from './groupMember.ts'
-import { ask } from './groupMember.ts'
+import { callAgent } from './groupMember.ts'
 
-/** Fences are `round * FENCE_SPACE + id`; ids are random a process. */
+/** A fence is `round * FENCE_SPACE + id`; each process draws a random id. */
 export const FENCE_SPACE = 2 ** 32
-const REPEAT_MS = 300
+const REPEAT_INTERVAL_MS = 300
 const MAX_REPEATS = 4
-const POLL_MS = 5
+const POLL_INTERVAL_MS = 5
 const log = createLog('agent:group')
 
-/** A fence above all that this process has heard of, its own alone. */
-export function takeFence(member: GroupMember): number {
+/** Returns a fence that is above all known to this process and unique to it. */
+export function issueFence(member: GroupMember): number {
 	return nextFence(member.coordinator, member.fenceId, FENCE_SPACE)
 }
 
-/** Runs one round of the protocol to its end, or until it must be left. */
+/** Runs one round of the protocol until it completes or its retries are exhausted. */
 export async function runRound(
 	member: GroupMember,
-	wanted: string | undefined,
+	targetMapId: string | undefined,
 	lead = 1,
-	fence = takeFence(member),
+	fence = issueFence(member),
 ): Promise<boolean> {
 	const { coordinator } = member
 	const before = coordinator.finished
-	send(member, startMapRound(coordinator, fence, wanted, lead))
+	sendRequests(member, startMapRound(coordinator, fence, targetMapId, lead))
 	for (let repeat = 0; repeat <= MAX_REPEATS; repeat++) {
-		const end = readNow() + REPEAT_MS * 2 ** repeat
-		while (coordinator.phase !== 'idle' && readNow() < end) await sleep(POLL_MS)
+		const end = readNow() + REPEAT_INTERVAL_MS * 2 ** repeat
+		while (coordinator.phase !== 'idle' && readNow() < end)
+			await sleep(POLL_INTERVAL_MS)
 		if (coordinator.phase === 'idle') break
-		send(member, handleRoundTimeout(coordinator))
+		sendRequests(member, handleRoundTimeout(coordinator))
 	}
-	// A round that cannot end is left to a later one with a higher fence.
+	// An incomplete round is superseded by a later one with a higher fence.
 	return coordinator.finished > before
 }
 
-function send(member: GroupMember, orders: readonly AddressedRequest[]): void {
-	for (const { rank, req } of orders) void deliver(member, rank, req)
+function sendRequests(
+	member: GroupMember,
+	requests: readonly AddressedRequest[],
+): void {
+	for (const { rank, req } of requests) void deliver(member, rank, req)
 }
 
 async function deliver(
@@ -58,8 +62,8 @@
 ): Promise<void> {
 	const name = member.group.ranks[rank]!
 	try {
-		const reply = await ask<RankReply>(member, name, 'mapRequest', req)
-		send(member, handleRankReply(member.coordinator, rank, reply))
+		const reply = await callAgent<RankReply>(member, name, 'mapRequest', req)
+		sendRequests(member, handleRankReply(member.coordinator, rank, reply))
 	} catch (err) {
 		log({ msg: 'rank not reached', server: name, detail: messageOf(err) })
 	}
--- a/packages/agent/src/io/offerTerms.ts
+++ b/packages/agent/src/io/offerTerms.ts
@@ -1,4 +1,4 @@
-/** Turns an offer as it travels into the terms that admission judges it by. */
+/** Converts an offer from its wire format into the terms that admission checks. */
 
 import type { KeyClaim, Offer } from '@juniperhook/core'
 import { findKeyHomeSince, readKeyTime, scopeKey } from '@juniperhook/core'
@@ -7,7 +7,7 @@
 
 const SECOND_MS = 1_000
 
-/** An offer with what admission judges it by. */
+/** Returns the terms of an offer, with the claim on its idempotency key. */
 export function readOffer(table: RequestTable, meta: OfferMeta): Offer {
 	const claim = readClaim(table, meta)
 	return {
--- a/packages/agent/src/io/offers.ts
+++ b/packages/agent/src/io/offers.ts
@@ -1,4 +1,4 @@
-/** What entries call on an agent's data port: offers of requests, and answers. */
+/** HTTP endpoints of an agent's data port: offers of requests, resumption of answers. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import {
@@ -15,15 +15,15 @@
 } from '@juniperhook/runtime'
 import { H3 } from 'h3'
 import * as v from 'valibot'
-import { resumeAnswer, takeOffer } from './requests.ts'
+import { resumeAnswer, submitOffer } from './requests.ts'
 import type { RequestTable } from './requestTable.ts'
 
-/** Largest body that an entry may hand over, in bytes. */
+/** Largest request body that an entry may send. */
 const MAX_BODY_BYTES = 16_777_216
 const log = createLog('agent')
 
-/** Serves offers and resumptions; `table` is missing without a configuration. */
-export function createOfferApp(table: () => RequestTable | undefined): H3 {
+/** Serves offers and resumptions; `findTable` returns undefined without configuration. */
+export function createOfferApp(findTable: () => RequestTable | undefined): H3 {
 	const app = new H3()
 	const guarded = (
 		handle: (
@@ -34,7 +34,7 @@
 	) =>
 		handleNode(async (req, res) => {
 			try {
-				await handle(table() ?? fail('noConfig', 'agent'), req, res)
+				await handle(findTable() ?? fail('noConfig', 'agent'), req, res)
 			} catch (err) {
 				refuseCall(res, err)
 			}
@@ -52,7 +52,7 @@
 	const meta = parseHeader(req, OFFER_HEADER, OfferSchema)
 	const body = await readBody(req, MAX_BODY_BYTES)
 	if (!body) fail('tooLarge', `more than ${MAX_BODY_BYTES} bytes`)
-	takeOffer(table, meta, body, res)
+	submitOffer(table, meta, body, res)
 }
 
 async function handleResume(
--- a/packages/agent/src/io/openAnswers.ts
+++ b/packages/agent/src/io/openAnswers.ts
@@ -1,38 +1,39 @@
 /**
- * What happens to open requests by time alone: heartbeats, work that nobody waits for,
- * and answers that are forgotten.
+ * Periodic work on open requests: timeouts, heartbeats, cancellation of unread answers and
+ * eviction of finished ones.
  */
 
 import { scopeKey } from '@juniperhook/core'
 import { packFrame, readMoment } from '@juniperhook/runtime'
-import { sendBeat } from './answerLog.ts'
+import { sendHeartbeat } from './answerLog.ts'
 import { stepTable } from './requests.ts'
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 
-/** How long a finished answer stays for a reader who lost its link, in ms. */
-const KEEP_ANSWER_MS = 5_000
-/** How long work goes on although nobody reads its answer, in ms. */
-const UNREAD_MS = 10_000
-const BEAT = packFrame({ t: 'beat' })
+/** How long a finished answer is retained for a reader that lost its connection. */
+const ANSWER_RETENTION_MS = 5_000
+/** A request whose answer has had no reader for this long is cancelled. */
+const UNREAD_TIMEOUT_MS = 10_000
+const HEARTBEAT = packFrame({ t: 'beat' })
 
-/** Runs the periodic systems: time-outs, heartbeats, forgetting. */
+/** Applies timeouts, cancels unread requests and evicts finished answers. */
 export function tickRequests(table: RequestTable): void {
 	stepTable(table, { type: 'tick' })
 	const { now } = readMoment()
 	for (const [id, request] of table.open) {
-		if (request.finishedAt !== undefined) dropFinished(table, id, request, now)
+		if (request.finishedAt !== undefined) evictFinished(table, id, request, now)
 		else if (request.answer.readers.size > 0) request.unreadSince = undefined
 		else cancelUnread(table, request, now)
 	}
 }
 
-/** Sends heartbeats on open answers. */
-export function beatRequests(table: RequestTable): void {
+/** Sends heartbeats on all open answers. */
+export function sendHeartbeats(table: RequestTable): void {
 	for (const request of table.open.values())
-		if (request.finishedAt === undefined) sendBeat(request.answer, BEAT)
+		if (request.finishedAt === undefined)
+			sendHeartbeat(request.answer, HEARTBEAT)
 }
 
-/** Whether nothing runs, waits or is still being sent. */
+/** Whether no request is running or waiting and no answer is still being sent. */
 export function isIdle(table: RequestTable): boolean {
 	for (const request of table.open.values()) {
 		if (request.finishedAt === undefined) return false
@@ -47,12 +48,12 @@
 	now: number,
 ): void {
 	request.unreadSince ??= now
-	if (now - request.unreadSince < UNREAD_MS) return
+	if (now - request.unreadSince < UNREAD_TIMEOUT_MS) return
 	request.unreadSince = now
 	stepTable(table, { type: 'cancel', name: request.name })
 }
 
-function dropFinished(
+function evictFinished(
 	table: RequestTable,
 	id: string,
 	request: OpenRequest,
@@ -63,5 +64,5 @@
 	if (key !== undefined && keys.has(scopeKey(team, service, key))) return
 	if (request.answer.readers.size > 0) return
 	const age = now - (request.finishedAt ?? now)
-	if (age > KEEP_ANSWER_MS) table.open.delete(id)
+	if (age > ANSWER_RETENTION_MS) table.open.delete(id)
 }
--- a/packages/agent/src/io/rankPort.ts
+++ b/packages/agent/src/io/rankPort.ts
@@ -1,30 +1,32 @@
 /**
- * A rank's side of the map protocol, before an engine that checks fences (it
- * holds the state itself and outlives its agent) or one that does not (the
- * agent holds the state and is the only giver of orders).
+ * A rank's side of the map protocol. An engine that checks fences keeps the protocol state
+ * itself and outlives its agent. For an engine that does not check them, the agent keeps
+ * the state and is the only sender of orders.
  */
 
 import type { RankReply, RankRequest, RankState } from '@juniperhook/core'
 import { createRestartedRank, handleRankRequest } from '@juniperhook/core'
-import { giveOrder } from './engine.ts'
+import { sendOrder } from './engine.ts'
 
-/** How long an order of an earlier agent may still be on its way, ms. */
-export const ORDER_LIFE_MS = 3_000
+/** How long an order sent by an earlier agent process may still be in transit. */
+export const MAX_ORDER_DELAY_MS = 3_000
 
-/** The rank that this agent speaks for. */
+/** Access to the rank of this agent. */
 export type RankPort =
 	| { readonly kind: 'fenced'; readonly address: string }
 	| {
 			readonly kind: 'unfenced'
 			readonly address: string
 			rank: RankState
-			/** Before this time, monotonic ms, no order is given. */
-			readonly quietUntil: number
-			/** Requests are taken one after the other. */
-			turn: Promise<unknown>
+			/** No order is sent before this time, monotonic ms. */
+			readonly refuseUntil: number
+			/** The last call; calls are executed one at a time. */
+			lastCall: Promise<unknown>
 	  }
 
-/** Makes the port; an engine without fences is held until it is let in. */
+/**
+ * Creates the port. An engine that checks no fences is held until a change is committed.
+ */
 export function createRankPort(
 	address: string,
 	checksFences: boolean,
@@ -36,28 +38,31 @@
 		kind: 'unfenced',
 		address,
 		rank: createRestartedRank(incarnation),
-		quietUntil: now + ORDER_LIFE_MS,
-		turn: giveOrder(address, { order: 'hold' }).catch(() => {}),
+		refuseUntil: now + MAX_ORDER_DELAY_MS,
+		lastCall: sendOrder(address, { order: 'hold' }).catch(() => {}),
 	}
 }
 
-/** Lets the rank take a request of the protocol. */
-export async function askRank(
+/** Passes a request of the map protocol to the rank and returns its reply. */
+export async function callRank(
 	port: RankPort,
 	req: RankRequest,
 	now: number,
 ): Promise<RankReply> {
 	switch (port.kind) {
 		case 'fenced': {
-			const { reply } = await giveOrder(port.address, { order: 'rank', req })
-			if (!reply) throw new Error('the engine gave no reply')
+			const { reply } = await sendOrder(port.address, { order: 'rank', req })
+			if (!reply)
+				throw new Error('the engine returned no reply to a map request')
 			return reply
 		}
 		case 'unfenced': {
-			if (now < port.quietUntil)
-				throw new Error('orders of an earlier agent may be on their way')
-			const answer = port.turn.then(() => askUnfenced(port, req))
-			port.turn = answer.catch(() => {})
+			if (now < port.refuseUntil)
+				throw new Error(
+					'orders of an earlier agent process may still be in transit',
+				)
+			const answer = port.lastCall.then(() => callUnfencedRank(port, req))
+			port.lastCall = answer.catch(() => {})
 			return await answer
 		}
 		default:
@@ -65,18 +70,18 @@
 	}
 }
 
-async function askUnfenced(
+async function callUnfencedRank(
 	port: Extract<RankPort, { kind: 'unfenced' }>,
 	req: RankRequest,
 ): Promise<RankReply> {
 	const { address } = port
-	const seen = await giveOrder(address, { order: 'look' })
-	const forgotten = port.rank.joined && !seen.joined
-	if (forgotten) port.rank = createRestartedRank(port.rank.incarnation + 1)
-	const rank = { ...port.rank, mapId: seen.mapId, step: seen.step }
+	const engine = await sendOrder(address, { order: 'look' })
+	const restarted = port.rank.joined && !engine.joined
+	if (restarted) port.rank = createRestartedRank(port.rank.incarnation + 1)
+	const rank = { ...port.rank, mapId: engine.mapId, step: engine.step }
 	const reply = handleRankRequest(rank, req)
-	const carried = await carryOut(port, req, reply)
-	if (!carried)
+	const applied = await applyToEngine(port, req, reply)
+	if (!applied)
 		return {
 			type: 'refused',
 			fence: req.fence,
@@ -87,7 +92,7 @@
 	return reply
 }
 
-async function carryOut(
+async function applyToEngine(
 	port: Extract<RankPort, { kind: 'unfenced' }>,
 	req: RankRequest,
 	reply: RankReply,
@@ -100,18 +105,18 @@
 		case 'prepare': {
 			const { step, mapId } = req.change
 			const gate = { order: 'gate', step, mapId } as const
-			return (await giveOrder(address, gate)).accepted
+			return (await sendOrder(address, gate)).accepted
 		}
 		case 'commit': {
 			const { change } = req
 			if (port.rank.committed?.fence === change.fence) return true
-			await giveOrder(address, { order: 'switch', change })
+			await sendOrder(address, { order: 'switch', change })
 			return true
 		}
 		case 'abort':
-			// Nothing to open unless this very change holds the gate.
+			// Opens the gate only if it is held for this change.
 			if (port.rank.promised?.fence === req.changeFence)
-				await giveOrder(address, { order: 'open' })
+				await sendOrder(address, { order: 'open' })
 			return true
 		default:
 			return req satisfies never
--- a/packages/agent/src/io/requestTable.ts
+++ b/packages/agent/src/io/requestTable.ts
@@ -1,4 +1,4 @@
-/** The state of an agent's requests and of its backend server. */
+/** State of an agent's requests and of its backend server. */
 
 import type { Socket } from 'node:net'
 import type {
@@ -11,57 +11,60 @@
 import type { LoadFields, Metrics } from '@juniperhook/runtime'
 import { readMoment } from '@juniperhook/runtime'
 import type { RunRequest } from './runs.ts'
-import type { BrokenRuns } from './serverEnd.ts'
-import type { ServerLife } from './serverSignals.ts'
+import type { InterruptedRuns } from './serverEnd.ts'
+import type { BackendState } from './serverSignals.ts'
 
-/** One request that was admitted here. */
+/** A request offered to this agent, waiting, running or finished. */
 export interface OpenRequest extends RunRequest {
-	/** Since when nobody reads, monotonic ms; `undefined` while one does. */
+	/** Since when the answer has had no reader, monotonic ms; undefined while it has. */
 	unreadSince: number | undefined
-	/** When it was handed to the backend server, monotonic ms. */
+	/** When it was sent to the backend server, monotonic ms. */
 	startedAt: number | undefined
 	finishedAt: number | undefined
 }
 
-/** The request side of an agent. */
+/** The requests of an agent and the state of its backend server. */
 export interface RequestTable {
 	readonly serverName: string
 	readonly incarnation: string
 	readonly admission: AdmissionState
 	readonly open: Map<string, OpenRequest>
 	readonly metrics: Metrics
-	/** Configured servers of this one's service, over time. */
+	/** History of the configured servers of this server's service. */
 	readonly homes: KeyHomeHistory
 	config: Config
 	server: ServerConfig
-	/** Own step time over the group's mean; 1 outside a group. */
+	/** Own step time divided by the group's mean; 1 outside a group. */
 	stepShare: number
-	/** The backend server's life, as far as its words and connections tell. */
-	life: ServerLife
-	/** When it said that it leaves, monotonic ms. */
-	leavesSince: number
-	/** An idle connection that ends with the server's life; only while signals are held. */
-	lifeline: Socket | undefined
-	/** Lives of the backend server that have ended. */
-	lives: number
-	/** What it ran when a connection broke, until it is known whether it ended. */
-	broken: BrokenRuns | undefined
-	/** Called when it may have ended. */
-	readonly onBroken: () => void
-	/** Called when entries are to be told of the server's state at once. */
+	/** State of the backend server according to its signals and connections. */
+	backendState: BackendState
+	/** When the backend server signalled that it is leaving, monotonic ms. */
+	leavingSince: number
+	/**
+	 * Idle connection whose close shows that the backend server exited; open only while
+	 * signals of that server are in force.
+	 */
+	watchConnection: Socket | undefined
+	/** Crashes of the backend server so far. */
+	backendCrashes: number
+	/** Requests that ran when a connection broke, until the crash check is done. */
+	interrupted: InterruptedRuns | undefined
+	/** Called when a connection to the backend server broke; it may have crashed. */
+	readonly onConnectionBroken: () => void
+	/** Called when the server's state changed and must be reported to entries at once. */
 	readonly onChange: () => void
 }
 
-type TableEvents = Pick<RequestTable, 'onChange' | 'onBroken'>
+type TableEvents = Pick<RequestTable, 'onChange' | 'onConnectionBroken'>
 
-/** Makes the table of an agent that has just got its configuration. */
+/** Creates the table of an agent that has received its first configuration. */
 export function createRequestTable(
 	serverName: string,
 	incarnation: string,
 	config: Config,
 	server: ServerConfig,
 	metrics: Metrics,
-	events: TableEvents = { onChange: () => {}, onBroken: () => {} },
+	events: TableEvents = { onChange: () => {}, onConnectionBroken: () => {} },
 ): RequestTable {
 	return {
 		serverName,
@@ -73,23 +76,23 @@
 		config,
 		server,
 		stepShare: 1,
-		life: 'up',
-		leavesSince: 0,
-		lifeline: undefined,
-		lives: 0,
-		broken: undefined,
+		backendState: 'up',
+		leavingSince: 0,
+		watchConnection: undefined,
+		backendCrashes: 0,
+		interrupted: undefined,
 		...events,
 	}
 }
 
-/** Load as reported to entries. */
+/** Returns the load for reports to entries. */
 export function readLoad(table: RequestTable): LoadFields {
 	const { admission } = table
 	const { waiting } = admission.queue
-	const held = findStartDelay(admission, waiting.length, readMoment().now)
+	const startDelay = findStartDelay(admission, waiting.length, readMoment().now)
 	return {
 		load: admission.running + waiting.length,
-		heldMs: Math.ceil(held.forMs),
+		heldMs: Math.ceil(startDelay.forMs),
 		serviceMs: admission.serviceMs,
 		stepShare: table.stepShare,
 	}
--- a/packages/agent/src/io/requests.ts
+++ b/packages/agent/src/io/requests.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the agent's decisions on requests: takes offers, starts runs,
- * streams answers, obeys void orders and cancellations.
+ * Applies the decisions of admission to requests: accepts offers, starts runs, streams
+ * answers, and handles void requests and cancellations.
  */
 
 import { EventEmitter } from 'node:events'
@@ -24,24 +24,24 @@
 	attachReader,
 	closeLog,
 	createAnswerLog,
-	MAX_KEPT_BYTES,
-	nextNumber,
+	MAX_RETAINED_BYTES,
+	nextFrameNumber,
 } from './answerLog.ts'
-import type { RunEnd } from './backend.ts'
+import type { RunResult } from './backend.ts'
 import { cancelOnEngine } from './backend.ts'
 import { readOffer } from './offerTerms.ts'
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 import { readLoad } from './requestTable.ts'
 import { runOnBackend } from './runs.ts'
-import { noteBrokenRun } from './serverEnd.ts'
+import { recordInterruptedRun } from './serverEnd.ts'
 import { describeServer, readServerSignals } from './serverSignals.ts'
 
 const MS = 1_000
 const ADMITTED = packFrame({ t: 'admitted' })
 const log = createLog('agent:request')
 
-/** Takes an offer whose body has been read. */
-export function takeOffer(
+/** Submits an offer to admission, after its body has been read. */
+export function submitOffer(
 	table: RequestTable,
 	meta: OfferMeta,
 	body: Buffer,
@@ -51,11 +51,11 @@
 	const id = attemptKey(offer)
 	res.writeHead(200, { 'content-type': 'application/x-msgpack' })
 	if (meta.incarnation !== table.incarnation) {
-		refuseOn(table, res, unknown('unreachable'))
+		refuseResponse(table, res, unknown('unreachable'))
 		return
 	}
 	if (table.open.has(id)) {
-		refuseOn(table, res, unknown('internal'))
+		refuseResponse(table, res, unknown('internal'))
 		return
 	}
 	const request: OpenRequest = {
@@ -74,7 +74,7 @@
 	stepTable(table, { type: 'offer', offer })
 }
 
-/** Sends the rest of an answer to a reader who lost its link. */
+/** Sends the rest of an answer to a reader that lost its connection. */
 export function resumeAnswer(
 	table: RequestTable,
 	ref: AttemptRef,
@@ -85,13 +85,13 @@
 	const request = table.open.get(attemptKey(ref))
 	const known = ref.incarnation === table.incarnation && request
 	if (!known || !attachReader(request.answer, res, from)) {
-		refuseOn(table, res, unknown('truncated'))
+		refuseResponse(table, res, unknown('truncated'))
 		return
 	}
 	request.unreadSince = undefined
 }
 
-/** Obeys a void order: proves "not run", or says that it started. */
+/** Voids an attempt; the reply proves that it did not run, or states that it has started. */
 export function voidAttempt(table: RequestTable, ref: AttemptRef): VoidReply {
 	if (ref.incarnation !== table.incarnation) return { answer: 'unknown' }
 	const name = { reqId: ref.reqId, attempt: ref.attempt }
@@ -99,20 +99,20 @@
 	return { answer: answerVoid(table.admission, name) }
 }
 
-/** Notes that nobody waits for the answer any more. */
+/** Cancels an attempt whose answer is no longer wanted. */
 export function cancelAttempt(table: RequestTable, ref: AttemptRef): void {
 	if (ref.incarnation !== table.incarnation) return
 	const name = { reqId: ref.reqId, attempt: ref.attempt }
 	stepTable(table, { type: 'cancel', name })
 }
 
-/** Lets an event happen and carries out its effects. */
+/** Passes an event to admission and applies the resulting effects. */
 export function stepTable(table: RequestTable, event: AdmissionEvent): void {
 	const effects = stepAdmission(table.admission, event, readMoment())
-	for (const effect of effects) carryOut(table, effect)
+	for (const effect of effects) applyEffect(table, effect)
 }
 
-function carryOut(table: RequestTable, effect: AdmissionEffect): void {
+function applyEffect(table: RequestTable, effect: AdmissionEffect): void {
 	const request = table.open.get(attemptKey(effect.name))
 	if (!request) return
 	switch (effect.do) {
@@ -123,7 +123,7 @@
 			refuse(table, request, effect.outcome)
 			break
 		case 'attach':
-			attachToFirst(table, request, effect.first)
+			attachToFirstAttempt(table, request, effect.first)
 			break
 		case 'cancel':
 			stopRun(table, request)
@@ -144,7 +144,7 @@
 	closeLog(request.answer, { t: 'refused', outcome, load })
 }
 
-function refuseOn(
+function refuseResponse(
 	table: RequestTable,
 	res: ServerResponse,
 	outcome: NotRun | Unknown,
@@ -153,8 +153,8 @@
 	res.end(packFrame({ t: 'refused', outcome, load: readLoad(table) }))
 }
 
-/** Moves this try's readers over to the first try's answer. */
-function attachToFirst(
+/** Moves this attempt's readers to the answer of the first attempt with its key. */
+function attachToFirstAttempt(
 	table: RequestTable,
 	request: OpenRequest,
 	first: AttemptName,
@@ -176,44 +176,53 @@
 ): Promise<void> {
 	const { now: startedAt } = readMoment()
 	request.startedAt = startedAt
-	const end = await runOnBackend(table.server, request, (status, headers) => {
-		for (const event of readServerSignals(status, headers, startedAt))
-			takeSignal(table, event)
-	})
-	if (end.how === 'unstarted' && table.life === 'up') table.life = 'unsure'
-	if (end.how === 'broken' && !request.stop.stopped) {
-		noteBrokenRun(table)
-		table.onBroken()
+	const result = await runOnBackend(
+		table.server,
+		request,
+		(status, headers) => {
+			for (const event of readServerSignals(status, headers, startedAt))
+				applyServerSignal(table, event)
+		},
+	)
+	if (result.how === 'unstarted' && table.backendState === 'up')
+		table.backendState = 'unsure'
+	if (result.how === 'broken' && !request.stop.stopped) {
+		recordInterruptedRun(table)
+		table.onConnectionBroken()
 	}
-	endRun(table, request, end)
+	finishRun(table, request, result)
 }
 
-/** Lets something happen that the backend server has said; writes what it changes. */
-function takeSignal(table: RequestTable, event: AdmissionEvent): void {
+/** Applies a signal of the backend server and logs what it changes. */
+function applyServerSignal(table: RequestTable, event: AdmissionEvent): void {
 	const before = describeServer(table.admission)
 	stepTable(table, event)
 	const after = describeServer(table.admission)
 	if (after === before) return
 	log({ msg: 'backend server says', kind: event.type, detail: after })
 	if (event.type === 'serverLeaves') {
-		table.life = 'leaving'
-		table.leavesSince = readMoment().now
+		table.backendState = 'leaving'
+		table.leavingSince = readMoment().now
 	}
 	table.onChange()
 }
 
-function endRun(table: RequestTable, request: OpenRequest, end: RunEnd): void {
+function finishRun(
+	table: RequestTable,
+	request: OpenRequest,
+	result: RunResult,
+): void {
 	const { name, answer } = request
-	const kept = answer.base === 0 && answer.bytes <= MAX_KEPT_BYTES
-	const whole = end.how === 'whole' && (kept || !answer.keepAll)
-	const how = end.how === 'whole' && !whole ? 'broken' : end.how
+	const retained = answer.base === 0 && answer.bytes <= MAX_RETAINED_BYTES
+	const whole = result.how === 'whole' && (retained || !answer.retainAll)
+	const how = result.how === 'whole' && !whole ? 'broken' : result.how
 	stepTable(table, { type: 'finish', name, how })
 	request.finishedAt = readMoment().now
-	log({ msg: 'run ended', reqId: name.reqId, kind: end.how })
+	log({ msg: 'run ended', reqId: name.reqId, kind: result.how })
 	const load = readLoad(table)
-	switch (end.how) {
+	switch (result.how) {
 		case 'whole':
-			closeLog(answer, { t: 'end', n: nextNumber(answer), load })
+			closeLog(answer, { t: 'end', n: nextFrameNumber(answer), load })
 			break
 		case 'unstarted':
 			closeLog(answer, {
@@ -223,10 +232,10 @@
 			})
 			break
 		case 'broken':
-			closeLog(answer, { t: 'failed', detail: end.detail })
+			closeLog(answer, { t: 'failed', detail: result.detail })
 			break
 		default:
-			end satisfies never
+			result satisfies never
 	}
 }
 
--- a/packages/agent/src/io/runs.ts
+++ b/packages/agent/src/io/runs.ts
@@ -1,14 +1,19 @@
-/** One run of a request on the backend server, its answer going to a log. */
+/** Runs a request on the backend server and appends its answer to a log. */
 
 import type { AttemptName, ServerConfig } from '@juniperhook/core'
 import { attemptKey } from '@juniperhook/core'
 import type { OfferMeta } from '@juniperhook/runtime'
 import type { AnswerLog } from './answerLog.ts'
-import { appendFrame, isBehind, nextNumber } from './answerLog.ts'
-import type { AnswerSink, BackendRun, RunEnd, StopSignal } from './backend.ts'
+import { appendFrame, hasSlowReader, nextFrameNumber } from './answerLog.ts'
+import type {
+	AnswerSink,
+	BackendRun,
+	RunResult,
+	StopSignal,
+} from './backend.ts'
 import { runEngine, runService } from './backend.ts'
 
-/** What is run. */
+/** The request of a run. */
 export interface RunRequest {
 	readonly name: AttemptName
 	readonly meta: OfferMeta
@@ -17,15 +22,15 @@
 	readonly stop: StopSignal
 }
 
-/** Called with the head of an answer, before it is passed on. */
+/** Called with the status and headers of an answer before they are passed on. */
 type OnHead = AnswerSink['head']
 
-/** Runs a request; resolves when it has ended, whichever way. */
+/** Runs a request; resolves with its result and never rejects for a failed run. */
 export function runOnBackend(
 	server: ServerConfig,
 	{ name, meta, body, answer, stop }: RunRequest,
 	onHead: OnHead,
-): Promise<RunEnd> {
+): Promise<RunResult> {
 	const run: BackendRun = {
 		address: server.backend,
 		reqId: attemptKey(name),
@@ -43,7 +48,7 @@
 	kind: ServerConfig['kind'],
 	run: BackendRun,
 	sink: AnswerSink,
-): Promise<RunEnd> {
+): Promise<RunResult> {
 	switch (kind) {
 		case 'engine':
 			return runEngine(run, sink)
@@ -61,17 +66,17 @@
 			appendFrame(answer, { t: 'head', n: 0, status, headers })
 		},
 		chunk(data) {
-			appendFrame(answer, { t: 'chunk', n: nextNumber(answer), data })
-			return isBehind(answer) ? waitForRoom(answer) : undefined
+			appendFrame(answer, { t: 'chunk', n: nextFrameNumber(answer), data })
+			return hasSlowReader(answer) ? waitForReaders(answer) : undefined
 		},
 	}
 }
 
-function waitForRoom(answer: AnswerLog): Promise<void> {
+function waitForReaders(answer: AnswerLog): Promise<void> {
 	return new Promise(resolve => {
-		answer.onRoom = () => {
-			if (isBehind(answer)) return
-			answer.onRoom = undefined
+		answer.onReaderProgress = () => {
+			if (hasSlowReader(answer)) return
+			answer.onReaderProgress = undefined
 			resolve()
 		}
 	})
--- a/packages/agent/src/io/serverEnd.ts
+++ b/packages/agent/src/io/serverEnd.ts
@@ -1,4 +1,4 @@
-/** Which requests a backend server was running when it ended. */
+/** Records which requests a backend server was running when it crashed. */
 
 import { MAX_REQUESTS_PER_CRASH } from '@juniperhook/core'
 import { computeFingerprint } from '@juniperhook/gateway'
@@ -6,17 +6,17 @@
 import { readMoment } from '@juniperhook/runtime'
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 
-/** What a backend server ran when a connection to it broke. */
-export interface BrokenRuns {
-	/** Monotonic ms. */
+/** The requests that a backend server was running when a connection to it broke. */
+export interface InterruptedRuns {
+	/** When the connection broke, monotonic ms. */
 	readonly at: number
 	readonly requests: readonly OpenRequest[]
 }
 
-/** Notes that a run broke off: its server may have ended under what it runs. */
-export function noteBrokenRun(table: RequestTable): void {
-	if (table.life === 'up') table.life = 'unsure'
-	table.broken ??= { at: readMoment().now, requests: listRunning(table) }
+/** Records that a run was interrupted: the server may have crashed. */
+export function recordInterruptedRun(table: RequestTable): void {
+	if (table.backendState === 'up') table.backendState = 'unsure'
+	table.interrupted ??= { at: readMoment().now, requests: listRunning(table) }
 }
 
 function listRunning({ open }: RequestTable): OpenRequest[] {
@@ -29,10 +29,10 @@
 		.slice(0, MAX_REQUESTS_PER_CRASH)
 }
 
-/** What entries are told of the end; a request may have come twice. */
-export function describeEnd(
-	{ serverName, incarnation, lives }: RequestTable,
-	{ at, requests }: BrokenRuns,
+/** Describes a crash for entries; attempts of the same request are merged into one. */
+export function describeCrash(
+	{ serverName, incarnation, backendCrashes }: RequestTable,
+	{ at, requests }: InterruptedRuns,
 ): ServerEndNotice {
 	const ran: Record<string, number> = {}
 	for (const { meta, body, startedAt } of requests) {
@@ -42,7 +42,7 @@
 		const ranMs = Math.max(0, Math.round(at - startedAt!))
 		ran[fingerprint] = Math.min(ranMs, ran[fingerprint] ?? ranMs)
 	}
-	const server = `${serverName}/${incarnation}/${lives}`
+	const server = `${serverName}/${incarnation}/${backendCrashes}`
 	const agoMs = Math.max(0, Math.round(readMoment().now - at))
 	return { server, agoMs, ran }
 }
--- a/packages/agent/src/io/serverLife.ts
+++ b/packages/agent/src/io/serverLife.ts
@@ -1,6 +1,6 @@
 /**
- * Watches for the next life of a backend server that leaves or is gone: what its former
- * life said ends with it.
+ * Watches for the restart of a backend server that is leaving or down. The signals of an
+ * incarnation (backoff, limit, leaving) end with it.
  */
 
 import { connect } from 'node:net'
@@ -9,84 +9,88 @@
 import { createLog, readMoment } from '@juniperhook/runtime'
 import { stepTable } from './requests.ts'
 import type { RequestTable } from './requestTable.ts'
-import { describeEnd } from './serverEnd.ts'
+import { describeCrash } from './serverEnd.ts'
 import { describeServer } from './serverSignals.ts'
 
-/** Between two looks, ms; less than a process takes to listen again. */
-export const LIFE_LOOK_MS = 200
-const CONNECT_MS = 150
+/** Shorter than a process takes to listen again, so that a restart is not missed. */
+export const BACKEND_CHECK_INTERVAL_MS = 200
+const CONNECT_TIMEOUT_MS = 150
 /**
- * One that still listens after this, ms, began its next life between two looks: else its
- * next answer says again that it leaves.
+ * A leaving server that still listens after this time is taken to have restarted between
+ * two checks. If it has not, its next answer signals again that it is leaving.
  */
-const MOST_LEAVING_MS = 60_000
+const MAX_LEAVING_MS = 60_000
 const log = createLog('agent')
 
 /**
- * Looks whether a life has ended or the next one begun, where that is waited for;
- * `onEnd` is told which requests ran when one ended.
+ * Checks whether a backend server that is not known to be up has exited or restarted.
+ * `onCrash` receives the requests that ran when it crashed.
  */
-export async function lookForNextLife(
+export async function checkBackend(
 	table: RequestTable,
-	onEnd: (notice: ServerEndNotice) => void,
+	onCrash: (notice: ServerEndNotice) => void,
 ): Promise<void> {
-	keepLifeline(table)
-	if (table.life === 'up') return
+	ensureWatchConnection(table)
+	if (table.backendState === 'up') return
 	if (!(await isListening(table.server.backend))) {
-		endLife(table, onEnd)
+		handleBackendDown(table, onCrash)
 		return
 	}
-	switch (table.life) {
+	switch (table.backendState) {
 		case 'unsure':
-			table.life = 'up'
-			table.broken = undefined
+			table.backendState = 'up'
+			table.interrupted = undefined
 			return
 		case 'leaving':
-			if (readMoment().now - table.leavesSince >= MOST_LEAVING_MS)
-				beginLife(table)
+			if (readMoment().now - table.leavingSince >= MAX_LEAVING_MS)
+				handleBackendStarted(table)
 			return
 		case 'gone':
-			beginLife(table)
+			handleBackendStarted(table)
 			return
 		default:
 			return
 	}
 }
 
-/** Whoever listens there later may be another life: its end is to be seen itself. */
-function keepLifeline(table: RequestTable): void {
-	if (table.lifeline || table.life === 'gone') return
+/**
+ * Keeps a connection open while signals of the server are in force: a restart between two
+ * checks would otherwise go unnoticed, because the new incarnation listens as well.
+ */
+function ensureWatchConnection(table: RequestTable): void {
+	if (table.watchConnection || table.backendState === 'gone') return
 	if (describeServer(table.admission) === '') return
 	const { ip, port } = splitAddress(table.server.backend)
 	const socket = connect({ host: ip, port })
-	table.lifeline = socket
+	table.watchConnection = socket
 	socket.on('error', () => {})
 	socket.resume()
 	socket.on('close', () => {
-		table.lifeline = undefined
-		if (table.life === 'up') table.life = 'unsure'
-		table.onBroken()
+		table.watchConnection = undefined
+		if (table.backendState === 'up') table.backendState = 'unsure'
+		table.onConnectionBroken()
 	})
 }
 
-function endLife(
+function handleBackendDown(
 	table: RequestTable,
-	onEnd: (notice: ServerEndNotice) => void,
+	onCrash: (notice: ServerEndNotice) => void,
 ): void {
-	const { life, broken } = table
-	table.life = 'gone'
-	table.broken = undefined
-	// One that had said that it leaves has not ended under what it ran.
-	if (!broken || life === 'leaving' || life === 'gone') return
-	const notice = describeEnd(table, broken)
-	table.lives++
+	const { backendState, interrupted } = table
+	table.backendState = 'gone'
+	table.interrupted = undefined
+	// A server that signalled that it is leaving has exited, not crashed.
+	if (!interrupted || backendState === 'leaving' || backendState === 'gone')
+		return
+	const notice = describeCrash(table, interrupted)
+	table.backendCrashes++
 	const detail = Object.keys(notice.ran).join(' ')
 	log({ msg: 'backend server ended', server: notice.server, detail })
-	onEnd(notice)
+	onCrash(notice)
 }
 
-function beginLife(table: RequestTable): void {
-	table.life = 'up'
+function handleBackendStarted(table: RequestTable): void {
+	table.backendState = 'up'
 	stepTable(table, { type: 'serverStarts' })
 	log({ msg: 'backend server has started', server: table.serverName })
 	table.onChange()
@@ -101,8 +105,8 @@
 			socket.destroy()
 			resolve(listens)
 		}
-		// A machine that is only slow still has its server.
-		const timer = setTimeout(() => settle(true), CONNECT_MS)
+		// A timeout may only mean a slow machine; the server counts as listening.
+		const timer = setTimeout(() => settle(true), CONNECT_TIMEOUT_MS)
 		socket.on('connect', () => settle(true))
 		socket.on('error', (err: NodeJS.ErrnoException) =>
 			settle(err.code !== 'ECONNREFUSED'),
--- a/packages/agent/src/io/serverSignals.ts
+++ b/packages/agent/src/io/serverSignals.ts
@@ -1,6 +1,6 @@
 /**
- * What a backend server says of itself in an answer, as events of the admission. Here the
- * header names are the product's own, which its operators' backend servers may use.
+ * Reads the signals in a backend server's answer and converts them into admission events.
+ * The header names are the product's own, for the backend servers of its operators.
  */
 
 import type { AdmissionEvent, AdmissionState } from '@juniperhook/core'
@@ -9,51 +9,54 @@
 
 const TOO_MANY = 429
 const UNAVAILABLE = 503
-const REST = 'retry-after'
-const LIMIT = 'server-limit'
-const LEAVING = 'server-leaving'
+const RETRY_AFTER = 'retry-after'
+const SERVER_LIMIT = 'server-limit'
+const SERVER_LEAVING = 'server-leaving'
 
-/** `unsure`: a connection to it failed. `gone`: nothing listens there. */
-export type ServerLife = 'up' | 'leaving' | 'unsure' | 'gone'
+/**
+ * State of a backend server. `unsure`: a connection to it failed. `gone`: nothing listens
+ * at its address.
+ */
+export type BackendState = 'up' | 'leaving' | 'unsure' | 'gone'
 
 /** Headers of an answer. */
 export type AnswerHeaders = Record<string, string | string[]>
 
-/** What an answer to a request that was started at `startedAt`, ms, tells the agent. */
+/** Returns the events for an answer to a request that was started at `startedAt`, ms. */
 export function readServerSignals(
 	status: number,
 	headers: AnswerHeaders,
 	startedAt: number,
 ): AdmissionEvent[] {
-	const turnsAway = status === UNAVAILABLE || status === TOO_MANY
+	const isRefusal = status === UNAVAILABLE || status === TOO_MANY
 	const events = [
-		turnsAway ? readRest(headers) : ({ type: 'taken', startedAt } as const),
+		isRefusal ? readBackoff(headers) : ({ type: 'taken', startedAt } as const),
 		readLimit(headers, startedAt),
 		readLeaving(headers),
 	]
 	return events.filter(event => event !== undefined)
 }
 
-/** Elsewhere `Retry-After` does not speak of the server. */
-function readRest(headers: AnswerHeaders): AdmissionEvent | undefined {
-	const text = textOf(headers, REST)
+/** Reads `Retry-After` of a 429 or 503; with other statuses it is not about the server. */
+function readBackoff(headers: AnswerHeaders): AdmissionEvent | undefined {
+	const text = textOf(headers, RETRY_AFTER)
 	const forMs = text === undefined ? undefined : parseRetryAfterMs(text)
 	return forMs === undefined ? undefined : { type: 'rest', forMs }
 }
 
-/** An answer that names no limit ends one; an unreadable one changes nothing. */
+/** An answer without a limit lifts it; an unreadable limit changes nothing. */
 function readLimit(
 	headers: AnswerHeaders,
 	startedAt: number,
 ): AdmissionEvent | undefined {
-	const text = textOf(headers, LIMIT)
+	const text = textOf(headers, SERVER_LIMIT)
 	const perSecond = text === undefined ? undefined : parseDecimal(text)
 	if (text !== undefined && perSecond === undefined) return undefined
 	return { type: 'limit', perSecond, startedAt }
 }
 
 function readLeaving(headers: AnswerHeaders): AdmissionEvent | undefined {
-	const leaves = textOf(headers, LEAVING)?.trim() === '1'
+	const leaves = textOf(headers, SERVER_LEAVING)?.trim() === '1'
 	return leaves ? { type: 'serverLeaves' } : undefined
 }
 
@@ -62,17 +65,17 @@
 	return Array.isArray(value) ? value[0] : value
 }
 
-/** What an agent holds of its backend server's words, for logs and operators. */
+/** Describes the signals of the backend server in force, for logs and operators. */
 export function describeServer({
-	backoffUntil: restsUntil,
+	backoffUntil,
 	limit,
 	serverLeaves,
 }: AdmissionState): string {
-	const rests = restsUntil > readMoment().now
+	const isBackingOff = backoffUntil > readMoment().now
 	return [
-		rests && `rests until ${Math.round(restsUntil)}`,
-		limit && `takes ${limit.perSecond} a second`,
-		serverLeaves && 'leaves',
+		isBackingOff && `backing off until ${Math.round(backoffUntil)}`,
+		limit && `limited to ${limit.perSecond} requests per second`,
+		serverLeaves && 'leaving',
 	]
 		.filter(Boolean)
 		.join(', ')
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -3,7 +3,7 @@
 import { loadSettings, setLogLevel } from '@juniperhook/runtime'
 import { startAgent } from './agent.ts'
 
-/** Runs the daemon until it is told to stop. */
+/** Runs the daemon until it receives SIGTERM. */
 export async function runAgent(settingsPath: string): Promise<void> {
 	const settings = loadSettings(settingsPath)
 	setLogLevel(settings.log.level)
--- a/packages/agent/src/reports.ts
+++ b/packages/agent/src/reports.ts
@@ -1,4 +1,4 @@
-/** Reports of a server's load to entries that no answer has told of it. */
+/** Load reports to entries that have received no recent answer with the load. */
 
 import type { Report, RpcLink } from '@juniperhook/runtime'
 import { notify, revisionOf } from '@juniperhook/runtime'
@@ -6,27 +6,31 @@
 import type { RequestTable } from './io/requestTable.ts'
 import { readLoad } from './io/requestTable.ts'
 
-/** A report that says nothing new is sent once in so many periods. */
-const REPORT_ANYWAY = 5
+/** An unchanged load is reported only once in this many periods. */
+const FORCED_REPORT_PERIODS = 5
 
-/** Tells entries how loaded the server is, if that is news or long ago. */
+/** Reports the server's load to all entries if it changed or a report is due. */
 export function reportChanges(agent: AgentProcess): void {
 	if (!agent.requests) return
 	const { load, serviceMs, stepShare, heldMs } = readLoad(agent.requests)
-	const said = `${load} ${serviceMs.toFixed(0)} ${stepShare.toFixed(2)} ${heldMs}`
-	agent.periods++
-	if (said === agent.lastSaid && agent.periods % REPORT_ANYWAY !== 0) return
-	agent.lastSaid = said
+	const loadKey = `${load} ${serviceMs.toFixed(0)} ${stepShare.toFixed(2)} ${heldMs}`
+	agent.reportPeriods++
+	if (
+		loadKey === agent.lastReportedLoad &&
+		agent.reportPeriods % FORCED_REPORT_PERIODS !== 0
+	)
+		return
+	agent.lastReportedLoad = loadKey
 	pushReports(agent)
 }
 
-/** Tells all entries how loaded the server is. */
+/** Reports the server's load to all entries. */
 export function pushReports(agent: AgentProcess): void {
 	for (const link of agent.links) pushReport(agent, link)
 }
 
-/** What entries are told of the server's state; undefined without a configuration. */
-export function stateOf(
+/** Returns the server's state for reports; undefined without a configuration. */
+export function readServerState(
 	table: RequestTable | undefined,
 ): Report['state'] | undefined {
 	if (!table) return undefined
@@ -34,14 +38,14 @@
 	return serverLeaves ? 'leaving' : mode
 }
 
-/** Tells one entry how loaded the server is, once it has named itself. */
+/** Reports the server's load to one entry, once the entry has sent its name. */
 export function pushReport(agent: AgentProcess, link: RpcLink): void {
 	const table = agent.requests
 	if (!table || link.remoteName === '') return
 	const report: Report = {
 		server: table.serverName,
 		incarnation: agent.incarnation,
-		state: stateOf(table) ?? 'leaving',
+		state: readServerState(table) ?? 'leaving',
 		slots: table.admission.slots,
 		revision: revisionOf(agent.follower),
 		...readLoad(table),
--- a/packages/agent/test/engine.test.ts
+++ b/packages/agent/test/engine.test.ts
@@ -1,4 +1,4 @@
-/** What the agents count on from an engine: no promise without the weights. */
+/** Agents rely on an engine to promise no map whose weights it does not hold. */
 
 import type { GroupModel } from '@juniperhook/fakes'
 import {
@@ -6,7 +6,7 @@
 	createBlocks,
 	createGroupModel,
 	createPopularity,
-	takeOrder,
+	executeOrder,
 } from '@juniperhook/fakes'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -31,18 +31,18 @@
 const PREPARE = { type: 'prepare', fence: 5, change: CHANGE } as const
 
 for (const staged of [false, true])
-	test(`engine: restarted, the map ${staged ? '' : 'not '}staged`, async () => {
+	test(`engine: a restarted rank ${staged ? 'promises a staged' : 'refuses an unstaged'} map`, async () => {
 		const model = createModel()
 		crashRank(model, 1)
 		const slots = [[2, 3]]
 		if (staged)
-			await takeOrder(model, 1, { order: 'stage', mapId: 'first', slots })
+			await executeOrder(model, 1, { order: 'stage', mapId: 'first', slots })
 		const learn = { type: 'learn', fence: 5 } as const
-		await takeOrder(model, 1, { order: 'rank', req: learn })
-		const answer = await takeOrder(model, 1, { order: 'rank', req: PREPARE })
+		await executeOrder(model, 1, { order: 'rank', req: learn })
+		const answer = await executeOrder(model, 1, { order: 'rank', req: PREPARE })
 		assert.is(answer.reply?.type, staged ? 'promised' : 'refused')
 		const gate = { order: 'gate', step: 20, mapId: 'first' } as const
-		assert.is((await takeOrder(model, 1, gate)).accepted, staged)
+		assert.is((await executeOrder(model, 1, gate)).accepted, staged)
 	})
 
 test.run()
--- a/packages/agent/test/map.process.test.ts
+++ b/packages/agent/test/map.process.test.ts
@@ -1,4 +1,7 @@
-/** One map per step with real agents: coordinators that freeze and die. */
+/**
+ * All ranks of a group use one map per step, with real agent processes. Coordinators are
+ * frozen or killed, an engine loses its state and a rank stalls.
+ */
 
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Fleet, FleetOptions } from '@juniperhook/fakes'
@@ -45,7 +48,7 @@
 	fail(fleet: Fleet, delayMs: number): Promise<void>
 }[] = [
 	{
-		name: 'the coordinator is frozen for 3 s and wakes',
+		name: 'the coordinator is suspended for 3 s and resumes',
 		async fail(fleet) {
 			signalProcess(fleet, 'rank-0', 'SIGSTOP')
 			await wait(3_000)
@@ -53,7 +56,7 @@
 		},
 	},
 	{
-		name: 'the coordinator is killed and comes back',
+		name: 'the coordinator is killed and restarts',
 		async fail(fleet) {
 			signalProcess(fleet, 'rank-0', 'SIGKILL')
 			await wait(500)
@@ -61,7 +64,7 @@
 		},
 	},
 	{
-		name: 'an engine loses all it held',
+		name: 'an engine loses its state',
 		async fail(fleet) {
 			const url = `http://${rankIp(fleet, 1)}:${PORTS.backend}/admin/crash`
 			await (await request(url, { method: 'POST' })).body.dump()
@@ -75,7 +78,7 @@
 		},
 	},
 ]
-/** Moments within a planning period, so that several phases are met, ms. */
+/** Delays before each failure, ms, so that it occurs in different planning phases. */
 const DELAYS = [0, 450]
 
 function optionsOf(group: GroupCase): FleetOptions {
@@ -103,7 +106,7 @@
 	return (await res.body.json()) as GroupLoad
 }
 
-/** Keeps the group busy, so that experts have tokens. */
+/** Sends requests in a loop, so that tokens reach the experts. */
 async function keepBusy(fleet: Fleet, isOver: () => boolean): Promise<void> {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.data}/v1/completions`
 	while (!isOver()) {
@@ -136,7 +139,7 @@
 		stopFleet(fleet)
 	})
 
-	test(`one map per step, ${group.name}: changes are made`, async () => {
+	test(`one map per step, ${group.name}: the map changes`, async () => {
 		await waitUntil(
 			async () => (await readLoad(fleet)).switches >= 2 * group.ranks,
 			'two changes',
--- a/packages/agent/test/serverSignals.test.ts
+++ b/packages/agent/test/serverSignals.test.ts
@@ -1,4 +1,4 @@
-/** What an agent reads in the answers of its backend server, and when its words end. */
+/** Signals that an agent reads in its backend server's answers, and when they expire. */
 
 import { EventEmitter } from 'node:events'
 import type { Server } from 'node:http'
@@ -12,9 +12,9 @@
 import { stepTable } from '../src/io/requests.ts'
 import { createRequestTable } from '../src/io/requestTable.ts'
 import { runOnBackend } from '../src/io/runs.ts'
-import { lookForNextLife } from '../src/io/serverLife.ts'
+import { checkBackend } from '../src/io/serverLife.ts'
 import { readServerSignals } from '../src/io/serverSignals.ts'
-import { stateOf } from '../src/reports.ts'
+import { readServerState } from '../src/reports.ts'
 
 const STARTED_AT = 5
 const NO_LIMIT: AdmissionEvent = {
@@ -22,8 +22,8 @@
 	perSecond: undefined,
 	startedAt: STARTED_AT,
 }
-const TAKEN: AdmissionEvent = { type: 'taken', startedAt: STARTED_AT }
-const LEAVES: AdmissionEvent = { type: 'serverLeaves' }
+const SERVED: AdmissionEvent = { type: 'taken', startedAt: STARTED_AT }
+const LEAVING: AdmissionEvent = { type: 'serverLeaves' }
 
 interface AnswerCase {
 	readonly name: string
@@ -33,47 +33,52 @@
 }
 const CASES: readonly AnswerCase[] = [
 	{
-		name: '503 with Retry-After asks for rest',
+		name: '503 with Retry-After starts a backoff',
 		status: 503,
 		headers: { 'Retry-After': '1.5' },
 		events: [{ type: 'rest', forMs: 1_500 }, NO_LIMIT],
 	},
 	{
-		name: '429 with Retry-After asks for rest',
+		name: '429 with Retry-After starts a backoff',
 		status: 429,
 		headers: { 'Retry-After': '2' },
 		events: [{ type: 'rest', forMs: 2_000 }, NO_LIMIT],
 	},
-	{ name: '503 alone does not', status: 503, headers: {}, events: [NO_LIMIT] },
 	{
-		name: 'an unreadable rest is none',
+		name: '503 without Retry-After starts no backoff',
+		status: 503,
+		headers: {},
+		events: [NO_LIMIT],
+	},
+	{
+		name: 'an unreadable Retry-After is ignored',
 		status: 503,
 		headers: { 'Retry-After': 'soon' },
 		events: [NO_LIMIT],
 	},
 	{
-		name: '200 with Retry-After speaks of no rest',
+		name: '200 with Retry-After starts no backoff',
 		status: 200,
 		headers: { 'Retry-After': '2' },
-		events: [TAKEN, NO_LIMIT],
+		events: [SERVED, NO_LIMIT],
 	},
 	{
-		name: 'a limit',
+		name: 'Server-Limit sets a limit',
 		status: 200,
 		headers: { 'Server-Limit': '0.5' },
-		events: [TAKEN, { type: 'limit', perSecond: 0.5, startedAt: STARTED_AT }],
+		events: [SERVED, { type: 'limit', perSecond: 0.5, startedAt: STARTED_AT }],
 	},
 	{
-		name: 'an unreadable limit changes nothing',
+		name: 'an unreadable Server-Limit changes nothing',
 		status: 200,
 		headers: { 'Server-Limit': 'many' },
-		events: [TAKEN],
+		events: [SERVED],
 	},
 	{
-		name: 'a leaving, with a rest',
+		name: 'Server-Leaving together with a backoff',
 		status: 503,
 		headers: { 'Server-Leaving': '1', 'Retry-After': '1' },
-		events: [{ type: 'rest', forMs: 1_000 }, NO_LIMIT, LEAVES],
+		events: [{ type: 'rest', forMs: 1_000 }, NO_LIMIT, LEAVING],
 	},
 ]
 
@@ -113,7 +118,7 @@
 		assert.equal(events, one.events)
 	})
 
-test('agent: what a server said ends with its life, not before', async () => {
+test('agent: signals of a server expire when it restarts, not when it exits', async () => {
 	const server = await startBackend()
 	const address = server.address() as AddressInfo
 	let changes = 0
@@ -127,41 +132,41 @@
 			onChange: () => {
 				changes++
 			},
-			onBroken: () => {},
+			onConnectionBroken: () => {},
 		},
 	)
-	for (const event of [LEAVES, { type: 'rest', forMs: 60_000 } as const])
+	for (const event of [LEAVING, { type: 'rest', forMs: 60_000 } as const])
 		stepTable(table, event)
-	table.life = 'leaving'
-	table.leavesSince = performance.now()
-	await lookForNextLife(table, () => {})
-	assert.is(stateOf(table), 'leaving')
+	table.backendState = 'leaving'
+	table.leavingSince = performance.now()
+	await checkBackend(table, () => {})
+	assert.is(readServerState(table), 'leaving')
 	server.closeAllConnections()
 	await new Promise(resolve => server.close(resolve))
-	await lookForNextLife(table, () => {})
-	assert.is(stateOf(table), 'leaving')
+	await checkBackend(table, () => {})
+	assert.is(readServerState(table), 'leaving')
 	const next = await startBackend(address.port)
-	await lookForNextLife(table, () => {})
-	assert.is(stateOf(table), 'serving')
+	await checkBackend(table, () => {})
+	assert.is(readServerState(table), 'serving')
 	assert.is(table.admission.backoffUntil, Number.NEGATIVE_INFINITY)
 	assert.is(changes, 1)
 	next.close()
 })
 
-test('agent: a rest ends with a server that nobody asks meanwhile', async () => {
+test('agent: a backoff ends when the server restarts, without any request', async () => {
 	const server = await startBackend()
 	const address = server.address() as AddressInfo
-	const look = () => void lookForNextLife(table, () => {})
+	const check = () => void checkBackend(table, () => {})
 	const table = createRequestTable(
 		'hut',
 		'1',
 		{} as Config,
 		{ ...SERVER, backend: `127.0.0.1:${address.port}` },
 		createMetrics(),
-		{ onChange: () => {}, onBroken: look },
+		{ onChange: () => {}, onConnectionBroken: check },
 	)
 	stepTable(table, { type: 'rest', forMs: 60_000 })
-	look()
+	check()
 	const sockets = await new Promise<number>(resolve =>
 		server.once('connection', () =>
 			server.getConnections((_, n) => resolve(n)),
@@ -170,10 +175,10 @@
 	assert.is(sockets, 1)
 	server.closeAllConnections()
 	server.close()
-	await until(() => table.life === 'gone')
+	await until(() => table.backendState === 'gone')
 	const next = await startBackend(address.port)
-	look()
-	await until(() => table.life === 'up')
+	check()
+	await until(() => table.backendState === 'up')
 	assert.is(table.admission.backoffUntil, Number.NEGATIVE_INFINITY)
 	next.close()
 })
--- a/packages/fakes/src/expertGroup.ts
+++ b/packages/fakes/src/expertGroup.ts
@@ -1,8 +1,8 @@
 /**
- * An emulated lock-step group in virtual time: streams of many subjects, whose
- * tokens choose experts; passes as long as the most loaded rank of each set; and
- * demand that shifts. What it takes to decide goes through the same functions
- * as in the agents.
+ * Simulation of a lock-step group in virtual time. Streams belong to subjects, whose
+ * affinities determine the demand for experts; a pass takes as long as the most loaded
+ * rank of each set requires; demand shifts periodically. Decisions are made with the same
+ * functions as in the agents.
  */
 
 import type { ExpertLayout, GroupMap, Random } from '@juniperhook/core'
@@ -13,7 +13,7 @@
 	passFactor,
 } from '@juniperhook/core'
 
-/** What is emulated. */
+/** Parameters of a simulation. */
 export interface ExpertWorkload {
 	readonly ranks: number
 	readonly layout: ExpertLayout
@@ -22,12 +22,12 @@
 	readonly stepMs: number
 	readonly perRequestMs: number
 	readonly linkMbps: number
-	/** Streams that arrive in a second. */
+	/** Streams that arrive per second. */
 	readonly arrivalsPerSecond: number
-	/** Events of a stream in the mean. */
+	/** Mean number of events of a stream. */
 	readonly events: number
 	readonly subjects: number
-	/** Part of what is liked that changes at a shift. */
+	/** Share of the affinities that a demand shift redraws. */
 	readonly shiftShare: number
 	readonly shiftEveryMs: number
 	readonly lengthMs: number
@@ -37,51 +37,53 @@
 interface Stream {
 	readonly subject: number
 	readonly rank: number
-	left: number
+	remainingEvents: number
 }
 
-/** A group being emulated. */
+/** State of a simulated group. */
 export interface ExpertGroup {
 	readonly workload: ExpertWorkload
 	readonly random: Random
-	/** Demand of each subject: set by set, expert by expert. */
-	readonly likes: Float64Array[]
+	/** Affinities of each subject, indexed by `set * experts + expert`. */
+	readonly affinities: Float64Array[]
 	readonly streams: Stream[]
 	map: GroupMap
 	nowMs: number
-	/** Copying goes on until then, ms. */
+	/** Time until which experts are copied, ms. */
 	copyingUntil: number
 	nextArrival: number
 	nextShift: number
 	copies: number
 	changes: number
-	/** Length of each pass, ms. */
+	/** Duration of each pass, ms. */
 	readonly passes: number[]
 	waiting: number
 }
 
-/** Passes take this much longer while experts are copied. */
+/** Factor on the duration of passes while experts are copied. */
 const COPY_SLOWDOWN = 1.15
-/** Exponent of what experts a subject likes; steep, as counts showed. */
-const LIKE_POWER = 3
-/** Popularity of subjects by rank. */
-const SUBJECT_SKEW = 1.1
-const BITS = 8
+/** Exponent of a subject's affinities; high, because measured expert counts are skewed. */
+const AFFINITY_EXPONENT = 3
+/** Zipf exponent of the subjects' popularity. */
+const SUBJECT_EXPONENT = 1.1
+const BITS_PER_BYTE = 8
 
-/** Begins a day under the map that a group forms with. */
-export function createExpertGroup(day: ExpertWorkload): ExpertGroup {
-	const random = createRandom(day.seed)
-	const dealt = distributeRoundRobin(day.ranks, day.layout)
+/** Creates a simulated group with the initial map of a newly formed group. */
+export function createExpertGroup(workload: ExpertWorkload): ExpertGroup {
+	const random = createRandom(workload.seed)
+	const placement = distributeRoundRobin(workload.ranks, workload.layout)
 	return {
-		workload: day,
+		workload,
 		random,
-		likes: Array.from({ length: day.subjects }, () => drawLikes(day, random)),
+		affinities: Array.from({ length: workload.subjects }, () =>
+			drawAffinities(workload, random),
+		),
 		streams: [],
-		map: Array.from({ length: day.layout.sets }, () => dealt),
+		map: Array.from({ length: workload.layout.sets }, () => placement),
 		nowMs: 0,
 		copyingUntil: 0,
 		nextArrival: 0,
-		nextShift: day.shiftEveryMs,
+		nextShift: workload.shiftEveryMs,
 		copies: 0,
 		changes: 0,
 		passes: [],
@@ -89,13 +91,13 @@
 	}
 }
 
-/** Demand now: set by set, each set's parts add up to 1. */
+/** Returns the current demand, by `set * experts + expert`; each set adds up to 1. */
 export function demandOf(group: ExpertGroup): Float64Array {
 	const { sets, experts } = group.workload.layout
 	const demand = new Float64Array(sets * experts).fill(1e-6)
 	for (const { subject } of group.streams) {
-		const likes = group.likes[subject]!
-		for (let at = 0; at < demand.length; at++) demand[at]! += likes[at]!
+		const affinity = group.affinities[subject]!
+		for (let at = 0; at < demand.length; at++) demand[at]! += affinity[at]!
 	}
 	for (let set = 0; set < sets; set++) {
 		const part = demand.subarray(set * experts, (set + 1) * experts)
@@ -105,91 +107,101 @@
 	return demand
 }
 
-/** Plays one pass and gives its length, ms. */
+/** Simulates one pass and returns its duration, ms. */
 export function simulatePass(group: ExpertGroup): number {
-	const { workload: day } = group
-	takeArrivals(group)
+	const { workload } = group
+	admitArrivals(group)
 	const demand = demandOf(group)
-	const { experts, expertShare } = day.layout
+	const { experts, expertShare } = workload.layout
 	const skews = group.map.map((placement, set) =>
 		computeSetSkew(
 			placement,
 			demand.subarray(set * experts, (set + 1) * experts),
-			day.layout,
+			workload.layout,
 		),
 	)
-	const held = group.streams.length / day.ranks
-	const balanced = day.stepsPerPass * (day.stepMs + held * day.perRequestMs)
+	const streamsPerRank = group.streams.length / workload.ranks
+	const balancedMs =
+		workload.stepsPerPass *
+		(workload.stepMs + streamsPerRank * workload.perRequestMs)
 	const slowdown = group.nowMs < group.copyingUntil ? COPY_SLOWDOWN : 1
-	const passMs = balanced * passFactor(skews, expertShare) * slowdown
+	const passMs = balancedMs * passFactor(skews, expertShare) * slowdown
 	group.nowMs += passMs
 	group.passes.push(passMs)
-	for (const stream of group.streams) stream.left--
+	for (const stream of group.streams) stream.remainingEvents--
 	for (let at = group.streams.length - 1; at >= 0; at--)
-		if (group.streams[at]!.left <= 0) group.streams.splice(at, 1)
-	while (group.nowMs >= group.nextShift) shift(group)
+		if (group.streams[at]!.remainingEvents <= 0) group.streams.splice(at, 1)
+	while (group.nowMs >= group.nextShift) applyDemandShift(group)
 	return passMs
 }
 
-/** Begins to copy what a new map needs; gives the time it takes, ms. */
+/** Starts copying the experts that a new map needs; returns the duration, ms. */
 export function startCopies(group: ExpertGroup, map: GroupMap): number {
-	let most = 0
+	let maxNewCopies = 0
 	for (let rank = 0; rank < group.workload.ranks; rank++) {
-		let fresh = 0
+		let newCopies = 0
 		for (const [set, placement] of map.entries())
 			for (const expert of placement[rank]!)
-				if (!group.map[set]![rank]!.includes(expert)) fresh++
-		group.copies += fresh
-		most = Math.max(most, fresh)
+				if (!group.map[set]![rank]!.includes(expert)) newCopies++
+		group.copies += newCopies
+		maxNewCopies = Math.max(maxNewCopies, newCopies)
 	}
 	const { layout, linkMbps } = group.workload
-	const copyMs = (most * layout.expertMb * BITS) / (linkMbps / 1_000)
+	const copyMs =
+		(maxNewCopies * layout.expertMb * BITS_PER_BYTE) / (linkMbps / 1_000)
 	group.copyingUntil = group.nowMs + copyMs
 	return copyMs
 }
 
-function takeArrivals(group: ExpertGroup): void {
-	const { workload: day, random, streams } = group
+function admitArrivals(group: ExpertGroup): void {
+	const { workload, random, streams } = group
 	while (group.nextArrival <= group.nowMs) {
 		group.nextArrival +=
-			(-Math.log(1 - random()) * 1_000) / day.arrivalsPerSecond
+			(-Math.log(1 - random()) * 1_000) / workload.arrivalsPerSecond
 		group.waiting++
 	}
-	while (group.waiting > 0 && streams.length < day.ranks * day.slots) {
+	while (
+		group.waiting > 0 &&
+		streams.length < workload.ranks * workload.slots
+	) {
 		group.waiting--
 		streams.push({
-			subject: drawSubject(day, random),
-			rank: Math.floor(random() * day.ranks),
-			left: Math.ceil(-Math.log(1 - random()) * day.events),
+			subject: drawSubject(workload, random),
+			rank: Math.floor(random() * workload.ranks),
+			remainingEvents: Math.ceil(-Math.log(1 - random()) * workload.events),
 		})
 	}
 }
 
-function drawSubject(day: ExpertWorkload, random: Random): number {
+function drawSubject(workload: ExpertWorkload, random: Random): number {
 	const weights = Array.from(
-		{ length: day.subjects },
-		(_, at) => (at + 1) ** -SUBJECT_SKEW,
+		{ length: workload.subjects },
+		(_, at) => (at + 1) ** -SUBJECT_EXPONENT,
 	)
 	const total = weights.reduce((sum, weight) => sum + weight, 0)
-	let left = random() * total
+	let remaining = random() * total
 	for (const [at, weight] of weights.entries()) {
-		left -= weight
-		if (left < 0) return at
+		remaining -= weight
+		if (remaining < 0) return at
 	}
 	return 0
 }
 
-function drawLikes(day: ExpertWorkload, random: Random): Float64Array {
-	const { sets, experts } = day.layout
+function drawAffinities(
+	workload: ExpertWorkload,
+	random: Random,
+): Float64Array {
+	const { sets, experts } = workload.layout
 	return new Float64Array(sets * experts).map(
-		() => random() ** LIKE_POWER + 0.02,
+		() => random() ** AFFINITY_EXPONENT + 0.02,
 	)
 }
 
-function shift(group: ExpertGroup): void {
-	const { workload: day, random, likes } = group
-	group.nextShift += day.shiftEveryMs
-	for (const like of likes)
-		for (let at = 0; at < like.length; at++)
-			if (random() < day.shiftShare) like[at] = random() ** LIKE_POWER + 0.02
+function applyDemandShift(group: ExpertGroup): void {
+	const { workload, random, affinities } = group
+	group.nextShift += workload.shiftEveryMs
+	for (const affinity of affinities)
+		for (let at = 0; at < affinity.length; at++)
+			if (random() < workload.shiftShare)
+				affinity[at] = random() ** AFFINITY_EXPONENT + 0.02
 }
--- a/packages/fakes/src/fleet.ts
+++ b/packages/fakes/src/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Starts a small fleet as separate processes, each on its own loopback IP: the
- * stand-ins, entries, and an agent beside each backend server. For the demo,
- * benches and process tests.
+ * Starts a small fleet as separate processes, each on its own loopback IP: the fakes,
+ * entries, and an agent beside each backend server. Used by the demo, benchmarks and
+ * process tests.
  */
 
 import { type ChildProcess, spawn } from 'node:child_process'
@@ -24,19 +24,19 @@
 	backend: 7600,
 } as const
 
-/** File of the fleet's folder with a line a run of a booking. */
+/** File in the fleet's folder with one line per run of a booking. */
 export const RUNS_FILE = 'runs'
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url))
-const READY_MS = 20_000
-const POLL_MS = 50
-const FIRST_PREFIX = 10
-const PREFIXES = 200
-/** Key of the team that most load comes from. */
+const READY_TIMEOUT_MS = 20_000
+const POLL_INTERVAL_MS = 50
+const FIRST_SECOND_OCTET = 10
+const PREFIX_COUNT = 200
+/** Key of the team that sends most requests. */
 export const TEAM_KEY = 'demo-key'
 /** Key of a small team. */
 export const SMALL_TEAM_KEY = 'small-key'
 
-/** What to start. */
+/** Which processes to start, and their configuration. */
 export interface FleetOptions {
 	readonly entries: number
 	readonly services: number
@@ -47,16 +47,16 @@
 	readonly group?: Partial<GroupProcessOptions>
 	/** Lines added to the configuration document. */
 	readonly extraConfig?: string
-	/** Lines put into the group's section. */
+	/** Lines added to the group's section. */
 	readonly groupConfig?: string
 	readonly teamConfig?: string
 	readonly serviceConfig?: string
 	readonly logLevel?: string
-	/** Entries reach the agents of plain services at {@link relayIp}. */
+	/** Whether entries reach the agents of plain services through {@link relayIp}. */
 	readonly relayed?: boolean
 }
 
-/** One started process. */
+/** A started process. */
 export interface FleetProcess {
 	readonly name: string
 	readonly ip: string
@@ -91,7 +91,7 @@
 	stormAfterSeconds: 0,
 }
 
-/** Starts a fleet and resolves when every entry is ready. */
+/** Starts a fleet and resolves when all entries and agents are ready. */
 export async function startFleet(
 	options: FleetOptions,
 	beforeDaemons: (fleet: Fleet) => Promise<void> = async () => {},
@@ -102,7 +102,7 @@
 	const vms: Vm[] = []
 	const fleet = { options, folder, prefix, processes, document: '', vms }
 	process.once('exit', () => stopFleet(fleet))
-	startStandIns(fleet)
+	startFakes(fleet)
 	fleet.document = writeConfig(fleet)
 	vms.push(...listVms(fleet))
 	await waitUntil(async () => {
@@ -116,14 +116,14 @@
 	return fleet
 }
 
-/** Ends every process of the fleet at once. */
+/** Kills all processes of the fleet and removes its folder. */
 export function stopFleet(fleet: Fleet): void {
 	for (const { child } of fleet.processes.values()) child.kill('SIGKILL')
 	fleet.processes.clear()
 	rmSync(fleet.folder, { recursive: true, force: true })
 }
 
-/** Sends a signal to one process by its name. */
+/** Sends a signal to the process `name`. */
 export function signalProcess(
 	fleet: Fleet,
 	name: string,
@@ -133,8 +133,8 @@
 }
 
 /**
- * Starts a process again once it has ended: until then it holds its ports.
- * Resolves when the new one has been started; it may not listen yet.
+ * Restarts a process once it has exited, because it occupies its ports until then.
+ * Resolves when the new process has been started; it may not be listening yet.
  */
 export async function restartProcess(
 	fleet: Fleet,
@@ -145,31 +145,31 @@
 	const { child, ip, args } = old
 	const hasEnded = child.exitCode !== null || child.signalCode !== null
 	if (!hasEnded) await new Promise(resolve => child.once('exit', resolve))
-	// A fleet that was stopped meanwhile has no such process any more.
+	// If the fleet was stopped meanwhile, the process is no longer listed.
 	if (fleet.processes.get(name) === old) start(fleet, name, ip, args)
 }
 
-/** IP of entry `n`, from 0. */
+/** Returns the IP of entry `n`, counted from 0. */
 export function entryIp(fleet: Fleet, n: number): string {
 	return `${fleet.prefix}.${10 + n}`
 }
 
-/** IP of the VM of plain service `n`, from 0. */
+/** Returns the IP of the VM of plain service `n`, counted from 0. */
 export function serviceIp(fleet: Fleet, n: number): string {
 	return `${fleet.prefix}.${30 + n}`
 }
 
-/** IP of the VM of rank `n`, from 0. */
+/** Returns the IP of the VM of rank `n`, counted from 0. */
 export function rankIp(fleet: Fleet, n: number): string {
 	return `${fleet.prefix}.${100 + n}`
 }
 
-/** IP at which a relay stands before plain service `n`, from 0. */
+/** Returns the IP of the relay in front of plain service `n`, counted from 0. */
 export function relayIp(fleet: Fleet, n: number): string {
 	return `${fleet.prefix}.${60 + n}`
 }
 
-/** Calls the platform stand-in's own administration. */
+/** Calls an `/admin/…` endpoint of the fake platform. */
 export async function callPlatform(
 	fleet: Fleet,
 	what: string,
@@ -180,7 +180,7 @@
 	return (await res.body.json()) as Record<string, number>
 }
 
-/** What a process says of itself. */
+/** Fetches the status of a process. */
 export async function readStatus<T = Record<string, unknown>>(
 	ip: string,
 ): Promise<T> {
@@ -188,34 +188,34 @@
 	return (await res.body.json()) as T
 }
 
-/** Waits until `check` gives true; an error counts as false. */
+/** Waits until `check` returns true; an error counts as false. */
 export async function waitUntil(
 	check: () => Promise<boolean> | boolean,
 	what: string,
-	limitMs = READY_MS,
+	timeoutMs = READY_TIMEOUT_MS,
 ): Promise<void> {
-	const end = Date.now() + limitMs
+	const end = Date.now() + timeoutMs
 	while (Date.now() < end) {
 		const done = await Promise.resolve(check()).catch(() => false)
 		if (done) return
-		await new Promise(resolve => setTimeout(resolve, POLL_MS))
+		await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS))
 	}
-	throw new Error(`waited ${limitMs} ms in vain for ${what}`)
+	throw new Error(`timed out after ${timeoutMs} ms waiting for ${what}`)
 }
 
-/** SHA-256 digest of a team's key, as the configuration holds it. */
+/** Returns the SHA-256 digest of a team's key for the configuration. */
 export function digestKey(key: string): string {
 	return createHash('sha256').update(key).digest('hex')
 }
 
 async function findPrefix(): Promise<string> {
-	for (let n = 0; n < PREFIXES; n++) {
+	for (let n = 0; n < PREFIX_COUNT; n++) {
 		const third = (process.pid + n) % 250
-		const second = FIRST_PREFIX + ((process.pid >> 8) % PREFIXES)
+		const second = FIRST_SECOND_OCTET + ((process.pid >> 8) % PREFIX_COUNT)
 		const prefix = `127.${second}.${third}`
 		if (await isFree(`${prefix}.1`)) return prefix
 	}
-	throw new Error('no free loopback addresses')
+	throw new Error('no free loopback prefix')
 }
 
 function isFree(ip: string): Promise<boolean> {
@@ -226,7 +226,7 @@
 	})
 }
 
-function startStandIns(fleet: Fleet): void {
+function startFakes(fleet: Fleet): void {
 	const { options, prefix } = fleet
 	const main = join(ROOT, 'packages/fakes/dist/main.js')
 	const platformIp = `${prefix}.1`
@@ -289,7 +289,7 @@
 
 function listVms(fleet: Fleet): Vm[] {
 	const { options } = fleet
-	const make = (name: string, ip: string, kind: Vm['kind']): Vm => ({
+	const createVm = (name: string, ip: string, kind: Vm['kind']): Vm => ({
 		name,
 		ip,
 		kind,
@@ -297,13 +297,13 @@
 		state: 'live',
 	})
 	const entries = Array.from({ length: options.entries }, (_, n) =>
-		make(`entry-${n}`, entryIp(fleet, n), 'entry'),
+		createVm(`entry-${n}`, entryIp(fleet, n), 'entry'),
 	)
 	const services = Array.from({ length: options.services }, (_, n) =>
-		make(`service-${n}`, serviceIp(fleet, n), 'server'),
+		createVm(`service-${n}`, serviceIp(fleet, n), 'server'),
 	)
 	const ranks = rankNumbers(fleet).map(n =>
-		make(`rank-${n}`, rankIp(fleet, n), 'server'),
+		createVm(`rank-${n}`, rankIp(fleet, n), 'server'),
 	)
 	return [...ranks, ...services, ...entries]
 }
--- a/packages/fakes/src/group.ts
+++ b/packages/fakes/src/group.ts
@@ -1,24 +1,24 @@
 /**
- * Stand-in for a group of model engines in lock-step: one listener a rank.
- * Ranks batch continuously: in each step every running request gets one token,
- * and the slowest rank sets the time of the step.
+ * Fake of a group of model engines in lock-step, with one listener per rank. Ranks use
+ * continuous batching: each step produces one token of every running request and lasts as
+ * long as the slowest rank needs.
  */
 
 import { createServer, type IncomingMessage, type Server } from 'node:http'
 import { readBody } from '@juniperhook/runtime'
 import type { GroupModel } from './groupModel.ts'
 import { advanceModel, crashRank, stepTimeOf } from './groupModel.ts'
-import { takeOrder } from './orders.ts'
+import { executeOrder } from './orders.ts'
 
 const MAX_BYTES = 10_485_760
 const DEFAULT_TOKENS = 24
-const KEEP_ENDED = 500
+const MAX_KNOWN_REQUESTS = 500
 
-/** One request on one rank. */
+/** A request at one rank. */
 interface EngineRequest {
 	readonly id: string
 	readonly events: string[]
-	readonly most: number
+	readonly maxTokens: number
 	readonly priority: number
 	readonly listeners: Set<() => void>
 	ended: boolean
@@ -33,22 +33,22 @@
 	cancelled: number
 }
 
-/** A whole group. */
-export interface GroupFake {
+/** A fake group. */
+export interface FakeGroup {
 	readonly model: GroupModel
 	readonly ranks: RankEngine[]
 	readonly slots: number
-	/** A multiplier of time; tests run faster with less than 1. */
-	readonly pace: number
+	/** Factor on step times; tests use less than 1 to run faster. */
+	readonly timeFactor: number
 	stopped: boolean
 }
 
-/** Makes a group of idle ranks. */
-export function createGroup(
+/** Creates a group of idle ranks. */
+export function createFakeGroup(
 	model: GroupModel,
 	slots: number,
-	pace = 1,
-): GroupFake {
+	timeFactor = 1,
+): FakeGroup {
 	const ranks = model.ranks.map((_, rank) => ({
 		rank,
 		running: [],
@@ -56,25 +56,25 @@
 		known: new Map<string, EngineRequest>(),
 		cancelled: 0,
 	}))
-	return { model, ranks, slots, pace, stopped: false }
+	return { model, ranks, slots, timeFactor, stopped: false }
 }
 
-/** Steps the group until it is stopped. */
-export async function runGroup(group: GroupFake): Promise<void> {
+/** Runs steps until the group is stopped. */
+export async function runGroup(group: FakeGroup): Promise<void> {
 	while (!group.stopped) {
 		const started = performance.now()
 		const batch = group.ranks.map(startWaiting(group))
 		const moved = advanceModel(group.model, batch)
 		if (moved) for (const rank of group.ranks) emitTokens(rank)
-		const wanted = stepTimeOf(group.model) * group.pace
-		const left = wanted - (performance.now() - started)
-		await new Promise(resolve => setTimeout(resolve, Math.max(1, left)))
+		const stepMs = stepTimeOf(group.model) * group.timeFactor
+		const remainingMs = stepMs - (performance.now() - started)
+		await new Promise(resolve => setTimeout(resolve, Math.max(1, remainingMs)))
 	}
 }
 
 /** Serves one rank over HTTP. */
 export function serveRank(
-	group: GroupFake,
+	group: FakeGroup,
 	rank: number,
 	ip: string,
 	port: number,
@@ -95,7 +95,7 @@
 		} else if (url.pathname === '/load') {
 			res.end(JSON.stringify(describeLoad(group, engine)))
 		} else if (url.pathname === '/orders') {
-			const reply = await takeOrder(group.model, rank, JSON.parse(text))
+			const reply = await executeOrder(group.model, rank, JSON.parse(text))
 			res.end(JSON.stringify(reply))
 		} else if (parts[2] === 'requests' && req.method === 'DELETE') {
 			cancel(engine, decodeURIComponent(parts[3] ?? ''))
@@ -117,7 +117,7 @@
 	})
 }
 
-function startWaiting(group: GroupFake): (rank: RankEngine) => number {
+function startWaiting(group: FakeGroup): (rank: RankEngine) => number {
 	return rank => {
 		while (rank.running.length < group.slots) {
 			const next = rank.waiting.shift()
@@ -134,7 +134,7 @@
 		const delta = { content: `t${at} ` }
 		const choices = [{ index: 0, delta, text: delta.content }]
 		request.events.push(JSON.stringify({ id: request.id, choices }))
-		if (request.events.length >= request.most) finish(rank, request)
+		if (request.events.length >= request.maxTokens) finish(rank, request)
 		for (const listener of request.listeners) listener()
 	}
 }
@@ -145,7 +145,7 @@
 	request.ended = true
 	remove(rank.running, request)
 	remove(rank.waiting, request)
-	if (rank.known.size <= KEEP_ENDED) return
+	if (rank.known.size <= MAX_KNOWN_REQUESTS) return
 	for (const [id, old] of rank.known) {
 		if (!old.ended) continue
 		rank.known.delete(id)
@@ -164,13 +164,13 @@
 function generate(
 	rank: RankEngine,
 	req: IncomingMessage,
-	asked: { max_tokens?: number; stream?: boolean; model?: string },
+	params: { max_tokens?: number; stream?: boolean; model?: string },
 	res: import('node:http').ServerResponse,
 ): void {
 	const request: EngineRequest = {
 		id: String(req.headers['x-request-id'] ?? Math.random()),
 		events: [],
-		most: asked.max_tokens ?? DEFAULT_TOKENS,
+		maxTokens: params.max_tokens ?? DEFAULT_TOKENS,
 		priority: Number(req.headers['x-priority'] ?? 5),
 		listeners: new Set(),
 		ended: false,
@@ -178,8 +178,8 @@
 	rank.known.set(request.id, request)
 	const at = rank.waiting.findIndex(old => old.priority > request.priority)
 	rank.waiting.splice(at < 0 ? rank.waiting.length : at, 0, request)
-	if (asked.stream) stream(res, request, 0)
-	else collect(res, request, asked.model ?? '')
+	if (params.stream) stream(res, request, 0)
+	else collect(res, request, params.model ?? '')
 }
 
 function stream(
@@ -225,7 +225,7 @@
 	request.listeners.add(send)
 }
 
-function describeLoad(group: GroupFake, engine: RankEngine): object {
+function describeLoad(group: FakeGroup, engine: RankEngine): object {
 	const { model } = group
 	const state = model.ranks[engine.rank]!
 	const { protocol } = state
@@ -235,7 +235,7 @@
 		cancelled: engine.cancelled,
 		incarnation: protocol.incarnation,
 		joined: protocol.joined,
-		generation: state.begunGeneration,
+		generation: state.lastGeneration,
 		step: protocol.step,
 		mapId: protocol.mapId,
 		mapSince: state.mapSince,
--- a/packages/fakes/src/groupModel.ts
+++ b/packages/fakes/src/groupModel.ts
@@ -1,6 +1,7 @@
 /**
- * What a group of ranks does in a step: spreads tokens over experts by the map,
- * takes the time of its slowest rank, and asserts that all use one map.
+ * Model of a group of ranks. Each step distributes tokens over experts according to the
+ * map, lasts as long as its slowest rank, and counts a violation if ranks use different
+ * maps.
  */
 
 import type { RankState } from '@juniperhook/core'
@@ -13,23 +14,23 @@
 import type { Popularity } from './popularity.ts'
 
 const SMOOTHING = 0.02
-/** Name of the map that a group starts with. */
+/** Id of the map that a group starts with. */
 export const FIRST_MAP = 'first'
 
 /** Sizes and speeds of a group. */
 export interface GroupOptions {
 	readonly layers: number
 	readonly experts: number
-	/** Time of a step without work, ms. */
+	/** Duration of a step without work, ms. */
 	readonly baseMs: number
 	/** Time per token of the rank's own requests, ms. */
 	readonly tokenMs: number
 	/** Time per token through one expert of one layer, ms. */
 	readonly expertMs: number
-	/** Experts that each token passes in a layer. */
+	/** Experts that process each token in a layer. */
 	readonly topK: number
 	readonly bytesPerExpert: number
-	/** Weight store, `IP:port`; empty: weights come at once. */
+	/** Weight store, `IP:port`; empty: weights load at once. */
 	readonly store: string
 	/** Whether engines refuse orders with a lower fence. */
 	readonly checksFences: boolean
@@ -42,36 +43,36 @@
 	readonly exponent: number
 	readonly seed: number
 	readonly pace: number
-	/** Neighbours that change places a layer each second. */
+	/** Swaps of neighbours in the popularity order per layer and second. */
 	readonly driftPerSecond: number
-	/** Storm after so many seconds; 0: none. */
+	/** Time until demand shifts abruptly, seconds; 0: never. */
 	readonly stormAfterSeconds: number
 }
 
 /** Experts held by one rank: `slots[layer]` lists them. */
 export type RankSlots = readonly (readonly number[])[]
 
-/** One rank's engine, as far as maps go. */
+/** One rank's engine: its expert maps, weights and counts. */
 export interface RankModel {
-	/** What it has promised and runs; see the map protocol. */
+	/** State in the map protocol. */
 	protocol: RankState
 	slots: RankSlots
-	/** Slots of maps that may come into force. */
+	/** Slots of the maps staged so far. */
 	readonly staged: Map<string, RankSlots>
-	/** Weights in memory, as {@link weightOf} names them. */
+	/** Weights in memory, named by {@link weightOf}. */
 	readonly loaded: Set<string>
 	stepMs: number
-	/** Tokens since the start, `layer * experts + expert`. */
+	/** Tokens since the start, indexed by `layer * experts + expert`. */
 	readonly tokens: Float64Array
-	/** Step from which the present map has been used in this generation. */
+	/** Step since which the current map has been in use in this generation. */
 	mapSince: number
-	/** Generation of the last step begun. */
-	begunGeneration: number
-	/** The rank hangs until this time, Unix ms. */
+	/** Generation of the last step that was begun. */
+	lastGeneration: number
+	/** The rank is stalled until this time, Unix ms. */
 	stalledUntil: number
 }
 
-/** A group. */
+/** State of a group. */
 export interface GroupModel {
 	readonly options: GroupOptions
 	readonly popularity: Popularity
@@ -79,17 +80,17 @@
 	step: number
 	stepMs: number
 	meanStepMs: number
-	/** Smoothed slowest over mean, experts' work alone. */
+	/** Smoothed ratio of the slowest rank's to the mean expert time. */
 	meanSkew: number
-	/** Time that gates held the group, ms. */
+	/** Time that the group has waited at gates, ms. */
 	gateMs: number
 	gatedSince: number | undefined
 	switches: number
-	/** Steps in which ranks used different maps, or lacked weights. */
+	/** Steps with different maps, and switches to a map without its weights. */
 	violations: number
 }
 
-/** Makes a group on its first map; `slots[rank][layer]` lists experts. */
+/** Creates a group on its first map; `slots[rank][layer]` lists experts. */
 export function createGroupModel(
 	options: GroupOptions,
 	popularity: Popularity,
@@ -103,7 +104,7 @@
 		stepMs: 0,
 		tokens: new Float64Array(options.layers * options.experts),
 		mapSince: 0,
-		begunGeneration: 1,
+		lastGeneration: 1,
 		stalledUntil: 0,
 	}))
 	return {
@@ -121,12 +122,12 @@
 	}
 }
 
-/** Names the weights of an expert. */
+/** Returns a function that names an expert's weights in `layer`. */
 export function weightOf(layer: number): (expert: number) => string {
 	return expert => `${layer}:${expert}`
 }
 
-/** Even blocks of experts, the same in every layer. */
+/** Assigns experts to ranks in blocks of equal size, the same in every layer. */
 export function createBlocks(
 	ranks: number,
 	layers: number,
@@ -141,8 +142,8 @@
 }
 
 /**
- * Makes one step, `batch[rank]` requests on each rank. Gives false while a gate
- * or a stalled rank holds the group.
+ * Runs one step with `batch[rank]` requests on each rank. Returns false while a gate, a
+ * stalled rank or ranks at different steps block the group.
  */
 export function advanceModel(
 	model: GroupModel,
@@ -152,23 +153,23 @@
 	const gated = model.ranks.some(rank => !mayBeginStep(rank.protocol))
 	if (gated) model.gatedSince ??= now
 	const [first] = model.ranks
-	const apart = model.ranks.some(
+	const outOfStep = model.ranks.some(
 		({ protocol }) =>
 			protocol.generation !== first!.protocol.generation ||
 			protocol.step !== first!.protocol.step,
 	)
 	const stalled = model.ranks.some(rank => rank.stalledUntil > now)
-	if (gated || apart || stalled) return false
+	if (gated || outOfStep || stalled) return false
 	if (model.gatedSince !== undefined) model.gateMs += now - model.gatedSince
 	model.gatedSince = undefined
-	for (const rank of model.ranks) begin(model, rank)
+	for (const rank of model.ranks) beginRankStep(model, rank)
 	model.step = first!.protocol.step
 	assertOneMap(model)
-	measure(model, batch)
+	measureStep(model, batch)
 	return true
 }
 
-/** Lets one rank's engine lose all that it held, as a restart does. */
+/** Discards the state of one rank's engine, as a restart does. */
 export function crashRank(model: GroupModel, rank: number): void {
 	const state = model.ranks[rank]!
 	state.protocol = createRestartedRank(state.protocol.incarnation + 1)
@@ -176,17 +177,17 @@
 	state.loaded.clear()
 }
 
-/** Time of the last step, ms. */
+/** Returns the duration of the last step, ms. */
 export function stepTimeOf(model: GroupModel): number {
 	return model.stepMs || model.options.baseMs
 }
 
-function begin(model: GroupModel, rank: RankModel): void {
+function beginRankStep(model: GroupModel, rank: RankModel): void {
 	const { mapId } = rank.protocol
 	beginStep(rank.protocol)
 	const { generation, step } = rank.protocol
-	const barrier = generation !== rank.begunGeneration
-	rank.begunGeneration = generation
+	const barrier = generation !== rank.lastGeneration
+	rank.lastGeneration = generation
 	if (barrier) rank.mapSince = step
 	if (rank.protocol.mapId === mapId) return
 	if (!holdsWeights(rank, rank.protocol.mapId)) model.violations++
@@ -199,7 +200,7 @@
 		for (const weight of own.map(weightOf(layer))) rank.loaded.add(weight)
 }
 
-/** Whether a rank holds all weights of a map; another one's may be dropped. */
+/** Whether a rank holds all weights of a map; a switch to another map may drop them. */
 export function holdsWeights(rank: RankModel, mapId: string): boolean {
 	const slots = rank.staged.get(mapId)
 	if (!slots) return false
@@ -213,11 +214,13 @@
 	if (ids.size === 1) return
 	model.violations++
 	const names = [...ids].join(' and ')
-	process.stderr.write(`two maps in step ${model.step}: ${names}\n`)
+	process.stderr.write(
+		`ranks use different maps in step ${model.step}: ${names}\n`,
+	)
 }
 
-/** Ranks wait for each other in every layer, as the exchange of tokens does. */
-function measure(model: GroupModel, batch: readonly number[]): void {
+/** Computes step times; the exchange of tokens synchronizes the ranks in every layer. */
+function measureStep(model: GroupModel, batch: readonly number[]): void {
 	const { options, popularity, ranks } = model
 	const requests = batch.reduce((sum, size) => sum + size, 0)
 	const own = ranks.map((_, rank) => options.tokenMs * (batch[rank] ?? 0))
@@ -229,9 +232,9 @@
 			let tokens = 0
 			for (const expert of rank.slots[layer]!) {
 				const share = popularity.share[layer]![expert]!
-				const part = (requests * options.topK * share) / holders[expert]!
-				rank.tokens[layer * options.experts + expert]! += part
-				tokens += part
+				const rankTokens = (requests * options.topK * share) / holders[expert]!
+				rank.tokens[layer * options.experts + expert]! += rankTokens
+				tokens += rankTokens
 			}
 			return tokens * options.expertMs
 		})
--- a/packages/fakes/src/index.ts
+++ b/packages/fakes/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what juniperhook meets: the platform, engines, services. */
+/** Fakes of the systems around juniperhook: the platform, engines and services. */
 
 export * from './expertGroup.ts'
 export * from './fleet.ts'
--- a/packages/fakes/src/main.ts
+++ b/packages/fakes/src/main.ts
@@ -1,17 +1,17 @@
 /**
- * Runs one stand-in as a process: `platform IP PORT`, `service IP PORT DELAY RUNS-FILE`,
- * `group PORT OPTIONS-JSON`. Ends on SIGTERM.
+ * Runs one fake as a process: `platform IP PORT`, `service IP PORT DELAY RUNS-FILE` or
+ * `group PORT OPTIONS-JSON`. Exits on SIGTERM.
  */
 
 import { createRandom } from '@juniperhook/core'
-import { createGroup, runGroup, serveRank } from './group.ts'
+import { createFakeGroup, runGroup, serveRank } from './group.ts'
 import type { GroupProcessOptions } from './groupModel.ts'
 import { createBlocks, createGroupModel } from './groupModel.ts'
 import { createPlatform, servePlatform } from './platform.ts'
 import { createPopularity, drift, shiftDemand } from './popularity.ts'
-import { createService, serveService } from './service.ts'
+import { createFakeService, serveService } from './service.ts'
 
-const STORM_EXPERTS = 4
+const SHIFTED_EXPERTS = 4
 const MS = 1_000
 
 async function runGroupProcess(
@@ -23,12 +23,12 @@
 	const popularity = createPopularity(layers, experts, exponent, random)
 	const slots = createBlocks(ips.length, layers, experts)
 	const model = createGroupModel(options, popularity, slots)
-	const group = createGroup(model, options.slots, options.pace)
+	const group = createFakeGroup(model, options.slots, options.pace)
 	for (const [rank, ip] of ips.entries()) await serveRank(group, rank, ip, port)
 	setInterval(() => drift(popularity, options.driftPerSecond, random), MS)
 	if (options.stormAfterSeconds > 0)
 		setTimeout(
-			() => shiftDemand(popularity, STORM_EXPERTS),
+			() => shiftDemand(popularity, SHIFTED_EXPERTS),
 			options.stormAfterSeconds * MS,
 		)
 	await runGroup(group)
@@ -43,7 +43,10 @@
 			return
 		}
 		case 'service': {
-			const fake = createService({ delayMs: Number(third), runsPath: fourth })
+			const fake = createFakeService({
+				delayMs: Number(third),
+				runsPath: fourth,
+			})
 			await serveService(fake, first, Number(second))
 			return
 		}
--- a/packages/fakes/src/narrowLink.ts
+++ b/packages/fakes/src/narrowLink.ts
@@ -1,23 +1,26 @@
-/** The link of a VM that carries only so many bytes a second. */
+/** A VM's network link of limited bandwidth. */
 
-/** What shares a link; bytes pass it one piece after the other. */
+/** A link; all transfers share it and pass it one after the other. */
 export interface ThrottledLink {
 	readonly bytesPerMs: number
-	/** When what has been given to the link will have passed it, ms. */
-	freeAt: number
-	/** Bytes that have been given to the link. */
+	/** When all transfers so far will have completed, monotonic ms. */
+	idleAt: number
+	/** Bytes of all transfers so far, including those not yet completed. */
 	bytesSent: number
 }
 
-/** Makes an idle link. */
+/** Creates an idle link. */
 export function createThrottledLink(bytesPerMs: number): ThrottledLink {
-	return { bytesPerMs, freeAt: 0, bytesSent: 0 }
+	return { bytesPerMs, idleAt: 0, bytesSent: 0 }
 }
 
-/** Gives bytes to a link; resolves when they have passed it. */
-export function passLink(link: ThrottledLink, bytes: number): Promise<void> {
+/** Transfers bytes over a link; resolves when they have passed it. */
+export function transferBytes(
+	link: ThrottledLink,
+	bytes: number,
+): Promise<void> {
 	const now = performance.now()
-	link.freeAt = Math.max(now, link.freeAt) + bytes / link.bytesPerMs
+	link.idleAt = Math.max(now, link.idleAt) + bytes / link.bytesPerMs
 	link.bytesSent += bytes
-	return new Promise(resolve => setTimeout(resolve, link.freeAt - now))
+	return new Promise(resolve => setTimeout(resolve, link.idleAt - now))
 }
--- a/packages/fakes/src/orders.ts
+++ b/packages/fakes/src/orders.ts
@@ -1,4 +1,4 @@
-/** Orders to an engine of the group; fenced if the engine checks fences. */
+/** Executes the orders to an engine of a group; only map requests (`rank`) check fences. */
 
 import type { RankReply, RankRequest } from '@juniperhook/core'
 import { handleRankRequest } from '@juniperhook/core'
@@ -7,8 +7,8 @@
 import type { GroupModel, RankModel } from './groupModel.ts'
 import { holdsWeights, weightOf } from './groupModel.ts'
 
-/** Lets one rank's engine take an order. */
-export async function takeOrder(
+/** Executes an order at one rank's engine. */
+export async function executeOrder(
 	model: GroupModel,
 	rank: number,
 	order: RankEngineOrder,
@@ -20,10 +20,10 @@
 		const reply = handleRankRequest(state.protocol, order.req)
 		return { ...describe(state, reply.type !== 'refused'), reply }
 	}
-	return describe(state, await obey(model, state, order))
+	return describe(state, await applyOrder(model, state, order))
 }
 
-/** An engine promises no map whose weights it does not hold. */
+/** Refuses to prepare a map whose weights the engine does not hold. */
 function refuseUnstaged(
 	state: RankModel,
 	req: RankRequest,
@@ -35,7 +35,7 @@
 	return { type: 'refused', fence, request: 'prepare', highest }
 }
 
-async function obey(
+async function applyOrder(
 	model: GroupModel,
 	state: RankModel,
 	order: Exclude<RankEngineOrder, { order: 'rank' }>,
--- a/packages/fakes/src/platform.ts
+++ b/packages/fakes/src/platform.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: configuration service, VM list, weight store. */
+/** Fake of the platform: configuration service, VM list and weight store. */
 
 import { createServer, type IncomingMessage, type Server } from 'node:http'
 import type { Topic } from '@juniperhook/core'
@@ -8,34 +8,34 @@
 const MAX_BYTES = 1_048_576
 const MS = 1_000
 
-/** How the stand-in is to behave. */
+/** Behaviour of the fake platform. */
 export interface PlatformOptions {
-	/** How late the VM list is, ms. */
+	/** Delay of changes to the VM list, ms. */
 	readonly listLagMs: number
-	/** Weight store: bytes a second over all callers. */
+	/** Bandwidth of the weight store, shared by all callers. */
 	readonly storeBytesPerSecond: number
 }
 
-/** The state of the stand-in. */
+/** State of the fake platform. */
 export interface Platform {
 	readonly options: PlatformOptions
 	readonly topics: Record<Topic, PublishedTopic>
 	/** Whether the service answers. */
 	up: boolean
 	calls: number
-	/** When the weight store has served all that was asked, Unix ms. */
+	/** When the weight store will have served all requests so far, Unix ms. */
 	storeFreeAt: number
 	storeBytes: number
 }
 
-/** One value and those who wait for the next. */
+/** A published value and the callers that wait for the next one. */
 export interface PublishedTopic {
 	revision: number
 	document: string
 	readonly waiting: Set<() => void>
 }
 
-/** Makes a platform that has published nothing yet. */
+/** Creates a platform that has published nothing yet. */
 export function createPlatform(options: PlatformOptions): Platform {
 	return {
 		options,
@@ -64,7 +64,7 @@
 	wakeAll(published)
 }
 
-/** Sets the VM list; callers see it after the lag. */
+/** Sets the VM list; except for the first one, it is published after the lag. */
 export function setVms(platform: Platform, vms: readonly Vm[]): void {
 	const first = platform.topics.vms.revision === 0
 	const lag = first ? 0 : platform.options.listLagMs
@@ -77,7 +77,7 @@
 	published.waiting.clear()
 }
 
-/** Serves the platform over HTTP; `/admin/…` is for tests and the demo. */
+/** Serves the platform over HTTP; `/admin/…` is used by tests and the demo. */
 export function servePlatform(
 	platform: Platform,
 	ip: string,
@@ -87,7 +87,7 @@
 		const url = new URL(req.url ?? '/', 'http://platform')
 		if (url.pathname.startsWith('/admin/')) {
 			const body = await readBody(req, MAX_BYTES)
-			res.end(JSON.stringify(administer(platform, url, String(body))))
+			res.end(JSON.stringify(handleAdmin(platform, url, String(body))))
 			return
 		}
 		platform.calls++
@@ -96,7 +96,7 @@
 			return
 		}
 		const topic = topicOf(platform, url)
-		if (topic) await waitForNews(topic, url, req)
+		if (topic) await waitForRevision(topic, url, req)
 		if (!platform.up) {
 			res.writeHead(503).end()
 			return
@@ -127,7 +127,7 @@
 		: { revision, document }
 }
 
-function waitForNews(
+function waitForRevision(
 	topic: PublishedTopic,
 	url: URL,
 	req: IncomingMessage,
@@ -149,15 +149,15 @@
 function serveWeights(platform: Platform, url: URL): Promise<void> {
 	const bytes = Number(url.searchParams.get('bytes') ?? 0)
 	const now = Date.now()
-	const took = (bytes / platform.options.storeBytesPerSecond) * MS
-	platform.storeFreeAt = Math.max(now, platform.storeFreeAt) + took
+	const transferMs = (bytes / platform.options.storeBytesPerSecond) * MS
+	platform.storeFreeAt = Math.max(now, platform.storeFreeAt) + transferMs
 	platform.storeBytes += bytes
 	return new Promise(resolve => {
 		setTimeout(resolve, platform.storeFreeAt - now)
 	})
 }
 
-function administer(platform: Platform, url: URL, body: string): object {
+function handleAdmin(platform: Platform, url: URL, body: string): object {
 	switch (url.pathname) {
 		case '/admin/publish': {
 			const revision = url.searchParams.get('revision')
--- a/packages/fakes/src/popularity.ts
+++ b/packages/fakes/src/popularity.ts
@@ -1,6 +1,6 @@
 /**
- * How tokens spread over experts: a Zipf law a layer over a shuffled order,
- * which drifts as neighbours in the order change places.
+ * Distribution of tokens over experts: in each layer, a Zipf distribution over a shuffled
+ * order of experts, which drifts by swapping neighbours.
  */
 
 import type { Random } from '@juniperhook/core'
@@ -9,13 +9,13 @@
 /** Popularity of the experts of each layer. */
 export interface Popularity {
 	readonly exponent: number
-	/** `order[layer][place]` is the expert at that place, most popular first. */
+	/** `order[layer][position]` is an expert; the most popular is first. */
 	readonly order: number[][]
 	/** `share[layer][expert]`; each layer adds up to 1. */
 	readonly share: Float64Array[]
 }
 
-/** Makes a popularity with a random order in each layer. */
+/** Creates a popularity with a random order in each layer. */
 export function createPopularity(
 	layers: number,
 	experts: number,
@@ -29,7 +29,7 @@
 	return popularity
 }
 
-/** Slow drift: `swaps` random neighbours a layer change places. */
+/** Applies slow drift: swaps `swaps` random pairs of neighbours in each layer. */
 export function drift(
 	popularity: Popularity,
 	swaps: number,
@@ -43,7 +43,7 @@
 	refreshShares(popularity)
 }
 
-/** A storm: the `count` least popular experts of each layer come first. */
+/** Shifts demand: the `count` least popular experts of each layer become the first. */
 export function shiftDemand(popularity: Popularity, count: number): void {
 	for (const order of popularity.order)
 		order.unshift(...order.splice(order.length - count, count))
@@ -52,11 +52,12 @@
 
 function refreshShares(popularity: Popularity): void {
 	const { order, share, exponent } = popularity
-	for (const [layer, places] of order.entries()) {
+	for (const [layer, positions] of order.entries()) {
 		let total = 0
-		for (const place of places.keys()) total += (place + 1) ** -exponent
-		for (const [place, expert] of places.entries())
-			share[layer]![expert] = (place + 1) ** -exponent / total
+		for (const position of positions.keys())
+			total += (position + 1) ** -exponent
+		for (const [position, expert] of positions.entries())
+			share[layer]![expert] = (position + 1) ** -exponent / total
 	}
 }
 
@@ -68,7 +69,7 @@
 }
 
 function swap(list: number[], a: number, b: number): void {
-	const kept = list[a]!
+	const first = list[a]!
 	list[a] = list[b]!
-	list[b] = kept
+	list[b] = first
 }
--- a/packages/fakes/src/relay.ts
+++ b/packages/fakes/src/relay.ts
@@ -1,21 +1,21 @@
-/** A TCP relay on loopback whose links can be cut, silenced, delayed or reset. */
+/** A TCP relay on loopback whose connections can be cut, delayed, throttled or reset. */
 
 import type { Server, Socket } from 'node:net'
 import { connect, createServer } from 'node:net'
 import type { ThrottledLink } from './narrowLink.ts'
-import { passLink } from './narrowLink.ts'
+import { transferBytes } from './narrowLink.ts'
 
-/** Bytes of a connection that pass a narrow link in one turn. */
-const TURN_BYTES = 8_192
+/** Bytes of one connection per transfer over a throttled link. */
+const CHUNK_BYTES = 8_192
 
-/** What a relay does with what passes it. */
+/** What a relay does with traffic. */
 export type RelayMode =
 	| 'pass'
-	/** Nothing passes: open links hang, new ones are not answered. */
+	/** Drops all data: open connections hang, new ones get no answer. */
 	| 'silent'
-	/** What the opener of a link sends is lost; the other way passes. */
+	/** Drops what the client sends; data to the client passes. */
 	| 'deaf'
-	/** What the opener of a link is sent is lost; the other way passes. */
+	/** Drops data to the client; what the client sends passes. */
 	| 'mute'
 
 /** A relay from one address to another. */
@@ -23,13 +23,13 @@
 	readonly server: Server
 	readonly sockets: Set<Socket>
 	mode: RelayMode
-	/** Added to the way in each direction, ms. */
+	/** Delay added in each direction, ms. */
 	delayMs: number
-	/** What openers are sent passes it; relays of one VM share it. */
+	/** Link for data to clients; the relays of one VM share it. */
 	link: ThrottledLink | undefined
 }
 
-/** Listens on `ip:port` and passes everything on to `targetIp:targetPort`. */
+/** Listens on `ip:port` and forwards connections to `targetIp:targetPort`. */
 export function startRelay(
 	ip: string,
 	targetIp: string,
@@ -38,7 +38,9 @@
 	link?: ThrottledLink,
 ): Promise<Relay> {
 	const relay: Relay = {
-		server: createServer(near => openLink(relay, near, targetIp, targetPort)),
+		server: createServer(client =>
+			openConnection(relay, client, targetIp, targetPort),
+		),
 		sockets: new Set(),
 		mode: 'pass',
 		delayMs: 0,
@@ -50,45 +52,45 @@
 	})
 }
 
-function openLink(
+function openConnection(
 	relay: Relay,
-	near: Socket,
+	client: Socket,
 	targetIp: string,
 	targetPort: number,
 ): void {
-	const far = connect({ host: targetIp, port: targetPort })
-	near.setNoDelay(true)
-	far.setNoDelay(true)
-	carry(relay, near, far, ['silent', 'deaf'])
-	carry(relay, far, near, ['silent', 'mute'], () => relay.link)
+	const target = connect({ host: targetIp, port: targetPort })
+	client.setNoDelay(true)
+	target.setNoDelay(true)
+	forward(relay, client, target, ['silent', 'deaf'])
+	forward(relay, target, client, ['silent', 'mute'], () => relay.link)
 }
 
-/** Passes on what `from` sends, unless it is lost in the present mood. */
-function carry(
+/** Forwards data from one socket to the other, unless the mode is in `droppedIn`. */
+function forward(
 	relay: Relay,
 	from: Socket,
 	to: Socket,
-	lost: readonly RelayMode[],
+	droppedIn: readonly RelayMode[],
 	findLink: () => ThrottledLink | undefined = () => undefined,
 ): void {
 	relay.sockets.add(from)
-	const later = createDelay(relay)
+	const delayed = createDelay(relay)
 	from.on('data', data => {
-		if (lost.includes(relay.mode)) return
+		if (droppedIn.includes(relay.mode)) return
 		const link = findLink()
 		if (!link) {
-			later(() => {
+			delayed(() => {
 				if (!to.destroyed) to.write(data)
 			})
 			return
 		}
-		// Nothing more is read meanwhile: connections share the link in turn.
+		// Reading pauses meanwhile, so that connections take turns on the link.
 		from.pause()
-		void passInTurn(link, data, to).then(() => from.resume())
+		void transferInChunks(link, data, to).then(() => from.resume())
 	})
 	from.on('close', () => {
 		relay.sockets.delete(from)
-		later(() => to.destroySoon())
+		delayed(() => to.destroySoon())
 	})
 	from.on('error', (err: NodeJS.ErrnoException) => {
 		if (err.code === 'ECONNRESET') to.resetAndDestroy()
@@ -96,37 +98,37 @@
 	})
 }
 
-async function passInTurn(
+async function transferInChunks(
 	link: ThrottledLink,
 	data: Buffer,
 	to: Socket,
 ): Promise<void> {
-	for (let at = 0; at < data.length && !to.destroyed; at += TURN_BYTES) {
-		const part = data.subarray(at, at + TURN_BYTES)
-		await passLink(link, part.length)
+	for (let at = 0; at < data.length && !to.destroyed; at += CHUNK_BYTES) {
+		const part = data.subarray(at, at + CHUNK_BYTES)
+		await transferBytes(link, part.length)
 		if (!to.destroyed) to.write(part)
 	}
 }
 
-/** Does things in turn, each after the relay's delay of that moment. */
-function createDelay(relay: Relay): (deed: () => void) => void {
-	const queue: { deed: () => void; at: number }[] = []
+/** Runs actions in order, each after the relay's delay at the time of the call. */
+function createDelay(relay: Relay): (action: () => void) => void {
+	const queue: { action: () => void; at: number }[] = []
 	const pump = () => {
-		while (queue[0] && queue[0].at <= performance.now()) queue.shift()!.deed()
+		while (queue[0] && queue[0].at <= performance.now()) queue.shift()!.action()
 		if (queue[0]) setTimeout(pump, queue[0].at - performance.now())
 	}
-	return deed => {
-		queue.push({ deed, at: performance.now() + relay.delayMs })
+	return action => {
+		queue.push({ action, at: performance.now() + relay.delayMs })
 		if (queue.length === 1) pump()
 	}
 }
 
-/** Cuts the link; what was on its way is lost. */
+/** Cuts all connections silently; data in transit is lost. */
 export function cutRelay(relay: Relay): void {
 	relay.mode = 'silent'
 }
 
-/** Heals the link; connections of the cut are closed. */
+/** Restores the relay and closes all open connections. */
 export function healRelay(relay: Relay): void {
 	relay.mode = 'pass'
 	relay.delayMs = 0
@@ -138,7 +140,7 @@
 	for (const socket of relay.sockets) socket.resetAndDestroy()
 }
 
-/** Ends the relay and its links. */
+/** Stops the relay and closes its connections. */
 export function stopRelay(relay: Relay): void {
 	relay.server.close()
 	for (const socket of relay.sockets) socket.destroy()
--- a/packages/fakes/src/service.ts
+++ b/packages/fakes/src/service.ts
@@ -1,57 +1,57 @@
-/** Stand-in for a plain service: rosters, bookings, tiles. Counts its runs. */
+/** Fake of a plain service with rosters, bookings and tiles. Records its runs. */
 
 import { appendFileSync } from 'node:fs'
 import { createServer, type Server, type ServerResponse } from 'node:http'
 import { readBody } from '@juniperhook/runtime'
 
-/** From the beginning of a deadly run to the end of its server, ms. */
-const DEADLY_MS = 20
+/** Time from the start of a poison request to the crash of the server. */
+const CRASH_DELAY_MS = 20
 const MAX_BYTES = 10_485_760
 
-/** How the stand-in is to behave. */
+/** Behaviour of a fake service. */
 export interface ServiceOptions {
-	/** Time to answer, ms. */
+	/** Time until an answer, ms. */
 	readonly delayMs: number
-	/** Each run of a booking is a line here, so that a kill forgets none. */
+	/** File with one line per run of a booking; it survives a kill of the process. */
 	readonly runsPath: string
 }
 
-/** What a plain service has seen. */
-export interface ServiceFake {
+/** State of a fake service. */
+export interface FakeService {
 	readonly options: ServiceOptions
 	requests: number
-	/** What its answers say of it. */
-	says: ServiceSignals
+	/** Signals in its answers. */
+	signals: ServiceSignals
 }
 
-/** What a service's answers say of it; undefined for nothing. */
+/** Signals in a service's answers; undefined for none. */
 export interface ServiceSignals {
-	/** It turns everything away and wants rest, seconds. */
-	readonly restSeconds: string | undefined
-	/** Requests a second that it takes. */
+	/** The service refuses all requests with this `Retry-After`, seconds. */
+	readonly retryAfterSeconds: string | undefined
+	/** Limit in `Server-Limit`, requests per second. */
 	readonly limit: string | undefined
-	readonly leaves: boolean
+	readonly leaving: boolean
 }
 
-const SILENT: ServiceSignals = {
-	restSeconds: undefined,
+const NO_SIGNALS: ServiceSignals = {
+	retryAfterSeconds: undefined,
 	limit: undefined,
-	leaves: false,
+	leaving: false,
 }
 
-/** Makes a service that has run nothing. */
-export function createService(options: ServiceOptions): ServiceFake {
-	return { options, requests: 0, says: SILENT }
+/** Creates a service that has run nothing. */
+export function createFakeService(options: ServiceOptions): FakeService {
+	return { options, requests: 0, signals: NO_SIGNALS }
 }
 
 /**
- * Serves it over HTTP. `POST /bookings/REF` notes a run of REF;
- * `/rosters/…` answers a list; `/echo` sends everything back;
- * `/tiles/N` sends N bytes; `/deadly/…` ends it; `/admin/requests` counts all requests;
- * `/admin/says?rest=S&limit=N&leaves=1` sets what answers say from then on.
+ * Serves the fake over HTTP. `POST /bookings/REF` records a run of REF; `/rosters/…`
+ * returns a list; `/echo` returns the body; `/tiles/N` returns N bytes; `/deadly/…`
+ * crashes the process; `/admin/requests` returns the number of requests;
+ * `/admin/says?rest=S&limit=N&leaves=1` sets the signals of later answers.
  */
 export function serveService(
-	fake: ServiceFake,
+	fake: FakeService,
 	ip: string,
 	port: number,
 ): Promise<Server> {
@@ -62,21 +62,21 @@
 			return
 		}
 		if (url.pathname === '/admin/says') {
-			fake.says = readSignals(url.searchParams)
+			fake.signals = readSignals(url.searchParams)
 			res.end()
 			return
 		}
 		fake.requests++
-		// What no server survives; it ends a moment after it was begun.
+		// A poison request: the process crashes shortly after it started.
 		if (url.pathname.startsWith('/deadly/'))
-			setTimeout(() => process.exit(1), DEADLY_MS)
+			setTimeout(() => process.exit(1), CRASH_DELAY_MS)
 		const body = (await readBody(req, MAX_BYTES)) ?? Buffer.alloc(0)
 		const [, kind, name = ''] = url.pathname.split('/')
 		if (kind === 'bookings' && req.method === 'POST')
 			appendFileSync(fake.options.runsPath, `${name}\n`)
 		const delay = Number(url.searchParams.get('delay') ?? fake.options.delayMs)
 		await new Promise(resolve => setTimeout(resolve, delay))
-		if (addSignals(res, fake.says)) return
+		if (addSignals(res, fake.signals)) return
 		answer(res, kind ?? '', name, req.method ?? '', body)
 	})
 	server.keepAliveTimeout = 60_000
@@ -87,21 +87,21 @@
 
 function readSignals(query: URLSearchParams): ServiceSignals {
 	return {
-		restSeconds: query.get('rest') ?? undefined,
+		retryAfterSeconds: query.get('rest') ?? undefined,
 		limit: query.get('limit') ?? undefined,
-		leaves: query.has('leaves'),
+		leaving: query.has('leaves'),
 	}
 }
 
-/** Adds what a service says to its answer; true when it turned the request away. */
+/** Adds the signals to an answer; returns true if the request was refused. */
 function addSignals(
 	res: ServerResponse,
-	{ restSeconds, limit, leaves }: ServiceSignals,
+	{ retryAfterSeconds, limit, leaving }: ServiceSignals,
 ): boolean {
 	if (limit !== undefined) res.setHeader('server-limit', limit)
-	if (leaves) res.setHeader('server-leaving', '1')
-	if (restSeconds === undefined) return false
-	res.writeHead(503, { 'retry-after': restSeconds }).end()
+	if (leaving) res.setHeader('server-leaving', '1')
+	if (retryAfterSeconds === undefined) return false
+	res.writeHead(503, { 'retry-after': retryAfterSeconds }).end()
 	return true
 }
 
@@ -129,6 +129,6 @@
 			res.end(body)
 			return
 		default:
-			res.writeHead(404).end('no such path')
+			res.writeHead(404).end('path not found')
 	}
 }
--- a/packages/fakes/test/groupModel.test.ts
+++ b/packages/fakes/test/groupModel.test.ts
@@ -1,4 +1,4 @@
-/** The stand-in engines of a group promise only maps whose weights they hold. */
+/** Fake engines of a group promise only maps whose weights they hold. */
 
 import { createRandom } from '@juniperhook/core'
 import type { RankEngineOrder } from '@juniperhook/runtime'
@@ -10,7 +10,7 @@
 	createBlocks,
 	createGroupModel,
 	createPopularity,
-	takeOrder,
+	executeOrder,
 } from '../src/index.ts'
 
 const OPTIONS: GroupOptions = {
@@ -29,26 +29,26 @@
 	return { fence, generation: 1, step, mapId }
 }
 
-test('a map staged before another one came into force is not promised', async () => {
+test('a map is refused if its weights were dropped by a switch to another map', async () => {
 	const blocks = createBlocks(1, 1, 4)
 	const popularity = createPopularity(1, 4, 1, createRandom(7))
 	const model = createGroupModel(OPTIONS, popularity, blocks)
-	const give = (order: RankEngineOrder) => takeOrder(model, 0, order)
+	const send = (order: RankEngineOrder) => executeOrder(model, 0, order)
 	const prepare = (mapId: string, fence: number, step: number) => {
 		const change = changeTo(mapId, fence, step)
-		return give({ order: 'rank', req: { type: 'prepare', fence, change } })
+		return send({ order: 'rank', req: { type: 'prepare', fence, change } })
 	}
-	await give({ order: 'stage', mapId: 'b', slots: [[0, 1]] })
-	await give({ order: 'stage', mapId: 'c', slots: [[2, 3]] })
-	await give({ order: 'rank', req: { type: 'learn', fence: 1 } })
+	await send({ order: 'stage', mapId: 'b', slots: [[0, 1]] })
+	await send({ order: 'stage', mapId: 'c', slots: [[2, 3]] })
+	await send({ order: 'rank', req: { type: 'learn', fence: 1 } })
 	assert.ok((await prepare('b', 1, 1)).accepted)
 	const change = changeTo('b', 1, 1)
-	await give({ order: 'rank', req: { type: 'commit', fence: 1, change } })
+	await send({ order: 'rank', req: { type: 'commit', fence: 1, change } })
 	assert.ok(advanceModel(model, [1]))
 	assert.is(model.violations, 0)
-	await give({ order: 'rank', req: { type: 'learn', fence: 2 } })
+	await send({ order: 'rank', req: { type: 'learn', fence: 2 } })
 	assert.not((await prepare('c', 2, 2)).accepted)
-	await give({ order: 'stage', mapId: 'c', slots: [[2, 3]] })
+	await send({ order: 'stage', mapId: 'c', slots: [[2, 3]] })
 	assert.ok((await prepare('c', 2, 2)).accepted)
 })
 
