--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -29,6 +29,7 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { AgentProcess } from './agentState.ts'
+import { BACKEND_CHECK_INTERVAL_MS, checkBackend } from './io/backendWatch.ts'
 import {
 	computeStepShare,
 	createGroupMethods,
@@ -37,11 +38,10 @@
 } from './io/group.ts'
 import type { GroupMember } from './io/groupMember.ts'
 import { createOfferApp } from './io/offers.ts'
-import { isIdle, sendHeartbeats, tickRequests } from './io/openAnswers.ts'
+import { isIdle, sendHeartbeats, tickRequests } from './io/openRequests.ts'
 import { cancelAttempt, stepTable, voidAttempt } from './io/requests.ts'
 import type { RequestTable } from './io/requestTable.ts'
 import { createRequestTable } from './io/requestTable.ts'
-import { BACKEND_CHECK_INTERVAL_MS, checkBackend } from './io/serverLife.ts'
 import { describeServer } from './io/serverSignals.ts'
 import {
 	pushReport,
--- a/packages/agent/src/io/serverLife.ts
+++ b/packages/agent/src/io/backendWatch.ts
@@ -7,9 +7,9 @@
 import { splitAddress } from '@juniperhook/core'
 import type { ServerEndNotice } from '@juniperhook/runtime'
 import { createLog, readMoment } from '@juniperhook/runtime'
+import { describeCrash } from './crashReport.ts'
 import { stepTable } from './requests.ts'
 import type { RequestTable } from './requestTable.ts'
-import { describeCrash } from './serverEnd.ts'
 import { describeServer } from './serverSignals.ts'
 
 /** Shorter than a process takes to listen again, so that a restart is not missed. */
--- a/packages/agent/src/io/requestTable.ts
+++ b/packages/agent/src/io/requestTable.ts
@@ -10,8 +10,8 @@
 import { createAdmission, findStartDelay } from '@juniperhook/core'
 import type { LoadFields, Metrics } from '@juniperhook/runtime'
 import { readMoment } from '@juniperhook/runtime'
+import type { InterruptedRuns } from './crashReport.ts'
 import type { RunRequest } from './runs.ts'
-import type { InterruptedRuns } from './serverEnd.ts'
 import type { BackendState } from './serverSignals.ts'
 
 /** A request offered to this agent, waiting, running or finished. */
--- a/packages/agent/src/io/requests.ts
+++ b/packages/agent/src/io/requests.ts
@@ -29,11 +29,11 @@
 } from './answerLog.ts'
 import type { RunResult } from './backend.ts'
 import { cancelOnEngine } from './backend.ts'
+import { recordInterruptedRun } from './crashReport.ts'
 import { readOffer } from './offerTerms.ts'
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 import { readLoad } from './requestTable.ts'
 import { runOnBackend } from './runs.ts'
-import { recordInterruptedRun } from './serverEnd.ts'
 import { describeServer, readServerSignals } from './serverSignals.ts'
 
 const MS = 1_000
--- a/packages/fakes/src/relay.ts
+++ b/packages/fakes/src/relay.ts
@@ -2,8 +2,8 @@
 
 import type { Server, Socket } from 'node:net'
 import { connect, createServer } from 'node:net'
-import type { ThrottledLink } from './narrowLink.ts'
-import { transferBytes } from './narrowLink.ts'
+import type { ThrottledLink } from './throttledLink.ts'
+import { transferBytes } from './throttledLink.ts'
 
 /** Bytes of one connection per transfer over a throttled link. */
 const CHUNK_BYTES = 8_192
