--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -21,9 +21,9 @@
 	HelloSchema,
 	listen,
 	listenOperators,
-	noteContact,
+	handlePeerConnected,
 	notify,
-	revisionOf,
+	activeRevision,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
@@ -68,8 +68,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: active => applyConfig(agent, active),
-			onVms: vms => leaveIfListed(agent, vms),
+			onConfigActivated: active => applyConfig(agent, active),
+			onVmList: vms => leaveIfListed(agent, vms),
 		},
 		seed,
 	)
@@ -155,13 +155,13 @@
 		...createGroupMethods(() => agent.group ?? fail('notFound', 'no group')),
 		hello(params: unknown, link: RpcLink): Hello {
 			link.remoteName = v.parse(HelloSchema, params).name
-			noteContact(agent.follower, link.remoteName, link)
+			handlePeerConnected(agent.follower, link.remoteName, link)
 			queueMicrotask(() => pushReport(agent, link))
 			return {
 				name: agent.settings.process.name,
 				kind: 'agent',
 				incarnation: agent.incarnation,
-				revision: revisionOf(agent.follower),
+				revision: activeRevision(agent.follower),
 			}
 		},
 		voidAttempt: (params: unknown) =>
--- a/packages/agent/src/io/backendWatch.ts
+++ b/packages/agent/src/io/backendWatch.ts
@@ -5,7 +5,7 @@
 
 import { connect } from 'node:net'
 import { splitAddress } from '@juniperhook/core'
-import type { ServerEndNotice } from '@juniperhook/runtime'
+import type { ServerCrashNotice } from '@juniperhook/runtime'
 import { createLog, readMoment } from '@juniperhook/runtime'
 import { describeCrash } from './crashReport.ts'
 import { stepTable } from './requests.ts'
@@ -28,7 +28,7 @@
  */
 export async function checkBackend(
 	table: RequestTable,
-	onCrash: (notice: ServerEndNotice) => void,
+	onCrash: (notice: ServerCrashNotice) => void,
 ): Promise<void> {
 	ensureWatchConnection(table)
 	if (table.backendState === 'up') return
@@ -74,7 +74,7 @@
 
 function handleBackendDown(
 	table: RequestTable,
-	onCrash: (notice: ServerEndNotice) => void,
+	onCrash: (notice: ServerCrashNotice) => void,
 ): void {
 	const { backendState, interrupted } = table
 	table.backendState = 'gone'
