--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -10,17 +10,17 @@
 import type { Hello, RpcLink, Settings, Vm } from '@juniperhook/runtime'
 import {
 	AttemptRefSchema,
+	activeRevision,
 	createFollowerMethods,
 	createLog,
 	createMetrics,
 	describeFollower,
 	fail,
 	HelloSchema,
+	handlePeerConnected,
 	listen,
 	listenOperators,
-	noteContact,
 	notify,
-	revisionOf,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
@@ -60,8 +60,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => adopt(agent, held),
-			onVms: vms => leaveIfListed(agent, vms),
+			onConfigActivated: held => adopt(agent, held),
+			onVmList: vms => leaveIfListed(agent, vms),
 		},
 		seed,
 	)
@@ -147,13 +147,13 @@
 		...createGroupMethods(() => agent.group ?? fail('notFound', 'no group')),
 		hello(params: unknown, link: RpcLink): Hello {
 			link.remoteName = v.parse(HelloSchema, params).name
-			noteContact(agent.follower, link.remoteName, link)
+			handlePeerConnected(agent.follower, link.remoteName, link)
 			queueMicrotask(() => pushReport(agent, link))
 			return {
 				name: agent.settings.process.name,
 				kind: 'agent',
 				incarnation: agent.incarnation,
-				revision: revisionOf(agent.follower),
+				revision: activeRevision(agent.follower),
 			}
 		},
 		voidAttempt: (params: unknown) =>
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -18,15 +18,15 @@
 	Vm,
 } from '@juniperhook/runtime'
 import {
+	activeRevision,
 	createFollowerMethods,
 	createLog,
 	createMetrics,
 	describeFollower,
 	handleNode,
+	handlePeerRevision,
 	listen,
 	listenOperators,
-	noteRevision,
-	revisionOf,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
@@ -81,7 +81,7 @@
 		name: settings.process.name,
 		kind: 'entry',
 		incarnation,
-		revision: revisionOf(follower),
+		revision: activeRevision(follower),
 	})
 	const { port } = splitAddress(settings.listen.control)
 	const ownMethods = {
@@ -95,7 +95,7 @@
 		servers: createServerView(
 			introduce,
 			port,
-			(server, revision) => noteRevision(follower, server, revision),
+			(server, revision) => handlePeerRevision(follower, server, revision),
 			{ ...createFollowerMethods(() => follower), ...ownMethods },
 		),
 		limits: createLimits(),
@@ -116,8 +116,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => adopt(entry, held),
-			onVms: vms => noteVms(ctx, vms),
+			onConfigActivated: held => adopt(entry, held),
+			onVmList: vms => noteVms(ctx, vms),
 		},
 		seed,
 		ownMethods,
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -252,13 +252,13 @@
 	}
 }
 
-function spoilStore(world: World, mood: World['store']['mood']): () => void {
+function spoilStore(world: World, mood: World['store']['mode']): () => void {
 	const end = beginTrouble(world.troubles, EVERYBODY)
-	world.store.mood = mood
+	world.store.mode = mood
 	// Watches that wait are cut, as when a store goes down.
 	world.store.server.closeAllConnections()
 	return () => {
-		world.store.mood = 'serve'
+		world.store.mode = 'serve'
 		world.store.server.closeAllConnections()
 		end()
 	}
