--- a/packages/runtime/src/io/connection.ts
+++ b/packages/runtime/src/io/connection.ts
@@ -2,11 +2,11 @@
 
 import { errors } from 'undici'
 
-const NEVER_CONNECTED = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']
+const CONNECT_ERROR_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']
 
 /** Whether the call failed before there was a connection to send on. */
 export function neverConnected(err: unknown): boolean {
 	if (err instanceof errors.ConnectTimeoutError) return true
 	const code = err instanceof Error && 'code' in err ? String(err.code) : ''
-	return NEVER_CONNECTED.includes(code)
+	return CONNECT_ERROR_CODES.includes(code)
 }
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -40,15 +40,15 @@
 import type { Vm } from './platform.ts'
 import { readPublished, VmListSchema } from './platform.ts'
 import type { Methods, RpcLink } from './rpc.ts'
-import { SpreadParamsSchema } from './spreadMessages.ts'
+import { GossipParamsSchema } from './spreadMessages.ts'
 
-const TICK_MS = 1_000
+const TICK_INTERVAL_MS = 1_000
 /** A failed watch is tried again after this, with jitter, ms. */
-const RETRY_MS = 1_000
+const WATCH_RETRY_MS = 1_000
 /** Members asked before a new process serves. */
-const START_QUESTIONS = 3
+const STARTUP_COMPARISONS = 3
 /** How long their answers are waited for, ms. */
-const START_MS = 1_500
+const STARTUP_WAIT_MS = 1_500
 const log = createLog('config:warn')
 
 /** What a daemon wants to hear. */
@@ -70,9 +70,9 @@
 	readonly random: () => number
 	vms: readonly Vm[]
 	/** Whether peers have been asked, so that nothing stale is served. */
-	settled: boolean
+	isInitialized: boolean
 	/** Documents that came before that. */
-	readonly early: { revision: number; text: string }[]
+	readonly pendingConfigs: { revision: number; text: string }[]
 	readonly watching: Set<Topic>
 	/**
 	 * Revision that the platform last answered with, by topic. A service that has
@@ -101,13 +101,13 @@
 		methods: { ...createFollowerMethods(() => follower), ...methods },
 		random: createRandom(seed),
 		vms: [],
-		settled: false,
-		early: [],
+		isInitialized: false,
+		pendingConfigs: [],
 		watching: new Set(),
 		answered: new Map(),
 		stopped: false,
 	}
-	void begin(follower)
+	void initialize(follower)
 	return follower
 }
 
@@ -116,9 +116,9 @@
 	return {
 		spread(params: unknown, link: RpcLink): void {
 			const follower = find()
-			const { from, message } = v.parse(SpreadParamsSchema, params)
+			const { from, message } = v.parse(GossipParamsSchema, params)
 			follower.links.set(from, { link, usedAt: readNow() })
-			hearFrom(follower, from, message as GossipMessage)
+			handleMessage(follower, from, message as GossipMessage)
 		},
 	}
 }
@@ -130,7 +130,7 @@
 	revision: number,
 ): void {
 	if (revision <= follower.node.topics.config.revision) return
-	hearFrom(follower, from, { type: 'notice', topic: 'config', revision })
+	handleMessage(follower, from, { type: 'notice', topic: 'config', revision })
 }
 
 /** Another process has connected: compare with it what both hold. */
@@ -140,7 +140,7 @@
 	link: RpcLink,
 ): void {
 	follower.links.set(name, { link, usedAt: readNow() })
-	carryOut(follower, compareWithMember(follower.node, name))
+	applyEffects(follower, compareWithMember(follower.node, name))
 }
 
 /** Revision of the configuration in force; 0 before the first. */
@@ -161,22 +161,29 @@
 	}
 }
 
-async function begin(follower: Follower): Promise<void> {
-	await Promise.all(TOPICS.map(topic => readOnce(follower, topic)))
-	if (follower.node.members.length === 0) askConfiguredPeers(follower)
-	carryOut(
+async function initialize(follower: Follower): Promise<void> {
+	await Promise.all(TOPICS.map(topic => readInitialValue(follower, topic)))
+	if (follower.node.members.length === 0) fetchFromConfiguredPeers(follower)
+	applyEffects(
 		follower,
-		compareWithRandomMembers(follower.node, START_QUESTIONS, follower.random),
+		compareWithRandomMembers(
+			follower.node,
+			STARTUP_COMPARISONS,
+			follower.random,
+		),
 	)
 	await waitForPeers(follower)
-	follower.settled = true
-	for (const { revision, text } of follower.early.splice(0))
-		adoptConfig(follower, revision, text)
-	setInterval(() => tick(follower), TICK_MS)
+	follower.isInitialized = true
+	for (const { revision, text } of follower.pendingConfigs.splice(0))
+		applyConfig(follower, revision, text)
+	setInterval(() => tick(follower), TICK_INTERVAL_MS)
 	tick(follower)
 }
 
-async function readOnce(follower: Follower, topic: Topic): Promise<void> {
+async function readInitialValue(
+	follower: Follower,
+	topic: Topic,
+): Promise<void> {
 	try {
 		await readTopic(follower, topic, undefined)
 	} catch (err) {
@@ -185,7 +192,7 @@
 }
 
 /** Without a list, the settings may name processes to ask. */
-function askConfiguredPeers(follower: Follower): void {
+function fetchFromConfiguredPeers(follower: Follower): void {
 	for (const address of follower.settings.platform.peers) {
 		const message = { type: 'fetch', topic: 'vms', have: -1 } as const
 		void sendTo(follower, address, address, message)
@@ -198,17 +205,17 @@
 	const others = follower.node.members.length > 1
 	const named = follower.settings.platform.peers.length > 0
 	if (!others && !named) return
-	const end = readNow() + START_MS
-	while (readNow() < end) await sleep(TICK_MS / 20)
+	const deadline = readNow() + STARTUP_WAIT_MS
+	while (readNow() < deadline) await sleep(TICK_INTERVAL_MS / 20)
 }
 
 function tick(follower: Follower): void {
 	if (follower.stopped) return
 	const now = readNow()
 	const { node, state } = follower
-	carryOut(follower, tickGossip(node, now, follower.random))
+	applyEffects(follower, tickGossip(node, now, follower.random))
 	if (state.refused && !state.held)
-		carryOut(follower, requestFullValue(node, 'config', follower.random))
+		applyEffects(follower, requestFullValue(node, 'config', follower.random))
 	if (isReader(node, now))
 		for (const topic of TOPICS) void watch(follower, topic)
 	closeIdleLinks(follower, now)
@@ -225,7 +232,7 @@
 			await readTopic(follower, topic, after)
 		} catch (err) {
 			log({ msg: `watch of ${topic} failed`, detail: messageOf(err) })
-			await sleep(RETRY_MS * (0.5 + follower.random()))
+			await sleep(WATCH_RETRY_MS * (0.5 + follower.random()))
 		}
 	}
 	follower.watching.delete(topic)
@@ -244,33 +251,36 @@
 		text: found.document,
 	}
 	if (published) follower.answered.set(topic, published.revision)
-	carryOut(follower, applyPublished(node, topic, published, readNow()))
+	applyEffects(follower, applyPublished(node, topic, published, readNow()))
 }
 
-function hearFrom(
+function handleMessage(
 	follower: Follower,
 	from: string,
 	message: GossipMessage,
 ): void {
 	const { node } = follower
-	carryOut(follower, handleGossipMessage(node, from, message, readNow()))
+	applyEffects(follower, handleGossipMessage(node, from, message, readNow()))
 }
 
-function carryOut(follower: Follower, effects: readonly GossipEffect[]): void {
+function applyEffects(
+	follower: Follower,
+	effects: readonly GossipEffect[],
+): void {
 	for (const effect of effects)
 		switch (effect.do) {
 			case 'send':
 				void sendToMember(follower, effect.to, effect.message)
 				break
 			case 'adopt':
-				adopt(follower, effect.topic, effect.revision, effect.text)
+				applyValue(follower, effect.topic, effect.revision, effect.text)
 				break
 			default:
 				effect satisfies never
 		}
 }
 
-function adopt(
+function applyValue(
 	follower: Follower,
 	topic: Topic,
 	revision: number,
@@ -278,27 +288,27 @@
 ): void {
 	switch (topic) {
 		case 'config':
-			if (follower.settled) adoptConfig(follower, revision, text)
-			else follower.early.push({ revision, text })
+			if (follower.isInitialized) applyConfig(follower, revision, text)
+			else follower.pendingConfigs.push({ revision, text })
 			break
 		case 'vms':
-			adoptVms(follower, text)
+			applyVmList(follower, text)
 			break
 		default:
 			topic satisfies never
 	}
 }
 
-function adoptConfig(follower: Follower, revision: number, text: string): void {
+function applyConfig(follower: Follower, revision: number, text: string): void {
 	const { state, metrics, node } = follower
-	const verdict = offerRevision(state, revision, text)
+	const result = offerRevision(state, revision, text)
 	const { held } = state
-	switch (verdict) {
+	switch (result) {
 		case 'adopted':
 			metrics.revision.set(revision)
 			setLastValid(node, 'config', undefined)
 			if (held) follower.events.onConfigActivated(held)
-			setMembersFrom(follower)
+			updateMembers(follower)
 			break
 		case 'invalid':
 			metrics.invalidConfigs.inc()
@@ -314,22 +324,22 @@
 		case 'known':
 			break
 		default:
-			verdict satisfies never
+			result satisfies never
 	}
 }
 
-function adoptVms(follower: Follower, text: string): void {
+function applyVmList(follower: Follower, text: string): void {
 	try {
 		follower.vms = v.parse(VmListSchema, JSON.parse(text)).vms
 	} catch (err) {
 		log({ msg: 'VM list refused', detail: messageOf(err) })
 		return
 	}
-	setMembersFrom(follower)
+	updateMembers(follower)
 	follower.events.onVmList(follower.vms)
 }
 
-function setMembersFrom(follower: Follower): void {
+function updateMembers(follower: Follower): void {
 	const members: Member[] = follower.vms.map(vm => ({
 		name: vm.name,
 		region: regionOf(follower, vm.dataCentre),
--- a/packages/runtime/src/io/listener.ts
+++ b/packages/runtime/src/io/listener.ts
@@ -11,13 +11,13 @@
 
 /** Largest headers taken, in bytes. */
 export const MAX_HEADER_BYTES = 16_384
-const HEADERS_MS = 10_000
-const REQUEST_MS = 60_000
-const KEEP_ALIVE_MS = 65_000
-const CHECK_MS = 1_000
+const HEADERS_TIMEOUT_MS = 10_000
+const REQUEST_TIMEOUT_MS = 60_000
+const KEEP_ALIVE_TIMEOUT_MS = 65_000
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000
 
 /** Answers of the operators' listener that differ by daemon. */
-export interface OperatorViews {
+export interface OperatorHandlers {
 	readonly metrics: Metrics
 	/** Whether new requests are welcome. */
 	isReady(): boolean
@@ -41,10 +41,10 @@
 	const server = createServer(
 		{
 			maxHeaderSize: options.maxHeaderSize ?? MAX_HEADER_BYTES,
-			headersTimeout: HEADERS_MS,
-			requestTimeout: REQUEST_MS,
-			keepAliveTimeout: KEEP_ALIVE_MS,
-			connectionsCheckingInterval: CHECK_MS,
+			headersTimeout: HEADERS_TIMEOUT_MS,
+			requestTimeout: REQUEST_TIMEOUT_MS,
+			keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+			connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
 		},
 		toNodeHandler(app),
 	)
@@ -85,12 +85,12 @@
 		// h3 ends what is still open when the promise resolves.
 		if (!response.writableFinished && !response.destroyed)
 			await new Promise(resolve => response.once('close', resolve))
-		spareSecondEnd(response)
+		ignoreFurtherEnds(response)
 	})
 }
 
 /** h3 ends a response that is over once more; Node would make an error of it. */
-function spareSecondEnd(res: ServerResponse): void {
+function ignoreFurtherEnds(res: ServerResponse): void {
 	res.end = (...args: unknown[]) => {
 		const done = args.at(-1)
 		if (typeof done === 'function') done()
@@ -101,21 +101,21 @@
 /** The operators' listener: `/healthz`, `/readyz`, `/metrics`, `/status`. */
 export function listenOperators(
 	address: string,
-	views: OperatorViews,
+	handlers: OperatorHandlers,
 ): Promise<Server> {
 	const app = new H3()
 	app.get('/healthz', () => 'ok\n')
 	app.get('/readyz', event => {
-		if (views.isReady()) return 'ready\n'
+		if (handlers.isReady()) return 'ready\n'
 		event.res.status = 503
 		return 'not ready\n'
 	})
 	app.get('/metrics', event => {
-		const { registry } = views.metrics
+		const { registry } = handlers.metrics
 		event.res.headers.set('content-type', registry.contentType)
 		return registry.metrics()
 	})
-	app.get('/status', () => views.status())
+	app.get('/status', () => handlers.status())
 	return listen(app, address)
 }
 
--- a/packages/runtime/src/io/memberLinks.ts
+++ b/packages/runtime/src/io/memberLinks.ts
@@ -8,7 +8,7 @@
 import { CALL_TIMEOUT_MS, connectRpc, notify } from './rpc.ts'
 
 /** A link to no neighbour is closed after this, ms. */
-const IDLE_MS = 30_000
+const IDLE_TIMEOUT_MS = 30_000
 
 /** A link and when it was last used, ms. */
 export interface MemberLink {
@@ -93,7 +93,7 @@
 export function closeIdleLinks(follower: Follower, now: number): void {
 	const kept = new Set(follower.node.neighbours)
 	for (const [name, { link, usedAt }] of follower.links) {
-		if (kept.has(name) || now - usedAt < IDLE_MS) continue
+		if (kept.has(name) || now - usedAt < IDLE_TIMEOUT_MS) continue
 		follower.links.delete(name)
 		// A connection that the other side opened may serve other purposes.
 		if (link.opened === 'here') link.socket.end()
--- a/packages/runtime/src/io/platform.ts
+++ b/packages/runtime/src/io/platform.ts
@@ -5,8 +5,8 @@
 import * as v from 'valibot'
 import { messageOf } from '../utils/fail.ts'
 
-const WATCH_MS = 30_000
-const CALL_MS = 3_000
+const WATCH_WAIT_MS = 30_000
+const READ_TIMEOUT_MS = 3_000
 
 /** A value as published: the configuration's text, or the list's as JSON. */
 export const PublishedSchema = v.object({
@@ -38,16 +38,18 @@
 	topic: Topic,
 	after?: number,
 ): Promise<Published | undefined> {
-	const query = after === undefined ? '' : `?after=${after}&wait=${WATCH_MS}`
-	const limit = after === undefined ? CALL_MS : WATCH_MS + CALL_MS
-	const body = await readJson(`http://${service}/${topic}${query}`, limit)
+	const query =
+		after === undefined ? '' : `?after=${after}&wait=${WATCH_WAIT_MS}`
+	const timeoutMs =
+		after === undefined ? READ_TIMEOUT_MS : WATCH_WAIT_MS + READ_TIMEOUT_MS
+	const body = await readJson(`http://${service}/${topic}${query}`, timeoutMs)
 	return body === undefined ? undefined : v.parse(PublishedSchema, body)
 }
 
-async function readJson(url: string, limitMs: number): Promise<unknown> {
+async function readJson(url: string, timeoutMs: number): Promise<unknown> {
 	const res = await request(url, {
-		headersTimeout: limitMs,
-		bodyTimeout: limitMs,
+		headersTimeout: timeoutMs,
+		bodyTimeout: timeoutMs,
 	})
 	if (res.statusCode === 204) {
 		await res.body.dump()
--- a/packages/runtime/src/io/rpc.ts
+++ b/packages/runtime/src/io/rpc.ts
@@ -159,11 +159,11 @@
 		await link.peer.receiveAndSend(payload, link, undefined)
 	} catch (err) {
 		rpcCounts.badFrames++
-		refuseFrame(link.socket, messageOf(err))
+		sendInvalidRequest(link.socket, messageOf(err))
 	}
 }
 
-function refuseFrame(socket: Socket, text: string): void {
+function sendInvalidRequest(socket: Socket, text: string): void {
 	if (socket.destroyed) return
 	const code = JSONRPCErrorCode.InvalidRequest
 	send(socket, createJSONRPCErrorResponse(null, code, text))
@@ -171,7 +171,7 @@
 
 function readLines(socket: Socket, onLine: (line: string) => void): void {
 	let parts: Buffer[] = []
-	let held = 0
+	let bufferedBytes = 0
 	socket.on('data', (data: Buffer) => {
 		rpcCounts.bytesIn += data.length
 		let start = 0
@@ -181,18 +181,18 @@
 			parts.push(data.subarray(start, end))
 			const line = Buffer.concat(parts).toString('utf8')
 			parts = []
-			held = 0
+			bufferedBytes = 0
 			start = end + 1
 			if (line !== '') onLine(line)
 		}
 		const rest = data.subarray(start)
-		held += rest.length
+		bufferedBytes += rest.length
 		if (rest.length > 0) parts.push(rest)
-		if (held <= MAX_LINE_BYTES) return
+		if (bufferedBytes <= MAX_LINE_BYTES) return
 		rpcCounts.badFrames++
-		refuseFrame(socket, `a line of more than ${MAX_LINE_BYTES} bytes`)
+		sendInvalidRequest(socket, `a line of more than ${MAX_LINE_BYTES} bytes`)
 		socket.destroySoon()
 		parts = []
-		held = 0
+		bufferedBytes = 0
 	})
 }
--- a/packages/runtime/src/io/spreadMessages.ts
+++ b/packages/runtime/src/io/spreadMessages.ts
@@ -4,38 +4,38 @@
 import * as v from 'valibot'
 
 const topic = v.picklist(TOPICS)
-const whole = v.pipe(v.number(), v.integer())
+const integer = v.pipe(v.number(), v.integer())
 const patch = v.object({
-	prefix: whole,
-	suffix: whole,
+	prefix: integer,
+	suffix: integer,
 	middle: v.string(),
 	hash: v.number(),
 })
-const good = v.object({ revision: whole, text: v.string() })
+const validValue = v.object({ revision: integer, text: v.string() })
 
 /** A message and who sent it. */
-export const SpreadParamsSchema = v.object({
+export const GossipParamsSchema = v.object({
 	from: v.string(),
 	message: v.variant('type', [
-		v.object({ type: v.literal('notice'), topic, revision: whole }),
-		v.object({ type: v.literal('fetch'), topic, have: whole }),
+		v.object({ type: v.literal('notice'), topic, revision: integer }),
+		v.object({ type: v.literal('fetch'), topic, have: integer }),
 		v.object({
 			type: v.literal('patches'),
 			topic,
-			revision: whole,
-			base: whole,
+			revision: integer,
+			base: integer,
 			patches: v.array(patch),
 		}),
 		v.object({
 			type: v.literal('value'),
 			topic,
-			revision: whole,
+			revision: integer,
 			text: v.string(),
-			good: v.optional(good),
+			good: v.optional(validValue),
 		}),
 		v.object({
 			type: v.literal('compare'),
-			revisions: v.array(whole),
+			revisions: v.array(integer),
 			answer: v.boolean(),
 		}),
 		v.object({ type: v.literal('look') }),
--- a/packages/runtime/src/types/settings.ts
+++ b/packages/runtime/src/types/settings.ts
@@ -64,9 +64,9 @@
 
 /** Reads a settings file, or ends the process with all its faults. */
 export function loadSettings(path: string): Settings {
-	const verdict = readSettings(readFileSync(path, 'utf8'))
-	if (verdict.valid) return verdict.config
-	for (const fault of verdict.faults)
+	const result = readSettings(readFileSync(path, 'utf8'))
+	if (result.valid) return result.config
+	for (const fault of result.faults)
 		process.stderr.write(`${formatFault(path, fault)}\n`)
 	process.exit(1)
 }
--- a/packages/runtime/src/utils/clock.ts
+++ b/packages/runtime/src/utils/clock.ts
@@ -14,10 +14,10 @@
 }
 
 /** Between the readings of two clocks that count as one moment, ms; a turn at most. */
-const MOST_APART_MS = 20
-const READ_TRIES = 3
+const MAX_READ_GAP_MS = 20
+const MAX_READ_ATTEMPTS = 3
 
-const elapsed = createElapsedClock(readBothAtOnce() ?? readMoment())
+const elapsed = createElapsedClock(readConsistentMoment() ?? readMoment())
 
 /** Monotonic time; it has no meaning outside this process. */
 export function readNow(): number {
@@ -31,7 +31,7 @@
 
 /** Time that also counts while the VM is suspended; it never goes back. */
 export function readElapsed(): number {
-	const at = readBothAtOnce()
+	const at = readConsistentMoment()
 	return at
 		? updateElapsedClock(elapsed, at)
 		: clocks.now() + elapsed.suspendedMs
@@ -42,12 +42,12 @@
  * process that was kept from the processor in between would seem to wake from a
  * suspension. Undefined when that does not come off.
  */
-function readBothAtOnce(): Moment | undefined {
-	for (let attempt = 0; attempt < READ_TRIES; attempt++) {
+function readConsistentMoment(): Moment | undefined {
+	for (let attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
 		const before = clocks.now()
 		const wall = clocks.wall()
 		const now = clocks.now()
-		if (now - before <= MOST_APART_MS) return { now, wall }
+		if (now - before <= MAX_READ_GAP_MS) return { now, wall }
 	}
 	return undefined
 }
--- a/packages/runtime/src/utils/eventLog.ts
+++ b/packages/runtime/src/utils/eventLog.ts
@@ -10,7 +10,7 @@
 const MAX_BUFFER_BYTES = 262_144
 /** Lines a second that are written; a busy entry writes about 100. */
 const MAX_LINES_PER_SECOND = 600
-const SECOND_MS = 1_000
+const RATE_WINDOW_MS = 1_000
 
 /** Values that a line may carry. */
 export type LogFields = Readonly<
@@ -35,26 +35,27 @@
 		maxLength: MAX_BUFFER_BYTES,
 	})
 	const logger = pino(
-		{ base: { node }, messageKey: 'event', timestamp: writeTime },
+		{ base: { node }, messageKey: 'event', timestamp: formatTime },
 		out,
 	)
-	let second = 0
+	let window = 0
 	let lines = 0
-	let unsaid = 0
+	let unreportedDrops = 0
 	const log: EventLog = {
 		dropped: 0,
 		write(event, fields = {}) {
-			const now = Math.floor(performance.now() / SECOND_MS)
-			if (now !== second) lines = 0
-			second = now
+			const now = Math.floor(performance.now() / RATE_WINDOW_MS)
+			if (now !== window) lines = 0
+			window = now
 			lines++
 			if (lines > MAX_LINES_PER_SECOND) {
 				log.dropped++
-				unsaid++
+				unreportedDrops++
 				return
 			}
-			if (unsaid > 0) logger.warn({ lines: unsaid }, 'log lines dropped')
-			unsaid = 0
+			if (unreportedDrops > 0)
+				logger.warn({ lines: unreportedDrops }, 'log lines dropped')
+			unreportedDrops = 0
 			logger.info(fields, event)
 		},
 		flush() {
@@ -68,7 +69,7 @@
 	}
 	out.on('drop', () => {
 		log.dropped++
-		unsaid++
+		unreportedDrops++
 	})
 	// A log that cannot be written must not end the process.
 	out.on('error', () => {
@@ -77,6 +78,6 @@
 	return log
 }
 
-function writeTime(): string {
+function formatTime(): string {
 	return `,"time":${Date.now()},"up":${Math.round(performance.now())}`
 }
--- a/packages/runtime/src/utils/headers.ts
+++ b/packages/runtime/src/utils/headers.ts
@@ -2,7 +2,7 @@
 
 import type { IncomingHttpHeaders } from 'node:http'
 
-const HOP_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
 	'connection',
 	'content-length',
 	'expect',
@@ -21,14 +21,14 @@
 export function removeHopByHopHeaders(
 	headers: IncomingHttpHeaders,
 ): Record<string, string | string[]> {
-	const kept: Record<string, string | string[]> = {}
+	const endToEnd: Record<string, string | string[]> = {}
 	const named = listConnectionHeaders(headers)
 	for (const [name, value] of Object.entries(headers)) {
-		if (value === undefined || HOP_HEADERS.has(name)) continue
+		if (value === undefined || HOP_BY_HOP_HEADERS.has(name)) continue
 		if (named.has(name)) continue
-		kept[name] = value
+		endToEnd[name] = value
 	}
-	return kept
+	return endToEnd
 }
 
 function listConnectionHeaders(headers: IncomingHttpHeaders): Set<string> {
--- a/packages/runtime/test/clock.test.ts
+++ b/packages/runtime/test/clock.test.ts
@@ -11,7 +11,7 @@
 })
 
 /** Clocks that agree, and stand still but for what `cost` says each reading takes. */
-function play(costs: readonly number[]): void {
+function stubClocks(costs: readonly number[]): void {
 	let at = 0
 	let reading = 0
 	const read = (base: number) => {
@@ -34,7 +34,7 @@
 	test(`a process that waits ${name} was not suspended`, () => {
 		readElapsed()
 		const before = readSuspendedMs()
-		play(costs)
+		stubClocks(costs)
 		for (let look = 0; look < 6; look++) readElapsed()
 		assert.is(readSuspendedMs(), before)
 	})
