--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What juniperhook's two daemons share to meet the outside. */
+/** I/O, settings, clocks, logs and metrics shared by juniperhook's processes. */
 
 export * from './io/connection.ts'
 export * from './io/engineOrders.ts'
--- a/packages/runtime/src/io/connection.ts
+++ b/packages/runtime/src/io/connection.ts
@@ -1,10 +1,10 @@
-/** What a failed call proves: whether a byte can have reached the other side. */
+/** Classifies failed calls by whether any byte can have reached the peer. */
 
 import { errors } from 'undici'
 
 const CONNECT_ERROR_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']
 
-/** Whether the call failed before there was a connection to send on. */
+/** Whether the call failed before its connection was established. */
 export function neverConnected(err: unknown): boolean {
 	if (err instanceof errors.ConnectTimeoutError) return true
 	const code = err instanceof Error && 'code' in err ? String(err.code) : ''
--- a/packages/runtime/src/io/engineOrders.ts
+++ b/packages/runtime/src/io/engineOrders.ts
@@ -1,22 +1,22 @@
-/** Orders of an agent to the engine beside it, and what the engine answers. */
+/** Orders from an agent to the engine on its VM, and the engine's replies. */
 
 import type { MapChange, RankReply, RankRequest } from '@juniperhook/core'
 
 /** An order to one rank's engine. */
 export type RankEngineOrder =
-	/** Engines that check fences run the rank's side of the map protocol. */
+	/** For engines that check fences; they run the rank's side of the map protocol. */
 	| { readonly order: 'rank'; readonly req: RankRequest }
-	/** Fetches what a coming map needs, beside what is in use. */
+	/** Loads the experts of a future map while the current map stays in use. */
 	| {
 			readonly order: 'stage'
 			readonly mapId: string
-			/** Experts of this rank, a list a layer. */
+			/** Experts of this rank, one list per layer. */
 			readonly slots: readonly (readonly number[])[]
 	  }
-	/** Engines that check no fences take these from their agent alone. */
+	/** For engines that do not check fences; these accept orders only from their agent. */
 	| { readonly order: 'look' }
 	| { readonly order: 'hold' }
-	/** Refused for a map that is not staged. */
+	/** Rejected if the map is not staged. */
 	| {
 			readonly order: 'gate'
 			readonly step: number
@@ -25,12 +25,12 @@
 	| { readonly order: 'open' }
 	| { readonly order: 'switch'; readonly change: MapChange }
 
-/** What an engine says after an order. */
+/** An engine's reply to an order. */
 export interface EngineReply {
 	readonly accepted: boolean
 	readonly step: number
 	readonly mapId: string
-	/** False when the engine is held, or has lost what it knew. */
+	/** False if the engine is held or has lost its state. */
 	readonly joined: boolean
 	readonly reply?: RankReply
 }
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows what the platform publishes (configuration and VM list): carries out
- * the spread protocol over control connections, and watches the platform itself
+ * Follows the values that the platform publishes: the configuration and the VM list.
+ * Runs the gossip protocol over control connections, and watches the platform itself
  * only while this process is a reader.
  */
 
@@ -43,21 +43,21 @@
 import { GossipParamsSchema } from './spreadMessages.ts'
 
 const TICK_INTERVAL_MS = 1_000
-/** A failed watch is tried again after this, with jitter, ms. */
+/** Mean delay before a failed watch is retried, with jitter, ms. */
 const WATCH_RETRY_MS = 1_000
-/** Members asked before a new process serves. */
+/** Random members with which a new process compares revisions before it serves. */
 const STARTUP_COMPARISONS = 3
-/** How long their answers are waited for, ms. */
+/** How long a new process waits for the members' answers, ms. */
 const STARTUP_WAIT_MS = 1_500
 const log = createLog('config:warn')
 
-/** What a daemon wants to hear. */
+/** Callbacks of a follower. */
 export interface FollowerEvents {
-	onConfigActivated(held: ActiveConfig): void
+	onConfigActivated(config: ActiveConfig): void
 	onVmList(vms: readonly Vm[]): void
 }
 
-/** A process's following of the platform. */
+/** State of a process that follows the platform. */
 export interface Follower {
 	readonly settings: Settings
 	readonly metrics: Metrics
@@ -65,24 +65,28 @@
 	readonly state: RevisionState
 	readonly node: GossipNode
 	readonly links: Map<string, MemberLink>
-	/** What the other side of a link may call. */
+	/** Methods that the peer of a link may call. */
 	readonly methods: Methods
 	readonly random: () => number
 	vms: readonly Vm[]
-	/** Whether peers have been asked, so that nothing stale is served. */
+	/**
+	 * Whether the platform has been read and peers had time to answer. Before that, a
+	 * configuration may be stale and is not activated.
+	 */
 	isInitialized: boolean
-	/** Documents that came before that. */
+	/** Configurations received before initialization, to be applied at its end. */
 	readonly pendingConfigs: { revision: number; text: string }[]
 	readonly watching: Set<Topic>
 	/**
-	 * Revision that the platform last answered with, by topic. A service that has
-	 * gone back is watched from there, or it would answer at once for ever.
+	 * Revision in the platform's last answer, by topic. Watches start from it rather than
+	 * from the stored revision: after a rollback of the platform, a watch from the higher
+	 * stored revision would return immediately, again and again.
 	 */
 	readonly answered: Map<Topic, number>
 	stopped: boolean
 }
 
-/** Starts following; `events` are called from then on, `methods` by other processes. */
+/** Starts a follower; `methods` are offered to other processes besides its own. */
 export function startFollower(
 	settings: Settings,
 	metrics: Metrics,
@@ -111,7 +115,7 @@
 	return follower
 }
 
-/** Methods that other processes call. */
+/** Creates the RPC methods of a follower. */
 export function createFollowerMethods(find: () => Follower) {
 	return {
 		spread(params: unknown, link: RpcLink): void {
@@ -123,7 +127,7 @@
 	}
 }
 
-/** Another process spoke of the revision that it holds: any contact heals. */
+/** Handles the configuration revision that a peer reported in any message. */
 export function handlePeerRevision(
 	follower: Follower,
 	from: string,
@@ -133,7 +137,7 @@
 	handleMessage(follower, from, { type: 'notice', topic: 'config', revision })
 }
 
-/** Another process has connected: compare with it what both hold. */
+/** Handles a peer's connection: compares revisions with it. */
 export function handlePeerConnected(
 	follower: Follower,
 	name: string,
@@ -143,12 +147,12 @@
 	applyEffects(follower, compareWithMember(follower.node, name))
 }
 
-/** Revision of the configuration in force; 0 before the first. */
+/** Returns the revision of the active configuration; 0 before the first. */
 export function activeRevision(follower: Follower): number {
 	return follower.state.held?.revision ?? 0
 }
 
-/** For `juniperhook status`. */
+/** Returns the follower's part of `juniperhook status`. */
 export function describeFollower(follower: Follower): object {
 	const { node, state } = follower
 	return {
@@ -187,11 +191,14 @@
 	try {
 		await readTopic(follower, topic, undefined)
 	} catch (err) {
-		log({ msg: `first read of ${topic} failed`, detail: messageOf(err) })
+		log({
+			msg: `initial read of ${topic} from the platform failed`,
+			detail: messageOf(err),
+		})
 	}
 }
 
-/** Without a list, the settings may name processes to ask. */
+/** Fetches both values from the peers in the settings, for want of a VM list. */
 function fetchFromConfiguredPeers(follower: Follower): void {
 	for (const address of follower.settings.platform.peers) {
 		const message = { type: 'fetch', topic: 'vms', have: -1 } as const
@@ -221,7 +228,7 @@
 	closeIdleLinks(follower, now)
 }
 
-/** Watches a topic for as long as this process is a reader. */
+/** Watches a topic while this process is a reader. */
 async function watch(follower: Follower, topic: Topic): Promise<void> {
 	if (follower.watching.has(topic)) return
 	follower.watching.add(topic)
@@ -231,7 +238,10 @@
 			const after = follower.answered.get(topic) ?? revision
 			await readTopic(follower, topic, after)
 		} catch (err) {
-			log({ msg: `watch of ${topic} failed`, detail: messageOf(err) })
+			log({
+				msg: `watch of ${topic} on the platform failed`,
+				detail: messageOf(err),
+			})
 			await sleep(WATCH_RETRY_MS * (0.5 + follower.random()))
 		}
 	}
@@ -316,7 +326,7 @@
 				const good = { revision: held.revision, text: held.document }
 				setLastValid(node, 'config', good)
 			}
-			log({ msg: 'document refused', revision })
+			log({ msg: 'invalid configuration rejected', revision })
 			break
 		case 'stale':
 			metrics.staleConfigs.inc()
@@ -332,7 +342,7 @@
 	try {
 		follower.vms = v.parse(VmListSchema, JSON.parse(text)).vms
 	} catch (err) {
-		log({ msg: 'VM list refused', detail: messageOf(err) })
+		log({ msg: 'invalid VM list rejected', detail: messageOf(err) })
 		return
 	}
 	updateMembers(follower)
--- a/packages/runtime/src/io/frames.ts
+++ b/packages/runtime/src/io/frames.ts
@@ -1,15 +1,15 @@
 /**
- * The answer stream from agent to entry: MessagePack frames, numbered chunks
- * and an explicit end. An answer without its end is never whole.
+ * Framing of a response on its way from an agent to an entry: MessagePack frames with
+ * numbered chunks and an explicit end. A response without an end frame is incomplete.
  */
 
 import type { NotRun, Unknown } from '@juniperhook/core'
 import { Packr, UnpackrStream } from 'msgpackr'
 import type { LoadFields } from './messages.ts'
 
-/** One frame of an answer. */
+/** A frame of a response. */
 export type AnswerFrame =
-	/** The agent has taken the request; it may still refuse it unstarted. */
+	/** The agent has queued the request; it may still refuse it before the start. */
 	| { readonly t: 'admitted' }
 	| {
 			readonly t: 'refused'
@@ -24,21 +24,21 @@
 			readonly headers: Record<string, string | string[]>
 	  }
 	| { readonly t: 'chunk'; readonly n: number; readonly data: Uint8Array }
-	/** `n` chunks were sent, the head counted. */
+	/** `n` is the number of chunks sent, including the head. */
 	| { readonly t: 'end'; readonly n: number; readonly load: LoadFields }
-	/** The backend server broke off; it may have run. */
+	/** The backend server broke off its response; the request may have been run. */
 	| { readonly t: 'failed'; readonly detail: string }
-	/** Nothing to send, still at work. */
+	/** Heartbeat while there is no data to send. */
 	| { readonly t: 'beat' }
 
 const packr = new Packr({ useRecords: false })
 
-/** Encodes a frame; the copy is the caller's to keep. */
+/** Encodes a frame into a buffer that the packer does not reuse. */
 export function packFrame(frame: AnswerFrame): Buffer {
 	return Buffer.from(packr.pack(frame))
 }
 
-/** A transform from bytes to {@link AnswerFrame} objects. */
+/** Creates a transform stream from bytes to {@link AnswerFrame} objects. */
 export function createFrameReader(): UnpackrStream {
 	return new UnpackrStream({ useRecords: false })
 }
--- a/packages/runtime/src/io/listener.ts
+++ b/packages/runtime/src/io/listener.ts
@@ -1,4 +1,4 @@
-/** HTTP listeners by h3 on Node's server, with bounds on slow callers. */
+/** HTTP listeners with h3 on Node's server, with timeouts for slow callers. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createServer, STATUS_CODES } from 'node:http'
@@ -9,29 +9,30 @@
 import { kindOfClientError } from '../utils/clientError.ts'
 import type { Metrics } from './metrics.ts'
 
-/** Largest headers taken, in bytes. */
+/** Maximum size of a request's headers, bytes. */
 export const MAX_HEADER_BYTES = 16_384
 const HEADERS_TIMEOUT_MS = 10_000
 const REQUEST_TIMEOUT_MS = 60_000
 const KEEP_ALIVE_TIMEOUT_MS = 65_000
 const TIMEOUT_CHECK_INTERVAL_MS = 1_000
 
-/** Answers of the operators' listener that differ by daemon. */
+/** Handlers of the operators' listener that differ by process kind. */
 export interface OperatorHandlers {
 	readonly metrics: Metrics
-	/** Whether new requests are welcome. */
+	/** Whether the process accepts new requests. */
 	isReady(): boolean
-	/** What the process holds, for `juniperhook status`. */
+	/** Returns the process's state, for `juniperhook status`. */
 	status(): object
 }
 
-/** Bounds of a listener, and who hears of requests that never came whole. */
+/** Options of a listener. */
 export interface ListenOptions {
 	readonly maxHeaderSize?: number
+	/** Called for each request that Node's parser rejected. */
 	onBadRequest?(kind: ErrorKind): void
 }
 
-/** Listens for requests to `app`. */
+/** Starts an HTTP server for `app`. */
 export function listen(
 	app: H3,
 	address: string,
@@ -75,21 +76,24 @@
 	socket.end(`${head.join('\r\n')}\r\n\r\n${body}`)
 }
 
-/** A route that answers on Node's own objects, as streams of chunks want. */
+/**
+ * Adapts a handler that writes to Node's response itself, as handlers of chunked
+ * streams do.
+ */
 export function handleNode(
 	handle: (req: IncomingMessage, res: ServerResponse) => Promise<void>,
 ): EventHandler {
 	return fromNodeHandler(async (req, res) => {
 		const response = res as ServerResponse
 		await handle(req as IncomingMessage, response)
-		// h3 ends what is still open when the promise resolves.
+		// h3 ends a response that is still open when the promise resolves.
 		if (!response.writableFinished && !response.destroyed)
 			await new Promise(resolve => response.once('close', resolve))
 		ignoreFurtherEnds(response)
 	})
 }
 
-/** h3 ends a response that is over once more; Node would make an error of it. */
+/** h3 ends a finished response a second time, which Node treats as an error. */
 function ignoreFurtherEnds(res: ServerResponse): void {
 	res.end = (...args: unknown[]) => {
 		const done = args.at(-1)
@@ -98,7 +102,7 @@
 	}
 }
 
-/** The operators' listener: `/healthz`, `/readyz`, `/metrics`, `/status`. */
+/** Starts the operators' listener: `/healthz`, `/readyz`, `/metrics`, `/status`. */
 export function listenOperators(
 	address: string,
 	handlers: OperatorHandlers,
@@ -119,7 +123,7 @@
 	return listen(app, address)
 }
 
-/** Reads a whole body, or gives `undefined` when it is longer than `limit`. */
+/** Reads a body; returns `undefined` if it exceeds `limit` bytes. */
 export async function readBody(
 	req: IncomingMessage,
 	limit: number,
--- a/packages/runtime/src/io/memberLinks.ts
+++ b/packages/runtime/src/io/memberLinks.ts
@@ -1,4 +1,4 @@
-/** Links to other processes that the spread of configurations goes over. */
+/** Links to other processes, over which published values are gossiped. */
 
 import type { GossipMessage } from '@juniperhook/core'
 import { splitAddress } from '@juniperhook/core'
@@ -7,7 +7,7 @@
 import type { RpcLink } from './rpc.ts'
 import { CALL_TIMEOUT_MS, connectRpc, notify } from './rpc.ts'
 
-/** A link to no neighbour is closed after this, ms. */
+/** Idle time after which a link to a process that is no neighbour is closed, ms. */
 const IDLE_TIMEOUT_MS = 30_000
 
 /** A link and when it was last used, ms. */
@@ -16,7 +16,7 @@
 	usedAt: number
 }
 
-/** Sends a message to a member of the published list; it may be lost. */
+/** Sends a message to a member of the VM list; it may be lost. */
 export async function sendToMember(
 	follower: Follower,
 	name: string,
@@ -25,7 +25,7 @@
 	await sendTo(follower, name, addressOf(follower, name), message)
 }
 
-/** Sends a message to `name`, who is connected or listens at `address`. */
+/** Sends a message to `name`, which is connected or listens at `address`. */
 export async function sendTo(
 	follower: Follower,
 	name: string,
@@ -38,14 +38,14 @@
 		const from = follower.settings.process.name
 		notify(link, 'spread', { from, message })
 	} catch {
-		// Lost messages are repaired by the protocol itself.
+		// The gossip protocol recovers from lost messages.
 		follower.links.delete(name)
 	}
 }
 
 /**
- * An open link to a member of the published list; undefined if it is not listed. It rejects
- * if the member can't be reached in that time.
+ * Returns an open link to a member of the VM list; undefined if it is not listed. Rejects
+ * if the member cannot be reached within `timeoutMs`.
  */
 export async function openMemberLink(
 	follower: Follower,
@@ -89,13 +89,13 @@
 	return link
 }
 
-/** Closes links that no neighbour needs. */
+/** Closes idle links to processes that are no neighbours. */
 export function closeIdleLinks(follower: Follower, now: number): void {
 	const kept = new Set(follower.node.neighbours)
 	for (const [name, { link, usedAt }] of follower.links) {
 		if (kept.has(name) || now - usedAt < IDLE_TIMEOUT_MS) continue
 		follower.links.delete(name)
-		// A connection that the other side opened may serve other purposes.
+		// A connection that the peer opened may be in use for other purposes.
 		if (link.opened === 'here') link.socket.end()
 	}
 }
--- a/packages/runtime/src/io/messages.ts
+++ b/packages/runtime/src/io/messages.ts
@@ -1,18 +1,18 @@
-/** The messages between entries and agents, typed by schema. */
+/** Schemas and types of the messages between entries and agents. */
 
 import * as v from 'valibot'
 
 const count = v.pipe(v.number(), v.minValue(0))
 
-/** An agent's load, sent with every answer and in reports. */
+/** An agent's load, sent with every response and in reports. */
 export const LoadSchema = v.object({
 	/** Requests running and waiting. */
 	load: count,
-	/** Smoothed time that a request holds its slot, in ms. */
+	/** Smoothed time that a request occupies its slot, ms. */
 	serviceMs: count,
-	/** Own step time over the group's mean; 1 outside a group. */
+	/** Ratio of the own step time to the group's mean; 1 outside a group. */
 	stepShare: count,
-	/** For how long the server takes nothing: it rests, or its limit is used up, ms. */
+	/** Time in which the server accepts no requests: backoff or exhausted limit, ms. */
 	heldMs: v.optional(count, 0),
 })
 
@@ -22,17 +22,20 @@
 /** Header that carries an {@link OfferMeta} as JSON in base64url. */
 export const OFFER_HEADER = 'x-juniperhook-offer'
 
-/** What an entry says of a request when it offers it to an agent. */
+/** Description of a request that an entry offers to an agent. */
 export const OfferSchema = v.object({
 	reqId: v.pipe(v.string(), v.maxLength(100)),
 	attempt: v.pipe(v.number(), v.integer()),
-	/** The agent incarnation that the offer is meant for. */
+	/** Incarnation of the agent that the offer is addressed to. */
 	incarnation: v.string(),
 	team: v.string(),
 	weight: v.pipe(v.number(), v.minValue(0.001)),
 	priority: count,
 	startBudgetMs: count,
-	/** Whether it may wait for a server that takes nothing for now: none is better. */
+	/**
+	 * Whether it may wait for a server that accepts no requests at the moment; set when
+	 * the entry has no better server.
+	 */
 	mayWait: v.optional(v.boolean(), true),
 	method: v.string(),
 	path: v.string(),
@@ -46,7 +49,7 @@
 /** See {@link OfferSchema}. */
 export type OfferMeta = v.InferOutput<typeof OfferSchema>
 
-/** First message on a control connection, both ways. */
+/** First message on a control connection, in both directions. */
 export const HelloSchema = v.object({
 	name: v.string(),
 	kind: v.picklist(['entry', 'agent']),
@@ -57,7 +60,7 @@
 /** See {@link HelloSchema}. */
 export type Hello = v.InferOutput<typeof HelloSchema>
 
-/** What an agent tells its entries of itself. */
+/** Periodic report of an agent to its entries. */
 export const ReportSchema = v.object({
 	server: v.string(),
 	incarnation: v.string(),
@@ -72,19 +75,19 @@
 
 const agoMs = v.pipe(v.number(), v.minValue(0))
 
-/** A backend server's end, as its agent and entries tell it. */
+/** Crash of a backend server, as reported by its agent and by entries. */
 export const ServerCrashSchema = v.object({
-	/** Names its life. */
+	/** Id of the incarnation that crashed. */
 	server: v.string(),
 	agoMs,
-	/** For how long it had run each request, ms, by fingerprint. */
+	/** How long it had run each of its requests, ms, by fingerprint. */
 	ran: v.record(v.string(), v.number()),
 })
 
 /** See {@link ServerCrashSchema}. */
 export type ServerCrashNotice = v.InferOutput<typeof ServerCrashSchema>
 
-/** What entries tell each other of requests under which backend servers ended. */
+/** Crash evidence that entries exchange: crashes, and requests served without one. */
 export const CrashUpdatesSchema = v.object({
 	ends: v.array(ServerCrashSchema),
 	served: v.array(v.object({ fingerprint: v.string(), agoMs })),
@@ -93,7 +96,7 @@
 /** See {@link CrashUpdatesSchema}. */
 export type CrashUpdatesNotice = v.InferOutput<typeof CrashUpdatesSchema>
 
-/** Names a try at an incarnation of an agent. */
+/** Identifies an attempt at an incarnation of an agent. */
 export const AttemptRefSchema = v.object({
 	reqId: v.string(),
 	attempt: v.pipe(v.number(), v.integer()),
@@ -103,7 +106,7 @@
 /** See {@link AttemptRefSchema}. */
 export type AttemptRef = v.InferOutput<typeof AttemptRefSchema>
 
-/** Answer to a void order. */
+/** Reply to a void request. */
 export interface VoidReply {
 	readonly answer: 'void' | 'started' | 'unknown'
 }
@@ -111,7 +114,7 @@
 /** Header that carries a {@link ResumeMeta} as JSON in base64url. */
 export const RESUME_HEADER = 'x-juniperhook-resume'
 
-/** Asks for the rest of an answer, from chunk `from` on. */
+/** Requests the remainder of a response, starting at chunk `from`. */
 export const ResumeSchema = v.object({
 	...AttemptRefSchema.entries,
 	from: v.pipe(v.number(), v.integer(), v.minValue(0)),
@@ -120,7 +123,7 @@
 /** See {@link ResumeSchema}. */
 export type ResumeMeta = v.InferOutput<typeof ResumeSchema>
 
-/** Encodes a message for a header. */
+/** Encodes a message as a header value. */
 export function packHeader(value: OfferMeta | ResumeMeta): string {
 	return Buffer.from(JSON.stringify(value)).toString('base64url')
 }
--- a/packages/runtime/src/io/metrics.ts
+++ b/packages/runtime/src/io/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of a process, by prom-client; one counter label per error kind. */
+/** Metrics of a process, with prom-client; errors are labelled by kind. */
 
 import { ERROR_KINDS } from '@juniperhook/core'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
@@ -8,30 +8,30 @@
 	0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60,
 ]
 
-/** The metrics that both daemons keep. */
+/** Metrics that entries and agents have in common. */
 export interface Metrics {
 	readonly registry: Registry
-	/** Requests refused or given up, by error kind. */
+	/** Refused and cancelled requests, by error kind. */
 	readonly refusals: Counter<'kind'>
-	/** Tries after the first, by the kind that made them necessary. */
+	/** Attempts after the first, by the error kind that caused them. */
 	readonly retries: Counter<'kind'>
-	/** Final outcomes. */
+	/** Requests by final outcome. */
 	readonly outcomes: Counter<'outcome'>
-	/** Late or doubled parts of answers that were dropped. */
+	/** Late or duplicate response chunks that were dropped. */
 	readonly dropped: Counter
-	/** Answers taken up again after a lost link. */
+	/** Responses resumed after a lost link. */
 	readonly resumes: Counter
 	readonly latency: Histogram
 	readonly revision: Gauge
-	/** Documents refused because they are invalid. */
+	/** Configurations rejected as invalid. */
 	readonly invalidConfigs: Counter
-	/** Documents ignored because a newer one is in force. */
+	/** Configurations ignored because a newer one is active. */
 	readonly staleConfigs: Counter
-	/** Calls made to the platform's services. */
+	/** Calls to the platform's services. */
 	readonly platformCalls: Counter
 }
 
-/** Makes the metrics of a daemon, all error kinds at zero. */
+/** Creates the metrics of a process, with every error kind at zero. */
 export function createMetrics(): Metrics {
 	const registry = new Registry()
 	const registers = [registry]
@@ -75,7 +75,7 @@
 	return metrics
 }
 
-/** Messages and bytes over control connections. */
+/** Registers gauges of the messages and bytes on control connections. */
 export function registerControlTraffic(registry: Registry): void {
 	for (const [field, help] of [
 		['messagesIn', 'Control messages received'],
--- a/packages/runtime/src/io/platform.ts
+++ b/packages/runtime/src/io/platform.ts
@@ -1,14 +1,15 @@
-/** The platform's configuration service and VM list, which can only be read. */
+/** Read-only client of the platform's configuration service and VM list. */
 
 import type { Topic } from '@juniperhook/core'
 import { request } from 'undici'
 import * as v from 'valibot'
 import { messageOf } from '../utils/fail.ts'
 
+/** How long a watch may wait for a change, ms. */
 const WATCH_WAIT_MS = 30_000
 const READ_TIMEOUT_MS = 3_000
 
-/** A value as published: the configuration's text, or the list's as JSON. */
+/** A published value: the configuration's text or the VM list as JSON. */
 export const PublishedSchema = v.object({
 	revision: v.pipe(v.number(), v.integer(), v.minValue(1)),
 	document: v.string(),
@@ -17,7 +18,7 @@
 /** See {@link PublishedSchema}. */
 export type Published = v.InferOutput<typeof PublishedSchema>
 
-/** A VM of the list. */
+/** A VM in the VM list. */
 export const VmSchema = v.object({
 	name: v.string(),
 	ip: v.string(),
@@ -29,10 +30,13 @@
 /** See {@link VmSchema}. */
 export type Vm = v.InferOutput<typeof VmSchema>
 
-/** The VM list as published. */
+/** The published VM list. */
 export const VmListSchema = v.object({ vms: v.array(VmSchema) })
 
-/** Reads the newest value of a topic, or waits for one other than `after`. */
+/**
+ * Reads the latest value of a topic. With `after`, waits until its revision differs from
+ * that one; undefined if the wait ends first.
+ */
 export async function readPublished(
 	service: string,
 	topic: Topic,
@@ -57,11 +61,11 @@
 	}
 	if (res.statusCode !== 200) {
 		await res.body.dump()
-		throw new Error(`${url} answered ${res.statusCode}`)
+		throw new Error(`${url} returned status ${res.statusCode}`)
 	}
 	try {
 		return await res.body.json()
 	} catch (err) {
-		throw new Error(`${url}: ${messageOf(err)}`)
+		throw new Error(`${url} returned invalid JSON: ${messageOf(err)}`)
 	}
 }
