--- a/packages/runtime/src/io/rpc.ts
+++ b/packages/runtime/src/io/rpc.ts
@@ -1,6 +1,6 @@
 /**
- * JSON-RPC 2.0 between the system's processes: one JSON text a line over a
- * long-lived TCP connection, both sides may call.
+ * JSON-RPC 2.0 between the system's processes: one JSON text per line on a long-lived
+ * TCP connection. Either side may call the other.
  */
 
 import type { Socket } from 'node:net'
@@ -15,29 +15,28 @@
 } from 'json-rpc-2.0'
 import { messageOf } from '../utils/fail.ts'
 
-/** Room in a line for what stands around the texts that it carries, bytes. */
+/** Allowance in a line for the message around the texts that it carries, bytes. */
 const ENVELOPE_BYTES = 65_536
 /**
- * Longest line taken from another process, in bytes: a process that starts is
- * given two documents, the newest and the one in force, and as JSON each of
- * their bytes may take two.
+ * Maximum length of a line from another process, bytes. A process that starts is sent two
+ * documents, the latest and the last valid one, and JSON escapes may double their size.
  */
 export const MAX_LINE_BYTES = 2 * 2 * MAX_DOCUMENT_BYTES + ENVELOPE_BYTES
-/** How long a call waits for its answer, in ms. */
+/** Default timeout of a call, ms. */
 export const CALL_TIMEOUT_MS = 1_000
 const NEWLINE = 10
 
-/** What has gone over control connections, for metrics. */
+/** Traffic on control connections, for metrics. */
 export interface RpcCounts {
 	messagesIn: number
 	messagesOut: number
 	bytesIn: number
 	bytesOut: number
-	/** Lines that were no JSON-RPC message, or too long. */
+	/** Received lines that were too long or not a JSON-RPC message. */
 	badFrames: number
 }
 
-/** Counts of this process. */
+/** Traffic of this process. */
 export const rpcCounts: RpcCounts = {
 	messagesIn: 0,
 	messagesOut: 0,
@@ -49,17 +48,17 @@
 /** Methods that a process serves, by name. */
 export type Methods = Record<string, (params: never, link: RpcLink) => unknown>
 
-/** One open connection. */
+/** An open connection. */
 export interface RpcLink {
 	readonly socket: Socket
 	readonly peer: JSONRPCServerAndClient<RpcLink, void>
-	/** Which side opened the connection. */
+	/** Side that opened the connection: this process or the peer. */
 	readonly opened: 'here' | 'there'
-	/** Name that the other side gave in its hello, if it has. */
+	/** Name from the peer's hello; empty before it. */
 	remoteName: string
 }
 
-/** Calls a method and waits for its answer. */
+/** Calls a method and waits for its result. */
 export async function call<T>(
 	link: RpcLink,
 	method: string,
@@ -69,12 +68,12 @@
 	return await link.peer.timeout(timeoutMs).request(method, params)
 }
 
-/** Sends a notification; a dead connection loses it. */
+/** Sends a notification; it is dropped if the connection is closed. */
 export function notify(link: RpcLink, method: string, params: object): void {
 	if (!link.socket.destroyed) link.peer.notify(method, params)
 }
 
-/** Serves `methods` on a listening socket. */
+/** Listens for connections and serves `methods` on them. */
 export function serveRpc(
 	address: string,
 	methods: Methods,
@@ -100,7 +99,10 @@
 	return new Promise((resolve, reject) => {
 		const socket = connect({ host: ip, port })
 		const timer = setTimeout(
-			() => socket.destroy(new Error(`no connection to ${address}`)),
+			() =>
+				socket.destroy(
+					new Error(`connection to ${address} timed out after ${timeoutMs} ms`),
+				),
 			timeoutMs,
 		)
 		socket.once('error', err => {
@@ -151,7 +153,7 @@
 	} catch {
 		rpcCounts.badFrames++
 		const code = JSONRPCErrorCode.ParseError
-		const res = createJSONRPCErrorResponse(null, code, 'not a JSON text')
+		const res = createJSONRPCErrorResponse(null, code, 'invalid JSON')
 		send(link.socket, res)
 		return
 	}
@@ -190,7 +192,7 @@
 		if (rest.length > 0) parts.push(rest)
 		if (bufferedBytes <= MAX_LINE_BYTES) return
 		rpcCounts.badFrames++
-		sendInvalidRequest(socket, `a line of more than ${MAX_LINE_BYTES} bytes`)
+		sendInvalidRequest(socket, `line exceeds ${MAX_LINE_BYTES} bytes`)
 		socket.destroySoon()
 		parts = []
 		bufferedBytes = 0
--- a/packages/runtime/src/io/spreadMessages.ts
+++ b/packages/runtime/src/io/spreadMessages.ts
@@ -1,4 +1,4 @@
-/** Schema of the spread protocol's messages, as they arrive. */
+/** Schema of received gossip messages. */
 
 import { TOPICS } from '@juniperhook/core'
 import * as v from 'valibot'
@@ -13,7 +13,7 @@
 })
 const validValue = v.object({ revision: integer, text: v.string() })
 
-/** A message and who sent it. */
+/** Parameters of the method `spread`: a gossip message and its sender. */
 export const GossipParamsSchema = v.object({
 	from: v.string(),
 	message: v.variant('type', [
--- a/packages/runtime/src/types/settings.ts
+++ b/packages/runtime/src/types/settings.ts
@@ -1,4 +1,4 @@
-/** A process's own settings: a small INI file, judged like a configuration. */
+/** Settings of a process: a small INI file, validated like a configuration. */
 
 import { readFileSync } from 'node:fs'
 import type { Fault } from '@juniperhook/core'
@@ -20,24 +20,24 @@
 /** The sections `[process]`, `[listen]`, `[platform]` and `[log]`. */
 export const SettingsSchema = v.strictObject({
 	process: v.strictObject({
-		/** For an agent: its backend server's name in the configuration. */
+		/** For an agent, the name of its backend server in the configuration. */
 		name: v.pipe(v.string('a value'), v.regex(/^[\w-]+$/, 'a name')),
 		dataCentre: v.string('the name of a data centre'),
 	}),
 	listen: v.strictObject({
-		/** Callers (entry) or entries (agent). */
+		/** Address for callers (entry) or entries (agent). */
 		data: address,
-		/** The system's other processes. */
+		/** Address for the system's other processes. */
 		control: address,
-		/** Operators: health, metrics, status. */
+		/** Address for operators: health, metrics, status. */
 		operators: address,
 	}),
 	platform: v.strictObject({
-		/** The configuration service. */
+		/** Address of the configuration service. */
 		service: address,
-		/** The weight store; agents of engines need it. */
+		/** Address of the weight store; required by agents of engines. */
 		weights: v.optional(address),
-		/** Processes to ask while the service is down. */
+		/** Addresses of processes to fetch values from while the service is down. */
 		peers: v.optional(addresses, ''),
 	}),
 	log: v.optional(
@@ -54,15 +54,15 @@
 	),
 })
 
-/** A process's checked settings. */
+/** Validated settings of a process. */
 export type Settings = v.InferOutput<typeof SettingsSchema>
 
-/** Judges the text of a settings file. */
+/** Validates the text of a settings file. */
 export function readSettings(text: string) {
 	return readDocument(text, SettingsSchema)
 }
 
-/** Reads a settings file, or ends the process with all its faults. */
+/** Loads a settings file; prints all its faults and exits if it is invalid. */
 export function loadSettings(path: string): Settings {
 	const result = readSettings(readFileSync(path, 'utf8'))
 	if (result.valid) return result.config
@@ -71,7 +71,7 @@
 	process.exit(1)
 }
 
-/** One line for a person: file, line, section, key, what was expected. */
+/** Formats a fault as one line: file, line, section, key and what was expected. */
 export function formatFault(path: string, fault: Fault): string {
 	const section = fault.section ? ` [${fault.section}]` : ''
 	const key = fault.key ? ` ${fault.key}` : ''
--- a/packages/runtime/src/utils/clientError.ts
+++ b/packages/runtime/src/utils/clientError.ts
@@ -1,8 +1,11 @@
-/** What a request was that Node's parser gave up on. */
+/** Classifies requests that Node's HTTP parser rejected. */
 
 import type { ErrorKind } from '@juniperhook/core'
 
-/** The kind of such a request; undefined when the connection just ended. */
+/**
+ * Returns the error kind for a code of Node's `clientError` event; undefined if the
+ * caller closed the connection.
+ */
 export function kindOfClientError(
 	code: string | undefined,
 ): ErrorKind | undefined {
--- a/packages/runtime/src/utils/clock.ts
+++ b/packages/runtime/src/utils/clock.ts
@@ -1,35 +1,38 @@
 /**
- * The clocks of a process, in milliseconds. What is measured, and what waits, goes by
- * the steady one; ages, leases and deadlines go by elapsed time, which also counts
- * while the VM is suspended.
+ * Clocks of a process, in milliseconds. Measurements and timers use the monotonic clock.
+ * Ages, leases and deadlines use elapsed time, which also advances while the VM is
+ * suspended.
  */
 
 import type { Moment } from '@juniperhook/core'
 import { createElapsedClock, updateElapsedClock } from '@juniperhook/core'
 
-/** Where the two clocks are read; tests step them apart. */
+/** Sources of the two clocks; tests replace them. */
 export const clocks = {
 	now: () => performance.now(),
 	wall: () => Date.now(),
 }
 
-/** Between the readings of two clocks that count as one moment, ms; a turn at most. */
+/**
+ * Maximum time between two readings that count as simultaneous, ms: at most one turn of
+ * the event loop.
+ */
 const MAX_READ_GAP_MS = 20
 const MAX_READ_ATTEMPTS = 3
 
 const elapsed = createElapsedClock(readConsistentMoment() ?? readMoment())
 
-/** Monotonic time; it has no meaning outside this process. */
+/** Returns the monotonic time; it has no meaning outside this process. */
 export function readNow(): number {
 	return clocks.now()
 }
 
-/** Both clocks at once. */
+/** Reads both clocks. */
 export function readMoment(): Moment {
 	return { now: clocks.now(), wall: clocks.wall() }
 }
 
-/** Time that also counts while the VM is suspended; it never goes back. */
+/** Returns time that also advances while the VM is suspended; it never goes back. */
 export function readElapsed(): number {
 	const at = readConsistentMoment()
 	return at
@@ -38,9 +41,9 @@
 }
 
 /**
- * Both clocks, read so close together that what they differ by is no accident: a
- * process that was kept from the processor in between would seem to wake from a
- * suspension. Undefined when that does not come off.
+ * Reads both clocks without a delay in between. If the process lost the processor
+ * between the two readings, the difference would look like a suspension of the VM.
+ * Returns undefined if every attempt was delayed.
  */
 function readConsistentMoment(): Moment | undefined {
 	for (let attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
@@ -53,21 +56,21 @@
 }
 
 /**
- * How often the clocks have parted: the VM was suspended, or the time of day set. What
- * was being measured then is worth nothing.
+ * Returns how often the clocks have diverged because the VM was suspended or the wall
+ * clock was set. Measurements that span a jump are invalid.
  */
 export function countClockJumps(): number {
 	readElapsed()
 	return elapsed.jumps
 }
 
-/** For how long the VM seems to have been suspended in all, ms. */
+/** Returns the total time that the VM appears to have been suspended, ms. */
 export function readSuspendedMs(): number {
 	readElapsed()
 	return elapsed.suspendedMs
 }
 
-/** Waits `ms` without holding the process open. */
+/** Waits `ms` without keeping the process alive. */
 export function sleep(ms: number): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, ms).unref())
 }
--- a/packages/runtime/src/utils/eventLog.ts
+++ b/packages/runtime/src/utils/eventLog.ts
@@ -1,33 +1,33 @@
 /**
- * Structured logs on standard output, one JSON object a line, by pino. Writing
- * never waits: lines over a rate or a buffer are dropped and counted, and the
- * next line that is written says how many.
+ * Structured logs on standard output, one JSON object per line, with pino. Writing never
+ * blocks: lines above a rate limit or a buffer size are dropped and counted, and the
+ * count is logged before the next line.
  */
 
 import pino from 'pino'
 
-/** Buffered bytes beyond which lines are dropped. */
+/** Buffer size beyond which lines are dropped, bytes. */
 const MAX_BUFFER_BYTES = 262_144
-/** Lines a second that are written; a busy entry writes about 100. */
+/** Maximum rate of lines per second; a busy entry writes about 100. */
 const MAX_LINES_PER_SECOND = 600
 const RATE_WINDOW_MS = 1_000
 
-/** Values that a line may carry. */
+/** Fields of a line. */
 export type LogFields = Readonly<
 	Record<string, string | number | boolean | undefined | readonly string[]>
 >
 
 /** A process's log. */
 export interface EventLog {
-	/** Lines not written since the start. */
+	/** Number of lines dropped since the start. */
 	dropped: number
-	/** Writes one line: what happened and the inputs that decided it. */
+	/** Writes one line: an event and the inputs of the decision behind it. */
 	write(event: string, fields?: LogFields): void
-	/** Writes what is buffered, before the process ends. */
+	/** Flushes the buffer before the process exits. */
 	flush(): void
 }
 
-/** Makes the log of the process called `node`. */
+/** Creates the log of the process named `node`. */
 export function createEventLog(node: string): EventLog {
 	const out = pino.destination({
 		fd: 1,
@@ -62,7 +62,7 @@
 			try {
 				out.flushSync()
 			} catch {
-				// The pipe is full or gone; the lines are lost either way.
+				// The pipe is full or closed; the buffered lines are lost.
 				log.dropped++
 			}
 		},
@@ -71,7 +71,7 @@
 		log.dropped++
 		unreportedDrops++
 	})
-	// A log that cannot be written must not end the process.
+	// Without a listener, a write error would terminate the process.
 	out.on('error', () => {
 		log.dropped++
 	})
--- a/packages/runtime/src/utils/fail.ts
+++ b/packages/runtime/src/utils/fail.ts
@@ -1,4 +1,4 @@
-/** The one exception class, raised by one helper; requests use outcomes. */
+/** The exception class; the result of a request is an outcome, not an exception. */
 
 import type { ErrorKind } from '@juniperhook/core'
 import { ERRORS } from '@juniperhook/core'
@@ -9,18 +9,18 @@
 	props: { kind: 'internal' as ErrorKind, detail: '' },
 })
 
-/** Raises a {@link JuniperhookError}; `detail` names what and where. */
+/** Throws a {@link JuniperhookError}; `detail` names the object and the place. */
 export function fail(kind: ErrorKind, detail: string): never {
 	const text = `${ERRORS[kind].text} ${detail}`
 	throw new JuniperhookError(text, { props: { kind, detail } })
 }
 
-/** The kind of any caught value. */
+/** Returns the error kind of a caught value. */
 export function kindOf(err: unknown): ErrorKind {
 	return err instanceof JuniperhookError ? err.kind : 'internal'
 }
 
-/** The message of any caught value. */
+/** Returns the message of a caught value. */
 export function messageOf(err: unknown): string {
 	return err instanceof Error ? err.message : String(err)
 }
--- a/packages/runtime/src/utils/headers.ts
+++ b/packages/runtime/src/utils/headers.ts
@@ -1,4 +1,4 @@
-/** HTTP headers that concern one connection only and are never passed on. */
+/** Hop-by-hop HTTP headers, which concern one connection only and are not forwarded. */
 
 import type { IncomingHttpHeaders } from 'node:http'
 
@@ -17,7 +17,7 @@
 	'upgrade',
 ])
 
-/** The end-to-end headers of a message. */
+/** Returns a message's end-to-end headers. */
 export function removeHopByHopHeaders(
 	headers: IncomingHttpHeaders,
 ): Record<string, string | string[]> {
--- a/packages/runtime/src/utils/log.ts
+++ b/packages/runtime/src/utils/log.ts
@@ -1,11 +1,11 @@
 /**
- * Logs: `debug` namespaces, each record one line of JSON. Never a key, never a
- * body.
+ * Logs with `debug` namespaces; each record is one line of JSON. Keys and bodies are
+ * never logged.
  */
 
 import debug from 'debug'
 
-/** What a record may carry; all fields are short and free of secrets. */
+/** A log record; its fields are short and contain no secrets. */
 export interface LogRecord {
 	readonly msg: string
 	readonly reqId?: string
@@ -17,10 +17,10 @@
 	readonly count?: number
 }
 
-/** Writes records of one namespace, such as `juniperhook:entry:request`. */
+/** Writes records to one namespace, such as `juniperhook:entry:request`. */
 export type Log = (record: LogRecord) => void
 
-/** Log levels of the settings file and the namespaces they switch on. */
+/** Namespaces enabled by each log level of the settings file. */
 export const LOG_LEVELS = {
 	quiet: '',
 	warn: 'juniperhook:*:warn',
@@ -31,14 +31,14 @@
 /** A log level of the settings file. */
 export type LogLevel = keyof typeof LOG_LEVELS
 
-/** Switches namespaces on; the variable DEBUG goes before the settings. */
+/** Enables a level's namespaces; the variable DEBUG overrides the level. */
 export function setLogLevel(level: LogLevel): void {
 	debug.formatArgs = () => {}
 	debug.log = (line: string) => process.stderr.write(`${line}\n`)
 	debug.enable(process.env.DEBUG ?? LOG_LEVELS[level])
 }
 
-/** Makes the log of a namespace; a record costs nothing while it is off. */
+/** Creates the log of a namespace; records are not formatted while it is disabled. */
 export function createLog(namespace: string): Log {
 	const write = debug(`juniperhook:${namespace}`)
 	return record => {
--- a/packages/runtime/test/clock.test.ts
+++ b/packages/runtime/test/clock.test.ts
@@ -1,4 +1,7 @@
-/** Elapsed time where a process is kept from the processor between two readings. */
+/**
+ * Elapsed time when the process loses the processor between the readings of the two
+ * clocks. The difference must not count as a suspension of the VM.
+ */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -10,14 +13,14 @@
 	Object.assign(clocks, real)
 })
 
-/** Clocks that agree, and stand still but for what `cost` says each reading takes. */
+/** Replaces the clocks by ones that advance only by the cost of each reading, ms. */
 function stubClocks(costs: readonly number[]): void {
 	let at = 0
 	let reading = 0
 	const read = (base: number) => {
-		const told = base + at
+		const value = base + at
 		at += costs[reading++] ?? 0
-		return told
+		return value
 	}
 	const [now, wall] = [real.now(), real.wall()]
 	clocks.now = () => read(now)
@@ -25,21 +28,21 @@
 }
 
 const CASES: { name: string; costs: readonly number[] }[] = [
-	{ name: 'before the time of day is read', costs: [400] },
-	{ name: 'after the time of day is read', costs: [0, 400] },
+	{ name: 'before the wall clock is read', costs: [400] },
+	{ name: 'after the wall clock is read', costs: [0, 400] },
 	{ name: 'at each reading', costs: Array.from({ length: 12 }, () => 400) },
 ]
 
 for (const { name, costs } of CASES)
-	test(`a process that waits ${name} was not suspended`, () => {
+	test(`a delay ${name} does not count as a suspension`, () => {
 		readElapsed()
 		const before = readSuspendedMs()
 		stubClocks(costs)
-		for (let look = 0; look < 6; look++) readElapsed()
+		for (let reading = 0; reading < 6; reading++) readElapsed()
 		assert.is(readSuspendedMs(), before)
 	})
 
-test('a VM that was suspended was', () => {
+test('a difference between the clocks counts as a suspension', () => {
 	readElapsed()
 	const before = readSuspendedMs()
 	clocks.wall = () => real.wall() + 3_000
