--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -82,7 +82,7 @@
 	 * from the stored revision: after a rollback of the platform, a watch from the higher
 	 * stored revision would return immediately, again and again.
 	 */
-	readonly answered: Map<Topic, number>
+	readonly platformRevisions: Map<Topic, number>
 	stopped: boolean
 }
 
@@ -108,7 +108,7 @@
 		isInitialized: false,
 		pendingConfigs: [],
 		watching: new Set(),
-		answered: new Map(),
+		platformRevisions: new Map(),
 		stopped: false,
 	}
 	void initialize(follower)
@@ -235,7 +235,7 @@
 	while (!follower.stopped && isReader(follower.node, readNow())) {
 		try {
 			const { revision } = follower.node.topics[topic]
-			const after = follower.answered.get(topic) ?? revision
+			const after = follower.platformRevisions.get(topic) ?? revision
 			await readTopic(follower, topic, after)
 		} catch (err) {
 			log({
@@ -260,7 +260,7 @@
 		revision: found.revision,
 		text: found.document,
 	}
-	if (published) follower.answered.set(topic, published.revision)
+	if (published) follower.platformRevisions.set(topic, published.revision)
 	applyEffects(follower, applyPublished(node, topic, published, readNow()))
 }
 
