--- a/packages/runtime/src/io/rpc.ts
+++ b/packages/runtime/src/io/rpc.ts
@@ -99,10 +99,7 @@
 	return new Promise((resolve, reject) => {
 		const socket = connect({ host: ip, port })
 		const timer = setTimeout(
-			() =>
-				socket.destroy(
-					new Error(`connection to ${address} timed out after ${timeoutMs} ms`),
-				),
+			() => socket.destroy(new Error(`connection to ${address} timed out`)),
 			timeoutMs,
 		)
 		socket.once('error', err => {
