--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -34,13 +34,13 @@
 import { readNow, sleep } from '../utils/clock.ts'
 import { messageOf } from '../utils/fail.ts'
 import { createLog } from '../utils/log.ts'
+import { GossipParamsSchema } from './gossipMessages.ts'
 import type { MemberLink } from './memberLinks.ts'
 import { closeIdleLinks, sendTo, sendToMember } from './memberLinks.ts'
 import type { Metrics } from './metrics.ts'
 import type { Vm } from './platform.ts'
 import { readPublished, VmListSchema } from './platform.ts'
 import type { Methods, RpcLink } from './rpc.ts'
-import { GossipParamsSchema } from './spreadMessages.ts'
 
 const TICK_INTERVAL_MS = 1_000
 /** Mean delay before a failed watch is retried, with jitter, ms. */
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -4,8 +4,8 @@
 import type { Relay } from '@juniperhook/fakes'
 import { startRelay, stopRelay } from '@juniperhook/fakes'
 import { startGroup } from '../../packages/groups/test/standInGroup.ts'
-import type { FakeStore } from '../../platform/test/standInStore.ts'
-import { startFakeStore } from '../../platform/test/standInStore.ts'
+import type { FakeStore } from '../../platform/test/fakeStore.ts'
+import { startFakeStore } from '../../platform/test/fakeStore.ts'
 import {
 	agentIp,
 	agentStoreIp,
