--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -198,7 +198,7 @@
 	}
 }
 
-/** Fetches both values from the peers in the settings, for want of a VM list. */
+/** Fetches both values from the peers in the settings if there is no VM list. */
 function fetchFromConfiguredPeers(follower: Follower): void {
 	for (const address of follower.settings.platform.peers) {
 		const message = { type: 'fetch', topic: 'vms', have: -1 } as const
--- a/packages/runtime/src/io/rpc.ts
+++ b/packages/runtime/src/io/rpc.ts
@@ -89,7 +89,7 @@
 	})
 }
 
-/** Connects to another process; rejects if that fails within the time-out. */
+/** Connects to another process; rejects on an error or after `timeoutMs`. */
 export function connectRpc(
 	address: string,
 	methods: Methods,
