--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -34,11 +34,11 @@
 } from './io/group.ts'
 import type { GroupMember } from './io/groupMember.ts'
 import { createOfferApp } from './io/offers.ts'
-import { beatRequests, isIdle, tickRequests } from './io/openAnswers.ts'
+import { beatRequests, isIdle, tickRequests } from './io/openRequests.ts'
 import { cancelAttempt, stepTable, voidAttempt } from './io/requests.ts'
 import type { RequestTable } from './io/requestTable.ts'
 import { createRequestTable } from './io/requestTable.ts'
-import { LIFE_LOOK_MS, lookForNextLife } from './io/serverLife.ts'
+import { LIFE_LOOK_MS, lookForNextLife } from './io/backendWatch.ts'
 import { describeServer } from './io/serverSignals.ts'
 import { pushReport, pushReports, reportChanges, stateOf } from './reports.ts'
 
--- a/packages/agent/src/io/serverLife.ts
+++ b/packages/agent/src/io/backendWatch.ts
@@ -9,7 +9,7 @@
 import { createLog, readMoment } from '@juniperhook/runtime'
 import { stepTable } from './requests.ts'
 import type { RequestTable } from './requestTable.ts'
-import { describeEnd } from './serverEnd.ts'
+import { describeEnd } from './crashReport.ts'
 import { describeServer } from './serverSignals.ts'
 
 /** Between two looks, ms; less than a process takes to listen again. */
