--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows what the platform publishes (configuration and VM list): carries out
- * the spread protocol over control connections, and watches the platform itself
+ * Follows the values that the platform publishes: the configuration and the VM list.
+ * Runs the gossip protocol over control connections, and watches the platform itself
  * only while this process is a reader.
  */
 
@@ -34,30 +34,30 @@
 import { readNow, sleep } from '../utils/clock.ts'
 import { messageOf } from '../utils/fail.ts'
 import { createLog } from '../utils/log.ts'
+import { GossipParamsSchema } from './gossipMessages.ts'
 import type { MemberLink } from './memberLinks.ts'
 import { closeIdleLinks, sendTo, sendToMember } from './memberLinks.ts'
 import type { Metrics } from './metrics.ts'
 import type { Vm } from './platform.ts'
 import { readPublished, VmListSchema } from './platform.ts'
 import type { Methods, RpcLink } from './rpc.ts'
-import { SpreadParamsSchema } from './gossipMessages.ts'
 
-const TICK_MS = 1_000
-/** A failed watch is tried again after this, with jitter, ms. */
-const RETRY_MS = 1_000
-/** Members asked before a new process serves. */
-const START_QUESTIONS = 3
-/** How long their answers are waited for, ms. */
-const START_MS = 1_500
+const TICK_INTERVAL_MS = 1_000
+/** Mean delay before a failed watch is retried, with jitter, ms. */
+const WATCH_RETRY_MS = 1_000
+/** Random members with which a new process compares revisions before it serves. */
+const STARTUP_COMPARISONS = 3
+/** How long a new process waits for the members' answers, ms. */
+const STARTUP_WAIT_MS = 1_500
 const log = createLog('config:warn')
 
-/** What a daemon wants to hear. */
+/** Callbacks of a follower. */
 export interface FollowerEvents {
-	onConfigActivated(held: ActiveConfig): void
+	onConfigActivated(config: ActiveConfig): void
 	onVmList(vms: readonly Vm[]): void
 }
 
-/** A process's following of the platform. */
+/** State of a process that follows the platform. */
 export interface Follower {
 	readonly settings: Settings
 	readonly metrics: Metrics
@@ -65,24 +65,28 @@
 	readonly state: RevisionState
 	readonly node: GossipNode
 	readonly links: Map<string, MemberLink>
-	/** What the other side of a link may call. */
+	/** Methods that the peer of a link may call. */
 	readonly methods: Methods
 	readonly random: () => number
 	vms: readonly Vm[]
-	/** Whether peers have been asked, so that nothing stale is served. */
-	settled: boolean
-	/** Documents that came before that. */
-	readonly early: { revision: number; text: string }[]
+	/**
+	 * Whether the platform has been read and peers had time to answer. Before that, a
+	 * configuration may be stale and is not activated.
+	 */
+	isInitialized: boolean
+	/** Configurations received before initialization, to be applied at its end. */
+	readonly pendingConfigs: { revision: number; text: string }[]
 	readonly watching: Set<Topic>
 	/**
-	 * Revision that the platform last answered with, by topic. A service that has
-	 * gone back is watched from there, or it would answer at once for ever.
+	 * Revision in the platform's last answer, by topic. Watches start from it rather than
+	 * from the stored revision: after a rollback of the platform, a watch from the higher
+	 * stored revision would return immediately, again and again.
 	 */
-	readonly answered: Map<Topic, number>
+	readonly platformRevisions: Map<Topic, number>
 	stopped: boolean
 }
 
-/** Starts following; `events` are called from then on, `methods` by other processes. */
+/** Starts a follower; `methods` are offered to other processes besides its own. */
 export function startFollower(
 	settings: Settings,
 	metrics: Metrics,
@@ -101,54 +105,54 @@
 		methods: { ...createFollowerMethods(() => follower), ...methods },
 		random: createRandom(seed),
 		vms: [],
-		settled: false,
-		early: [],
+		isInitialized: false,
+		pendingConfigs: [],
 		watching: new Set(),
-		answered: new Map(),
+		platformRevisions: new Map(),
 		stopped: false,
 	}
-	void begin(follower)
+	void initialize(follower)
 	return follower
 }
 
-/** Methods that other processes call. */
+/** Creates the RPC methods of a follower. */
 export function createFollowerMethods(find: () => Follower) {
 	return {
 		spread(params: unknown, link: RpcLink): void {
 			const follower = find()
-			const { from, message } = v.parse(SpreadParamsSchema, params)
+			const { from, message } = v.parse(GossipParamsSchema, params)
 			follower.links.set(from, { link, usedAt: readNow() })
-			hearFrom(follower, from, message as GossipMessage)
+			handleMessage(follower, from, message as GossipMessage)
 		},
 	}
 }
 
-/** Another process spoke of the revision that it holds: any contact heals. */
+/** Handles the configuration revision that a peer reported in any message. */
 export function handlePeerRevision(
 	follower: Follower,
 	from: string,
 	revision: number,
 ): void {
 	if (revision <= follower.node.topics.config.revision) return
-	hearFrom(follower, from, { type: 'notice', topic: 'config', revision })
+	handleMessage(follower, from, { type: 'notice', topic: 'config', revision })
 }
 
-/** Another process has connected: compare with it what both hold. */
+/** Handles a peer's connection: compares revisions with it. */
 export function handlePeerConnected(
 	follower: Follower,
 	name: string,
 	link: RpcLink,
 ): void {
 	follower.links.set(name, { link, usedAt: readNow() })
-	carryOut(follower, compareWithMember(follower.node, name))
+	applyEffects(follower, compareWithMember(follower.node, name))
 }
 
-/** Revision of the configuration in force; 0 before the first. */
+/** Returns the revision of the active configuration; 0 before the first. */
 export function activeRevision(follower: Follower): number {
 	return follower.state.held?.revision ?? 0
 }
 
-/** For `juniperhook status`. */
+/** Returns the follower's part of `juniperhook status`. */
 export function describeFollower(follower: Follower): object {
 	const { node, state } = follower
 	return {
@@ -161,31 +165,41 @@
 	}
 }
 
-async function begin(follower: Follower): Promise<void> {
-	await Promise.all(TOPICS.map(topic => readOnce(follower, topic)))
-	if (follower.node.members.length === 0) askConfiguredPeers(follower)
-	carryOut(
+async function initialize(follower: Follower): Promise<void> {
+	await Promise.all(TOPICS.map(topic => readInitialValue(follower, topic)))
+	if (follower.node.members.length === 0) fetchFromConfiguredPeers(follower)
+	applyEffects(
 		follower,
-		compareWithRandomMembers(follower.node, START_QUESTIONS, follower.random),
+		compareWithRandomMembers(
+			follower.node,
+			STARTUP_COMPARISONS,
+			follower.random,
+		),
 	)
 	await waitForPeers(follower)
-	follower.settled = true
-	for (const { revision, text } of follower.early.splice(0))
-		adoptConfig(follower, revision, text)
-	setInterval(() => tick(follower), TICK_MS)
+	follower.isInitialized = true
+	for (const { revision, text } of follower.pendingConfigs.splice(0))
+		applyConfig(follower, revision, text)
+	setInterval(() => tick(follower), TICK_INTERVAL_MS)
 	tick(follower)
 }
 
-async function readOnce(follower: Follower, topic: Topic): Promise<void> {
+async function readInitialValue(
+	follower: Follower,
+	topic: Topic,
+): Promise<void> {
 	try {
 		await readTopic(follower, topic, undefined)
 	} catch (err) {
-		log({ msg: `first read of ${topic} failed`, detail: messageOf(err) })
+		log({
+			msg: `initial read of ${topic} from the platform failed`,
+			detail: messageOf(err),
+		})
 	}
 }
 
-/** Without a list, the settings may name processes to ask. */
-function askConfiguredPeers(follower: Follower): void {
+/** Fetches both values from the peers in the settings if there is no VM list. */
+function fetchFromConfiguredPeers(follower: Follower): void {
 	for (const address of follower.settings.platform.peers) {
 		const message = { type: 'fetch', topic: 'vms', have: -1 } as const
 		void sendTo(follower, address, address, message)
@@ -198,34 +212,37 @@
 	const others = follower.node.members.length > 1
 	const named = follower.settings.platform.peers.length > 0
 	if (!others && !named) return
-	const end = readNow() + START_MS
-	while (readNow() < end) await sleep(TICK_MS / 20)
+	const deadline = readNow() + STARTUP_WAIT_MS
+	while (readNow() < deadline) await sleep(TICK_INTERVAL_MS / 20)
 }
 
 function tick(follower: Follower): void {
 	if (follower.stopped) return
 	const now = readNow()
 	const { node, state } = follower
-	carryOut(follower, tickGossip(node, now, follower.random))
+	applyEffects(follower, tickGossip(node, now, follower.random))
 	if (state.refused && !state.held)
-		carryOut(follower, requestFullValue(node, 'config', follower.random))
+		applyEffects(follower, requestFullValue(node, 'config', follower.random))
 	if (isReader(node, now))
 		for (const topic of TOPICS) void watch(follower, topic)
 	closeIdleLinks(follower, now)
 }
 
-/** Watches a topic for as long as this process is a reader. */
+/** Watches a topic while this process is a reader. */
 async function watch(follower: Follower, topic: Topic): Promise<void> {
 	if (follower.watching.has(topic)) return
 	follower.watching.add(topic)
 	while (!follower.stopped && isReader(follower.node, readNow())) {
 		try {
 			const { revision } = follower.node.topics[topic]
-			const after = follower.answered.get(topic) ?? revision
+			const after = follower.platformRevisions.get(topic) ?? revision
 			await readTopic(follower, topic, after)
 		} catch (err) {
-			log({ msg: `watch of ${topic} failed`, detail: messageOf(err) })
-			await sleep(RETRY_MS * (0.5 + follower.random()))
+			log({
+				msg: `watch of ${topic} on the platform failed`,
+				detail: messageOf(err),
+			})
+			await sleep(WATCH_RETRY_MS * (0.5 + follower.random()))
 		}
 	}
 	follower.watching.delete(topic)
@@ -243,34 +260,37 @@
 		revision: found.revision,
 		text: found.document,
 	}
-	if (published) follower.answered.set(topic, published.revision)
-	carryOut(follower, applyPublished(node, topic, published, readNow()))
+	if (published) follower.platformRevisions.set(topic, published.revision)
+	applyEffects(follower, applyPublished(node, topic, published, readNow()))
 }
 
-function hearFrom(
+function handleMessage(
 	follower: Follower,
 	from: string,
 	message: GossipMessage,
 ): void {
 	const { node } = follower
-	carryOut(follower, handleGossipMessage(node, from, message, readNow()))
+	applyEffects(follower, handleGossipMessage(node, from, message, readNow()))
 }
 
-function carryOut(follower: Follower, effects: readonly GossipEffect[]): void {
+function applyEffects(
+	follower: Follower,
+	effects: readonly GossipEffect[],
+): void {
 	for (const effect of effects)
 		switch (effect.do) {
 			case 'send':
 				void sendToMember(follower, effect.to, effect.message)
 				break
 			case 'adopt':
-				adopt(follower, effect.topic, effect.revision, effect.text)
+				applyValue(follower, effect.topic, effect.revision, effect.text)
 				break
 			default:
 				effect satisfies never
 		}
 }
 
-function adopt(
+function applyValue(
 	follower: Follower,
 	topic: Topic,
 	revision: number,
@@ -278,27 +298,27 @@
 ): void {
 	switch (topic) {
 		case 'config':
-			if (follower.settled) adoptConfig(follower, revision, text)
-			else follower.early.push({ revision, text })
+			if (follower.isInitialized) applyConfig(follower, revision, text)
+			else follower.pendingConfigs.push({ revision, text })
 			break
 		case 'vms':
-			adoptVms(follower, text)
+			applyVmList(follower, text)
 			break
 		default:
 			topic satisfies never
 	}
 }
 
-function adoptConfig(follower: Follower, revision: number, text: string): void {
+function applyConfig(follower: Follower, revision: number, text: string): void {
 	const { state, metrics, node } = follower
-	const verdict = offerRevision(state, revision, text)
+	const result = offerRevision(state, revision, text)
 	const { held } = state
-	switch (verdict) {
+	switch (result) {
 		case 'adopted':
 			metrics.revision.set(revision)
 			setLastValid(node, 'config', undefined)
 			if (held) follower.events.onConfigActivated(held)
-			setMembersFrom(follower)
+			updateMembers(follower)
 			break
 		case 'invalid':
 			metrics.invalidConfigs.inc()
@@ -306,7 +326,7 @@
 				const good = { revision: held.revision, text: held.document }
 				setLastValid(node, 'config', good)
 			}
-			log({ msg: 'document refused', revision })
+			log({ msg: 'invalid configuration rejected', revision })
 			break
 		case 'stale':
 			metrics.staleConfigs.inc()
@@ -314,22 +334,22 @@
 		case 'known':
 			break
 		default:
-			verdict satisfies never
+			result satisfies never
 	}
 }
 
-function adoptVms(follower: Follower, text: string): void {
+function applyVmList(follower: Follower, text: string): void {
 	try {
 		follower.vms = v.parse(VmListSchema, JSON.parse(text)).vms
 	} catch (err) {
-		log({ msg: 'VM list refused', detail: messageOf(err) })
+		log({ msg: 'invalid VM list rejected', detail: messageOf(err) })
 		return
 	}
-	setMembersFrom(follower)
+	updateMembers(follower)
 	follower.events.onVmList(follower.vms)
 }
 
-function setMembersFrom(follower: Follower): void {
+function updateMembers(follower: Follower): void {
 	const members: Member[] = follower.vms.map(vm => ({
 		name: vm.name,
 		region: regionOf(follower, vm.dataCentre),
