--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -33,12 +33,12 @@
 import { H3 } from 'h3'
 import { createCallerAnswer, failAnswer } from './io/caller.ts'
 import type { EntryContext } from './io/entryContext.ts'
-import { EXCHANGE_TICK_MS, tickExchanges } from './io/exchangeSilence.ts'
+import { EXCHANGE_TICK_MS, tickExchanges } from './io/exchangeTimeouts.ts'
 import {
 	indexTeams,
 	readModelRequest,
 	readServiceRequest,
-} from './io/intake.ts'
+} from './io/callerRequest.ts'
 import {
 	askForEnds,
 	createQuarantineBook,
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -24,8 +24,8 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { EntryContext } from './entryContext.ts'
-import type { Intake } from './intake.ts'
-import { tellEntry } from './otherEntries.ts'
+import type { Intake } from './callerRequest.ts'
+import { tellEntry } from './entryNotifications.ts'
 
 /**
  * For which each entry has the turn to try a request again, ms: longer than a server takes
