--- a/packages/entry/src/bin.ts
+++ b/packages/entry/src/bin.ts
@@ -1,13 +1,13 @@
 /**
- * The binary `juniperhook`. `juniperhook entry FILE` goes straight to the
- * daemon, so that the command-line library never stands in its memory.
+ * The `juniperhook` binary. `juniperhook entry FILE` starts the daemon directly, so that
+ * the command-line library is not loaded into its memory.
  */
 
 const args = process.argv.slice(2)
 const [command, file] = args
-const plainStart =
+const isPlainStart =
 	command === 'entry' && args.length === 2 && !file?.startsWith('-')
-if (plainStart) {
+if (isPlainStart) {
 	const { runEntry } = await import('./main.ts')
 	await runEntry(file!)
 } else {
--- a/packages/entry/src/commands.ts
+++ b/packages/entry/src/commands.ts
@@ -1,4 +1,4 @@
-/** The commands of the binary `juniperhook`, for oclif's explicit strategy. */
+/** Commands of the `juniperhook` binary, for oclif's explicit strategy. */
 
 import { Check } from './commands/check.ts'
 import { Diff } from './commands/diff.ts'
--- a/packages/entry/src/commands/diff.ts
+++ b/packages/entry/src/commands/diff.ts
@@ -5,7 +5,7 @@
 
 const MEGABYTE = 1_000_000
 
-/** `juniperhook diff A B`: what applying B over A would change. */
+/** `juniperhook diff A B`: shows what applying B over A would change. */
 export class Diff extends Command {
 	static override summary = 'Show what applying file B over file A changes.'
 	static override description = `Lists sections and keys added, removed and
@@ -17,7 +17,7 @@
 		to: Args.file({ description: 'file B', required: true, exists: true }),
 	}
 
-	/** Compares the files. */
+	/** Reads both files and prints their differences. */
 	async run(): Promise<void> {
 		const { args } = await this.parse(Diff)
 		const from = this.read(args.from)
@@ -37,9 +37,9 @@
 	}
 
 	private read(path: string): Config {
-		const verdict = readConfig(readFileSync(path, 'utf8'))
-		if (verdict.valid) return verdict.config
-		for (const fault of verdict.faults) this.log(formatFault(path, fault))
+		const result = readConfig(readFileSync(path, 'utf8'))
+		if (result.valid) return result.config
+		for (const fault of result.faults) this.log(formatFault(path, fault))
 		return this.exit(1)
 	}
 }
--- a/packages/entry/src/commands/entry.ts
+++ b/packages/entry/src/commands/entry.ts
@@ -1,11 +1,11 @@
 import { Args, Command } from '@oclif/core'
 
-/** `juniperhook entry FILE`: runs an entry until it is told to stop. */
+/** `juniperhook entry FILE`: runs an entry until SIGTERM. */
 export class Entry extends Command {
-	static override summary = 'Run an entry: take requests and route them.'
+	static override summary = 'Run an entry: accept requests and route them.'
 	static override description = `Reads its own addresses from the settings file
-and the configuration from the platform's service. SIGTERM ends readiness first,
-then finishes what is in flight. Exit code 1: the settings are wrong.`
+and the configuration from the platform's service. On SIGTERM it first reports
+not ready, then finishes the requests in flight. Exit code 1: invalid settings.`
 	static override examples = ['<%= config.bin %> entry /etc/juniperhook.ini']
 	static override args = {
 		settings: Args.file({
--- a/packages/entry/src/commands/explain.ts
+++ b/packages/entry/src/commands/explain.ts
@@ -1,12 +1,12 @@
 import { Args, Command } from '@oclif/core'
-import { explainRequest, formatStory } from '../explain.ts'
+import { explainRequest, formatTrace } from '../explain.ts'
 import { readLogFiles } from '../logLines.ts'
 
-/** `juniperhook explain ID LOG…`: a request's story and its likely cause. */
+/** `juniperhook explain ID LOG…`: traces a request and names the likely cause of its outcome. */
 export class Explain extends Command {
-	static override summary = "Tell a request's story from logs."
+	static override summary = 'Trace a request through logs.'
 	static override description = `Reads the logs of any number of processes and
-prints all that was decided about one request, the state that decided it, and
+prints all decisions about one request, the state on which they were based, and
 the likely cause. Exit code 0; 1: no line names the request; 2: wrong arguments.`
 	static override examples = ['<%= config.bin %> explain 9c41d07b *.log']
 	static override strict = false
@@ -15,15 +15,15 @@
 		log: Args.file({ description: 'a log file', required: true, exists: true }),
 	}
 
-	/** Reads the files and prints. */
+	/** Reads the log files and prints the trace. */
 	async run(): Promise<void> {
 		const { args, argv } = await this.parse(Explain)
 		const paths = argv.slice(1).map(String)
-		const story = explainRequest(args.id, readLogFiles(paths))
-		if (!story) {
+		const trace = explainRequest(args.id, readLogFiles(paths))
+		if (!trace) {
 			this.logToStderr(`no line names the request ${args.id}`)
 			this.exit(1)
 		}
-		for (const line of formatStory(story)) this.log(line)
+		for (const line of formatTrace(trace)) this.log(line)
 	}
 }
--- a/packages/entry/src/commands/report.ts
+++ b/packages/entry/src/commands/report.ts
@@ -2,11 +2,12 @@
 import { readLogFiles } from '../logLines.ts'
 import { formatReport, makeReport } from '../report.ts'
 
-/** `juniperhook report LOG…`: what bound a run. */
+/** `juniperhook report LOG…`: summarizes a run and what limited it. */
 export class Report extends Command {
-	static override summary = 'Show what bound a run, from its logs.'
+	static override summary =
+		'Summarize a run and what limited it, from its logs.'
 	static override description = `Reads the logs of any number of processes and
-prints a row a second, the causes that cost most requests, and how well passes
+prints a row per second, the causes that cost most requests, and how well passes
 were predicted. Exit code 0; 1: no file holds a log line; 2: wrong arguments.`
 	static override examples = [
 		'<%= config.bin %> report entry-*.log agent-*.log',
@@ -16,7 +17,7 @@
 		log: Args.file({ description: 'a log file', required: true, exists: true }),
 	}
 
-	/** Reads the files and prints. */
+	/** Reads the log files and prints the report. */
 	async run(): Promise<void> {
 		const { argv } = await this.parse(Report)
 		const report = makeReport(readLogFiles(argv.map(String)))
--- a/packages/entry/src/commands/status.ts
+++ b/packages/entry/src/commands/status.ts
@@ -3,9 +3,9 @@
 import { Args, Command, Flags } from '@oclif/core'
 import { request } from 'undici'
 
-const CALL_MS = 2_000
+const CALL_TIMEOUT_MS = 2_000
 
-interface LayerWish {
+interface LayerMoves {
 	readonly layer: number
 	readonly loads: readonly string[]
 	readonly skewBefore: number
@@ -26,7 +26,7 @@
 	readonly map?: {
 		readonly fence: number
 		readonly skew: number
-		readonly wish?: { readonly layers: readonly LayerWish[] }
+		readonly wish?: { readonly layers: readonly LayerMoves[] }
 	}
 	readonly error?: string
 }
@@ -44,13 +44,13 @@
 	'skew',
 ] as const
 
-/** `juniperhook status ADDRESS…`: what each process holds. */
+/** `juniperhook status ADDRESS…`: shows the state of each process. */
 export class Status extends Command {
-	static override summary = 'Show what entries and agents hold.'
-	static override description = `Asks the operators' listener of each process
-for its revision, members, map fence, load and requests in flight; below the
-table, which experts the rebalancer last wanted to move, and at what gain and cost. Exit code 0:
-all answered; 1: one did not; 2: wrong arguments.`
+	static override summary = 'Show the state of entries and agents.'
+	static override description = `Reads revision, members, map fence, load and
+requests in flight from the operators' listener of each process. Below the table:
+the expert moves that the rebalancer last planned, with their gain and cost.
+Exit code 0: all answered; 1: one did not; 2: wrong arguments.`
 	static override examples = [
 		'<%= config.bin %> status 10.0.0.5:7402 10.0.0.6:7402',
 		'<%= config.bin %> status --json --settings /etc/juniperhook.ini',
@@ -62,38 +62,41 @@
 	static override flags = {
 		json: Flags.boolean({ description: 'print all details as JSON' }),
 		settings: Flags.file({
-			description: 'ask the process of this settings file',
+			description: 'query the process of this settings file',
 			exists: true,
 		}),
 	}
 
-	/** Asks all processes at once. */
+	/** Queries all processes concurrently. */
 	async run(): Promise<void> {
 		const { argv, flags } = await this.parse(Status)
 		const addresses = argv.map(String)
 		if (flags.settings) addresses.push(this.readAddress(flags.settings))
 		if (addresses.length === 0)
-			this.error('name at least one address IP:port', { exit: 2 })
-		const found = await Promise.all(addresses.map(ask))
-		if (flags.json) this.log(JSON.stringify(found, null, 2))
+			this.error('at least one address IP:port is required', { exit: 2 })
+		const statuses = await Promise.all(addresses.map(readProcessStatus))
+		if (flags.json) this.log(JSON.stringify(statuses, null, 2))
 		else
-			for (const line of [...formatTable(found), ...formatWishes(found)])
+			for (const line of [
+				...formatTable(statuses),
+				...formatPlannedMoves(statuses),
+			])
 				this.log(line)
-		if (found.some(status => status.error)) this.exit(1)
+		if (statuses.some(status => status.error)) this.exit(1)
 	}
 
 	private readAddress(path: string): string {
-		const verdict = readSettings(readFileSync(path, 'utf8'))
-		if (verdict.valid) return verdict.config.listen.operators
+		const result = readSettings(readFileSync(path, 'utf8'))
+		if (result.valid) return result.config.listen.operators
 		return this.error(`${path} is not valid; see check --settings`, { exit: 1 })
 	}
 }
 
-async function ask(address: string): Promise<ProcessStatus> {
+async function readProcessStatus(address: string): Promise<ProcessStatus> {
 	try {
 		const res = await request(`http://${address}/status`, {
-			headersTimeout: CALL_MS,
-			bodyTimeout: CALL_MS,
+			headersTimeout: CALL_TIMEOUT_MS,
+			bodyTimeout: CALL_TIMEOUT_MS,
 		})
 		const body = await res.body.json()
 		return { ...(body as object), address }
@@ -127,14 +130,14 @@
 	)
 }
 
-/** What the rebalancer of each group wanted at its last plan, and why. */
-function formatWishes(rows: readonly ProcessStatus[]): string[] {
+/** Formats the moves in the last plan of each group's rebalancer, with gain and cost. */
+function formatPlannedMoves(rows: readonly ProcessStatus[]): string[] {
 	return rows.flatMap(row =>
-		(row.map?.wish?.layers ?? []).map(wish => {
-			const skew = `${wish.skewBefore.toFixed(2)} to ${wish.skewAfter.toFixed(2)}`
-			const worth = `gain ${wish.benefitMs.toFixed(0)} ms, cost ${wish.costMs.toFixed(0)} ms`
-			const loads = wish.loads.join(' ')
-			return `${row.name}: layer ${wish.layer}: ${loads} (expert>rank), skew ${skew}, ${worth}`
+		(row.map?.wish?.layers ?? []).map(moves => {
+			const skew = `${moves.skewBefore.toFixed(2)} to ${moves.skewAfter.toFixed(2)}`
+			const benefit = `gain ${moves.benefitMs.toFixed(0)} ms, cost ${moves.costMs.toFixed(0)} ms`
+			const loads = moves.loads.join(' ')
+			return `${row.name}: layer ${moves.layer}: ${loads} (expert>rank), skew ${skew}, ${benefit}`
 		}),
 	)
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,4 +1,4 @@
-/** An entry: takes callers' requests and decides where each runs. */
+/** The entry process: accepts callers' requests and routes each to a backend server. */
 
 import { randomBytes } from 'node:crypto'
 import type { Server } from 'node:http'
@@ -33,16 +33,19 @@
 import { H3 } from 'h3'
 import { createCallerAnswer, failAnswer } from './io/caller.ts'
 import type { EntryContext } from './io/entryContext.ts'
-import { EXCHANGE_TICK_MS, tickExchanges } from './io/exchangeSilence.ts'
+import {
+	EXCHANGE_TICK_INTERVAL_MS,
+	tickExchanges,
+} from './io/exchangeSilence.ts'
 import {
 	indexTeams,
 	readModelRequest,
 	readServiceRequest,
 } from './io/intake.ts'
 import {
-	askForEnds,
-	createQuarantineBook,
+	createQuarantineGate,
 	createQuarantineMethods,
+	pullEvidence,
 } from './io/quarantine.ts'
 import { serveRequest } from './io/serveRequest.ts'
 import {
@@ -52,16 +55,16 @@
 	createServerView,
 } from './io/servers.ts'
 import {
-	applyKeepers,
-	createTeamKeepers,
+	applyLiveEntries,
+	createLiveEntries,
 	createTeamMethods,
-	TELL_HELD_MS,
-	tellAllHeld,
+	reportToAllTeamHomes,
+	TEAM_REPORT_INTERVAL_MS,
 } from './io/teamLimits.ts'
 
-const STOP_CHECK_MS = 50
-/** Between the end of readiness and the close of the listener, ms. */
-const READINESS_MS = 1_000
+const STOP_CHECK_INTERVAL_MS = 50
+/** Time between reporting not ready and closing the listener, ms. */
+const READINESS_GRACE_MS = 1_000
 const log = createLog('entry')
 
 /** A running entry. */
@@ -73,11 +76,11 @@
 	listener: Server | undefined
 }
 
-/** Starts an entry and resolves when it listens. */
+/** Starts an entry; resolves once it listens. */
 export async function startEntry(settings: Settings): Promise<EntryProcess> {
 	const metrics = createMetrics()
 	const incarnation = `${Date.now()}-${randomBytes(4).toString('hex')}`
-	const introduce = (): Hello => ({
+	const createHello = (): Hello => ({
 		name: settings.process.name,
 		kind: 'entry',
 		incarnation,
@@ -93,7 +96,7 @@
 		incarnation,
 		metrics,
 		servers: createServerView(
-			introduce,
+			createHello,
 			port,
 			(server, revision) => noteRevision(follower, server, revision),
 			{ ...createFollowerMethods(() => follower), ...ownMethods },
@@ -105,10 +108,10 @@
 		exchanges: new Set(),
 		config: undefined,
 		teams: new Map(),
-		keepers: createTeamKeepers(),
-		quarantined: createQuarantineBook(),
+		liveEntries: createLiveEntries(),
+		quarantineGate: createQuarantineGate(),
 		follower: () => follower,
-		nextRequest: 1,
+		nextRequestNumber: 1,
 		leaving: false,
 	}
 	const seed = randomBytes(4).readUInt32LE()
@@ -116,8 +119,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => adopt(entry, held),
-			onVms: vms => noteVms(ctx, vms),
+			onAdopt: held => applyActiveConfig(entry, held),
+			onVms: vms => applyVms(ctx, vms),
 		},
 		seed,
 		ownMethods,
@@ -141,8 +144,8 @@
 	entry.listener = await listen(createApp(ctx), settings.listen.data, {
 		onBadRequest: kind => metrics.refusals.inc({ kind }),
 	})
-	setInterval(() => tickExchanges(ctx), EXCHANGE_TICK_MS)
-	setInterval(() => tellAllHeld(ctx), TELL_HELD_MS)
+	setInterval(() => tickExchanges(ctx), EXCHANGE_TICK_INTERVAL_MS)
+	setInterval(() => reportToAllTeamHomes(ctx), TEAM_REPORT_INTERVAL_MS)
 	process.once('SIGTERM', () => void stopEntry(entry))
 	log({ msg: 'entry listens', server: settings.process.name })
 	return entry
@@ -171,38 +174,41 @@
 	return app
 }
 
-function adopt(entry: EntryProcess, held: ActiveConfig): void {
-	entry.ctx.config = held.config
-	entry.ctx.teams = indexTeams(held.config)
-	applyConfig(entry.ctx.servers, held.config)
-	log({ msg: 'configuration in force', revision: held.revision })
+function applyActiveConfig(entry: EntryProcess, active: ActiveConfig): void {
+	entry.ctx.config = active.config
+	entry.ctx.teams = indexTeams(active.config)
+	applyConfig(entry.ctx.servers, active.config)
+	log({ msg: 'configuration in force', revision: active.revision })
 }
 
-function noteVms(ctx: EntryContext, vms: readonly Vm[]): void {
+function applyVms(ctx: EntryContext, vms: readonly Vm[]): void {
 	const entries = vms.filter(vm => vm.kind === 'entry')
 	const leaving = vms.filter(vm => vm.state === 'leaving')
 	const live = entries.filter(vm => vm.state === 'live')
-	applyKeepers(
+	applyLiveEntries(
 		ctx,
 		live.map(vm => vm.name),
 	)
-	askForEnds(ctx)
+	pullEvidence(ctx)
 	applyEntries(ctx.servers, entries, ctx.config)
 	applyVmList(ctx.servers, new Set(leaving.map(vm => vm.name)))
 }
 
-/** Readiness goes first, then the listener; no request in flight is cut. */
+/**
+ * Stops the entry: reports not ready, then closes the listener, and exits once no request
+ * is in flight.
+ */
 async function stopEntry(entry: EntryProcess): Promise<void> {
 	const { ctx, listener } = entry
 	ctx.leaving = true
 	entry.follower.stopped = true
-	await new Promise(resolve => setTimeout(resolve, READINESS_MS))
+	await new Promise(resolve => setTimeout(resolve, READINESS_GRACE_MS))
 	listener?.close()
 	listener?.closeIdleConnections()
 	while (ctx.exchanges.size > 0)
-		await new Promise(resolve => setTimeout(resolve, STOP_CHECK_MS))
+		await new Promise(resolve => setTimeout(resolve, STOP_CHECK_INTERVAL_MS))
 	listener?.closeIdleConnections()
-	setTimeout(() => process.exit(0), STOP_CHECK_MS)
+	setTimeout(() => process.exit(0), STOP_CHECK_INTERVAL_MS)
 }
 
 function describeEntry(entry: EntryProcess): object {
@@ -214,12 +220,12 @@
 		incarnation: ctx.incarnation,
 		...describeFollower(entry.follower),
 		state: ctx.leaving ? 'leaving' : 'serving',
-		entries: ctx.keepers.part.count,
+		entries: ctx.liveEntries.share.count,
 		running: ctx.exchanges.size,
 		servers: table.names.map((name, row) => ({
 			name,
 			open: table.open[row] === 1,
-			linked: ctx.servers.peers.get(name)?.awake ?? false,
+			linked: ctx.servers.peers.get(name)?.keepsLink ?? false,
 			load: table.reportedLoad[row]! + table.sentSinceReport[row]!,
 			revision: ctx.servers.peers.get(name)?.revision ?? 0,
 		})),
--- a/packages/entry/src/explain.ts
+++ b/packages/entry/src/explain.ts
@@ -1,73 +1,77 @@
 /**
- * A request's story over the logs of all processes: what was decided about it, in
- * order, the state by which it was decided, and the likely cause in a sentence.
+ * Traces a request through the logs of all processes: the decisions about it in order, the
+ * state on which they were based, and the likely cause of its outcome in a sentence.
  */
 
 import type { LogLine } from './logLines.ts'
 import { readLogLine } from './logLines.ts'
 
-/** State that was told longer before a request is not its cause, ms. */
-const RECENT_MS = 3_000
+/** Transient state logged longer before a request's outcome is not its cause, ms. */
+const STATE_WINDOW_MS = 3_000
 
-/** A request's story. */
-export interface Story {
-	/** Lines about the request, in order. */
-	readonly own: readonly LogLine[]
-	/** Lines before its end that tell what it was decided by, in order. */
-	readonly state: readonly LogLine[]
+/** Log lines about a request and the likely cause of its outcome. */
+export interface RequestTrace {
+	/** Lines that name the request, in order. */
+	readonly requestLines: readonly LogLine[]
+	/** Lines before its outcome with the state on which decisions were based, in order. */
+	readonly stateLines: readonly LogLine[]
 	readonly cause: string
 }
 
-/** Tells a request's story; undefined when no line names it. */
+/** Traces the request with id `id`; returns undefined if no line names it. */
 export function explainRequest(
 	id: string,
 	texts: readonly string[],
-): Story | undefined {
+): RequestTrace | undefined {
 	const lines = texts
 		.map(readLogLine)
 		.filter(line => line !== undefined)
 		.sort((a, b) => a.time - b.time)
-	const own = lines.filter(line => line.req === id)
-	const last = own.findLast(isFinalWord) ?? own.at(-1)
+	const requestLines = lines.filter(line => line.req === id)
+	const last = requestLines.findLast(isOutcome) ?? requestLines.at(-1)
 	if (!last) return undefined
-	const state = findState(lines, own, last)
-	return { own, state, cause: findCause(last, own, state) }
+	const stateLines = findStateLines(lines, requestLines, last)
+	return {
+		requestLines,
+		stateLines,
+		cause: findCause(last, requestLines, stateLines),
+	}
 }
 
-/** Whether a line ends a request; a send may be logged after that. */
-function isFinalWord({ event, outcome }: LogLine): boolean {
+/** Whether a line is a request's outcome; an attempt may be logged after it. */
+function isOutcome({ event, outcome }: LogLine): boolean {
 	if (event === 'attempt') return outcome === 'answered'
 	return event === 'request failed' || event === 'request refused'
 }
 
-/** The newest line of each kind that tells what the request met. */
-function findState(
+/** Returns the newest line of each kind of state that applied to the request. */
+function findStateLines(
 	lines: readonly LogLine[],
-	own: readonly LogLine[],
+	requestLines: readonly LogLine[],
 	last: LogLine,
 ): LogLine[] {
-	const servers = new Set(own.map(line => line.server))
+	const servers = new Set(requestLines.map(line => line.server))
 	const newest = new Map<string, LogLine>()
 	for (const line of lines) {
 		if (line.time > last.time) break
-		const key = keyOfState(line, last, servers)
+		const key = stateKeyOf(line, last, servers)
 		if (key === undefined) continue
-		// Of a configuration elsewhere, the first entry that had it counts.
+		// Of a newer configuration elsewhere, the first entry that applied it counts.
 		if (isNewerElsewhere(line, last) && newest.has(key)) continue
 		newest.set(key, line)
 	}
 	return [...newest.values()].sort((a, b) => a.time - b.time)
 }
 
-/** Whether another entry put a newer configuration in force than was used. */
+/** Whether another entry had applied a newer configuration than the request was served with. */
 function isNewerElsewhere(line: LogLine, last: LogLine): boolean {
 	const { event, node, version } = line
 	if (event !== 'configuration in force' || node === last.node) return false
 	return version !== undefined && version > (last.config ?? version)
 }
 
-/** What a line tells about; undefined when it is nothing that the request met. */
-function keyOfState(
+/** Returns a key for the state in a line; undefined if it did not apply to the request. */
+function stateKeyOf(
 	line: LogLine,
 	last: LogLine,
 	servers: ReadonlySet<string | undefined>,
@@ -75,7 +79,7 @@
 	if (isNewerElsewhere(line, last)) return `version ${line.version}`
 	const { event, node, group, server, time, fingerprint } = line
 	const isHere = node === last.node
-	const isRecent = last.time - time <= RECENT_MS
+	const isRecent = last.time - time <= STATE_WINDOW_MS
 	switch (event) {
 		case 'configuration in force':
 		case 'source lost':
@@ -112,45 +116,48 @@
 
 function findCause(
 	last: LogLine,
-	own: readonly LogLine[],
-	state: readonly LogLine[],
+	requestLines: readonly LogLine[],
+	stateLines: readonly LogLine[],
 ): string {
 	const { error, event, outcome } = last
 	if (event === 'attempt' && outcome === 'answered')
 		return 'It was answered by its server; nothing failed here.'
 	switch (error) {
 		case undefined:
-			return `No final word is logged; the last is "${event}".`
+			return `No outcome is logged; the last event is "${event}".`
 		case 'unauthorized':
 		case 'notFound':
-			return `Configuration ${last.config} knows no such ${error === 'notFound' ? 'route' : 'key'}${describeNewer(last, state)}.`
+			return `Configuration ${last.config} has no such ${error === 'notFound' ? 'route' : 'key'}${describeNewerConfig(last, stateLines)}.`
 		case 'configBehind':
-			return `Configuration ${last.config} does not know it${describeNewer(last, state)}.`
+			return `Configuration ${last.config} does not contain it${describeNewerConfig(last, stateLines)}.`
 		case 'overloaded':
-			return explainFull(last, state)
+			return explainOverload(last, stateLines)
 		case 'rateLimited':
-			return explainLimits(state)
+			return explainRateLimits(stateLines)
 		case 'resting':
-			return explainRests(last, state)
+			return explainBackoffs(last, stateLines)
 		case 'noServer':
 			return 'No server of its service was listed as serving.'
 		case 'noAnswer':
-			return `Its server had not answered when its time was over${describeSends(own)}${describeRewind(last, state)}.`
+			return `Its server had not answered by the deadline${describeAttempts(requestLines)}${describeRollback(last, stateLines)}.`
 		case 'linkLost':
 		case 'truncated':
-			return `The connection to its server broke after it may have run${describeSends(own)}${describeEnds(state)}${describeRewind(last, state)}.`
+			return `The connection to its server broke after it may have run${describeAttempts(requestLines)}${describeCrashes(stateLines)}${describeRollback(last, stateLines)}.`
 		case 'quarantined':
-			return explainQuarantine(last, state)
+			return explainQuarantine(last, stateLines)
 		case 'unreachable':
-			return `No server that it was sent to took it${describeSends(own)}${describeRewind(last, state)}.`
+			return `No server that it was sent to accepted it${describeAttempts(requestLines)}${describeRollback(last, stateLines)}.`
 		default:
 			return `It was refused by this entry: ${error}.`
 	}
 }
 
-/** Which servers had asked this entry for rest, and for how much longer. */
-function explainRests(last: LogLine, state: readonly LogLine[]): string {
-	const rests = state
+/** Lists the servers that had asked this entry to back off, and for how much longer. */
+function explainBackoffs(
+	last: LogLine,
+	stateLines: readonly LogLine[],
+): string {
+	const backoffs = stateLines
 		.filter(({ event }) => event === 'server rests')
 		.map(({ server, time, forMs = 0 }) => ({
 			server,
@@ -158,90 +165,110 @@
 		}))
 		.filter(({ leftMs }) => leftMs > 0)
 		.map(({ server, leftMs }) => `${server} for ${leftMs} ms more`)
-	return `All servers of its service had asked this entry for rest (${rests.join(', ')}).`
+	return `All servers of its service had asked this entry to back off (${backoffs.join(', ')}).`
 }
 
-/** Which servers took only so many requests a second. */
-function explainLimits(state: readonly LogLine[]): string {
-	const limits = state
+/** Lists the servers that limited requests per second. */
+function explainRateLimits(stateLines: readonly LogLine[]): string {
+	const limits = stateLines
 		.filter(line => line.event === 'server limit')
 		.filter(({ perSecond }) => perSecond !== undefined)
 		.map(({ server, perSecond }) => `${server} ${perSecond}`)
-	return `All servers of its service take only so many requests a second (${limits.join(', ')}), and none had one left in time.`
+	return `All servers of its service limit requests per second (${limits.join(', ')}), and none had a permit in time.`
 }
 
-/** Whether what was believed of servers may have been from before the source went back. */
-function describeRewind(last: LogLine, state: readonly LogLine[]): string {
-	const went = state.find(({ event }) => event === 'source went back')
-	if (!went) return ''
-	return `; the source had gone back from ${went.backFrom} to ${went.backTo} ${last.time - went.time} ms before`
+/** Describes a recent rollback of the source, after which the server list may be outdated. */
+function describeRollback(
+	last: LogLine,
+	stateLines: readonly LogLine[],
+): string {
+	const rollback = stateLines.find(({ event }) => event === 'source went back')
+	if (!rollback) return ''
+	return `; the source had rolled back from ${rollback.backFrom} to ${rollback.backTo} ${last.time - rollback.time} ms before`
 }
 
-/** How far this entry was behind, and where to look for the reason. */
-function describeNewer(last: LogLine, state: readonly LogLine[]): string {
-	const newer = state.findLast(line => isNewerElsewhere(line, last))
+/** Describes how far this entry was behind another, and its last failed source call. */
+function describeNewerConfig(
+	last: LogLine,
+	stateLines: readonly LogLine[],
+): string {
+	const newer = stateLines.findLast(line => isNewerElsewhere(line, last))
 	if (!newer) return ''
-	const failed = state.findLast(({ event }) => event === 'source call failed')
+	const failed = stateLines.findLast(
+		({ event }) => event === 'source call failed',
+	)
 	const why = failed ? `; its last call of the source: ${failed.reason}` : ''
 	return `, version ${newer.version} had been in force elsewhere for ${last.time - newer.time} ms${why}`
 }
 
-function explainFull(last: LogLine, state: readonly LogLine[]): string {
-	const closed = state.find(line => line.event === 'group closed')
+function explainOverload(
+	last: LogLine,
+	stateLines: readonly LogLine[],
+): string {
+	const closed = stateLines.find(line => line.event === 'group closed')
 	if (closed) {
 		const forMs = last.time - closed.time
 		return `Its group ${closed.group} had refused at every rank for ${forMs} ms.`
 	}
-	const told = state.find(line => line.event === 'paces told')
-	if (told?.limit === undefined)
-		return 'Every server held as many requests as it takes.'
-	const shift = state.find(line => line.event === 'demand shifted')
+	const groupReport = stateLines.find(line => line.event === 'paces told')
+	if (groupReport?.limit === undefined)
+		return 'Every server had as many requests in flight as it accepts.'
+	const shift = stateLines.find(line => line.event === 'demand shifted')
 	const why = shift
 		? `: demand had shifted ${last.time - shift.time} ms before`
 		: ' so that passes stay short enough'
-	return `Its group was to hold ${told.limit} requests a rank${why}.`
+	return `Its group was to hold ${groupReport.limit} requests a rank${why}.`
 }
 
-function explainQuarantine(last: LogLine, state: readonly LogLine[]): string {
-	const barred = state.find(({ event }) => event === 'request quarantined')
-	const servers = barred?.servers?.join(', ') ?? 'servers'
-	return `${servers} ended while they ran it (${last.fingerprint}); it is sent to none.`
+function explainQuarantine(
+	last: LogLine,
+	stateLines: readonly LogLine[],
+): string {
+	const quarantine = stateLines.find(
+		({ event }) => event === 'request quarantined',
+	)
+	const servers = quarantine?.servers?.join(', ') ?? 'servers'
+	return `${servers} crashed while they ran it (${last.fingerprint}); it is quarantined.`
 }
 
-/** Which of its servers ended, and how many requests each was running. */
-function describeEnds(state: readonly LogLine[]): string {
-	const ends = state
+/** Lists its servers that crashed, with how many requests each had in flight. */
+function describeCrashes(stateLines: readonly LogLine[]): string {
+	const crashes = stateLines
 		.filter(({ event }) => event === 'server ended')
 		.map(({ server, requests = [] }) => `${server} with ${requests.length}`)
-	if (ends.length === 0) return ''
-	return `; servers that ended, with requests they ran: ${ends.join(', ')}`
+	if (crashes.length === 0) return ''
+	return `; servers that crashed, with their requests in flight: ${crashes.join(', ')}`
 }
 
-function describeSends(own: readonly LogLine[]): string {
-	const sends = own.filter(line => line.event === 'attempt')
-	if (sends.length === 0) return ''
-	const each = sends.map(({ server, outcome, reason }) =>
+function describeAttempts(requestLines: readonly LogLine[]): string {
+	const attempts = requestLines.filter(line => line.event === 'attempt')
+	if (attempts.length === 0) return ''
+	const descriptions = attempts.map(({ server, outcome, reason }) =>
 		[server, outcome, reason].filter(Boolean).join(' '),
 	)
-	return ` (${each.join('; ')})`
+	return ` (${descriptions.join('; ')})`
 }
 
-/** The story as text; times count from its first line. */
-export function formatStory({ own, state, cause }: Story): string[] {
-	const from = own[0]!.time
-	const show = (line: LogLine) => {
+/** Formats a trace as text lines; times are relative to its first line. */
+export function formatTrace({
+	requestLines,
+	stateLines,
+	cause,
+}: RequestTrace): string[] {
+	const startTime = requestLines[0]!.time
+	const formatLine = (line: LogLine) => {
 		const { time, node, event, ...rest } = line
 		const fields = Object.entries(rest)
 			.filter(([name]) => name !== 'req')
 			.map(([name, value]) => `${name}=${JSON.stringify(value)}`)
-		return `${String(time - from).padStart(8)} ms  ${node ?? ''}  ${event}  ${fields.join(' ')}`
+		return `${String(time - startTime).padStart(8)} ms  ${node ?? ''}  ${event}  ${fields.join(' ')}`
 	}
 	return [
 		'the request',
-		...own.map(show),
+		...requestLines.map(formatLine),
 		'',
 		'what it was decided by',
-		...state.map(show),
+		...stateLines.map(formatLine),
 		'',
 		`likely cause: ${cause}`,
 	]
--- a/packages/entry/src/io/agentOrders.ts
+++ b/packages/entry/src/io/agentOrders.ts
@@ -1,10 +1,10 @@
-/** Orders that an entry gives agents about tries of its requests. */
+/** Messages of an entry to agents about attempts of its requests. */
 
 import type { AttemptRef, VoidReply } from '@juniperhook/runtime'
 import { call, notify } from '@juniperhook/runtime'
 import type { AgentPeer } from './servers.ts'
 
-/** Gives a void order; `unknown` if the agent cannot be asked. */
+/** Sends a void request; returns `unknown` if the agent cannot be reached. */
 export async function sendVoid(
 	peer: AgentPeer,
 	ref: AttemptRef,
@@ -18,7 +18,7 @@
 	}
 }
 
-/** Tells the agent that nobody waits for an attempt any more. */
+/** Notifies the agent that the caller no longer waits for an attempt. */
 export function sendCancel(peer: AgentPeer, ref: AttemptRef): void {
 	if (peer.link) notify(peer.link, 'cancelAttempt', ref)
 }
--- a/packages/entry/src/io/attempt.ts
+++ b/packages/entry/src/io/attempt.ts
@@ -1,4 +1,4 @@
-/** One try: offers a request to an agent and turns its frames into events. */
+/** One attempt: offers a request to an agent and reports the frames of its answer. */
 
 import { EventEmitter } from 'node:events'
 import type {
@@ -16,36 +16,36 @@
 } from '@juniperhook/runtime'
 import { Agent, type Dispatcher, request } from 'undici'
 
-const CONNECT_MS = 1_000
+const CONNECT_TIMEOUT_MS = 1_000
 
-/** What a try reports; see the frames for their meaning. */
+/** Receives the events of an attempt. */
 export interface AttemptSink {
 	frame(frame: AnswerFrame): void
 	/** No byte of the request left this process. */
 	notSent(): void
 	/** The connection ended before the closing frame. */
 	linkLost(): void
-	/** A dated load report came with the answer. */
+	/** The answer carried a load report. */
 	load(report: LoadFields): void
 }
 
-/** A try under way. */
+/** An attempt in progress. */
 export interface AttemptHandle {
-	/** Ends the connection; nothing more is reported. */
+	/** Closes the connection unless the answer is complete; reports nothing more. */
 	abandon(): void
-	/** Stops or restarts reading, for a slow caller. */
+	/** Pauses or resumes reading, as backpressure from a slow caller. */
 	pause(): void
 	resume(): void
 }
 
 const dispatcher = new Agent({
-	connect: { timeout: CONNECT_MS },
+	connect: { timeout: CONNECT_TIMEOUT_MS },
 	headersTimeout: 0,
 	bodyTimeout: 0,
 	pipelining: 1,
 })
 
-/** Offers a request. */
+/** Offers a request to the agent at `address`. */
 export function offerAttempt(
 	address: string,
 	meta: OfferMeta,
@@ -53,55 +53,55 @@
 	sink: AttemptSink,
 ): AttemptHandle {
 	const headers = { [OFFER_HEADER]: packHeader(meta) }
-	return open(`http://${address}/offer`, headers, body, sink)
+	return openAttempt(`http://${address}/offer`, headers, body, sink)
 }
 
-/** Asks for the rest of an answer. */
+/** Requests the rest of an interrupted answer. */
 export function resumeAttempt(
 	address: string,
 	meta: ResumeMeta,
 	sink: AttemptSink,
 ): AttemptHandle {
 	const headers = { [RESUME_HEADER]: packHeader(meta) }
-	return open(`http://${address}/resume`, headers, undefined, sink)
+	return openAttempt(`http://${address}/resume`, headers, undefined, sink)
 }
 
-interface OpenCall {
+interface OpenAttempt {
 	readonly sink: AttemptSink
-	/** Emits `abort`; cheaper a request than an AbortController. */
+	/** Emits `abort`; costs less per request than an AbortController. */
 	readonly abort: EventEmitter
 	body: Dispatcher.ResponseData['body'] | undefined
-	/** Whether nothing more is to be reported. */
-	over: boolean
+	/** Whether nothing more is reported. */
+	isEnded: boolean
 }
 
-function open(
+function openAttempt(
 	url: string,
 	headers: Record<string, string>,
 	body: Buffer | undefined,
 	sink: AttemptSink,
 ): AttemptHandle {
-	const opened: OpenCall = {
+	const attempt: OpenAttempt = {
 		sink,
 		abort: new EventEmitter(),
 		body: undefined,
-		over: false,
+		isEnded: false,
 	}
-	void exchange(opened, url, headers, body)
+	void sendRequest(attempt, url, headers, body)
 	return {
 		abandon() {
-			// A connection whose answer is whole is kept for the next request.
-			if (opened.over) return
-			opened.over = true
-			opened.abort.emit('abort')
+			// A connection with a complete answer is reused for the next request.
+			if (attempt.isEnded) return
+			attempt.isEnded = true
+			attempt.abort.emit('abort')
 		},
-		pause: () => void opened.body?.pause(),
-		resume: () => void opened.body?.resume(),
+		pause: () => void attempt.body?.pause(),
+		resume: () => void attempt.body?.resume(),
 	}
 }
 
-async function exchange(
-	opened: OpenCall,
+async function sendRequest(
+	attempt: OpenAttempt,
 	url: string,
 	headers: Record<string, string>,
 	body: Buffer | undefined,
@@ -111,48 +111,48 @@
 			method: 'POST',
 			headers,
 			body: body ?? null,
-			signal: opened.abort,
+			signal: attempt.abort,
 			dispatcher,
 		})
-		opened.body = res.body
-		readFrames(opened, res)
+		attempt.body = res.body
+		readFrames(attempt, res)
 	} catch (err) {
-		if (opened.over) return
-		opened.over = true
-		if (neverConnected(err)) opened.sink.notSent()
-		else opened.sink.linkLost()
+		if (attempt.isEnded) return
+		attempt.isEnded = true
+		if (neverConnected(err)) attempt.sink.notSent()
+		else attempt.sink.linkLost()
 	}
 }
 
-function readFrames(opened: OpenCall, res: Dispatcher.ResponseData): void {
+function readFrames(attempt: OpenAttempt, res: Dispatcher.ResponseData): void {
 	const reader = createFrameReader()
-	const lose = () => {
-		if (opened.over) return
-		opened.over = true
-		opened.sink.linkLost()
+	const reportLinkLost = () => {
+		if (attempt.isEnded) return
+		attempt.isEnded = true
+		attempt.sink.linkLost()
 	}
-	reader.on('data', (frame: AnswerFrame) => takeFrame(opened, frame))
-	reader.on('error', lose)
-	reader.on('end', lose)
-	res.body.on('error', lose)
+	reader.on('data', (frame: AnswerFrame) => handleFrame(attempt, frame))
+	reader.on('error', reportLinkLost)
+	reader.on('end', reportLinkLost)
+	res.body.on('error', reportLinkLost)
 	if (res.statusCode !== 200) {
 		res.body.resume()
-		lose()
+		reportLinkLost()
 		return
 	}
 	res.body.pipe(reader)
 }
 
-function takeFrame(opened: OpenCall, frame: AnswerFrame): void {
-	if (opened.over) return
+function handleFrame(attempt: OpenAttempt, frame: AnswerFrame): void {
+	if (attempt.isEnded) return
 	switch (frame.t) {
 		case 'refused':
 		case 'end':
-			opened.over = true
-			opened.sink.load(frame.load)
+			attempt.isEnded = true
+			attempt.sink.load(frame.load)
 			break
 		case 'failed':
-			opened.over = true
+			attempt.isEnded = true
 			break
 		case 'admitted':
 		case 'head':
@@ -163,5 +163,5 @@
 			frame satisfies never
 			return
 	}
-	opened.sink.frame(frame)
+	attempt.sink.frame(frame)
 }
--- a/packages/entry/src/io/caller.ts
+++ b/packages/entry/src/io/caller.ts
@@ -1,82 +1,89 @@
 /**
- * The answer towards a caller. Whole answers are held back until their end is
- * seen, as far as a bound allows; streams go out as they come.
+ * The answer to a caller. Answers that are not streams are buffered up to a limit until
+ * they are complete, so that a failed attempt can be repeated; streams are forwarded
+ * chunk by chunk.
  */
 
 import type { ServerResponse } from 'node:http'
 import type { Outcome } from '@juniperhook/core'
 import { ERRORS } from '@juniperhook/core'
 
-/** Largest answer that is held back until it is whole, in bytes. */
-const HOLD_BYTES = 262_144
-const MS = 1_000
-/** Response header that tells the outcome of a failed request. */
+/** Maximum size of an answer that is buffered until it is complete, bytes. */
+const MAX_BUFFERED_BYTES = 262_144
+const MS_PER_SECOND = 1_000
+/** Response header with the outcome of a failed request. */
 export const OUTCOME_HEADER = 'x-request-outcome'
 
-/** An answer being written. */
+/** An answer in progress. */
 export interface CallerAnswer {
 	readonly res: ServerResponse
 	head:
 		| { status: number; headers: Record<string, string | string[]> }
 		| undefined
-	/** Chunks held back. */
-	held: Uint8Array[]
-	heldBytes: number
-	stream: boolean
+	/** Chunks not written yet. */
+	buffered: Uint8Array[]
+	bufferedBytes: number
+	isStream: boolean
 }
 
-/** Makes an answer of which nothing is written. */
+/** Creates an answer of which nothing has been written. */
 export function createCallerAnswer(res: ServerResponse): CallerAnswer {
-	return { res, head: undefined, held: [], heldBytes: 0, stream: false }
+	return {
+		res,
+		head: undefined,
+		buffered: [],
+		bufferedBytes: 0,
+		isStream: false,
+	}
 }
 
-/** Whether the caller has been sent a part. */
-export function isTold(answer: CallerAnswer): boolean {
+/** Whether part of the answer has been sent to the caller. */
+export function isAnswerStarted(answer: CallerAnswer): boolean {
 	return answer.res.headersSent
 }
 
-/** Takes the backend server's status and headers. */
-export function takeHead(
+/** Sets the backend server's status and headers; starts sending if it is a stream. */
+export function setHead(
 	answer: CallerAnswer,
 	status: number,
 	headers: Record<string, string | string[]>,
 ): void {
 	answer.head = { status, headers }
 	const type = String(headers['content-type'] ?? '')
-	answer.stream = type.includes('text/event-stream')
-	if (answer.stream) flush(answer)
+	answer.isStream = type.includes('text/event-stream')
+	if (answer.isStream) flush(answer)
 }
 
-/** Takes a chunk; false when the caller's socket is full. */
-export function takeChunk(answer: CallerAnswer, data: Uint8Array): boolean {
+/** Buffers or writes a chunk; returns false if the caller's socket buffer is full. */
+export function writeChunk(answer: CallerAnswer, data: Uint8Array): boolean {
 	if (answer.res.headersSent) return answer.res.write(data)
-	answer.held.push(data)
-	answer.heldBytes += data.length
-	return answer.heldBytes <= HOLD_BYTES || flush(answer)
+	answer.buffered.push(data)
+	answer.bufferedBytes += data.length
+	return answer.bufferedBytes <= MAX_BUFFERED_BYTES || flush(answer)
 }
 
-/** Forgets what is held back, before another try. */
+/** Discards what is buffered, before another attempt. */
 export function resetAnswer(answer: CallerAnswer): void {
 	answer.head = undefined
-	answer.held = []
-	answer.heldBytes = 0
+	answer.buffered = []
+	answer.bufferedBytes = 0
 }
 
-/** Ends a whole answer. */
+/** Writes the rest of a complete answer and ends it. */
 export function endAnswer(answer: CallerAnswer): void {
 	const { res, head } = answer
 	if (!res.headersSent && head) {
 		res.writeHead(head.status, {
 			...head.headers,
 			...(head.status !== 204 &&
-				head.status !== 304 && { 'content-length': answer.heldBytes }),
+				head.status !== 304 && { 'content-length': answer.bufferedBytes }),
 		})
-		for (const data of answer.held) res.write(data)
+		for (const data of answer.buffered) res.write(data)
 	}
 	res.end()
 }
 
-/** Ends a failed answer; a part is never passed off as whole. */
+/** Ends a failed answer such that the caller can tell a partial one from a complete one. */
 export function failAnswer(
 	answer: CallerAnswer,
 	outcome: Exclude<Outcome, { outcome: 'answered' }>,
@@ -85,13 +92,13 @@
 	const { res } = answer
 	const body = describeFailure(outcome, detail)
 	if (res.headersSent) {
-		if (answer.stream) res.write(`data: ${body}\n\n`)
-		// Without the last chunk of the coding, no client takes it for whole.
-		if (answer.stream) res.end()
+		if (answer.isStream) res.write(`data: ${body}\n\n`)
+		// Without the final chunk of chunked encoding, clients detect the truncation.
+		if (answer.isStream) res.end()
 		else res.destroy()
 		return
 	}
-	const seconds = Math.ceil(outcome.retryAfterMs / MS)
+	const seconds = Math.ceil(outcome.retryAfterMs / MS_PER_SECOND)
 	res.writeHead(ERRORS[outcome.kind].status, {
 		'content-type': 'application/json',
 		'content-length': Buffer.byteLength(body),
@@ -101,7 +108,7 @@
 	res.end(body)
 }
 
-/** The error body that clients of model servers expect. */
+/** Returns the error body in the format that clients of model servers expect. */
 function describeFailure(
 	outcome: Exclude<Outcome, { outcome: 'answered' }>,
 	detail: string,
@@ -125,8 +132,8 @@
 	if (!head) return true
 	res.writeHead(head.status, head.headers)
 	res.flushHeaders()
-	let room = true
-	for (const data of answer.held) room = res.write(data)
-	answer.held = []
-	return room
+	let canWrite = true
+	for (const data of answer.buffered) canWrite = res.write(data)
+	answer.buffered = []
+	return canWrite
 }
--- a/packages/entry/src/io/entryContext.ts
+++ b/packages/entry/src/io/entryContext.ts
@@ -1,4 +1,4 @@
-/** What requests at one entry share, and the state of one under way. */
+/** State shared by all requests of an entry, and the state of one request in flight. */
 
 import type {
 	AffinityTable,
@@ -18,12 +18,12 @@
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { AttemptHandle } from './attempt.ts'
 import type { CallerAnswer } from './caller.ts'
-import type { Intake, TeamIndex } from './intake.ts'
-import type { QuarantineBook } from './quarantine.ts'
+import type { CallerRequest, TeamIndex } from './intake.ts'
+import type { QuarantineGate } from './quarantine.ts'
 import type { AgentPeer, ServerView } from './servers.ts'
-import type { TeamKeepers } from './teamLimits.ts'
+import type { LiveEntries } from './teamLimits.ts'
 
-/** All that requests at one entry share. */
+/** State shared by all requests of an entry. */
 export interface EntryContext {
 	readonly name: string
 	readonly incarnation: string
@@ -34,73 +34,74 @@
 	readonly affinity: AffinityTable
 	readonly random: Random
 	readonly exchanges: Set<Exchange>
-	readonly keepers: TeamKeepers
-	readonly quarantined: QuarantineBook
-	/** What this entry follows the platform by. */
+	readonly liveEntries: LiveEntries
+	readonly quarantineGate: QuarantineGate
+	/** Returns the follower through which the entry receives configurations and VMs. */
 	readonly follower: () => Follower
 	config: Config | undefined
 	teams: TeamIndex
-	nextRequest: number
+	nextRequestNumber: number
 	leaving: boolean
 }
 
-/** One request under way. */
+/** One request in flight. */
 export interface Exchange {
 	readonly reqId: string
-	readonly intake: Intake
-	readonly fate: RequestLifecycle
+	readonly request: CallerRequest
+	readonly lifecycle: RequestLifecycle
 	readonly answer: CallerAnswer
 	readonly startedAt: number
-	/** On the scale of elapsed time, ms. */
+	/** On the elapsed clock, ms. */
 	readonly deadlineAt: number
+	/** Row of the chosen server in the server table; -1 before the first attempt. */
 	row: number
-	/** Whether `row` counts this request among its own. */
-	counted: boolean
+	/** Whether the load of `row` includes this request. */
+	isCounted: boolean
 	peer: AgentPeer | undefined
 	incarnation: string
 	handle: AttemptHandle | undefined
-	/** Last frame of the open try. */
-	heardAt: number
-	/** The frame that a `forward` effect is about. */
+	/** When the last frame of the current attempt arrived, ms. */
+	lastFrameAt: number
+	/** Frame that the next `forward` effect passes on. */
 	frame: AnswerFrame | undefined
 	detail: string
 }
 
-/** Makes the state of a request that has been read. */
+/** Creates the state of a request that has been read. */
 export function createExchange(
 	reqId: string,
-	intake: Intake,
+	request: CallerRequest,
 	answer: CallerAnswer,
 ): Exchange {
 	const now = readNow()
 	return {
 		reqId,
-		intake,
-		fate: createLifecycle(intake.repeatable, isCallerKey(intake)),
+		request,
+		lifecycle: createLifecycle(request.repeatable, hasCallerKey(request)),
 		answer,
 		startedAt: now,
-		deadlineAt: readElapsed() + intake.deadlineMs,
+		deadlineAt: readElapsed() + request.deadlineMs,
 		row: -1,
-		counted: false,
+		isCounted: false,
 		peer: undefined,
 		incarnation: '',
 		handle: undefined,
-		heardAt: now,
+		lastFrameAt: now,
 		frame: undefined,
 		detail: '',
 	}
 }
 
-/** Names the open try to its agent. */
-export function refOf(exchange: Exchange): AttemptRef {
+/** Returns the reference by which the agent knows the current attempt. */
+export function attemptRefOf(exchange: Exchange): AttemptRef {
 	return {
 		reqId: exchange.reqId,
-		attempt: exchange.fate.attempt,
+		attempt: exchange.lifecycle.attempt,
 		incarnation: exchange.incarnation,
 	}
 }
 
-/** Whether the caller may have used its key before. */
-export function isCallerKey(intake: Intake): boolean {
-	return intake.key !== undefined && !intake.key.fresh
+/** Whether the request has a key that its caller may have used before. */
+export function hasCallerKey(request: CallerRequest): boolean {
+	return request.key !== undefined && !request.key.fresh
 }
--- a/packages/entry/src/io/exchange.ts
+++ b/packages/entry/src/io/exchange.ts
@@ -1,4 +1,4 @@
-/** Carries out the entry's decisions on one request, from admission to answer. */
+/** Serves one request from admission to answer: applies the effects of its lifecycle. */
 
 import type {
 	ErrorKind,
@@ -29,32 +29,32 @@
 import {
 	endAnswer,
 	failAnswer,
-	isTold,
+	isAnswerStarted,
 	resetAnswer,
-	takeChunk,
-	takeHead,
+	setHead,
+	writeChunk,
 } from './caller.ts'
 import type { EntryContext, Exchange } from './entryContext.ts'
-import { refOf } from './entryContext.ts'
-import { createSink } from './exchangeSink.ts'
-import { noteAnswered, quarantinedForMs } from './quarantine.ts'
+import { attemptRefOf } from './entryContext.ts'
+import { createAttemptSink } from './exchangeSink.ts'
+import { quarantinedForMs, recordAnswered } from './quarantine.ts'
 import {
 	candidateRows,
-	createQuery,
+	createRouteQuery,
+	ensureLinkToRow,
 	mayWaitAt,
-	wakeOnly,
 } from './routeQuery.ts'
 import { peerOfRow } from './servers.ts'
 import { endRequest } from './teamLimits.ts'
 
-/** Pause before the same server is tried again, ms; doubled each time. */
-const SAME_SERVER_MS = 50
-/** Time for a first link to a key's home, ms. */
-const WAKE_MS = 200
-const MS = 1_000
+/** Backoff before another attempt at the same server, ms; doubled each time. */
+const SAME_SERVER_BACKOFF_MS = 50
+/** Time to wait for the first link to a key home, ms. */
+const FIRST_LINK_WAIT_MS = 200
+const MS_PER_SECOND = 1_000
 const log = createLog('entry:request')
 
-/** Begins to serve a request that was admitted. */
+/** Starts serving an admitted request. */
 export function startExchange(ctx: EntryContext, exchange: Exchange): void {
 	const { res } = exchange.answer
 	ctx.exchanges.add(exchange)
@@ -67,50 +67,54 @@
 	route(ctx, exchange, undefined)
 }
 
-/** Lets an event happen to a request and carries out what follows. */
+/** Applies an event to a request's lifecycle, and the effects that result. */
 export function stepExchange(
 	ctx: EntryContext,
 	exchange: Exchange,
 	event: LifecycleEvent,
 ): void {
-	exchange.fate.answerStarted = isTold(exchange.answer)
-	const effects = stepLifecycle(exchange.fate, event, mayRetry(ctx.retries))
+	exchange.lifecycle.answerStarted = isAnswerStarted(exchange.answer)
+	const effects = stepLifecycle(
+		exchange.lifecycle,
+		event,
+		mayRetry(ctx.retries),
+	)
 	try {
-		for (const effect of effects) carryOut(ctx, exchange, effect)
+		for (const effect of effects) applyEffect(ctx, exchange, effect)
 	} catch (err) {
-		abandonFaulty(ctx, exchange, err)
+		failInternally(ctx, exchange, err)
 	}
 }
 
-/** A fault of our own costs this request alone, not the process. */
-function abandonFaulty(
+/** Fails a request after an internal fault, so that the fault does not end the process. */
+function failInternally(
 	ctx: EntryContext,
 	exchange: Exchange,
 	err: unknown,
 ): void {
-	const { reqId, intake, fate, answer } = exchange
+	const { reqId, request, lifecycle, answer } = exchange
 	log({ msg: 'fault', reqId, kind: 'internal', detail: messageOf(err) })
 	ctx.metrics.refusals.inc({ kind: 'internal' })
 	if (ctx.exchanges.delete(exchange)) {
-		endRequest(ctx, intake)
-		endTry(ctx, exchange, false)
+		endRequest(ctx, request)
+		endAttempt(ctx, exchange, false)
 	}
-	fate.state = { at: 'settled', outcome: unknown('internal') }
+	lifecycle.state = { at: 'settled', outcome: unknown('internal') }
 	answer.res.destroy()
 }
 
-function carryOut(
+function applyEffect(
 	ctx: EntryContext,
 	exchange: Exchange,
 	effect: LifecycleEffect,
 ): void {
 	switch (effect.do) {
 		case 'route':
-			endTry(ctx, exchange, false)
+			endAttempt(ctx, exchange, false)
 			retry(ctx, exchange, effect.why ?? 'internal')
 			break
 		case 'sendVoid':
-			void askVoid(ctx, exchange, effect.attempt)
+			void requestVoid(ctx, exchange, effect.attempt)
 			break
 		case 'resume':
 			void resume(ctx, exchange, effect.attempt, effect.from)
@@ -119,7 +123,7 @@
 			forward(exchange)
 			break
 		case 'cancel':
-			if (exchange.peer) sendCancel(exchange.peer, refOf(exchange))
+			if (exchange.peer) sendCancel(exchange.peer, attemptRefOf(exchange))
 			break
 		case 'drop':
 			ctx.metrics.dropped.inc()
@@ -137,11 +141,12 @@
 	ctx.metrics.retries.inc({ kind: why })
 	resetAnswer(exchange.answer)
 	const avoid = exchange.row
-	const pause = SAME_SERVER_MS * 2 ** (exchange.fate.attempt - 1)
-	const again = () => route(ctx, exchange, avoid)
-	const others = candidateRows(ctx, exchange).length > 1
-	if (others) again()
-	else setTimeout(again, pause)
+	const backoffMs =
+		SAME_SERVER_BACKOFF_MS * 2 ** (exchange.lifecycle.attempt - 1)
+	const routeAgain = () => route(ctx, exchange, avoid)
+	const hasOthers = candidateRows(ctx, exchange).length > 1
+	if (hasOthers) routeAgain()
+	else setTimeout(routeAgain, backoffMs)
 }
 
 function route(
@@ -149,14 +154,14 @@
 	exchange: Exchange,
 	avoid: number | undefined,
 ): void {
-	if (exchange.fate.state.at !== 'routing') return
-	if (quarantinedForMs(ctx, exchange.intake) > 0) {
+	if (exchange.lifecycle.state.at !== 'routing') return
+	if (quarantinedForMs(ctx, exchange.request) > 0) {
 		stepExchange(ctx, exchange, { type: 'noRoute', kind: 'quarantined' })
 		return
 	}
-	const query = createQuery(ctx, exchange, avoid ?? -1)
-	if (query.rows.length === 1 && wakeOnly(ctx, query.rows[0]!)) {
-		setTimeout(() => route(ctx, exchange, avoid), WAKE_MS)
+	const query = createRouteQuery(ctx, exchange, avoid ?? -1)
+	if (query.rows.length === 1 && ensureLinkToRow(ctx, query.rows[0]!)) {
+		setTimeout(() => route(ctx, exchange, avoid), FIRST_LINK_WAIT_MS)
 		return
 	}
 	const now = readNow()
@@ -170,37 +175,37 @@
 
 function offer(ctx: EntryContext, exchange: Exchange, row: number): void {
 	const peer = peerOfRow(ctx.servers, row)
-	const { intake } = exchange
+	const { request } = exchange
 	exchange.row = row
 	exchange.peer = peer
 	exchange.incarnation = peer.incarnation
-	exchange.heardAt = readNow()
+	exchange.lastFrameAt = readNow()
 	stepExchange(ctx, exchange, { type: 'routed' })
 	recordSent(ctx.servers.table, row, 1)
-	exchange.counted = true
-	const left = exchange.deadlineAt - readElapsed()
+	exchange.isCounted = true
+	const remainingMs = exchange.deadlineAt - readElapsed()
 	const meta: OfferMeta = {
-		...refOf(exchange),
-		team: intake.teamName,
-		weight: intake.team.weight,
-		priority: intake.priority,
-		startBudgetMs: Math.max(0, Math.min(intake.startBudgetMs, left)),
+		...attemptRefOf(exchange),
+		team: request.teamName,
+		weight: request.team.weight,
+		priority: request.priority,
+		startBudgetMs: Math.max(0, Math.min(request.startBudgetMs, remainingMs)),
 		mayWait: mayWaitAt(ctx, exchange, row),
-		method: intake.method,
-		path: intake.path,
-		headers: intake.headers,
-		...(intake.target.kind === 'service' && {
-			service: intake.target.service,
+		method: request.method,
+		path: request.path,
+		headers: request.headers,
+		...(request.target.kind === 'service' && {
+			service: request.target.service,
 		}),
-		...(intake.key && {
-			key: intake.key.value,
-			freshKey: intake.key.fresh,
+		...(request.key && {
+			key: request.key.value,
+			freshKey: request.key.fresh,
 		}),
 	}
-	const sink = createSink(ctx, exchange, event =>
+	const sink = createAttemptSink(ctx, exchange, event =>
 		stepExchange(ctx, exchange, event),
 	)
-	exchange.handle = offerAttempt(peer.address, meta, intake.body, sink)
+	exchange.handle = offerAttempt(peer.address, meta, request.body, sink)
 }
 
 async function resume(
@@ -209,23 +214,24 @@
 	attempt: number,
 	from: number,
 ): Promise<void> {
-	const { peer, fate } = exchange
+	const { peer, lifecycle } = exchange
 	exchange.handle?.abandon()
 	if (!peer) return
-	const failures = fate.resumes
+	const resumes = lifecycle.resumes
 	ctx.metrics.resumes.inc()
-	const pause = failures > 1 ? SAME_SERVER_MS * 2 ** failures : 0
-	if (pause > 0) await new Promise(resolve => setTimeout(resolve, pause))
-	if (fate.state.at === 'settled' || fate.attempt !== attempt) return
-	exchange.heardAt = readNow()
-	const meta = { ...refOf(exchange), from }
-	const sink = createSink(ctx, exchange, event =>
+	const backoffMs = resumes > 1 ? SAME_SERVER_BACKOFF_MS * 2 ** resumes : 0
+	if (backoffMs > 0)
+		await new Promise(resolve => setTimeout(resolve, backoffMs))
+	if (lifecycle.state.at === 'settled' || lifecycle.attempt !== attempt) return
+	exchange.lastFrameAt = readNow()
+	const meta = { ...attemptRefOf(exchange), from }
+	const sink = createAttemptSink(ctx, exchange, event =>
 		stepExchange(ctx, exchange, event),
 	)
 	exchange.handle = resumeAttempt(peer.address, meta, sink)
 }
 
-async function askVoid(
+async function requestVoid(
 	ctx: EntryContext,
 	exchange: Exchange,
 	attempt: number,
@@ -234,28 +240,28 @@
 	if (!peer) return
 	exchange.handle?.abandon()
 	recordResult(ctx.servers.table, exchange.row, false, readNow())
-	const answer = await sendVoid(peer, { ...refOf(exchange), attempt })
+	const answer = await sendVoid(peer, { ...attemptRefOf(exchange), attempt })
 	stepExchange(ctx, exchange, { type: 'voidAnswer', attempt, answer })
 }
 
 function forward(exchange: Exchange): void {
 	const { frame, answer } = exchange
-	if (frame?.t === 'head') takeHead(answer, frame.status, frame.headers)
+	if (frame?.t === 'head') setHead(answer, frame.status, frame.headers)
 	if (frame?.t !== 'chunk') return
-	if (!takeChunk(answer, frame.data)) exchange.handle?.pause()
+	if (!writeChunk(answer, frame.data)) exchange.handle?.pause()
 }
 
 function settle(ctx: EntryContext, exchange: Exchange, outcome: Outcome): void {
-	const { intake, answer, reqId } = exchange
+	const { request, answer, reqId } = exchange
 	ctx.exchanges.delete(exchange)
-	endTry(ctx, exchange, outcome.outcome === 'answered')
-	endRequest(ctx, intake)
+	endAttempt(ctx, exchange, outcome.outcome === 'answered')
+	endRequest(ctx, request)
 	ctx.metrics.outcomes.inc({ outcome: outcome.outcome })
-	ctx.metrics.latency.observe((readNow() - exchange.startedAt) / MS)
-	const team = intake.teamName
+	ctx.metrics.latency.observe((readNow() - exchange.startedAt) / MS_PER_SECOND)
+	const team = request.teamName
 	switch (outcome.outcome) {
 		case 'answered':
-			noteAnswered(ctx, intake)
+			recordAnswered(ctx, request)
 			endAnswer(answer)
 			log({ msg: 'answered', reqId, team })
 			break
@@ -270,17 +276,21 @@
 	}
 }
 
-function endTry(ctx: EntryContext, exchange: Exchange, good: boolean): void {
+function endAttempt(
+	ctx: EntryContext,
+	exchange: Exchange,
+	isAnswered: boolean,
+): void {
 	const { servers } = ctx
 	exchange.handle?.abandon()
 	exchange.handle = undefined
 	const name = exchange.peer?.server
 	const row = name === undefined ? undefined : servers.table.rowOf.get(name)
 	if (row === undefined || name === undefined) return
-	if (exchange.counted) recordSent(servers.table, row, -1)
-	exchange.counted = false
-	if (!good) return
+	if (exchange.isCounted) recordSent(servers.table, row, -1)
+	exchange.isCounted = false
+	if (!isAnswered) return
 	recordResult(servers.table, row, true, readNow())
-	const { prefix } = exchange.intake
+	const { prefix } = exchange.request
 	if (prefix !== undefined) recordPrefix(ctx.affinity, prefix, name, readNow())
 }
--- a/packages/entry/src/io/exchangeSilence.ts
+++ b/packages/entry/src/io/exchangeSilence.ts
@@ -1,17 +1,17 @@
-/** Requests whose time is over, and agents that have gone silent. */
+/** Time-outs of requests in flight: deadlines, and agents that send no frames. */
 
 import { recordResult } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { EntryContext, Exchange } from './entryContext.ts'
 import { stepExchange } from './exchange.ts'
 
-/** An agent must say that it has an offer within this time, ms. */
-const SILENT_MS = 1_500
-/** An open answer without a frame for so long has lost its link, ms. */
-const STALL_MS = 4_000
-const CHECK_MS = 250
+/** Time within which an agent must acknowledge an offer, ms. */
+const OFFER_TIMEOUT_MS = 1_500
+/** Time without a frame after which the link of an answer counts as lost, ms. */
+const STALL_TIMEOUT_MS = 4_000
+const CHECK_INTERVAL_MS = 250
 
-/** Runs time-outs over all open requests. */
+/** Checks the time-outs of all requests in flight. */
 export function tickExchanges(ctx: EntryContext): void {
 	const now = readNow()
 	const elapsed = readElapsed()
@@ -20,29 +20,33 @@
 			stepExchange(ctx, exchange, { type: 'deadline' })
 			continue
 		}
-		checkSilence(ctx, exchange, now)
+		checkFrameTimeout(ctx, exchange, now)
 	}
 }
 
-/** How often {@link tickExchanges} is to be called, ms. */
-export const EXCHANGE_TICK_MS = CHECK_MS
+/** Interval between calls of {@link tickExchanges}, ms. */
+export const EXCHANGE_TICK_INTERVAL_MS = CHECK_INTERVAL_MS
 
-function checkSilence(
+function checkFrameTimeout(
 	ctx: EntryContext,
 	exchange: Exchange,
 	now: number,
 ): void {
-	const { fate } = exchange
-	const quiet = now - exchange.heardAt
-	const { attempt } = fate
-	switch (fate.state.at) {
+	const { lifecycle } = exchange
+	const silentForMs = now - exchange.lastFrameAt
+	const { attempt } = lifecycle
+	switch (lifecycle.state.at) {
 		case 'offered':
-			if (quiet > SILENT_MS)
+			if (silentForMs > OFFER_TIMEOUT_MS)
 				stepExchange(ctx, exchange, { type: 'silent', attempt })
 			break
 		case 'answering':
-			if (quiet <= STALL_MS || exchange.answer.res.writableNeedDrain) break
-			exchange.heardAt = now
+			if (
+				silentForMs <= STALL_TIMEOUT_MS ||
+				exchange.answer.res.writableNeedDrain
+			)
+				break
+			exchange.lastFrameAt = now
 			exchange.handle?.abandon()
 			recordResult(ctx.servers.table, exchange.row, false, now)
 			stepExchange(ctx, exchange, { type: 'linkLost', attempt })
@@ -52,6 +56,6 @@
 		case 'settled':
 			break
 		default:
-			fate.state satisfies never
+			lifecycle.state satisfies never
 	}
 }
--- a/packages/entry/src/io/exchangeSink.ts
+++ b/packages/entry/src/io/exchangeSink.ts
@@ -1,4 +1,4 @@
-/** What comes of a try, as events of its exchange and marks of its server. */
+/** Turns an attempt's frames into lifecycle events, and records its server's results. */
 
 import type { LifecycleEvent } from '@juniperhook/core'
 import { recordResult } from '@juniperhook/core'
@@ -6,47 +6,47 @@
 import { readNow } from '@juniperhook/runtime'
 import type { AttemptSink } from './attempt.ts'
 import type { EntryContext, Exchange } from './entryContext.ts'
-import { noteLoad, peerOfRow } from './servers.ts'
+import { peerOfRow, recordLoad } from './servers.ts'
 
-/** Makes the sink of the try under way; `take` gets each event of it. */
-export function createSink(
+/** Creates the sink of the current attempt; `onEvent` is called with each event. */
+export function createAttemptSink(
 	ctx: EntryContext,
 	exchange: Exchange,
-	take: (event: LifecycleEvent) => void,
+	onEvent: (event: LifecycleEvent) => void,
 ): AttemptSink {
-	const { attempt } = exchange.fate
+	const { attempt } = exchange.lifecycle
 	const { row } = exchange
 	const name = ctx.servers.table.names[row]!
 	const currentRow = () => ctx.servers.table.rowOf.get(name)
-	const noteBad = () => {
+	const recordFailure = () => {
 		const at = currentRow()
 		if (at !== undefined) recordResult(ctx.servers.table, at, false, readNow())
 	}
 	return {
 		frame(frame) {
-			exchange.heardAt = readNow()
+			exchange.lastFrameAt = readNow()
 			exchange.frame = frame
-			const event = eventOf(exchange, frame, attempt)
-			if (event) take(event)
+			const event = toLifecycleEvent(exchange, frame, attempt)
+			if (event) onEvent(event)
 		},
 		notSent() {
-			noteBad()
-			take({ type: 'notSent', attempt })
+			recordFailure()
+			onEvent({ type: 'notSent', attempt })
 		},
 		linkLost() {
-			noteBad()
-			take({ type: 'linkLost', attempt })
+			recordFailure()
+			onEvent({ type: 'linkLost', attempt })
 		},
 		load(report) {
 			const at = currentRow()
 			if (at === undefined) return
-			exchange.counted = false
-			noteLoad(ctx.servers, peerOfRow(ctx.servers, at), at, report)
+			exchange.isCounted = false
+			recordLoad(ctx.servers, peerOfRow(ctx.servers, at), at, report)
 		},
 	}
 }
 
-function eventOf(
+function toLifecycleEvent(
 	exchange: Exchange,
 	frame: AnswerFrame,
 	attempt: number,
--- a/packages/entry/src/io/intake.ts
+++ b/packages/entry/src/io/intake.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request: who asks, for what, how, and what it may cost. */
+/** Reads and validates callers' requests: team, target, body, priority and deadline. */
 
 import { createHash, randomBytes } from 'node:crypto'
 import type { IncomingMessage } from 'node:http'
@@ -7,25 +7,25 @@
 import { fail, readBody, splitHopHeaders } from '@juniperhook/runtime'
 import * as v from 'valibot'
 
-/** Largest body taken from a caller, in bytes. */
+/** Maximum size of a request body, bytes. */
 export const MAX_BODY_BYTES = 10_485_760
-/** Priority of a model's request when the caller names none. */
-const MODEL_PRIORITY = 6
-const MODEL_DEADLINE_MS = 600_000
-const MODEL_START_MS = 30_000
-const DEFAULT_TOKENS = 256
+/** Priority of a request to a model without a priority header. */
+const DEFAULT_MODEL_PRIORITY = 6
+const MAX_MODEL_DEADLINE_MS = 600_000
+const MODEL_START_BUDGET_MS = 30_000
+const DEFAULT_COMPLETION_TOKENS = 256
 const CHARS_PER_TOKEN = 4
 const KEY_BYTES = 16
-const MS = 1_000
+const MS_PER_SECOND = 1_000
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
 const PRIORITY_HEADER = 'x-priority'
 const REPEATABLE_HEADER = 'x-repeatable'
 const DEADLINE_HEADER = 'x-deadline-ms'
-/** Names a request that may not be repeated. */
+/** Request header with the key of a request that may not be repeated. */
 export const KEY_HEADER = 'idempotency-key'
 
-/** Headers that stay at the entry. */
-const OWN_HEADERS = new Set([
+/** Request headers that are not forwarded to the backend server. */
+const ENTRY_HEADERS = new Set([
 	'authorization',
 	KEY_HEADER,
 	PRIORITY_HEADER,
@@ -33,7 +33,7 @@
 	DEADLINE_HEADER,
 ])
 
-/** What is asked for. */
+/** Model or service that a request is addressed to. */
 export type Target =
 	| { readonly kind: 'model'; readonly model: string }
 	| { readonly kind: 'service'; readonly service: string }
@@ -41,12 +41,12 @@
 /** The key of a request that may not be repeated. */
 export interface RequestKey {
 	readonly value: string
-	/** Made here, just now: no one can have offered it before. */
+	/** Whether this entry has just created it, so that no earlier request can have used it. */
 	readonly fresh: boolean
 }
 
 /** A request that has been read and checked. */
-export interface Intake {
+export interface CallerRequest {
 	readonly teamName: string
 	readonly team: TeamConfig
 	readonly target: Target
@@ -56,18 +56,18 @@
 	readonly headers: Record<string, string>
 	readonly body: Buffer
 	readonly repeatable: boolean
-	/** For a service's request that may not be repeated. */
+	/** Only for a request to a service that may not be repeated. */
 	readonly key: RequestKey | undefined
 	readonly priority: number
 	readonly deadlineMs: number
 	readonly startBudgetMs: number
-	/** Tokens that it is expected to cost; 0 for a service. */
+	/** Expected token cost; 0 for a service. */
 	readonly tokens: number
 	/** Hash of the prompt's prefix; `undefined` for a service. */
 	readonly prefix: number | undefined
 }
 
-/** Teams by the digest of their keys. */
+/** Team names by digest of their API keys. */
 export type TeamIndex = ReadonlyMap<string, string>
 
 const TextPartSchema = v.looseObject({ text: v.optional(v.string()) })
@@ -94,7 +94,7 @@
 	prompt: v.union([v.string(), v.array(v.union([v.string(), v.number()]))]),
 })
 
-/** Makes the index of a configuration. */
+/** Creates the team index of a configuration. */
 export function indexTeams(config: Config): TeamIndex {
 	const index = new Map<string, string>()
 	for (const [name, team] of Object.entries(config.team))
@@ -102,60 +102,60 @@
 	return index
 }
 
-/** Reads a request to a model. */
+/** Reads a request to a model; throws if it is invalid. */
 export async function readModelRequest(
 	req: IncomingMessage,
 	config: Config,
 	teams: TeamIndex,
-): Promise<Intake> {
-	const who = authenticate(req, config, teams)
+): Promise<CallerRequest> {
+	const caller = authenticate(req, config, teams)
 	if (req.method !== 'POST') fail('wrongMethod', 'Use POST.')
 	const path = pathOf(req)
-	const body = await readWhole(req)
-	const asked = parseModelBody(path, body)
-	if (!Object.hasOwn(config.model, asked.model))
-		fail('unknownModel', asked.model)
-	const prompt = readPrompt(asked)
-	const most = asked.max_completion_tokens ?? asked.max_tokens
-	const given = Math.ceil(prompt.length / CHARS_PER_TOKEN)
-	const deadlineMs = readDeadline(req, MODEL_DEADLINE_MS)
+	const body = await readFullBody(req)
+	const parsed = parseModelBody(path, body)
+	if (!Object.hasOwn(config.model, parsed.model))
+		fail('unknownModel', parsed.model)
+	const prompt = readPrompt(parsed)
+	const completionTokens = parsed.max_completion_tokens ?? parsed.max_tokens
+	const promptTokens = Math.ceil(prompt.length / CHARS_PER_TOKEN)
+	const deadlineMs = readDeadline(req, MAX_MODEL_DEADLINE_MS)
 	return {
-		...who,
-		target: { kind: 'model', model: asked.model },
+		...caller,
+		target: { kind: 'model', model: parsed.model },
 		method: 'POST',
 		path,
 		headers: forwardHeaders(req),
 		body,
 		repeatable: req.headers[REPEATABLE_HEADER] !== 'no',
 		key: undefined,
-		priority: readPriority(req, who.team, MODEL_PRIORITY),
+		priority: readPriority(req, caller.team, DEFAULT_MODEL_PRIORITY),
 		deadlineMs,
-		startBudgetMs: Math.min(deadlineMs, MODEL_START_MS),
-		tokens: given + (most ?? DEFAULT_TOKENS),
+		startBudgetMs: Math.min(deadlineMs, MODEL_START_BUDGET_MS),
+		tokens: promptTokens + (completionTokens ?? DEFAULT_COMPLETION_TOKENS),
 		prefix: hashPrefix(prompt),
 	}
 }
 
-/** Reads a request to a plain service. */
+/** Reads a request to a plain service; throws if it is invalid. */
 export async function readServiceRequest(
 	req: IncomingMessage,
 	config: Config,
 	teams: TeamIndex,
-): Promise<Intake> {
-	const who = authenticate(req, config, teams)
+): Promise<CallerRequest> {
+	const caller = authenticate(req, config, teams)
 	const url = req.url ?? ''
 	const [, , service = '', ...rest] = url.split('?', 1)[0]!.split('/')
-	const found = Object.hasOwn(config.service, service)
-	if (!found) fail('unknownService', service)
+	const isKnown = Object.hasOwn(config.service, service)
+	if (!isKnown) fail('unknownService', service)
 	const settings = config.service[service]!
 	const method = req.method ?? 'GET'
-	const repeatable = mayRepeat(req, settings.repeat, method)
+	const repeatable = isRepeatable(req, settings.repeat, method)
 	const key = repeatable ? undefined : readKey(req)
-	const deadlineMs = readDeadline(req, settings.deadlineSeconds * MS)
-	const body = await readWhole(req)
+	const deadlineMs = readDeadline(req, settings.deadlineSeconds * MS_PER_SECOND)
+	const body = await readFullBody(req)
 	const query = url.includes('?') ? url.slice(url.indexOf('?')) : ''
 	return {
-		...who,
+		...caller,
 		target: { kind: 'service', service },
 		method,
 		path: `/${rest.join('/')}${query}`,
@@ -163,7 +163,7 @@
 		body,
 		repeatable,
 		key,
-		priority: readPriority(req, who.team, settings.priority),
+		priority: readPriority(req, caller.team, settings.priority),
 		deadlineMs,
 		startBudgetMs: deadlineMs,
 		tokens: 0,
@@ -186,7 +186,7 @@
 	return { teamName, team }
 }
 
-async function readWhole(req: IncomingMessage): Promise<Buffer> {
+async function readFullBody(req: IncomingMessage): Promise<Buffer> {
 	const length = Number(req.headers['content-length'] ?? 0)
 	if (length > MAX_BODY_BYTES)
 		fail('tooLarge', `At most ${MAX_BODY_BYTES} bytes.`)
@@ -210,11 +210,11 @@
 }
 
 function readPrompt(
-	asked: v.InferOutput<typeof ChatSchema | typeof CompletionSchema>,
+	parsed: v.InferOutput<typeof ChatSchema | typeof CompletionSchema>,
 ): string {
-	if ('messages' in asked && Array.isArray(asked.messages))
-		return asked.messages.map(readMessage).join('\n')
-	const { prompt } = asked
+	if ('messages' in parsed && Array.isArray(parsed.messages))
+		return parsed.messages.map(readMessage).join('\n')
+	const { prompt } = parsed
 	return Array.isArray(prompt) ? prompt.join(' ') : String(prompt)
 }
 
@@ -224,8 +224,8 @@
 	return content?.map(part => part.text ?? '').join('') ?? ''
 }
 
-/** The caller's mark may narrow what the configuration allows, never widen. */
-function mayRepeat(
+/** Whether a request may be repeated; the header can only restrict the configuration. */
+function isRepeatable(
 	req: IncomingMessage,
 	repeat: 'always' | 'safe' | 'never',
 	method: string,
@@ -243,7 +243,7 @@
 	}
 }
 
-/** The caller's key, or a new one that the caller is told. */
+/** Returns the caller's key, or a new one, which the response header returns. */
 function readKey(req: IncomingMessage): RequestKey {
 	const given = req.headers[KEY_HEADER]
 	if (given === undefined)
@@ -256,21 +256,21 @@
 function readPriority(
 	req: IncomingMessage,
 	team: TeamConfig,
-	usual: number,
+	defaultPriority: number,
 ): number {
 	const given = req.headers[PRIORITY_HEADER]
-	const asked = given === undefined ? usual : Number(given)
-	if (!Number.isInteger(asked) || asked < 0 || asked > 9)
+	const priority = given === undefined ? defaultPriority : Number(given)
+	if (!Number.isInteger(priority) || priority < 0 || priority > 9)
 		fail('badRequest', `${PRIORITY_HEADER}: a whole number from 0 to 9.`)
-	return Math.max(asked, team.bestPriority)
+	return Math.max(priority, team.bestPriority)
 }
 
-function readDeadline(req: IncomingMessage, usual: number): number {
+function readDeadline(req: IncomingMessage, maxDeadlineMs: number): number {
 	const given = req.headers[DEADLINE_HEADER]
-	if (given === undefined) return usual
-	const asked = Number(given)
-	if (!(asked > 0)) fail('badRequest', `${DEADLINE_HEADER}: milliseconds.`)
-	return Math.min(asked, usual)
+	if (given === undefined) return maxDeadlineMs
+	const deadlineMs = Number(given)
+	if (!(deadlineMs > 0)) fail('badRequest', `${DEADLINE_HEADER}: milliseconds.`)
+	return Math.min(deadlineMs, maxDeadlineMs)
 }
 
 function pathOf(req: IncomingMessage): string {
@@ -280,7 +280,7 @@
 function forwardHeaders(req: IncomingMessage): Record<string, string> {
 	const headers: Record<string, string> = {}
 	for (const [name, value] of Object.entries(splitHopHeaders(req.headers))) {
-		if (OWN_HEADERS.has(name)) continue
+		if (ENTRY_HEADERS.has(name)) continue
 		headers[name] = Array.isArray(value) ? value.join(', ') : value
 	}
 	return headers
--- a/packages/entry/src/io/otherEntries.ts
+++ b/packages/entry/src/io/otherEntries.ts
@@ -1,10 +1,10 @@
-/** Messages to other entries. */
+/** Notifications to other entries. */
 
 import { notify, openMemberLink } from '@juniperhook/runtime'
 import type { EntryContext } from './entryContext.ts'
 
-/** Tells another entry something; one that cannot be reached does not hear it. */
-export async function tellEntry(
+/** Sends a notification to another entry; it is lost if the entry cannot be reached. */
+export async function notifyEntry(
 	ctx: EntryContext,
 	name: string,
 	method: string,
@@ -14,6 +14,6 @@
 		const link = await openMemberLink(ctx.follower(), name)
 		if (link) notify(link, method, params)
 	} catch {
-		// Whoever needs it asks, or is told again.
+		// Lost messages are repaired: receivers pull evidence, reports are repeated.
 	}
 }
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that end backend servers from all of them: agents tell which requests a
- * server ran when it ended, entries tell each other.
+ * Quarantines poison requests, which crash the backend servers that run them. Agents
+ * report which requests were in flight at a crash; entries exchange this evidence.
  */
 
 import type { CrashEvidence, Quarantine } from '@juniperhook/core'
@@ -24,120 +24,134 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { EntryContext } from './entryContext.ts'
-import type { Intake } from './intake.ts'
-import { tellEntry } from './otherEntries.ts'
+import type { CallerRequest } from './intake.ts'
+import { notifyEntry } from './otherEntries.ts'
 
 /**
- * For which each entry has the turn to try a request again, ms: longer than a server takes
- * to end under it, and than the news of that take.
+ * Time between the entries' turns to retry a quarantined request, ms: longer than a server
+ * takes to crash and the evidence to reach all entries.
  */
-const TURN_MS = 10_000
-/** All turns together last as long as a request is first kept from servers. */
+const RETRY_TURN_MS = 10_000
+/** Maximum turns: together they last as long as the first quarantine of a request. */
 const MAX_TURNS = 60
-/** Others that an entry asks when it starts. */
-const ASKED = 3
+/** Maximum number of entries from which evidence is pulled at the start. */
+const MAX_PULLED_PEERS = 3
 const log = createLog('entry:quarantine')
 
-/** What an entry knows of requests under which backend servers ended. */
-export interface QuarantineBook {
+/** Evidence against requests under which backend servers crashed. */
+export interface QuarantineGate {
 	readonly quarantine: Quarantine
-	/** Lengths of their bodies: no other request needs a fingerprint. */
-	lengths: ReadonlySet<number>
-	/** Whether others have been asked since this process started. */
-	hasAsked: boolean
+	/** Body lengths of suspected requests; others need not be fingerprinted. */
+	bodyLengths: ReadonlySet<number>
+	/** Whether evidence has been pulled since this process started. */
+	hasPulled: boolean
 }
 
-/** Makes a book that knows of no end. */
-export function createQuarantineBook(): QuarantineBook {
+/** Creates a gate without evidence. */
+export function createQuarantineGate(): QuarantineGate {
 	return {
 		quarantine: createQuarantine(),
-		lengths: new Set(),
-		hasAsked: false,
+		bodyLengths: new Set(),
+		hasPulled: false,
 	}
 }
 
-/** For how long a request is sent to no server, ms; 0 if it is sent. */
-export function quarantinedForMs(ctx: EntryContext, intake: Intake): number {
-	const { quarantine, lengths } = ctx.quarantined
-	if (!lengths.has(intake.body.length)) return 0
-	const fingerprint = fingerprintOf(intake)
-	const order = topByRendezvous(fingerprint, ctx.keepers.names, MAX_TURNS)
+/** Returns how long a request stays quarantined, ms; 0 if it is not. */
+export function quarantinedForMs(
+	ctx: EntryContext,
+	request: CallerRequest,
+): number {
+	const { quarantine, bodyLengths } = ctx.quarantineGate
+	if (!bodyLengths.has(request.body.length)) return 0
+	const fingerprint = fingerprintOf(request)
+	const order = topByRendezvous(fingerprint, ctx.liveEntries.names, MAX_TURNS)
 	const turn = order.indexOf(ctx.name)
-	const turnMs = (turn < 0 ? order.length : turn) * TURN_MS
+	const turnMs = (turn < 0 ? order.length : turn) * RETRY_TURN_MS
 	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
-/** Notes that a request was answered whole: it is not what ended servers. */
-export function noteAnswered(ctx: EntryContext, intake: Intake): void {
-	const { quarantine, lengths } = ctx.quarantined
-	if (!lengths.has(intake.body.length)) return
-	const fingerprint = fingerprintOf(intake)
+/** Records that a request was answered completely, which clears it of suspicion. */
+export function recordAnswered(
+	ctx: EntryContext,
+	request: CallerRequest,
+): void {
+	const { quarantine, bodyLengths } = ctx.quarantineGate
+	if (!bodyLengths.has(request.body.length)) return
+	const fingerprint = fingerprintOf(request)
 	if (!quarantine.suspects.has(fingerprint)) return
 	const served = [{ fingerprint, at: readElapsed() }]
-	takeNews(ctx, { ends: [], served }, 'here')
+	mergeEvidence(ctx, { ends: [], served }, 'here')
 }
 
-/** What agents and other entries may call. */
+/** Creates the methods that agents and other entries may call. */
 export function createQuarantineMethods(find: () => EntryContext): Methods {
 	return {
 		serverEnd(params: unknown): void {
 			const end = v.parse(ServerEndSchema, params)
-			takeNews(find(), fromNotice({ ends: [end], served: [] }), 'agent')
+			mergeEvidence(find(), fromNotice({ ends: [end], served: [] }), 'agent')
 		},
 		endNews(params: unknown): void {
-			takeNews(find(), fromNotice(v.parse(EndNewsSchema, params)), 'entry')
+			mergeEvidence(find(), fromNotice(v.parse(EndNewsSchema, params)), 'entry')
 		},
 		listEnds: (): EndNewsNotice =>
-			toNotice(listCrashEvidence(find().quarantined.quarantine)),
+			toNotice(listCrashEvidence(find().quarantineGate.quarantine)),
 	}
 }
 
-/** Asks others what they know, once there are any. */
-export function askForEnds(ctx: EntryContext): void {
-	const others = ctx.keepers.names.filter(name => name !== ctx.name)
-	if (ctx.quarantined.hasAsked || others.length === 0) return
-	ctx.quarantined.hasAsked = true
-	for (const name of topByRendezvous(ctx.name, others, ASKED))
-		void askOne(ctx, name)
+/** Pulls evidence from other entries, once, when the first of them is known. */
+export function pullEvidence(ctx: EntryContext): void {
+	const others = ctx.liveEntries.names.filter(name => name !== ctx.name)
+	if (ctx.quarantineGate.hasPulled || others.length === 0) return
+	ctx.quarantineGate.hasPulled = true
+	for (const name of topByRendezvous(ctx.name, others, MAX_PULLED_PEERS))
+		void pullEvidenceFrom(ctx, name)
 }
 
-async function askOne(ctx: EntryContext, name: string): Promise<void> {
+async function pullEvidenceFrom(
+	ctx: EntryContext,
+	name: string,
+): Promise<void> {
 	try {
 		const link = await openMemberLink(ctx.follower(), name)
 		if (!link) return
 		const reply = v.parse(EndNewsSchema, await call(link, 'listEnds', {}))
-		takeNews(ctx, fromNotice(reply), 'entry')
+		mergeEvidence(ctx, fromNotice(reply), 'entry')
 	} catch {
-		// Others are asked as well.
+		// Evidence is pulled from other entries as well.
 	}
 }
 
-/** Who hears it from an agent, or has seen it, tells all others. */
-function takeNews(
+/** Merges evidence; what is new and not from another entry is sent to all others. */
+function mergeEvidence(
 	ctx: EntryContext,
-	news: CrashEvidence,
+	evidence: CrashEvidence,
 	from: 'here' | 'agent' | 'entry',
 ): void {
-	const { quarantined } = ctx
-	const { quarantine } = quarantined
+	const { quarantineGate } = ctx
+	const { quarantine } = quarantineGate
 	const before = new Set(listQuarantined(quarantine))
-	const fresh = mergeCrashEvidence(quarantine, news, readElapsed())
-	if (fresh.ends.length + fresh.served.length === 0) return
-	quarantined.lengths = new Set(
+	const added = mergeCrashEvidence(quarantine, evidence, readElapsed())
+	if (added.ends.length + added.served.length === 0) return
+	quarantineGate.bodyLengths = new Set(
 		[...quarantine.suspects.keys()].map(bodyLengthOf),
 	)
 	for (const fingerprint of listQuarantined(quarantine))
 		if (!before.has(fingerprint))
 			log({ msg: 'request quarantined', detail: fingerprint, kind: from })
-	if (from !== 'entry') tellAll(ctx, toNotice(fresh))
+	if (from !== 'entry') notifyAll(ctx, toNotice(added))
 }
 
-function tellAll(ctx: EntryContext, notice: EndNewsNotice): void {
-	for (const name of ctx.keepers.names)
-		if (name !== ctx.name) void tellEntry(ctx, name, 'endNews', notice)
+function notifyAll(ctx: EntryContext, notice: EndNewsNotice): void {
+	for (const name of ctx.liveEntries.names)
+		if (name !== ctx.name) void notifyEntry(ctx, name, 'endNews', notice)
 }
 
-function fingerprintOf({ method, path, teamName, body }: Intake): string {
+function fingerprintOf({
+	method,
+	path,
+	teamName,
+	body,
+}: CallerRequest): string {
 	return computeFingerprint({ method, path, team: { name: teamName }, body })
 }
 
--- a/packages/entry/src/io/refusals.ts
+++ b/packages/entry/src/io/refusals.ts
@@ -1,16 +1,16 @@
-/** Refusals that an entry makes by itself, before any try. */
+/** Refusals by the entry itself, before any attempt. */
 
 import type { ErrorKind, NotRun } from '@juniperhook/core'
 import { ERRORS, notRun, unknown } from '@juniperhook/core'
 import type { CallerAnswer } from './caller.ts'
 import { failAnswer } from './caller.ts'
 import type { EntryContext } from './entryContext.ts'
-import { isCallerKey } from './entryContext.ts'
-import type { Intake } from './intake.ts'
+import { hasCallerKey } from './entryContext.ts'
+import type { CallerRequest } from './intake.ts'
 
 /**
- * Refuses a request that could not be read or taken. One that its caller should
- * send again may have run before if it carries the caller's own key.
+ * Refuses a request that could not be read or accepted. With a key of its caller, a
+ * request that may be retried may have run before; its outcome is then unknown.
  */
 export function refuseRequest(
 	ctx: EntryContext,
@@ -29,17 +29,17 @@
 	failAnswer(answer, outcome, detail)
 }
 
-/** Refuses a request that is over a limit of its team. */
+/** Refuses a request that is quarantined or exceeds a limit of its team. */
 export function refuseLimited(
 	ctx: EntryContext,
 	answer: CallerAnswer,
-	intake: Intake,
+	request: CallerRequest,
 	refusal: NotRun,
 ): void {
 	const { kind, retryAfterMs } = refusal
 	ctx.metrics.refusals.inc({ kind })
-	// An earlier try by the caller's own key may have run.
-	const outcome = isCallerKey(intake) ? unknown(kind, retryAfterMs) : refusal
+	// An earlier request with the caller's key may have run.
+	const outcome = hasCallerKey(request) ? unknown(kind, retryAfterMs) : refusal
 	ctx.metrics.outcomes.inc({ outcome: outcome.outcome })
 	failAnswer(answer, outcome)
 }
--- a/packages/entry/src/io/routeQuery.ts
+++ b/packages/entry/src/io/routeQuery.ts
@@ -1,81 +1,94 @@
-/** Which servers a request may go to, and whose cache may help it. */
+/** Candidate servers of a request, and the one that may have its prefix cached. */
 
 import type { RouteQuery } from '@juniperhook/core'
 import { findKeyHome, findPrefix, scopeKey } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import type { EntryContext, Exchange } from './entryContext.ts'
-import { findSoonest, listFree, peerOfRow, wakePeer } from './servers.ts'
+import {
+	ensureLink,
+	findFirstAvailable,
+	listAvailable,
+	peerOfRow,
+} from './servers.ts'
 
-/** The choice to be made for a try that avoids row `avoid`, or -1. */
-export function createQuery(
+/** Creates the query for an attempt that avoids row `avoid`; -1 for none. */
+export function createRouteQuery(
 	ctx: EntryContext,
 	exchange: Exchange,
 	avoid: number,
 ): RouteQuery {
 	const candidates = candidateRows(ctx, exchange)
-	const rows = listUsable(ctx, candidates)
-	const { prefix } = exchange.intake
-	const mark =
+	const rows = listPreferred(ctx, candidates)
+	const { prefix } = exchange.request
+	const cached =
 		prefix === undefined
 			? undefined
 			: findPrefix(ctx.affinity, prefix, readNow())
-	const cachedRow = mark ? (ctx.servers.table.rowOf.get(mark.server) ?? -1) : -1
-	return { rows, avoid, cachedRow, credit: mark?.credit ?? 0 }
+	const cachedRow = cached
+		? (ctx.servers.table.rowOf.get(cached.server) ?? -1)
+		: -1
+	return { rows, avoid, cachedRow, credit: cached?.credit ?? 0 }
 }
 
-/** Who takes something now; if nobody does, who is the first to: it tells when. */
-function listUsable(
+/**
+ * Returns the candidates that accept requests now. If there are none, returns the one
+ * that will first, which refuses with the earliest Retry-After.
+ */
+function listPreferred(
 	{ servers }: EntryContext,
 	candidates: readonly number[],
 ): readonly number[] {
-	const free = listFree(servers, candidates)
-	if (free.length > 0) return free
-	const soonest = findSoonest(servers, candidates)
-	return soonest === undefined ? candidates : [soonest]
+	const available = listAvailable(servers, candidates)
+	if (available.length > 0) return available
+	const first = findFirstAvailable(servers, candidates)
+	return first === undefined ? candidates : [first]
 }
 
-/** Whether a request may wait at a server that takes nothing for now. */
+/** Whether a request may wait at server `row` if it is unavailable: no other is available. */
 export function mayWaitAt(
 	ctx: EntryContext,
 	exchange: Exchange,
 	row: number,
 ): boolean {
-	const free = listFree(ctx.servers, candidateRows(ctx, exchange))
-	return free.every(one => one === row)
+	const available = listAvailable(ctx.servers, candidateRows(ctx, exchange))
+	return available.every(other => other === row)
 }
 
-/** Rows of the servers that can serve the request; a key has one, its home. */
+/** Returns the rows of servers that can serve the request; with a key, only its key home. */
 export function candidateRows(
 	ctx: EntryContext,
 	exchange: Exchange,
 ): readonly number[] {
-	const { target, key } = exchange.intake
+	const { target, key } = exchange.request
 	switch (target.kind) {
 		case 'model':
 			return ctx.servers.rowsOfModel.get(target.model) ?? []
 		case 'service': {
 			const rows = ctx.servers.rowsOfService.get(target.service) ?? []
-			return key ? homeRow(ctx, exchange, target.service, key.value) : rows
+			return key ? findHomeRow(ctx, exchange, target.service, key.value) : rows
 		}
 		default:
 			return target satisfies never
 	}
 }
 
-function homeRow(
+function findHomeRow(
 	ctx: EntryContext,
 	exchange: Exchange,
 	service: string,
 	key: string,
 ): readonly number[] {
 	if (!ctx.config) return []
-	const scoped = scopeKey(exchange.intake.teamName, service, key)
+	const scoped = scopeKey(exchange.request.teamName, service, key)
 	const home = findKeyHome(ctx.config, service, scoped)
 	const row = home && ctx.servers.table.rowOf.get(home)
 	return typeof row === 'number' ? [row] : []
 }
 
-/** The home of a key may lie outside this entry's subset. */
-export function wakeOnly(ctx: EntryContext, row: number): boolean {
-	return wakePeer(ctx.servers, peerOfRow(ctx.servers, row))
+/**
+ * Opens a link to a key home outside this entry's subset; returns false if a link was
+ * kept already.
+ */
+export function ensureLinkToRow(ctx: EntryContext, row: number): boolean {
+	return ensureLink(ctx.servers, peerOfRow(ctx.servers, row))
 }
--- a/packages/entry/src/io/serveRequest.ts
+++ b/packages/entry/src/io/serveRequest.ts
@@ -1,4 +1,4 @@
-/** Takes one request in: reads it, admits it, and begins to serve it. */
+/** Reads and admits one request, and starts serving it. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Config, ErrorKind } from '@juniperhook/core'
@@ -13,13 +13,13 @@
 import type { EntryContext } from './entryContext.ts'
 import { createExchange } from './entryContext.ts'
 import { startExchange } from './exchange.ts'
-import type { Intake, TeamIndex } from './intake.ts'
+import type { CallerRequest, TeamIndex } from './intake.ts'
 import { KEY_HEADER } from './intake.ts'
 import { quarantinedForMs } from './quarantine.ts'
 import { refuseLimited, refuseRequest } from './refusals.ts'
 import { admitRequest, endRequest } from './teamLimits.ts'
 
-/** Response header that names the request in logs. */
+/** Response header with the request's id in logs. */
 export const REQUEST_ID_HEADER = 'x-request-id'
 const log = createLog('entry:request')
 
@@ -30,7 +30,7 @@
 		req: IncomingMessage,
 		config: Config,
 		teams: TeamIndex,
-	) => Promise<Intake>,
+	) => Promise<CallerRequest>,
 	req: IncomingMessage,
 	res: ServerResponse,
 ): Promise<void> {
@@ -43,20 +43,20 @@
 	try {
 		if (ctx.leaving) return refuse('entryLeaving')
 		if (!ctx.config) return refuse('noConfig')
-		const intake = await read(req, ctx.config, ctx.teams)
-		const barredMs = quarantinedForMs(ctx, intake)
-		if (barredMs > 0) {
-			const barred = notRun('quarantined', Math.ceil(barredMs))
-			return refuseLimited(ctx, answer, intake, barred)
+		const request = await read(req, ctx.config, ctx.teams)
+		const quarantinedMs = quarantinedForMs(ctx, request)
+		if (quarantinedMs > 0) {
+			const refusal = notRun('quarantined', Math.ceil(quarantinedMs))
+			return refuseLimited(ctx, answer, request, refusal)
 		}
-		const limited = await admitRequest(ctx, intake)
-		if (limited) return refuseLimited(ctx, answer, intake, limited)
-		// The caller went away while a home was asked.
-		if (res.destroyed) return endRequest(ctx, intake)
-		if (intake.key) res.setHeader(KEY_HEADER, intake.key.value)
-		startExchange(ctx, createExchange(reqId, intake, answer))
+		const teamRefusal = await admitRequest(ctx, request)
+		if (teamRefusal) return refuseLimited(ctx, answer, request, teamRefusal)
+		// The caller disconnected during the admission request to the team home.
+		if (res.destroyed) return endRequest(ctx, request)
+		if (request.key) res.setHeader(KEY_HEADER, request.key.value)
+		startExchange(ctx, createExchange(reqId, request, answer))
 	} catch (err) {
-		// The caller went away while its body was read.
+		// The caller disconnected while its body was being read.
 		if (req.destroyed && !req.complete) return
 		const known = err instanceof JuniperhookError
 		if (!known) log({ msg: 'fault', reqId, detail: messageOf(err) })
@@ -65,5 +65,5 @@
 }
 
 function makeRequestId(ctx: EntryContext): string {
-	return `${ctx.incarnation}-${ctx.nextRequest++}`
+	return `${ctx.incarnation}-${ctx.nextRequestNumber++}`
 }
--- a/packages/entry/src/io/servers.ts
+++ b/packages/entry/src/io/servers.ts
@@ -1,6 +1,6 @@
 /**
- * The entry's view of backend servers: the routing table, kept true by reports
- * over one control connection to each server's agent.
+ * The entry's view of backend servers: the routing table, kept up to date by reports over
+ * one control connection to each server's agent.
  */
 
 import type { Config, LocatedNode, ServerTable } from '@juniperhook/core'
@@ -31,8 +31,8 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 
-const RECONNECT_MS = 200
-const MAX_RECONNECT_MS = 5_000
+const RECONNECT_DELAY_MS = 200
+const MAX_RECONNECT_DELAY_MS = 5_000
 const log = createLog('entry:servers')
 
 /** One backend server's agent, as this entry sees it. */
@@ -42,45 +42,46 @@
 	readonly address: string
 	link: RpcLink | undefined
 	incarnation: string
-	/** As the agent says. */
+	/** Whether the agent reports that it is leaving. */
 	leaving: boolean
-	/** As the platform's list says. */
+	/** Whether the platform's VM list says that the server is leaving. */
 	listedLeaving: boolean
+	/** Configuration revision in its last report. */
 	revision: number
-	gone: boolean
-	/** Until when the server takes nothing, by its agent's word, ms. */
-	heldUntil: number
-	/** Whether a link is kept; others are made when a key's home needs one. */
-	awake: boolean
+	isRemoved: boolean
+	/** Until when the server accepts no requests, as its agent reported, ms. */
+	unavailableUntil: number
+	/** Whether a link is maintained; others are opened for the first request to a key home. */
+	keepsLink: boolean
 }
 
-/** All that an entry knows of backend servers. */
+/** State of all backend servers at an entry. */
 export interface ServerView {
-	/** This entry's name and what it says of itself. */
-	readonly introduce: () => Hello
+	/** Returns this entry's `hello` message. */
+	readonly createHello: () => Hello
 	readonly controlPort: number
-	/** Called with the revision that a report speaks of. */
+	/** Called with the configuration revision in a report. */
 	readonly onRevision: (server: string, revision: number) => void
 	/** Methods served to agents besides reports. */
 	readonly methods: Methods
 	readonly peers: Map<string, AgentPeer>
-	/** Live entries by the platform's list. */
+	/** Entries in the platform's VM list. */
 	entries: readonly LocatedNode[]
 	table: ServerTable
-	/** Rows by model and by service. */
+	/** Rows of the servers of each model and of each service. */
 	rowsOfModel: Map<string, number[]>
 	rowsOfService: Map<string, number[]>
 }
 
-/** Makes an empty view. */
+/** Creates a view without servers. */
 export function createServerView(
-	introduce: () => Hello,
+	createHello: () => Hello,
 	controlPort: number,
 	onRevision: ServerView['onRevision'],
 	methods: Methods,
 ): ServerView {
 	return {
-		introduce,
+		createHello,
 		controlPort,
 		onRevision,
 		methods,
@@ -92,42 +93,42 @@
 	}
 }
 
-/** Fits the view to a configuration; what is known of servers that stay stays. */
+/** Applies a configuration to the view; keeps the state of servers that remain. */
 export function applyConfig(view: ServerView, config: Config): void {
 	const names = Object.keys(config.server)
 	const old = view.table
 	view.table = createServerTable(names)
 	for (const name of names) copyServerRow(old, view.table, name)
-	dropPeers(view, config)
+	removePeers(view, config)
 	for (const [name, server] of Object.entries(config.server)) {
 		if (view.peers.has(name)) continue
 		addPeer(view, name, server.agent)
 	}
 	indexRows(view, config)
-	wakeSubset(view, config)
-	for (const peer of view.peers.values()) refreshOpen(view, peer)
+	linkSubset(view, config)
+	for (const peer of view.peers.values()) updateOpen(view, peer)
 }
 
-/** Takes the entries by the platform's list, and links to this one's share. */
+/** Applies the entries of the platform's VM list, and links to this entry's subset. */
 export function applyEntries(
 	view: ServerView,
 	entries: readonly LocatedNode[],
 	config: Config | undefined,
 ): void {
 	view.entries = entries
-	if (config) wakeSubset(view, config)
+	if (config) linkSubset(view, config)
 }
 
-/** Makes a link to a server outside the subset; true if it had none. */
-export function wakePeer(view: ServerView, peer: AgentPeer): boolean {
-	if (peer.awake) return false
-	peer.awake = true
-	void keepConnected(view, peer)
+/** Starts maintaining a link to a server; returns false if one was maintained already. */
+export function ensureLink(view: ServerView, peer: AgentPeer): boolean {
+	if (peer.keepsLink) return false
+	peer.keepsLink = true
+	void maintainLink(view, peer)
 	return true
 }
 
-function wakeSubset(view: ServerView, config: Config): void {
-	const self = view.introduce().name
+function linkSubset(view: ServerView, config: Config): void {
+	const self = view.createHello().name
 	const pools = [...view.rowsOfModel.values(), ...view.rowsOfService.values()]
 	for (const rows of pools) {
 		const pool = rows.map(row => {
@@ -135,30 +136,30 @@
 			return { name, dataCentre: config.server[name]!.dataCentre }
 		})
 		for (const name of pickSubset(self, view.entries, pool))
-			wakePeer(view, view.peers.get(name)!)
+			ensureLink(view, view.peers.get(name)!)
 	}
 }
 
-/** Marks servers that the platform's list calls leaving. */
+/** Marks the servers that are leaving according to the platform's VM list. */
 export function applyVmList(
 	view: ServerView,
 	leaving: ReadonlySet<string>,
 ): void {
 	for (const peer of view.peers.values()) {
 		peer.listedLeaving = leaving.has(peer.server)
-		refreshOpen(view, peer)
+		updateOpen(view, peer)
 	}
 }
 
-/** The agent of a row. */
+/** Returns the agent of the server in a row. */
 export function peerOfRow(view: ServerView, row: number): AgentPeer {
 	return view.peers.get(view.table.names[row]!)!
 }
 
-function dropPeers(view: ServerView, config: Config): void {
+function removePeers(view: ServerView, config: Config): void {
 	for (const [name, peer] of view.peers) {
 		if (config.server[name]?.agent === peer.address) continue
-		peer.gone = true
+		peer.isRemoved = true
 		peer.link?.socket.destroy()
 		view.peers.delete(name)
 	}
@@ -173,9 +174,9 @@
 		leaving: false,
 		listedLeaving: false,
 		revision: 0,
-		gone: false,
-		heldUntil: 0,
-		awake: false,
+		isRemoved: false,
+		unavailableUntil: 0,
+		keepsLink: false,
 	}
 	view.peers.set(server, peer)
 }
@@ -205,35 +206,35 @@
 		}
 }
 
-async function keepConnected(view: ServerView, peer: AgentPeer): Promise<void> {
+async function maintainLink(view: ServerView, peer: AgentPeer): Promise<void> {
 	const { ip } = splitAddress(peer.address)
 	const address = `${ip}:${view.controlPort}`
-	let pause = RECONNECT_MS
-	while (!peer.gone) {
+	let delayMs = RECONNECT_DELAY_MS
+	while (!peer.isRemoved) {
 		try {
-			await holdLink(view, peer, address)
-			pause = RECONNECT_MS
+			await runLink(view, peer, address)
+			delayMs = RECONNECT_DELAY_MS
 		} catch (err) {
 			const detail = messageOf(err)
 			log({ msg: 'no control link', server: peer.server, detail })
 		}
-		await sleep(pause * (0.5 + Math.random()))
-		pause = Math.min(pause * 2, MAX_RECONNECT_MS)
+		await sleep(delayMs * (0.5 + Math.random()))
+		delayMs = Math.min(delayMs * 2, MAX_RECONNECT_DELAY_MS)
 	}
 }
 
-async function holdLink(
+async function runLink(
 	view: ServerView,
 	peer: AgentPeer,
 	address: string,
 ): Promise<void> {
 	const methods = {
 		...view.methods,
-		report: (params: unknown) => takeReport(view, peer, params),
+		report: (params: unknown) => handleReport(view, peer, params),
 	}
 	const link = await connectRpc(address, methods)
 	try {
-		const hello = await call(link, 'hello', view.introduce())
+		const hello = await call(link, 'hello', view.createHello())
 		peer.incarnation = v.parse(HelloSchema, hello).incarnation
 	} catch (err) {
 		link.socket.destroy()
@@ -242,10 +243,14 @@
 	peer.link = link
 	await new Promise(resolve => link.socket.once('close', resolve))
 	peer.link = undefined
-	refreshOpen(view, peer)
+	updateOpen(view, peer)
 }
 
-function takeReport(view: ServerView, peer: AgentPeer, params: unknown): void {
+function handleReport(
+	view: ServerView,
+	peer: AgentPeer,
+	params: unknown,
+): void {
 	const report: Report = v.parse(ReportSchema, params)
 	peer.incarnation = report.incarnation
 	peer.leaving = report.state !== 'serving'
@@ -254,47 +259,50 @@
 	const row = view.table.rowOf.get(peer.server)
 	if (row === undefined) return
 	view.table.slots[row] = report.slots
-	noteLoad(view, peer, row, report)
-	refreshOpen(view, peer)
+	recordLoad(view, peer, row, report)
+	updateOpen(view, peer)
 }
 
-/** Takes what an agent says of its load, in a report or with an answer. */
-export function noteLoad(
+/** Records the load that an agent sent in a report or with an answer. */
+export function recordLoad(
 	view: ServerView,
 	peer: AgentPeer,
 	row: number,
 	load: LoadFields,
 ): void {
 	const now = readNow()
-	peer.heldUntil = now + load.heldMs
+	peer.unavailableUntil = now + load.heldMs
 	applyReport(view.table, row, load, now)
 }
 
-/** Rows whose servers take something now. */
-export function listFree(
+/** Returns the rows of servers that accept requests now. */
+export function listAvailable(
 	view: ServerView,
 	rows: readonly number[],
 ): readonly number[] {
 	const now = readNow()
 	return rows.filter(
-		row => view.table.open[row] === 1 && peerOfRow(view, row).heldUntil <= now,
+		row =>
+			view.table.open[row] === 1 &&
+			peerOfRow(view, row).unavailableUntil <= now,
 	)
 }
 
-/** Of servers that take nothing now, the row of the one that does so again first. */
-export function findSoonest(
+/** Returns the row of the open server that accepts requests again first. */
+export function findFirstAvailable(
 	view: ServerView,
 	rows: readonly number[],
 ): number | undefined {
 	const open = rows.filter(row => view.table.open[row] === 1)
-	const heldUntil = (row: number) => peerOfRow(view, row).heldUntil
-	return open.sort((a, b) => heldUntil(a) - heldUntil(b))[0]
+	const unavailableUntil = (row: number) =>
+		peerOfRow(view, row).unavailableUntil
+	return open.sort((a, b) => unavailableUntil(a) - unavailableUntil(b))[0]
 }
 
-function refreshOpen(view: ServerView, peer: AgentPeer): void {
+function updateOpen(view: ServerView, peer: AgentPeer): void {
 	const row = view.table.rowOf.get(peer.server)
 	if (row === undefined) return
-	const known = peer.link !== undefined && peer.incarnation !== ''
-	const open = known && !peer.leaving && !peer.listedLeaving
+	const isLinked = peer.link !== undefined && peer.incarnation !== ''
+	const open = isLinked && !peer.leaving && !peer.listedLeaving
 	view.table.open[row] = open ? 1 : 0
 }
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps teams' limits together with the other entries: a request of a team whose limit is
- * too small to be dealt out is admitted by the team's home.
+ * Enforces team limits together with the other entries: requests of a team whose limit is
+ * too small to be divided are admitted by the team home, others by each entry within its
+ * share.
  */
 
 import type { LimitShare, NotRun } from '@juniperhook/core'
@@ -30,139 +31,156 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { EntryContext } from './entryContext.ts'
-import type { Intake } from './intake.ts'
-import { tellEntry } from './otherEntries.ts'
+import type { CallerRequest } from './intake.ts'
+import { notifyEntry } from './otherEntries.ts'
 import type { TeamReply } from './teamMessages.ts'
 import {
-	TeamAskSchema,
-	TeamHeldSchema,
+	TeamAdmissionSchema,
+	TeamInFlightSchema,
 	TeamReplySchema,
 } from './teamMessages.ts'
 
-/** A home that has not answered by then is taken for silent, ms. */
-const ASK_MS = 300
-/** A silent home is not asked again for this long, ms. */
-const SILENT_MS = 1_000
-/** Homes are told again what is under way, in case a message was lost, ms. */
-export const TELL_HELD_MS = 10_000
-/** Nobody decides for all: each keeps its part. */
+/** Time within which a team home must answer an admission request, ms. */
+const TEAM_HOME_TIMEOUT_MS = 300
+/** Time for which an unresponsive team home gets no admission requests, ms. */
+const UNRESPONSIVE_RETRY_MS = 1_000
+/** Interval of reports to the team homes, which repair the loss of single reports, ms. */
+export const TEAM_REPORT_INTERVAL_MS = 10_000
+/** No team home decides for all entries: each enforces its share. */
 const NOT_HOME: TeamReply = { type: 'notHome' }
 const log = createLog('entry:teams')
 
-/** The entries that keep limits together, as this one sees them. */
-export interface TeamKeepers {
-	/** Names of the live entries, this one's too. */
+/** Live entries, which enforce team limits together, and this entry's share. */
+export interface LiveEntries {
+	/** Names of the live entries, including this one. */
 	names: readonly string[]
-	part: LimitShare
-	/** Homes that did not answer, and until when they are not asked, ms. */
-	readonly silentUntil: Map<string, number>
+	share: LimitShare
+	/** Until when a team home that did not answer gets no admission requests, ms, by entry. */
+	readonly unresponsiveUntil: Map<string, number>
 }
 
-/** Makes the keepers while an entry knows of itself only. */
-export function createTeamKeepers(): TeamKeepers {
-	return { names: [], part: FULL_SHARE, silentUntil: new Map() }
+/** Creates the state of an entry that does not know any others yet. */
+export function createLiveEntries(): LiveEntries {
+	return { names: [], share: FULL_SHARE, unresponsiveUntil: new Map() }
 }
 
-/** Takes the live entries by the platform's list. */
-export function applyKeepers(
+/** Applies the live entries of the platform's VM list. */
+export function applyLiveEntries(
 	ctx: EntryContext,
 	entries: readonly string[],
 ): void {
 	const names = [...entries].sort()
-	const { keepers, limits } = ctx
-	const place = names.indexOf(ctx.name)
-	keepers.names = names
-	// An entry that is to leave has no part in what the others keep.
-	const count = place < 0 ? names.length + 1 : names.length
-	keepers.part = { count, index: place < 0 ? names.length : place }
+	const { liveEntries, limits } = ctx
+	const index = names.indexOf(ctx.name)
+	liveEntries.names = names
+	// The others do not count an entry that is not listed as live, as one that leaves: it
+	// takes the last share of one entry more.
+	const count = index < 0 ? names.length + 1 : names.length
+	liveEntries.share = { count, index: index < 0 ? names.length : index }
 	const isHome = (team: string) => findTeamHome(team, names) === ctx.name
 	pruneInFlightElsewhere(limits, new Set(names), isHome)
 }
 
-/** Admits a request, or refuses it with the time at which its team may send it. */
+/** Admits a request, or refuses it with the time after which its team may send it. */
 export async function admitRequest(
 	ctx: EntryContext,
-	intake: Intake,
+	request: CallerRequest,
 ): Promise<NotRun | undefined> {
-	const { teamName, team, tokens } = intake
-	const { limits, keepers } = ctx
-	const { part } = keepers
-	const home = homeOf(ctx, intake)
+	const { teamName, team, tokens } = request
+	const { limits, liveEntries } = ctx
+	const { share } = liveEntries
+	const home = teamHomeOf(ctx, request)
 	if (home === ctx.name)
 		return admitAtTeamHome(limits, teamName, team, tokens, readNow())
-	const reply = home === undefined ? NOT_HOME : await askHome(ctx, home, intake)
+	const reply =
+		home === undefined ? NOT_HOME : await requestAdmission(ctx, home, request)
 	switch (reply.type) {
 		case 'admitted':
 			return undefined
 		case 'refused':
 			return notRun(reply.kind, reply.retryAfterMs)
 		case 'notHome':
-			return admitWithinShare(limits, teamName, team, tokens, part, readNow())
+			return admitWithinShare(limits, teamName, team, tokens, share, readNow())
 		default:
 			return reply satisfies never
 	}
 }
 
-/** Notes that an admitted request has ended. */
-export function endRequest(ctx: EntryContext, intake: Intake): void {
-	releaseTeam(ctx.limits, intake.teamName)
-	const home = homeOf(ctx, intake)
+/** Records the end of an admitted request. */
+export function endRequest(ctx: EntryContext, request: CallerRequest): void {
+	releaseTeam(ctx.limits, request.teamName)
+	const home = teamHomeOf(ctx, request)
 	if (home !== undefined && home !== ctx.name)
-		void tellHeld(ctx, home, intake.teamName)
+		void reportToTeamHome(ctx, home, request.teamName)
 }
 
-/** Tells homes what is under way here, whatever was told before. */
-export function tellAllHeld(ctx: EntryContext): void {
-	const { limits, config, keepers } = ctx
+/** Reports the requests in flight here to all team homes, also if unchanged. */
+export function reportToAllTeamHomes(ctx: EntryContext): void {
+	const { limits, config, liveEntries } = ctx
 	for (const team of limits.keys()) {
 		const limit = config?.team[team]
-		const home = findTeamHome(team, keepers.names)
-		if (!limit || !isEnforcedAtTeamHome(limit, keepers.part.count)) continue
-		if (home !== undefined && home !== ctx.name) void tellHeld(ctx, home, team)
+		const home = findTeamHome(team, liveEntries.names)
+		if (!limit || !isEnforcedAtTeamHome(limit, liveEntries.share.count))
+			continue
+		if (home !== undefined && home !== ctx.name)
+			void reportToTeamHome(ctx, home, team)
 	}
 }
 
-/** What other entries may call. */
+/** Creates the methods that other entries may call. */
 export function createTeamMethods(find: () => EntryContext): Methods {
 	return {
-		admitTeam: (params: unknown): TeamReply => answerAsk(find(), params),
+		admitTeam: (params: unknown): TeamReply =>
+			answerAdmissionRequest(find(), params),
 		teamHeld(params: unknown): void {
-			const { team, entry, held } = v.parse(TeamHeldSchema, params)
+			const { team, entry, held } = v.parse(TeamInFlightSchema, params)
 			recordTeamInFlight(find().limits, team, entry, held)
 		},
 	}
 }
 
-/** Who keeps the limit of a request's team; undefined where each keeps its part. */
-function homeOf(
-	{ keepers }: EntryContext,
-	{ teamName, team }: Intake,
+/** Returns the team home of a request; undefined if each entry enforces its share. */
+function teamHomeOf(
+	{ liveEntries }: EntryContext,
+	{ teamName, team }: CallerRequest,
 ): string | undefined {
-	if (!isEnforcedAtTeamHome(team, keepers.part.count)) return undefined
-	return findTeamHome(teamName, keepers.names)
+	if (!isEnforcedAtTeamHome(team, liveEntries.share.count)) return undefined
+	return findTeamHome(teamName, liveEntries.names)
 }
 
-async function askHome(
+async function requestAdmission(
 	ctx: EntryContext,
 	home: string,
-	{ teamName, team, tokens }: Intake,
+	{ teamName, team, tokens }: CallerRequest,
 ): Promise<TeamReply> {
-	const silentUntil = ctx.keepers.silentUntil.get(home) ?? 0
-	if (readElapsed() < silentUntil) return NOT_HOME
+	const unresponsiveUntil = ctx.liveEntries.unresponsiveUntil.get(home) ?? 0
+	if (readElapsed() < unresponsiveUntil) return NOT_HOME
 	const held = beginTeamHomeAdmission(ctx.limits, teamName, team, readNow())
-	const ask = { entry: ctx.name, team: teamName, held, tokens }
+	const admission = { entry: ctx.name, team: teamName, held, tokens }
 	try {
-		const link = await openMemberLink(ctx.follower(), home, ASK_MS)
+		const link = await openMemberLink(
+			ctx.follower(),
+			home,
+			TEAM_HOME_TIMEOUT_MS,
+		)
 		if (!link) throw new Error('not listed')
-		const answer = await call(link, 'admitTeam', ask, ASK_MS)
+		const answer = await call(
+			link,
+			'admitTeam',
+			admission,
+			TEAM_HOME_TIMEOUT_MS,
+		)
 		const reply = v.parse(TeamReplySchema, answer)
 		const isAdmitted = reply.type === 'admitted'
 		if (endTeamHomeAdmission(ctx.limits, teamName, isAdmitted))
-			void tellHeld(ctx, home, teamName)
+			void reportToTeamHome(ctx, home, teamName)
 		return reply
 	} catch (err) {
 		endTeamHomeAdmission(ctx.limits, teamName, false)
-		ctx.keepers.silentUntil.set(home, readElapsed() + SILENT_MS)
+		ctx.liveEntries.unresponsiveUntil.set(
+			home,
+			readElapsed() + UNRESPONSIVE_RETRY_MS,
+		)
 		const detail = messageOf(err)
 		log({
 			msg: 'home of a team is silent',
@@ -170,28 +188,28 @@
 			server: home,
 			detail,
 		})
-		// It may have admitted what it was asked.
-		void tellHeld(ctx, home, teamName)
+		// The team home may have admitted the request: correct its count.
+		void reportToTeamHome(ctx, home, teamName)
 		return NOT_HOME
 	}
 }
 
-function answerAsk(ctx: EntryContext, params: unknown): TeamReply {
-	const { team, ...ask } = v.parse(TeamAskSchema, params)
+function answerAdmissionRequest(ctx: EntryContext, params: unknown): TeamReply {
+	const { team, ...admission } = v.parse(TeamAdmissionSchema, params)
 	const limit = ctx.config?.team[team]
-	const isHome = findTeamHome(team, ctx.keepers.names) === ctx.name
+	const isHome = findTeamHome(team, ctx.liveEntries.names) === ctx.name
 	if (!limit || !isHome) return NOT_HOME
-	const refusal = admitForEntry(ctx.limits, team, limit, ask, readNow())
+	const refusal = admitForEntry(ctx.limits, team, limit, admission, readNow())
 	if (!refusal) return { type: 'admitted' }
 	const { kind, retryAfterMs } = refusal
 	return { type: 'refused', kind, retryAfterMs }
 }
 
-async function tellHeld(
+async function reportToTeamHome(
 	ctx: EntryContext,
 	home: string,
 	team: string,
 ): Promise<void> {
 	const held = reportTeamInFlight(ctx.limits, team)
-	await tellEntry(ctx, home, 'teamHeld', { entry: ctx.name, team, held })
+	await notifyEntry(ctx, home, 'teamHeld', { entry: ctx.name, team, held })
 }
--- a/packages/entry/src/io/teamMessages.ts
+++ b/packages/entry/src/io/teamMessages.ts
@@ -1,4 +1,4 @@
-/** What entries ask and tell each other of teams' limits. */
+/** Messages between entries about team limits. */
 
 import { ERRORS } from '@juniperhook/core'
 import * as v from 'valibot'
@@ -7,18 +7,18 @@
 const held = v.pipe(v.number(), v.integer(), v.minValue(0))
 const kinds = Object.keys(ERRORS) as (keyof typeof ERRORS)[]
 
-/** May a team's request run? To the team's home. */
-export const TeamAskSchema = v.object({
+/** Request to the team home for the admission of one request. */
+export const TeamAdmissionSchema = v.object({
 	entry: name,
 	team: name,
 	held,
 	tokens: v.pipe(v.number(), v.minValue(0)),
 })
 
-/** What an entry has under way for a team, to the team's home. */
-export const TeamHeldSchema = v.object({ entry: name, team: name, held })
+/** Report to the team home of an entry's requests in flight. */
+export const TeamInFlightSchema = v.object({ entry: name, team: name, held })
 
-/** A home's answer. */
+/** The team home's answer. */
 export const TeamReplySchema = v.variant('type', [
 	v.object({ type: v.literal('admitted') }),
 	v.object({
@@ -26,7 +26,7 @@
 		kind: v.picklist(kinds),
 		retryAfterMs: v.pipe(v.number(), v.minValue(0)),
 	}),
-	/** By its own list, or without a configuration that names the team. */
+	/** By its own list of live entries, or its configuration does not contain the team. */
 	v.object({ type: v.literal('notHome') }),
 ])
 
--- a/packages/entry/src/logLines.ts
+++ b/packages/entry/src/logLines.ts
@@ -1,70 +1,70 @@
-/** Lines of juniperhook's logs, as its operators' commands read them. */
+/** Parses juniperhook's log lines for the operators' commands. */
 
 import { readFileSync } from 'node:fs'
 import * as v from 'valibot'
 
-const text = v.optional(v.string())
-const texts = v.optional(v.array(v.string()))
-const number = v.optional(v.number())
+const optionalText = v.optional(v.string())
+const optionalTexts = v.optional(v.array(v.string()))
+const optionalNumber = v.optional(v.number())
 
-/** Fields of a line that commands use; all others are left alone. */
+/** Fields of a line that the commands use; all others are ignored. */
 const LogLineSchema = v.object({
 	/** Unix ms. */
 	time: v.number(),
 	event: v.string(),
-	/** VM of the process that wrote it. */
-	node: text,
-	/** Caller's id of the request that it is about. */
-	req: text,
-	route: text,
-	service: text,
-	server: text,
-	group: text,
-	state: text,
-	error: text,
-	outcome: text,
-	/** Whether an answer came in time; `inTime` or which part was late. */
-	timeliness: text,
-	reason: text,
-	/** Tells a request that comes again from all others. */
-	fingerprint: text,
-	/** Servers that ended under it. */
-	servers: texts,
-	/** What a server was running when it ended, by the callers' ids. */
-	requests: texts,
-	host: text,
-	phase: text,
-	send: number,
-	sends: number,
-	/** From a request's arrival to its answer's first byte, ms. */
-	startMs: number,
-	longestPauseMs: number,
-	/** Versions that a decision was made by. */
-	config: number,
-	list: number,
-	version: number,
-	/** Where a source was, and where it came back, as `term:revision`. */
-	backFrom: text,
-	backTo: text,
-	limit: number,
-	/** Requests that a server takes, a second. */
-	perSecond: number,
-	forMs: number,
+	/** VM of the process that wrote the line. */
+	node: optionalText,
+	/** Caller's id of the request that the line is about. */
+	req: optionalText,
+	route: optionalText,
+	service: optionalText,
+	server: optionalText,
+	group: optionalText,
+	state: optionalText,
+	error: optionalText,
+	outcome: optionalText,
+	/** `inTime`, or which part of an answer was late. */
+	timeliness: optionalText,
+	reason: optionalText,
+	/** Identifies a repeated request. */
+	fingerprint: optionalText,
+	/** Servers that crashed while they ran the request. */
+	servers: optionalTexts,
+	/** Requests in flight at a server when it crashed, by the callers' ids. */
+	requests: optionalTexts,
+	host: optionalText,
+	phase: optionalText,
+	send: optionalNumber,
+	sends: optionalNumber,
+	/** Time from a request's arrival to the first byte of its answer, ms. */
+	startMs: optionalNumber,
+	longestPauseMs: optionalNumber,
+	/** Versions of the state on which a decision was based. */
+	config: optionalNumber,
+	list: optionalNumber,
+	version: optionalNumber,
+	/** Position of a source before and after a rollback, as `term:revision`. */
+	backFrom: optionalText,
+	backTo: optionalText,
+	limit: optionalNumber,
+	/** A server's limit of requests per second. */
+	perSecond: optionalNumber,
+	forMs: optionalNumber,
 	/** Addresses of slow ranks. */
 	slow: v.optional(v.unknown()),
-	agreement: number,
-	factor: number,
-	copies: number,
-	tookMs: number,
-	closedMs: number,
-	passMs: number,
-	predictedMs: number,
+	agreement: optionalNumber,
+	factor: optionalNumber,
+	copies: optionalNumber,
+	tookMs: optionalNumber,
+	closedMs: optionalNumber,
+	passMs: optionalNumber,
+	predictedMs: optionalNumber,
 })
 
-/** A line of a log. */
+/** A parsed log line. */
 export type LogLine = v.InferOutput<typeof LogLineSchema>
 
-/** A line's fields; undefined when it is none of ours. */
+/** Parses a line; returns undefined if it is not a log line of juniperhook. */
 export function readLogLine(line: string): LogLine | undefined {
 	const start = line.indexOf('{')
 	if (start < 0) return undefined
@@ -72,12 +72,12 @@
 		const parsed = v.safeParse(LogLineSchema, JSON.parse(line.slice(start)))
 		return parsed.success ? parsed.output : undefined
 	} catch {
-		// Something else's output; commands count what they could not read.
+		// Output of another program; the report counts lines that could not be parsed.
 		return undefined
 	}
 }
 
-/** All lines of some files, but for empty ones. */
+/** Reads all non-empty lines of some files. */
 export function readLogFiles(paths: readonly string[]): string[] {
 	return paths.flatMap(path =>
 		readFileSync(path, 'utf8')
--- a/packages/entry/src/report.ts
+++ b/packages/entry/src/report.ts
@@ -1,75 +1,77 @@
 /**
- * What bound a run, from the logs of all its processes: a row a second and a route
- * of how requests ended, how well passes were predicted, and the causes that cost
- * most requests.
+ * Summarizes a run from the logs of all its processes: the results of requests per second
+ * and per route, how well passes were predicted, and the causes of most failures.
  */
 
 import type { LogLine } from './logLines.ts'
 import { readLogLine } from './logLines.ts'
 import type { RoundReport } from './roundReport.ts'
 import { formatRounds, reportRounds } from './roundReport.ts'
-import type { EndCounts, RouteReport } from './routeReport.ts'
+import type { ResultCounts, RouteReport } from './routeReport.ts'
 import {
-	createEndCounts,
-	endOfLine,
+	createResultCounts,
 	formatCells,
 	formatRoutes,
-	REQUEST_ENDS,
+	REQUEST_RESULTS,
 	reportRoutes,
+	resultOfLine,
 } from './routeReport.ts'
 
 const SECOND_MS = 1_000
-/** Causes that are shown. */
+/** Maximum number of causes shown. */
 const MAX_CAUSES = 10
 
-/** What one second of a run held. */
+/** Counts of one second of a run. */
 export interface ReportRow {
 	/** Seconds since the first line. */
 	readonly second: number
-	/** How requests ended that ended in it. */
-	readonly ends: EndCounts
-	/** Sends that failed or broke off. */
-	failedSends: number
-	/** Least limit told to entries; undefined when none was. */
+	/** Results of the requests that ended in it. */
+	readonly results: ResultCounts
+	/** Attempts without a complete answer. */
+	failedAttempts: number
+	/** Lowest limit per rank in a group report to entries; undefined without one. */
 	limit: number | undefined
 	shifts: number
 	copies: number
 	rounds: number
-	/** Mean time of the passes seen, ms; undefined when none was timed. */
+	/** Mean time of the observed passes, ms; undefined if none was timed. */
 	passMs: number | undefined
 }
 
-/** A cause and how many requests or sends it cost. */
+/** A cause and the number of requests or attempts that failed by it. */
 export interface ReportCause {
 	readonly cause: string
 	readonly count: number
 }
 
-/** A whole report. */
+/** Report of a run. */
 export interface Report {
 	readonly rows: readonly ReportRow[]
 	readonly causes: readonly ReportCause[]
 	readonly rounds: RoundReport
 	readonly routes: readonly RouteReport[]
-	/** Relative errors of predicted passes; undefined without any. */
+	/** Relative errors of predicted pass times; undefined without any. */
 	readonly passError: { readonly p50: number; readonly p90: number } | undefined
-	/** Lines that are no log lines of ours. */
-	readonly unread: number
+	/** Number of lines that are not log lines of juniperhook. */
+	readonly unreadLines: number
 }
 
-/** Makes a report of log lines; text before a line's JSON is left out. */
+/** Creates a report from log lines; text before a line's JSON is ignored. */
 export function makeReport(lines: readonly string[]): Report {
-	const told = lines.map(readLogLine)
-	const read = told.filter(line => line !== undefined)
-	const first = read.reduce((so, { time }) => Math.min(so, time), Infinity)
+	const parsed = lines.map(readLogLine)
+	const logLines = parsed.filter(line => line !== undefined)
+	const startTime = logLines.reduce(
+		(min, { time }) => Math.min(min, time),
+		Infinity,
+	)
 	const rows = new Map<number, ReportRow>()
 	const causes = new Map<string, number>()
 	const errors: number[] = []
-	for (const line of read) {
-		const second = Math.floor((line.time - first) / SECOND_MS)
+	for (const line of logLines) {
+		const second = Math.floor((line.time - startTime) / SECOND_MS)
 		const row = rows.get(second) ?? createRow(second)
 		rows.set(second, row)
-		takeLine(row, line)
+		addLine(row, line)
 		const cause = causeOf(line)
 		if (cause) causes.set(cause, (causes.get(cause) ?? 0) + 1)
 		const { passMs, predictedMs } = line
@@ -82,18 +84,18 @@
 			.map(([cause, count]) => ({ cause, count }))
 			.sort((a, b) => b.count - a.count)
 			.slice(0, MAX_CAUSES),
-		rounds: reportRounds(read),
-		routes: reportRoutes(read),
-		passError: spreadOf(errors),
-		unread: told.length - read.length,
+		rounds: reportRounds(logLines),
+		routes: reportRoutes(logLines),
+		passError: percentilesOf(errors),
+		unreadLines: parsed.length - logLines.length,
 	}
 }
 
 function createRow(second: number): ReportRow {
 	return {
 		second,
-		ends: createEndCounts(),
-		failedSends: 0,
+		results: createResultCounts(),
+		failedAttempts: 0,
 		limit: undefined,
 		shifts: 0,
 		copies: 0,
@@ -102,12 +104,12 @@
 	}
 }
 
-function takeLine(row: ReportRow, line: LogLine): void {
-	const end = endOfLine(line)
-	if (end) row.ends[end]++
+function addLine(row: ReportRow, line: LogLine): void {
+	const result = resultOfLine(line)
+	if (result) row.results[result]++
 	switch (line.event) {
 		case 'attempt':
-			if (line.outcome !== 'answered') row.failedSends++
+			if (line.outcome !== 'answered') row.failedAttempts++
 			return
 		case 'paces told':
 			if (line.limit !== undefined)
@@ -130,7 +132,7 @@
 	}
 }
 
-/** Why a line's request or send came to nothing. */
+/** Returns why a line's request or attempt failed; undefined if it did not. */
 function causeOf({
 	event,
 	error,
@@ -139,20 +141,21 @@
 }: LogLine): string | undefined {
 	if (event === 'request failed') return `request failed: ${error}`
 	if (event !== 'attempt' || outcome === 'answered') return undefined
-	// The server at fault may follow the status: it would split the cause.
+	// The status may be followed by the server's name, which would split the cause.
 	return `send ${outcome}: ${reason?.trim().split(' i-')[0]}`
 }
 
-function spreadOf(errors: readonly number[]): Report['passError'] {
+function percentilesOf(errors: readonly number[]): Report['passError'] {
 	if (errors.length === 0) return undefined
 	const sorted = [...errors].sort((a, b) => a - b)
-	const at = (share: number) => sorted[Math.floor(share * (sorted.length - 1))]!
+	const at = (quantile: number) =>
+		sorted[Math.floor(quantile * (sorted.length - 1))]!
 	return { p50: at(0.5), p90: at(0.9) }
 }
 
-const HEAD = [
+const TABLE_HEAD = [
 	'second',
-	...REQUEST_ENDS,
+	...REQUEST_RESULTS,
 	'sends lost',
 	'limit',
 	'shifts',
@@ -161,16 +164,16 @@
 	'pass ms',
 ]
 
-/** The report as text, for a terminal. */
+/** Formats a report as text for a terminal. */
 export function formatReport(report: Report): string[] {
-	const { rows, causes, rounds, routes, passError, unread } = report
-	const out = [formatCells(HEAD)]
+	const { rows, causes, rounds, routes, passError, unreadLines } = report
+	const out = [formatCells(TABLE_HEAD)]
 	for (const row of rows)
 		out.push(
 			formatCells([
 				row.second,
-				...REQUEST_ENDS.map(end => row.ends[end] || ''),
-				row.failedSends || '',
+				...REQUEST_RESULTS.map(result => row.results[result] || ''),
+				row.failedAttempts || '',
 				row.limit ?? '',
 				row.shifts || '',
 				row.copies || '',
@@ -188,7 +191,7 @@
 			'',
 			`passes predicted within ${percent(passError.p50)} (p50) and ${percent(passError.p90)} (p90)`,
 		)
-	if (unread > 0) out.push(`${unread} lines are no log lines`)
+	if (unreadLines > 0) out.push(`${unreadLines} lines are no log lines`)
 	return out
 }
 
--- a/packages/entry/src/routeReport.ts
+++ b/packages/entry/src/routeReport.ts
@@ -1,103 +1,104 @@
 /**
- * How each route's requests ended, and what its callers lost: the profile that
- * tells whether answers begin late, pause for too long, or do not come.
+ * Results of each route's requests for their callers: shows whether answers start late,
+ * pause for too long, or do not arrive.
  */
 
 import { ERRORS, isErrorKind } from '@juniperhook/core'
 import type { LogLine } from './logLines.ts'
 
-/** How a request ended for its caller. */
-export type RequestEnd =
+/** Result of a request for its caller. */
+export type RequestResult =
 	| 'inTime'
 	| 'lateStart'
 	| 'latePause'
-	/** Proved not to have run. */
+	/** Certain not to have run. */
 	| 'refused'
-	/** It may have run, and its answer never came or broke off. */
+	/** May have run; its answer did not arrive or is incomplete. */
 	| 'lost'
 
-/** All ends, in the order in which they are shown. */
-export const REQUEST_ENDS = [
+/** All results, in the order in which they are shown. */
+export const REQUEST_RESULTS = [
 	'inTime',
 	'lateStart',
 	'latePause',
 	'refused',
 	'lost',
-] as const satisfies readonly RequestEnd[]
+] as const satisfies readonly RequestResult[]
 
-/** Requests by their end. */
-export type EndCounts = Record<RequestEnd, number>
+/** Number of requests by result. */
+export type ResultCounts = Record<RequestResult, number>
 
-/** How the requests of one route ended. */
+/** Results of the requests of one route. */
 export interface RouteReport {
 	readonly route: string
-	readonly ends: EndCounts
-	/** From arrival to first byte, ms; undefined without an answer. */
+	readonly results: ResultCounts
+	/** Time from arrival to first byte, ms; undefined without an answer. */
 	readonly startMs: { readonly p50: number; readonly p95: number } | undefined
 }
 
-/** Counts of nothing. */
-export function createEndCounts(): EndCounts {
+/** Creates counts of 0. */
+export function createResultCounts(): ResultCounts {
 	return { inTime: 0, lateStart: 0, latePause: 0, refused: 0, lost: 0 }
 }
 
-/** How a line says that a request ended; undefined if it says nothing of that. */
-export function endOfLine(line: LogLine): RequestEnd | undefined {
+/** Returns the request's result in a line; undefined if it contains none. */
+export function resultOfLine(line: LogLine): RequestResult | undefined {
 	const { event, outcome, timeliness, error } = line
 	if (event === 'attempt' && outcome === 'answered')
-		return REQUEST_ENDS.find(end => end === timeliness)
+		return REQUEST_RESULTS.find(result => result === timeliness)
 	if (event !== 'request failed' || !isErrorKind(error)) return undefined
 	return ERRORS[error].ran === 'no' ? 'refused' : 'lost'
 }
 
-/** Sums up how the requests of each route ended, the busiest first. */
+/** Summarizes the results of each route's requests, the busiest route first. */
 export function reportRoutes(lines: readonly LogLine[]): RouteReport[] {
-	const routes = new Map<string, { ends: EndCounts; starts: number[] }>()
+	const routes = new Map<string, { results: ResultCounts; starts: number[] }>()
 	for (const line of lines) {
-		const end = endOfLine(line)
-		if (!end || line.route === undefined) continue
+		const result = resultOfLine(line)
+		if (!result || line.route === undefined) continue
 		const known = routes.get(line.route)
-		const row = known ?? { ends: createEndCounts(), starts: [] }
+		const row = known ?? { results: createResultCounts(), starts: [] }
 		if (!known) routes.set(line.route, row)
-		row.ends[end]++
+		row.results[result]++
 		if (line.startMs !== undefined) row.starts.push(line.startMs)
 	}
 	return [...routes]
-		.map(([route, { ends, starts }]) => ({
+		.map(([route, { results, starts }]) => ({
 			route,
-			ends,
-			startMs: spreadOf(starts),
+			results,
+			startMs: percentilesOf(starts),
 		}))
-		.sort((a, b) => totalOf(b.ends) - totalOf(a.ends))
+		.sort((a, b) => totalOf(b.results) - totalOf(a.results))
 }
 
-/** All requests of some counts. */
-export function totalOf(ends: EndCounts): number {
-	return REQUEST_ENDS.reduce((sum, end) => sum + ends[end], 0)
+/** Returns the total of all results. */
+export function totalOf(results: ResultCounts): number {
+	return REQUEST_RESULTS.reduce((sum, result) => sum + results[result], 0)
 }
 
-function spreadOf(times: readonly number[]): RouteReport['startMs'] {
+function percentilesOf(times: readonly number[]): RouteReport['startMs'] {
 	if (times.length === 0) return undefined
 	const sorted = [...times].sort((a, b) => a - b)
-	const at = (share: number) => sorted[Math.floor(share * (sorted.length - 1))]!
+	const at = (quantile: number) =>
+		sorted[Math.floor(quantile * (sorted.length - 1))]!
 	return { p50: at(0.5), p95: at(0.95) }
 }
 
-/** The routes as text, for a terminal; nothing for a run without any. */
+/** Formats the routes as text for a terminal; empty for a run without any. */
 export function formatRoutes(routes: readonly RouteReport[]): string[] {
 	if (routes.length === 0) return []
-	const head = ['requests', ...REQUEST_ENDS, 'start p50', 'p95']
-	const rows = routes.map(({ route, ends, startMs }) => {
-		const counts = REQUEST_ENDS.map(end => ends[end])
+	const head = ['requests', ...REQUEST_RESULTS, 'start p50', 'p95']
+	const rows = routes.map(({ route, results, startMs }) => {
+		const counts = REQUEST_RESULTS.map(result => results[result])
 		const times = [startMs?.p50 ?? '', startMs?.p95 ?? '']
-		return formatCells([totalOf(ends), ...counts, ...times], route)
+		return formatCells([totalOf(results), ...counts, ...times], route)
 	})
 	return ['', formatCells(head, 'route'), ...rows]
 }
 
 const CELL_WIDTH = 10
 
-/** A row of a table; `last` stands at its end as it is. */
+/** Formats a row of a table; `last` is appended without padding. */
 export function formatCells(
 	cells: readonly (string | number)[],
 	last = '',
--- a/packages/entry/test/client.ts
+++ b/packages/entry/test/client.ts
@@ -1,4 +1,4 @@
-/** Calls that the process tests make as callers do. */
+/** Calls of the process tests, as callers make them. */
 
 import { randomBytes } from 'node:crypto'
 import { existsSync, readFileSync } from 'node:fs'
@@ -11,26 +11,26 @@
 const KEY_BYTES = 16
 const dispatcher = new Agent({ headersTimeout: 120_000, bodyTimeout: 120_000 })
 
-/** How a call ended, as its caller sees it. */
-export type Seen = 'answered' | 'notRun' | 'unknown' | 'cut'
+/** Outcome of a call for its caller; `cut` if the connection broke. */
+export type CallResult = 'answered' | 'notRun' | 'unknown' | 'cut'
 
-/** One booking made. */
+/** Answer to a call. */
 export interface Booking {
 	readonly ref: string
-	readonly seen: Seen
+	readonly result: CallResult
 	readonly status: number
 	readonly body: string
 	readonly tookMs: number
-	/** When to come back, seconds. */
+	/** `Retry-After`, seconds. */
 	readonly retryAfter?: string | undefined
 }
 
-/** A new time-ordered key. */
+/** Creates a time-ordered key. */
 export function newKey(): string {
 	return makeKey(Date.now(), randomBytes(KEY_BYTES))
 }
 
-/** Makes a booking at entry `n`; with `key`, one that may be asked again. */
+/** Makes a booking at entry `n`; with `key`, it can be repeated. */
 export async function book(
 	fleet: Fleet,
 	n: number,
@@ -52,38 +52,38 @@
 			dispatcher,
 		})
 		const body = await res.body.text()
-		const seen = seenOf(res.headers['x-request-outcome'])
-		return { ref, seen, status: res.statusCode, body, tookMs: took() }
+		const result = resultOf(res.headers['x-request-outcome'])
+		return { ref, result, status: res.statusCode, body, tookMs: took() }
 	} catch {
-		return { ref, seen: 'cut', status: 0, body: '', tookMs: took() }
+		return { ref, result: 'cut', status: 0, body: '', tookMs: took() }
 	}
 }
 
-/** Asks for a roster at entry `n`. */
-export async function askRoster(
+/** Requests a roster at entry `n`. */
+export async function requestRoster(
 	fleet: Fleet,
 	n: number,
 	query = '',
-	more: Record<string, string> = {},
+	extraHeaders: Record<string, string> = {},
 ): Promise<Booking> {
 	const url = `http://${entryIp(fleet, n)}:${PORTS.data}/services/huts/rosters/pine${query}`
 	const started = performance.now()
 	try {
-		const headers = { authorization: `Bearer ${TEAM_KEY}`, ...more }
+		const headers = { authorization: `Bearer ${TEAM_KEY}`, ...extraHeaders }
 		const res = await request(url, { headers, dispatcher })
 		const body = await res.body.text()
-		const seen = seenOf(res.headers['x-request-outcome'])
+		const result = resultOf(res.headers['x-request-outcome'])
 		const tookMs = performance.now() - started
 		const retryAfter = res.headers['retry-after']?.toString()
 		const { statusCode: status } = res
-		return { ref: 'pine', seen, status, body, tookMs, retryAfter }
+		return { ref: 'pine', result, status, body, tookMs, retryAfter }
 	} catch {
 		const tookMs = performance.now() - started
-		return { ref: 'pine', seen: 'cut', status: 0, body: '', tookMs }
+		return { ref: 'pine', result: 'cut', status: 0, body: '', tookMs }
 	}
 }
 
-/** Streams `tokens` tokens from the group; the text of all events. */
+/** Streams `tokens` tokens from the group; returns the text of all events. */
 export async function streamChat(
 	fleet: Fleet,
 	n: number,
@@ -104,9 +104,9 @@
 	})
 	let text = ''
 	try {
-		for await (const part of res.body) {
+		for await (const chunk of res.body) {
 			if (text === '') onFirst()
-			text += part
+			text += chunk
 		}
 	} catch {
 		return `${text}(cut)`
@@ -114,12 +114,12 @@
 	return text
 }
 
-/** The tokens of a stream in the order received. */
+/** Returns the tokens of a stream in the order received. */
 export function tokensOf(text: string): number[] {
 	return [...text.matchAll(/"content":"t(\d+) "/g)].map(m => Number(m[1]))
 }
 
-/** How often each booking ran, over all plain backends and their lives. */
+/** Counts how often each booking ran, over all incarnations of all plain backends. */
 export function countRuns(fleet: Fleet): Map<string, number> {
 	const runs = new Map<string, number>()
 	const path = join(fleet.folder, RUNS_FILE)
@@ -129,7 +129,7 @@
 	return runs
 }
 
-function seenOf(outcome: unknown): Seen {
+function resultOf(outcome: unknown): CallResult {
 	if (outcome === 'notRun' || outcome === 'unknown') return outcome
 	return 'answered'
 }
--- a/packages/entry/test/config.process.test.ts
+++ b/packages/entry/test/config.process.test.ts
@@ -1,4 +1,4 @@
-/** Configuration in force everywhere, with real processes that fail. */
+/** Propagation of configurations to real processes, some of which crash. */
 
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Fleet } from '@juniperhook/fakes'
@@ -18,13 +18,13 @@
 import { request } from 'undici'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { askRoster } from './client.ts'
+import { requestRoster } from './client.ts'
 
 const IN_FORCE_MS = 5_000
-/** From when all processes answer, ms. */
-const START_MS = 8_000
-/** Far beyond the start of a process, also on a starved machine, ms. */
-const UP_MS = 60_000
+/** Time from when all processes answer until they have the configuration, ms. */
+const CONVERGE_MS = 8_000
+/** Far longer than a process takes to start, also on an overloaded machine, ms. */
+const PROCESS_START_MS = 60_000
 const ENTRIES = 3
 const SERVICES = 5
 let fleet: Fleet
@@ -64,8 +64,8 @@
 async function waitForAll(revision: number, limitMs: number): Promise<void> {
 	try {
 		await waitUntil(
-			async () => (await readRevisions()).every(held => held === revision),
-			`revision ${revision} everywhere`,
+			async () => (await readRevisions()).every(active => active === revision),
+			`revision ${revision} at all processes`,
 			limitMs,
 		)
 	} catch (err) {
@@ -73,22 +73,22 @@
 	}
 }
 
-/** Waits until all processes run, and then for what they hold. */
+/** Waits until all processes answer, and then for the revision at all of them. */
 async function waitForRestarted(revision: number): Promise<void> {
 	await waitUntil(
 		async () => (await readRevisions()).length > 0,
-		'an answer of every process',
-		UP_MS,
+		'an answer from every process',
+		PROCESS_START_MS,
 	)
-	await waitForAll(revision, START_MS)
+	await waitForAll(revision, CONVERGE_MS)
 }
 
-/** What each process holds, or why it does not say so. */
+/** Describes the status of each process, or why it could not be read. */
 async function describeAll(): Promise<string> {
-	const said = await Promise.all(
+	const statuses = await Promise.all(
 		listIps().map(ip => readStatus<Status>(ip).catch(messageOf)),
 	)
-	return JSON.stringify(said)
+	return JSON.stringify(statuses)
 }
 
 function publish(revision: number, change: string): Promise<unknown> {
@@ -100,29 +100,29 @@
 	return `[team.${name}]\nkeyDigests = ${'a'.repeat(64)}\n`
 }
 
-test('a revision is in force everywhere within five seconds', async () => {
+test('a revision is active at all processes within five seconds', async () => {
 	await publish(10, team('ten'))
 	await waitForAll(10, IN_FORCE_MS)
 })
 
-test('an invalid revision is refused whole everywhere; a new process too', async () => {
+test('an invalid revision is refused by all processes, also by a restarted one', async () => {
 	await publish(11, '[team.broken]\nratePerSecond = many\n')
 	await waitUntil(async () => {
 		const statuses = await Promise.all(
 			listIps().map(ip => readStatus<Status>(ip)),
 		)
 		return statuses.every(
-			one => one.refusedRevision === 11 && one.revision === 10,
+			status => status.refusedRevision === 11 && status.revision === 10,
 		)
-	}, 'the same verdict everywhere')
+	}, 'the refusal at all processes')
 	signal(fleet, 'service-1', 'SIGKILL')
 	await restart(fleet, 'service-1')
 	await waitForRestarted(10)
-	const roster = await askRoster(fleet, 0)
-	assert.is(roster.seen, 'answered')
+	const roster = await requestRoster(fleet, 0)
+	assert.is(roster.result, 'answered')
 })
 
-test('a service that goes back takes nobody back, new processes included', async () => {
+test('a platform that rolls back causes no rollback, not even of restarted processes', async () => {
 	await publish(20, team('twenty'))
 	await waitForAll(20, IN_FORCE_MS)
 	await publish(12, team('twelve'))
@@ -132,19 +132,19 @@
 	}
 	await waitForRestarted(20)
 	await wait(2_000)
-	assert.ok((await readRevisions()).every(held => held === 20))
+	assert.ok((await readRevisions()).every(active => active === 20))
 })
 
-test('a process that starts while the service is down is told by its peers', async () => {
+test('a process that starts while the platform is down gets the revision from peers', async () => {
 	await callPlatform(fleet, 'up', 'no')
 	signal(fleet, 'service-3', 'SIGKILL')
 	await restart(fleet, 'service-3')
-	// The settings of the tests name no peers; entries reach the agent.
+	// The settings of the tests contain no peers; entries connect to the agent.
 	await waitForRestarted(20)
 	await callPlatform(fleet, 'up', 'yes')
 })
 
-test('only a few processes call the service, however many there are', async () => {
+test('only a few processes call the platform, however many there are', async () => {
 	await wait(3_000)
 	const { calls: before = 0 } = await callPlatform(fleet, 'calls')
 	await wait(20_000)
--- a/packages/entry/test/explain.test.ts
+++ b/packages/entry/test/explain.test.ts
@@ -1,8 +1,8 @@
-/** Requests' stories: what decided them, and the cause that is named. */
+/** Traces of requests: the lines included, and the cause that is named. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { explainRequest, formatStory } from '../src/explain.ts'
+import { explainRequest, formatTrace } from '../src/explain.ts'
 
 const START = 1_786_000_000_000
 const ID = 'r1'
@@ -16,14 +16,14 @@
 const sent = (server: string, outcome: string, reason: string) =>
 	line(4_500, 'attempt', { req: ID, server, outcome, reason })
 
-const STORIES: { name: string; lines: string[]; cause: string }[] = [
+const CASES: { name: string; lines: string[]; cause: string }[] = [
 	{
 		name: 'answered',
 		lines: [sent('i-1', 'answered', '200')],
 		cause: 'answered by its server',
 	},
 	{
-		name: 'a full group after a shift',
+		name: 'a group at its limit after a demand shift',
 		lines: [
 			line(4_200, 'demand shifted', { node: 'side-1', agreement: 0.2 }),
 			line(4_300, 'paces told', { group: 's/g', slow: [], limit: 4.5 }),
@@ -32,7 +32,7 @@
 		cause: 'hold 4.5 requests a rank: demand had shifted 800 ms before',
 	},
 	{
-		name: 'a group that refuses',
+		name: 'a closed group',
 		lines: [
 			line(3_000, 'group closed', { group: 's/g' }),
 			failed('overloaded'),
@@ -40,34 +40,34 @@
 		cause: 'refused at every rank for 2000 ms',
 	},
 	{
-		name: 'a group that was closed and opened',
+		name: 'a group that was closed and opened again',
 		lines: [
 			line(1_000, 'group closed', { group: 's/g' }),
 			line(2_000, 'group open', { group: 's/g', closedMs: 1_000 }),
 			failed('overloaded'),
 		],
-		cause: 'Every server held as many',
+		cause: 'Every server had as many requests in flight',
 	},
 	{
-		name: 'what another entry was told',
+		name: 'a group report to another entry is ignored',
 		lines: [
 			line(4_300, 'paces told', { node: 'e2', group: 's/g', limit: 4 }),
 			failed('overloaded'),
 		],
-		cause: 'Every server held as many',
+		cause: 'Every server had as many requests in flight',
 	},
 	{
 		name: 'no answer in time',
 		lines: [sent('i-1', 'lost', 'no answer in time'), failed('noAnswer')],
-		cause: 'had not answered when its time was over (i-1 lost no answer',
+		cause: 'had not answered by the deadline (i-1 lost no answer',
 	},
 	{
-		name: 'no answer in time, the send logged after the end',
+		name: 'no answer in time, the attempt logged after the outcome',
 		lines: [
 			failed('noAnswer'),
 			line(5_010, 'attempt', { req: ID, server: 'i-1', outcome: 'lost' }),
 		],
-		cause: 'had not answered when its time was over (i-1 lost)',
+		cause: 'had not answered by the deadline (i-1 lost)',
 	},
 	{
 		name: 'a connection that broke',
@@ -75,16 +75,16 @@
 		cause: 'broke after it may have run (i-1 lost ECONNRESET)',
 	},
 	{
-		name: 'a server that ended under it',
+		name: 'a server that crashed while it ran the request',
 		lines: [
 			line(4_400, 'server ended', { server: 'i-1', requests: [ID, 'r2'] }),
 			sent('i-1', 'broken', 'after 2'),
 			failed('truncated'),
 		],
-		cause: 'servers that ended, with requests they ran: i-1 with 2',
+		cause: 'servers that crashed, with their requests in flight: i-1 with 2',
 	},
 	{
-		name: 'a request under which servers ended, as another entry found',
+		name: 'a request that another entry quarantined',
 		lines: [
 			line(100, 'request quarantined', {
 				node: 'e2',
@@ -98,10 +98,10 @@
 				fingerprint: 'c.abc',
 			}),
 		],
-		cause: 'i-1, i-7 ended while they ran it (c.abc); it is sent to none.',
+		cause: 'i-1, i-7 crashed while they ran it (c.abc); it is quarantined.',
 	},
 	{
-		name: 'a server that an older copy of the source named',
+		name: 'a server from a rolled-back source',
 		lines: [
 			line(1_000, 'source went back', { backFrom: '1:40', backTo: '2:24' }),
 			line(1_400, 'attempt', {
@@ -113,10 +113,10 @@
 			line(1_410, 'request failed', { req: ID, error: 'unreachable' }),
 		],
 		cause:
-			'No server that it was sent to took it (i-1 notSent ECONNREFUSED); the source had gone back from 1:40 to 2:24 410 ms before.',
+			'No server that it was sent to accepted it (i-1 notSent ECONNREFUSED); the source had rolled back from 1:40 to 2:24 410 ms before.',
 	},
 	{
-		name: 'servers that take only so many requests',
+		name: 'servers with rate limits',
 		lines: [
 			line(50, 'server limit', { server: 'i-1', perSecond: 3 }),
 			line(100, 'server limit', { server: 'i-1', perSecond: 1 }),
@@ -127,10 +127,10 @@
 			line(200, 'request failed', { req: ID, error: 'rateLimited' }),
 		],
 		cause:
-			'All servers of its service take only so many requests a second (i-1 1, i-2 0.5), and none had one left in time.',
+			'All servers of its service limit requests per second (i-1 1, i-2 0.5), and none had a permit in time.',
 	},
 	{
-		name: 'servers that have asked for rest',
+		name: 'servers that are backing off',
 		lines: [
 			line(50, 'server rests', { server: 'i-1', forMs: 100 }),
 			line(100, 'server rests', { server: 'i-1', forMs: 3_000 }),
@@ -140,7 +140,7 @@
 			line(200, 'request failed', { req: ID, error: 'resting' }),
 		],
 		cause:
-			'All servers of its service had asked this entry for rest (i-1 for 2900 ms more, i-2 for 420 ms more).',
+			'All servers of its service had asked this entry to back off (i-1 for 2900 ms more, i-2 for 420 ms more).',
 	},
 	{
 		name: 'an unknown key',
@@ -151,7 +151,7 @@
 				config: 7,
 			}),
 		],
-		cause: 'Configuration 7 knows no such key',
+		cause: 'Configuration 7 has no such key',
 	},
 	{
 		name: 'a route that only other entries know',
@@ -166,7 +166,7 @@
 			'no such route, version 9 had been in force elsewhere for 2000 ms; its last call of the source: silent after 8192 bytes',
 	},
 	{
-		name: 'an entry that knows that it is behind',
+		name: 'an entry that has detected that it is behind',
 		lines: [
 			line(4_900, 'configuration in force', { node: 'e2', version: 9 }),
 			line(5_000, 'request refused', {
@@ -178,30 +178,30 @@
 		cause: 'version 9 had been in force elsewhere for 100 ms',
 	},
 	{
-		name: 'no final word',
+		name: 'no outcome logged',
 		lines: [sent('i-1', 'notRun', '503')],
-		cause: 'No final word is logged',
+		cause: 'No outcome is logged',
 	},
 ]
 
-for (const { name, lines, cause } of STORIES)
+for (const { name, lines, cause } of CASES)
 	test(`explain: ${name}`, () => {
-		const story = explainRequest(ID, lines)
-		assert.ok(story)
-		assert.match(story.cause, cause)
-		assert.match(formatStory(story).join('\n'), 'likely cause')
+		const trace = explainRequest(ID, lines)
+		assert.ok(trace)
+		assert.match(trace.cause, cause)
+		assert.match(formatTrace(trace).join('\n'), 'likely cause')
 	})
 
-test('explain: lines of several logs are told in order', () => {
+test('explain: lines of several logs are sorted by time', () => {
 	const lines = [failed('noAnswer'), 'noise', sent('i-1', 'lost', 'x')]
-	const story = explainRequest(ID, lines)
+	const trace = explainRequest(ID, lines)
 	assert.equal(
-		story!.own.map(one => one.event),
+		trace!.requestLines.map(({ event }) => event),
 		['attempt', 'request failed'],
 	)
 })
 
-test('explain: an id that no line names', () => {
+test('explain: an id that no line contains', () => {
 	assert.is(explainRequest('other', [failed('noAnswer')]), undefined)
 })
 
--- a/packages/entry/test/failures.process.test.ts
+++ b/packages/entry/test/failures.process.test.ts
@@ -1,4 +1,4 @@
-/** The promises on requests, with real processes that fail. */
+/** Guarantees on request outcomes, with real processes that fail. */
 
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Fleet, Relay } from '@juniperhook/fakes'
@@ -23,17 +23,17 @@
 import * as assert from 'uvu/assert'
 import type { Booking } from './client.ts'
 import {
-	askRoster,
 	book,
 	countRuns,
 	newKey,
+	requestRoster,
 	streamChat,
 	tokensOf,
 } from './client.ts'
 
-const CLOCK_BOUND_MS = 5_500
+const MAX_CLOCK_SKEW_MS = 5_500
 const SERVICES = 3
-const PACE_MS = 20
+const BOOKING_INTERVAL_MS = 20
 const relays: Relay[] = []
 let fleet: Fleet
 let nextRef = 0
@@ -50,8 +50,8 @@
 		},
 		startRelays,
 	)
-	// Keys made within the clock bound of an agent's start may be old.
-	await wait(CLOCK_BOUND_MS)
+	// To an agent, keys created within the clock skew of its start may be of before it.
+	await wait(MAX_CLOCK_SKEW_MS)
 })
 
 test.after(() => {
@@ -71,7 +71,7 @@
 	return relays.slice(2 * n, 2 * n + 2)
 }
 
-/** Books all the time for `ms`, half with callers' own keys. */
+/** Makes bookings for `ms`, half of them with keys of the caller. */
 async function bookFor(ms: number): Promise<Booking[]> {
 	const calls: Promise<Booking>[] = []
 	const end = Date.now() + ms
@@ -79,25 +79,25 @@
 		const ref = `b${nextRef++}`
 		const key = nextRef % 2 === 0 ? newKey() : undefined
 		calls.push(book(fleet, nextRef % 2, ref, key))
-		await wait(PACE_MS)
+		await wait(BOOKING_INTERVAL_MS)
 	}
 	return await Promise.all(calls)
 }
 
-/** Nothing ran twice, nothing "not run" ran, every answer is its own. */
+/** Checks that nothing ran twice, nothing "not run" ran, and answers are not mixed up. */
 async function checkBookings(bookings: readonly Booking[]): Promise<void> {
 	const runs = countRuns(fleet)
-	for (const { ref, seen, body } of bookings) {
+	for (const { ref, result, body } of bookings) {
 		const count = runs.get(ref) ?? 0
 		assert.ok(count <= 1, `${ref} ran ${count} times`)
-		if (seen === 'notRun') assert.is(count, 0, `${ref}: not run, but it ran`)
-		if (seen !== 'answered') continue
+		if (result === 'notRun') assert.is(count, 0, `${ref}: not run, but it ran`)
+		if (result !== 'answered') continue
 		assert.is(count, 1, `${ref}: answered, but it did not run`)
 		assert.is(JSON.parse(body).booking, ref)
 	}
 }
 
-async function allOpen(): Promise<void> {
+async function waitUntilAllOpen(): Promise<void> {
 	for (const n of [0, 1])
 		await waitUntil(async () => {
 			const url = `http://${entryIp(fleet, n)}:${PORTS.operators}/status`
@@ -109,13 +109,13 @@
 		}, 'all servers open')
 }
 
-/** What happens to the fleet, and how it is over. */
+/** A failure of part of the fleet, and its end. */
 interface Failure {
 	fail(): Promise<void>
 	heal(): Promise<void>
 }
 
-function killed(process: string, ms: number): Failure {
+function killFor(process: string, ms: number): Failure {
 	return {
 		async fail() {
 			signal(fleet, process, 'SIGKILL')
@@ -127,7 +127,7 @@
 	}
 }
 
-function frozen(process: string, ms: number): Failure {
+function stopFor(process: string, ms: number): Failure {
 	return {
 		async fail() {
 			signal(fleet, process, 'SIGSTOP')
@@ -145,17 +145,17 @@
 	answered: number
 })[] = [
 	{
-		name: 'an agent is killed and comes back',
-		...killed('service-0', 0),
+		name: 'an agent is killed and restarted',
+		...killFor('service-0', 0),
 		answered: 0.3,
 	},
 	{
-		name: 'an agent is frozen past every time-out and wakes',
-		...frozen('service-1', 5_000),
+		name: 'an agent is stopped beyond all time-outs and continued',
+		...stopFor('service-1', 5_000),
 		answered: 0.3,
 	},
 	{
-		name: 'the links to an agent are cut and heal',
+		name: 'the links to an agent are cut and restored',
 		async fail() {
 			for (const relay of relaysOf(2)) cutRelay(relay)
 			await wait(5_000)
@@ -166,17 +166,17 @@
 		answered: 0.3,
 	},
 	{
-		name: 'a backend server is killed under its agent and comes back',
-		...killed('backend-0', 1_000),
+		name: 'a backend server is killed and restarted while its agent runs',
+		...killFor('backend-0', 1_000),
 		answered: 0.3,
 	},
 	{
-		name: 'an entry is frozen and wakes',
-		...frozen('entry-1', 3_000),
+		name: 'an entry is stopped and continued',
+		...stopFor('entry-1', 3_000),
 		answered: 0.3,
 	},
 	{
-		name: 'an agent is killed while another is frozen',
+		name: 'an agent is killed while another is stopped',
 		async fail() {
 			signal(fleet, 'service-0', 'SIGSTOP')
 			signal(fleet, 'service-1', 'SIGKILL')
@@ -198,17 +198,19 @@
 		await wait(500)
 		await heal()
 		const bookings = await load
-		await allOpen()
+		await waitUntilAllOpen()
 		await checkBookings(bookings)
-		const good = bookings.filter(one => one.seen === 'answered').length
+		const answeredCount = bookings.filter(
+			booking => booking.result === 'answered',
+		).length
 		assert.ok(
-			good >= answered * bookings.length,
-			`${good} of ${bookings.length} answered`,
+			answeredCount >= answered * bookings.length,
+			`${answeredCount} of ${bookings.length} answered`,
 		)
 	})
 
-test('a booking asked again at another entry gets its first outcome', async () => {
-	await wait(CLOCK_BOUND_MS)
+test('a booking repeated at another entry gets its first outcome', async () => {
+	await wait(MAX_CLOCK_SKEW_MS)
 	const key = newKey()
 	const ref = 'again'
 	const first = book(fleet, 0, ref, key, '?delay=600')
@@ -216,43 +218,48 @@
 	const running = book(fleet, 1, ref, key, '?delay=600')
 	const [one, two] = await Promise.all([first, running])
 	const three = await book(fleet, 1, ref, key, '?delay=600')
-	assert.equal([one.seen, two.seen, three.seen], Array(3).fill('answered'))
+	assert.equal(
+		[one.result, two.result, three.result],
+		Array(3).fill('answered'),
+	)
 	assert.equal([two.body, three.body], [one.body, one.body])
 	assert.is(countRuns(fleet).get(ref), 1)
 })
 
-test('a booking that an agent may have forgotten is unknown, not run', async () => {
+test('a repeated booking is unknown, not "not run", after a restart of its agent', async () => {
 	const key = newKey()
 	const before = await book(fleet, 0, 'forgotten', key)
-	assert.is(before.seen, 'answered')
+	assert.is(before.result, 'answered')
 	for (let n = 0; n < SERVICES; n++) {
 		signal(fleet, `service-${n}`, 'SIGKILL')
 		await restart(fleet, `service-${n}`)
 	}
-	await allOpen()
+	await waitUntilAllOpen()
 	const again = await book(fleet, 1, 'forgotten', key)
-	assert.is(again.seen, 'unknown')
+	assert.is(again.result, 'unknown')
 	assert.is(countRuns(fleet).get('forgotten'), 1)
 })
 
-test('a key that is no UUIDv7 is refused with a clear text', async () => {
+test('a key that is not a UUIDv7 is refused with a specific error', async () => {
 	const { status, body } = await book(fleet, 0, 'bad', 'abc')
 	assert.is(status, 400)
 	assert.is(JSON.parse(body).error.code, 'badKey')
 })
 
-test('rosters are answered while an agent is frozen', async () => {
-	await allOpen()
+test('rosters are answered while an agent is stopped', async () => {
+	await waitUntilAllOpen()
 	signal(fleet, 'service-0', 'SIGSTOP')
-	const calls = Array.from({ length: 20 }, (_, n) => askRoster(fleet, n % 2))
+	const calls = Array.from({ length: 20 }, (_, n) =>
+		requestRoster(fleet, n % 2),
+	)
 	const rosters = await Promise.all(calls)
 	signal(fleet, 'service-0', 'SIGCONT')
-	const good = rosters.filter(one => one.seen === 'answered')
-	assert.is(good.length, rosters.length)
-	await allOpen()
+	const answered = rosters.filter(roster => roster.result === 'answered')
+	assert.is(answered.length, rosters.length)
+	await waitUntilAllOpen()
 })
 
-test('a stream is whole or says that it is not when its agent dies', async () => {
+test('a stream is complete or reports an error when its agent crashes', async () => {
 	const streams = Array.from({ length: 8 }, () => streamChat(fleet, 0, 150))
 	await wait(400)
 	signal(fleet, 'rank-1', 'SIGKILL')
@@ -264,14 +271,14 @@
 			tokens,
 			tokens.map((_, n) => n),
 		)
-		const whole = text.includes('[DONE]')
-		if (whole) assert.is(tokens.length, 150)
+		const isComplete = text.includes('[DONE]')
+		if (isComplete) assert.is(tokens.length, 150)
 		else assert.match(text, /"error"|\(cut\)/)
 	}
-	await allOpen()
+	await waitUntilAllOpen()
 })
 
-test('a planned stop of agent and entry cuts no stream', async () => {
+test('a planned stop of an agent and an entry interrupts no stream', async () => {
 	const before = Array.from({ length: 6 }, (_, n) =>
 		streamChat(fleet, n % 2, 300),
 	)
@@ -284,53 +291,55 @@
 	}
 	await waitUntil(
 		() => fleet.processes.get('entry-1')?.child.exitCode === 0,
-		'the end of the entry',
+		'the exit of the entry',
 	)
 	await waitUntil(
 		() => fleet.processes.get('rank-0')?.child.exitCode === 0,
-		'the end of the agent',
+		'the exit of the agent',
 	)
 	await restart(fleet, 'rank-0')
 	await restart(fleet, 'entry-1')
-	await allOpen()
+	await waitUntilAllOpen()
 })
 
-test('a stopping entry says "not run" only of what it can know', async () => {
+test('a stopping entry answers "not run" only without a key of the caller', async () => {
 	signal(fleet, 'entry-1', 'SIGTERM')
 	await wait(200)
 	const mayHaveRun = await book(fleet, 1, 'stopping-key', newKey())
 	const cannotHaveRun = await book(fleet, 1, 'stopping')
-	assert.is(mayHaveRun.seen, 'unknown')
-	assert.is(cannotHaveRun.seen, 'notRun')
+	assert.is(mayHaveRun.result, 'unknown')
+	assert.is(cannotHaveRun.result, 'notRun')
 	await waitUntil(
 		() => fleet.processes.get('entry-1')?.child.exitCode === 0,
-		'the end of the entry',
+		'the exit of the entry',
 	)
 	await restart(fleet, 'entry-1')
-	await allOpen()
+	await waitUntilAllOpen()
 })
 
-test('a leaving server gets no new work, though the list lags', async () => {
+test('a leaving server gets no new requests before the VM list shows it', async () => {
 	signal(fleet, 'service-2', 'SIGTERM')
 	await wait(500)
 	const before = await countServiceRequests(2)
-	const rosters = Array.from({ length: 30 }, () => askRoster(fleet, 0))
-	const seen = await Promise.all(rosters)
-	assert.ok(seen.every(one => one.seen === 'answered'))
+	const rosters = Array.from({ length: 30 }, () => requestRoster(fleet, 0))
+	const answers = await Promise.all(rosters)
+	assert.ok(answers.every(roster => roster.result === 'answered'))
 	assert.is(await countServiceRequests(2), before)
 	await restart(fleet, 'service-2')
-	await allOpen()
+	await waitUntilAllOpen()
 })
 
-test('a server that the list calls leaving gets no new work', async () => {
+test('a server that the VM list shows as leaving gets no new requests', async () => {
 	const vms = fleet.vms.map(vm =>
 		vm.name === 'service-2' ? { ...vm, state: 'leaving' } : vm,
 	)
 	await callPlatform(fleet, 'vms', JSON.stringify(vms))
 	await wait(5_000)
 	const before = await countServiceRequests(2)
-	const rosters = Array.from({ length: 30 }, () => askRoster(fleet, 0))
-	assert.ok((await Promise.all(rosters)).every(r => r.seen === 'answered'))
+	const rosters = Array.from({ length: 30 }, () => requestRoster(fleet, 0))
+	assert.ok(
+		(await Promise.all(rosters)).every(roster => roster.result === 'answered'),
+	)
 	assert.is(await countServiceRequests(2), before)
 })
 
--- a/packages/entry/test/input.process.test.ts
+++ b/packages/entry/test/input.process.test.ts
@@ -1,4 +1,4 @@
-/** Bad input: a clear answer and a counter each, and the process lives. */
+/** Bad input is answered with a specific error and counted, and processes keep running. */
 
 import { connect } from 'node:net'
 import { setTimeout as wait } from 'node:timers/promises'
@@ -46,7 +46,7 @@
 
 const CHAT = '/v1/chat/completions'
 const HUTS = '/services/huts'
-const ASK = JSON.stringify({
+const CHAT_BODY = JSON.stringify({
 	model: 'writer',
 	messages: [{ role: 'user', content: 'hi' }],
 })
@@ -69,21 +69,21 @@
 	{
 		name: 'a field of the wrong type',
 		path: CHAT,
-		body: ASK.replace('"hi"', '7'),
+		body: CHAT_BODY.replace('"hi"', '7'),
 		status: 400,
 		kind: 'badRequest',
 	},
 	{
 		name: 'an unknown model',
 		path: CHAT,
-		body: ASK.replace('writer', 'nobody'),
+		body: CHAT_BODY.replace('writer', 'nobody'),
 		status: 404,
 		kind: 'unknownModel',
 	},
 	{
 		name: 'a model named like a property of objects',
 		path: CHAT,
-		body: ASK.replace('writer', '__proto__'),
+		body: CHAT_BODY.replace('writer', '__proto__'),
 		status: 404,
 		kind: 'unknownModel',
 	},
@@ -105,7 +105,7 @@
 		name: 'an unknown key',
 		path: CHAT,
 		key: 'wrong',
-		body: ASK,
+		body: CHAT_BODY,
 		status: 401,
 		kind: 'unauthorized',
 	},
@@ -139,23 +139,23 @@
 	return Number(found.exec(text)?.[1] ?? 0)
 }
 
-for (const one of CASES)
-	test(`bad input: ${one.name}`, async () => {
-		const before = await readCounter(one.kind)
-		const url = `http://${entryIp(fleet, 0)}:${PORTS.data}${one.path}`
+for (const input of CASES)
+	test(`bad input: ${input.name}`, async () => {
+		const before = await readCounter(input.kind)
+		const url = `http://${entryIp(fleet, 0)}:${PORTS.data}${input.path}`
 		const res = await request(url, {
-			method: one.method ?? 'POST',
+			method: input.method ?? 'POST',
 			headers: {
-				authorization: `Bearer ${one.key ?? TEAM_KEY}`,
-				...one.headers,
+				authorization: `Bearer ${input.key ?? TEAM_KEY}`,
+				...input.headers,
 			},
-			body: one.body ?? null,
+			body: input.body ?? null,
 		})
 		const { error } = (await res.body.json()) as { error: { code: string } }
-		assert.is(res.statusCode, one.status)
-		assert.is(error.code, one.kind)
+		assert.is(res.statusCode, input.status)
+		assert.is(error.code, input.kind)
 		assert.is(res.headers['x-request-outcome'], 'notRun')
-		assert.is(await readCounter(one.kind), before + 1)
+		assert.is(await readCounter(input.kind), before + 1)
 	})
 
 test('bad input: headers that are too large', async () => {
@@ -180,8 +180,8 @@
 })
 
 const FRAMES: { name: string; line: string }[] = [
-	{ name: 'no JSON', line: '{{{{\n' },
-	{ name: 'no JSON-RPC', line: '{"hello":1}\n' },
+	{ name: 'not JSON', line: '{{{{\n' },
+	{ name: 'not JSON-RPC', line: '{"hello":1}\n' },
 	{
 		name: 'wrong parameters',
 		line: '{"jsonrpc":"2.0","id":1,"method":"voidAttempt","params":{"reqId":7}}\n',
@@ -207,7 +207,7 @@
 		assert.is(fleet.processes.get('rank-0')?.child.exitCode, null)
 	})
 
-test('a caller that goes away stops the work of the engine', async () => {
+test('a caller that disconnects cancels its request at the engine', async () => {
 	const cancelled = async () => {
 		let sum = 0
 		for (const rank of [0, 1]) {
@@ -225,7 +225,7 @@
 		method: 'POST',
 		headers: { authorization: `Bearer ${TEAM_KEY}` },
 		body: JSON.stringify({
-			...JSON.parse(ASK),
+			...JSON.parse(CHAT_BODY),
 			stream: true,
 			max_tokens: 5_000,
 		}),
@@ -235,7 +235,7 @@
 	await waitUntil(async () => (await cancelled()) > before, 'a cancellation')
 })
 
-test('a team over its rate is refused at once and told when to come back', async () => {
+test('a team over its rate limit is refused at once, with Retry-After', async () => {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.data}${HUTS}/rosters/pine`
 	const headers = { authorization: `Bearer ${SMALL_TEAM_KEY}` }
 	const calls = Array.from({ length: 300 }, async () => {
@@ -252,7 +252,7 @@
 	}
 })
 
-test('the process lives after all that', async () => {
+test('the process still runs after all bad input', async () => {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.operators}`
 	for (const path of ['/healthz', '/readyz']) {
 		const res = await request(`${url}${path}`)
--- a/packages/entry/test/quarantine.process.test.ts
+++ b/packages/entry/test/quarantine.process.test.ts
@@ -1,4 +1,4 @@
-/** A request under which backend servers end, behind entries and agents that are processes. */
+/** Quarantine of a poison request by real entry and agent processes. */
 
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Fleet } from '@juniperhook/fakes'
@@ -17,19 +17,19 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 
-/** More by hand. */
+/** Can be raised for manual runs. */
 const ENTRIES = Number(process.env.ENTRIES ?? 3)
 const SERVICES = 4
 const ALL = Array.from({ length: ENTRIES }, (_, n) => n)
-/** Between two askings: longer than what counts as ended together, ms. */
-const APART_MS = 700
-/** A server that has ended is started again after this, ms. */
-const BACK_MS = 400
-/** Ends after which all entries know. */
-const MOST_ENDS = 3
+/** Time between two poison requests: longer than the window of correlated crashes, ms. */
+const CRASH_INTERVAL_MS = 700
+/** Time after which a crashed server is restarted, ms. */
+const RESTART_DELAY_MS = 400
+/** Maximum crashes until all entries quarantine the request. */
+const MAX_CRASHES = 3
 let fleet: Fleet
-let ends = 0
-let isOver = false
+let crashes = 0
+let isStopped = false
 
 test.before(async () => {
 	fleet = await startFleet({
@@ -43,31 +43,31 @@
 })
 
 test.after(() => {
-	isOver = true
+	isStopped = true
 	stopFleet(fleet)
 })
 
-/** Starts backend servers again, as a supervisor does. */
+/** Restarts crashed backend servers, as a supervisor does. */
 async function supervise(): Promise<void> {
-	while (!isOver) {
+	while (!isStopped) {
 		for (let n = 0; n < SERVICES; n++) {
 			const name = `backend-${n}`
 			if (fleet.processes.get(name)?.child.exitCode !== 1) continue
-			ends++
-			await wait(BACK_MS)
+			crashes++
+			await wait(RESTART_DELAY_MS)
 			await restart(fleet, name)
 		}
 		await wait(20)
 	}
 }
 
-interface Got {
+interface Answer {
 	readonly status: number
 	readonly body: string
 	readonly retryAfter: string | undefined
 }
 
-async function post(n: number, path: string, body: string): Promise<Got> {
+async function post(n: number, path: string, body: string): Promise<Answer> {
 	const url = `http://${entryIp(fleet, n)}:${PORTS.data}/services/huts${path}`
 	const headers = { authorization: `Bearer ${TEAM_KEY}` }
 	const res = await request(url, { method: 'POST', headers, body })
@@ -75,46 +75,46 @@
 	return { status: res.statusCode, body: await res.body.text(), retryAfter }
 }
 
-const DEADLY = ['/deadly/x', 'what no server survives'] as const
+const POISON = ['/deadly/x', 'what no server survives'] as const
 
-test('a request that ends servers is refused by all entries after three ends', async () => {
+test('a request that crashes servers is refused by all entries after three crashes', async () => {
 	for (let at = 0; at < 8; at++) {
-		await post(at % ENTRIES, ...DEADLY)
-		await wait(APART_MS)
+		await post(at % ENTRIES, ...POISON)
+		await wait(CRASH_INTERVAL_MS)
 	}
-	assert.ok(ends <= MOST_ENDS, `${ends} servers ended`)
-	const before = ends
+	assert.ok(crashes <= MAX_CRASHES, `${crashes} servers crashed`)
+	const before = crashes
 	for (const n of ALL) {
-		const got = await post(n, ...DEADLY)
-		assert.is(got.status, 503)
-		assert.match(got.body, 'quarantined')
-		assert.ok(Number(got.retryAfter) > 500, got.retryAfter)
+		const answer = await post(n, ...POISON)
+		assert.is(answer.status, 503)
+		assert.match(answer.body, 'quarantined')
+		assert.ok(Number(answer.retryAfter) > 500, answer.retryAfter)
 	}
-	assert.is(ends, before)
+	assert.is(crashes, before)
 })
 
-test('others of its length and team are served meanwhile', async () => {
+test('other requests of the same length and team are served meanwhile', async () => {
 	for (const n of ALL) {
 		const other = 'another body of it all.'
-		assert.is(other.length, DEADLY[1].length)
+		assert.is(other.length, POISON[1].length)
 		assert.is((await post(n, '/bookings/a', other)).status, 200)
 	}
 })
 
-test('an entry that starts again learns it from the others', async () => {
-	const before = ends
+test('a restarted entry pulls the evidence from the others', async () => {
+	const before = crashes
 	signal(fleet, 'entry-0', 'SIGKILL')
 	await restart(fleet, 'entry-0')
 	await waitUntil(async () => {
 		const ip = entryIp(fleet, 0)
 		const { entries } = await readStatus<{ entries: number }>(ip)
 		return entries === ENTRIES
-	}, 'the entry that was killed')
+	}, 'the restarted entry knows all entries')
 	await waitUntil(
-		async () => (await post(0, ...DEADLY)).body.includes('quarantined'),
-		'its refusal',
+		async () => (await post(0, ...POISON)).body.includes('quarantined'),
+		'the refusal of the poison request',
 	)
-	assert.is(ends, before)
+	assert.is(crashes, before)
 })
 
 test.run()
--- a/packages/entry/test/quarantine.test.ts
+++ b/packages/entry/test/quarantine.test.ts
@@ -1,34 +1,34 @@
-/** What an entry tells others of backend servers that ended, and what it hears. */
+/** Exchange of crash evidence between an entry, its agents and the other entries. */
 
 import { computeFingerprint } from '@juniperhook/gateway'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EntryContext } from '../src/io/entryContext.ts'
-import type { Intake } from '../src/io/intake.ts'
+import type { CallerRequest } from '../src/io/intake.ts'
 import {
-	createQuarantineBook,
+	createQuarantineGate,
 	createQuarantineMethods,
-	noteAnswered,
 	quarantinedForMs,
+	recordAnswered,
 } from '../src/io/quarantine.ts'
 
 const NAMES = ['entry-0', 'entry-1', 'entry-2']
-const DEADLY = {
+const POISON = {
 	method: 'POST',
 	path: '/x',
 	teamName: 'rangers',
 	body: Buffer.from('what no server survives'),
-} as unknown as Intake
-const OTHER = { ...DEADLY, body: Buffer.from('what all servers survive') }
+} as unknown as CallerRequest
+const OTHER = { ...POISON, body: Buffer.from('what all servers survive') }
 
-interface Sent {
+interface SentMessage {
 	readonly to: string
 	readonly method: string
 }
 
-/** An entry whose links note what is sent on them. */
+/** Creates an entry whose links record the messages sent. */
 function createEntry() {
-	const sent: Sent[] = []
+	const sent: SentMessage[] = []
 	const links = new Map(
 		NAMES.map(to => {
 			const peer = { notify: (method: string) => sent.push({ to, method }) }
@@ -41,15 +41,15 @@
 	}
 	const ctx = {
 		name: NAMES[0],
-		keepers: { names: NAMES },
-		quarantined: createQuarantineBook(),
+		liveEntries: { names: NAMES },
+		quarantineGate: createQuarantineGate(),
 		follower: () => ({ links, settings, vms: [] }),
 	} as unknown as EntryContext
 	return { ctx, sent, methods: createQuarantineMethods(() => ctx) }
 }
 
-function endOf(server: string, agoMs: number) {
-	const { method, path, teamName, body } = DEADLY
+function crashOf(server: string, agoMs: number) {
+	const { method, path, teamName, body } = POISON
 	const team = { name: teamName }
 	const fingerprint = computeFingerprint({ method, path, team, body })
 	return { server, agoMs, ran: { [fingerprint]: 20 } }
@@ -57,51 +57,55 @@
 
 type Call = (params: unknown) => unknown
 
-/** Ends under one request, far enough apart to count each. */
-const ENDS = [endOf('a', 30_000), endOf('b', 20_000), endOf('c', 10_000)]
+/** Crashes under one request, far enough apart to be uncorrelated. */
+const CRASHES = [
+	crashOf('a', 30_000),
+	crashOf('b', 20_000),
+	crashOf('c', 10_000),
+]
 
 async function settle(): Promise<void> {
 	await new Promise(resolve => setImmediate(resolve))
 }
 
-test('what an agent tells goes to all other entries', async () => {
+test('evidence from an agent is sent to all other entries once', async () => {
 	const { sent, methods } = createEntry()
-	await (methods.serverEnd as Call)(ENDS[0])
+	await (methods.serverEnd as Call)(CRASHES[0])
 	await settle()
-	const told = ['entry-1', 'entry-2'].map(to => ({ to, method: 'endNews' }))
-	assert.equal(sent, told)
-	await (methods.serverEnd as Call)(ENDS[0])
+	const expected = ['entry-1', 'entry-2'].map(to => ({ to, method: 'endNews' }))
+	assert.equal(sent, expected)
+	await (methods.serverEnd as Call)(CRASHES[0])
 	await settle()
-	assert.is(sent.length, told.length, 'told once')
+	assert.is(sent.length, expected.length, 'sent once')
 })
 
-test('what an entry tells is believed and not passed on', async () => {
+test('evidence from an entry is merged and not forwarded', async () => {
 	const { ctx, sent, methods } = createEntry()
-	await (methods.endNews as Call)({ ends: ENDS, served: [] })
+	await (methods.endNews as Call)({ ends: CRASHES, served: [] })
 	await settle()
 	assert.equal(sent, [])
-	assert.ok(quarantinedForMs(ctx, DEADLY) > 0)
+	assert.ok(quarantinedForMs(ctx, POISON) > 0)
 	assert.is(quarantinedForMs(ctx, OTHER), 0)
-	assert.is(ctx.quarantined.quarantine.crashes.size, 3)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 3)
 })
 
-test('a request that is answered whole is taken back, everywhere', async () => {
+test('a complete answer clears a request of suspicion, at all entries', async () => {
 	const { ctx, sent, methods } = createEntry()
-	await (methods.endNews as Call)({ ends: ENDS.slice(0, 2), served: [] })
-	noteAnswered(ctx, DEADLY)
+	await (methods.endNews as Call)({ ends: CRASHES.slice(0, 2), served: [] })
+	recordAnswered(ctx, POISON)
 	await settle()
 	assert.is(sent.length, 2)
-	await (methods.endNews as Call)({ ends: [ENDS[2]], served: [] })
-	assert.is(quarantinedForMs(ctx, DEADLY), 0)
+	await (methods.endNews as Call)({ ends: [CRASHES[2]], served: [] })
+	assert.is(quarantinedForMs(ctx, POISON), 0)
 })
 
-test('rubbish is refused and changes nothing', () => {
+test('invalid evidence is rejected and changes nothing', () => {
 	const { ctx, methods } = createEntry()
 	for (const params of [undefined, {}, { server: 1 }, { ends: 'all' }]) {
 		assert.throws(() => (methods.serverEnd as Call)(params))
 		assert.throws(() => (methods.endNews as Call)(params))
 	}
-	assert.is(ctx.quarantined.quarantine.crashes.size, 0)
+	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 })
 
 test.run()
--- a/packages/entry/test/report.test.ts
+++ b/packages/entry/test/report.test.ts
@@ -1,4 +1,4 @@
-/** Reports of what bound a run. */
+/** Reports of runs. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -46,24 +46,24 @@
 	'{"time":"yesterday","event":"attempt"}',
 ]
 
-test('report: a row a second', () => {
-	const { rows, unread } = makeReport(LINES)
+test('report: a row per second', () => {
+	const { rows, unreadLines } = makeReport(LINES)
 	const [first, second, third] = rows
 	assert.is(rows.length, 3)
-	assert.is(first!.ends.inTime, 1)
-	assert.is(first!.failedSends, 2)
-	assert.is(first!.ends.refused, 1)
-	assert.is(second!.ends.latePause, 1)
-	assert.is(second!.ends.lost, 1)
+	assert.is(first!.results.inTime, 1)
+	assert.is(first!.failedAttempts, 2)
+	assert.is(first!.results.refused, 1)
+	assert.is(second!.results.latePause, 1)
+	assert.is(second!.results.lost, 1)
 	assert.is(second!.limit, 4.5)
 	assert.is(second!.shifts, 1)
 	assert.is(second!.copies, 12)
 	assert.is(second!.rounds, 3)
 	assert.is(third!.passMs, 50)
-	assert.is(unread, 3)
+	assert.is(unreadLines, 3)
 })
 
-test('report: causes, the costliest first, whatever server they name', () => {
+test('report: causes, the most frequent first, merged across servers', () => {
 	assert.equal(makeReport(LINES).causes, [
 		{ cause: 'send notRun: 503', count: 2 },
 		{ cause: 'request failed: overloaded', count: 1 },
@@ -71,41 +71,41 @@
 	])
 })
 
-test('report: how the requests of each route ended', () => {
+test('report: results of each route', () => {
 	const { routes } = makeReport(LINES)
 	const none = { inTime: 0, lateStart: 0, latePause: 0, refused: 0, lost: 0 }
 	assert.equal(routes, [
 		{
 			route: 'r',
-			ends: { ...none, inTime: 1, latePause: 1, refused: 1 },
+			results: { ...none, inTime: 1, latePause: 1, refused: 1 },
 			startMs: { p50: 90, p95: 90 },
 		},
-		{ route: 's', ends: { ...none, lost: 1 }, startMs: undefined },
+		{ route: 's', results: { ...none, lost: 1 }, startMs: undefined },
 	])
 })
 
-test('report: how well passes were predicted', () => {
+test('report: prediction error of passes', () => {
 	const { passError } = makeReport(LINES)
 	assert.is(Number(passError!.p50.toFixed(2)), 0.1)
 	assert.is(makeReport([]).passError, undefined)
 })
 
-test('report: what became of the changes of maps, and who made them', () => {
+test('report: outcomes of map changes and their coordinators', () => {
 	const { rounds } = makeReport(LINES)
 	assert.is(rounds.begun, 3)
 	assert.is(rounds.done, 1)
-	assert.equal(rounds.ends, [
-		{ end: 'given up while preparing', count: 1 },
-		{ end: 'failed: a newer round', count: 1 },
+	assert.equal(rounds.failures, [
+		{ failure: 'given up while preparing', count: 1 },
+		{ failure: 'failed: a newer round', count: 1 },
 	])
-	assert.equal(rounds.tookMs, { p50: 300, most: 300 })
-	assert.equal(rounds.by[0], { node: 'side-2', count: 2 })
+	assert.equal(rounds.tookMs, { p50: 300, max: 300 })
+	assert.equal(rounds.coordinators[0], { node: 'side-2', count: 2 })
 	const text = formatReport(makeReport(LINES)).join('\n')
 	assert.match(text, '1 of 3 done')
 	assert.is(formatReport(makeReport([])).join('\n').includes('maps'), false)
 })
 
-test('report: as text', () => {
+test('report: formatted as text', () => {
 	const text = formatReport(makeReport(LINES)).join('\n')
 	assert.match(text, 'causes that cost most')
 	assert.match(text, '3 lines are no log lines')
--- a/packages/entry/test/serverSignals.process.test.ts
+++ b/packages/entry/test/serverSignals.process.test.ts
@@ -1,4 +1,4 @@
-/** Backend servers that rest, name limits and leave, behind entries and agents that are processes. */
+/** Backoff, rate limits and leaving of backend servers, with real entry and agent processes. */
 
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Fleet } from '@juniperhook/fakes'
@@ -16,18 +16,18 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { Booking } from './client.ts'
-import { askRoster } from './client.ts'
+import { requestRoster } from './client.ts'
 
-/** More by hand. */
+/** Can be raised for manual runs. */
 const ENTRIES = Number(process.env.ENTRIES ?? 3)
-/** Between two requests, ms. */
-const PACE_MS = 25
-/** Requests between two looks at who waits. */
-const LOOK_EVERY = 4
-/** What was under way when a server spoke still comes, ms. */
-const UNDER_WAY_MS = 500
-const SPAN_MS = 4_000
-const REST_MS = 3_000
+/** Interval between two requests, ms. */
+const REQUEST_INTERVAL_MS = 25
+/** Requests between two polls of the agent's waiting requests. */
+const REQUESTS_PER_POLL = 4
+/** Time in which requests in flight at a server's signal still arrive, ms. */
+const IN_FLIGHT_MS = 500
+const LOAD_MS = 4_000
+const BACKOFF_MS = 3_000
 let fleet: Fleet
 
 test.before(async () => {
@@ -48,113 +48,122 @@
 	return await res.body.text()
 }
 
-/** Requests that have come to a backend server. */
+/** Returns the number of requests that a backend server has received. */
 async function countRequests(n: number): Promise<number> {
 	return Number(await callBackend(n, 'requests'))
 }
 
-/** Requests that wait at a backend server's agent. */
+/** Returns the number of requests that wait at a backend server's agent. */
 async function countWaiting(n: number): Promise<number> {
 	const ip = serviceIp(fleet, n)
 	return (await readStatus<{ waiting: number }>(ip)).waiting
 }
 
-/** What came of asking at all entries in turn for a while. */
-interface Asked {
+/** Result of requests to all entries in turn for some time. */
+interface LoadResult {
 	readonly bookings: Booking[]
-	/** Requests that came to server 0 in that while. */
+	/** Requests that server 0 received in that time. */
 	readonly arrived: number
-	/** Most requests seen to wait at its agent. */
-	readonly waited: number
+	/** Maximum number of requests observed waiting at its agent. */
+	readonly maxWaiting: number
 }
 
-async function askFor(forMs: number): Promise<Asked> {
+async function requestFor(forMs: number): Promise<LoadResult> {
 	const before = await countRequests(0)
-	const asked: Promise<Booking>[] = []
-	let waited = 0
+	const requests: Promise<Booking>[] = []
+	let maxWaiting = 0
 	const end = performance.now() + forMs
 	for (let at = 0; performance.now() < end; at++) {
-		asked.push(askRoster(fleet, at % ENTRIES))
-		await wait(PACE_MS)
-		if (at % LOOK_EVERY === 0) waited = Math.max(waited, await countWaiting(0))
+		requests.push(requestRoster(fleet, at % ENTRIES))
+		await wait(REQUEST_INTERVAL_MS)
+		if (at % REQUESTS_PER_POLL === 0)
+			maxWaiting = Math.max(maxWaiting, await countWaiting(0))
 	}
 	const arrived = (await countRequests(0)) - before
-	return { bookings: await Promise.all(asked), arrived, waited }
+	return { bookings: await Promise.all(requests), arrived, maxWaiting }
 }
 
-/** Asks until a server has been asked once more. */
-async function askUntilHeard(n: number): Promise<void> {
+/** Sends requests until a server has received one. */
+async function requestUntilReceived(n: number): Promise<void> {
 	const before = await countRequests(n)
 	await waitUntil(async () => {
-		await askRoster(fleet, 0)
+		await requestRoster(fleet, 0)
 		return (await countRequests(n)) > before
-	}, 'a request at the server')
+	}, 'a request received by the server')
 }
 
-function failures(asked: readonly Booking[]): number[] {
-	return asked.map(({ status }) => status).filter(status => status !== 200)
+function failedStatuses(bookings: readonly Booking[]): number[] {
+	return bookings.map(({ status }) => status).filter(status => status !== 200)
 }
 
-test('a server that rests gets nothing, and the other serves', async () => {
-	await callBackend(0, `says?rest=${REST_MS / 1_000}`)
-	await askUntilHeard(0)
+test('a server that backs off gets no requests, and the other serves', async () => {
+	await callBackend(0, `says?rest=${BACKOFF_MS / 1_000}`)
+	await requestUntilReceived(0)
 	await callBackend(0, 'says')
-	await wait(UNDER_WAY_MS)
-	const { bookings, arrived, waited } = await askFor(REST_MS - 2 * UNDER_WAY_MS)
-	assert.ok(arrived <= 2, `${arrived} in its rest`)
-	assert.equal(failures(bookings), [])
-	assert.is(waited, 0)
-	await wait(2 * UNDER_WAY_MS)
-	await askUntilHeard(0)
+	await wait(IN_FLIGHT_MS)
+	const { bookings, arrived, maxWaiting } = await requestFor(
+		BACKOFF_MS - 2 * IN_FLIGHT_MS,
+	)
+	assert.ok(arrived <= 2, `${arrived} during its backoff`)
+	assert.equal(failedStatuses(bookings), [])
+	assert.is(maxWaiting, 0)
+	await wait(2 * IN_FLIGHT_MS)
+	await requestUntilReceived(0)
 })
 
-test('when all rest, a caller that cannot wait is told when the first takes again', async () => {
+test('when all servers back off, Retry-After names the end of the first backoff', async () => {
 	const [long, short] = [20, 8]
 	for (const [n, seconds] of [long, short].entries()) {
 		await callBackend(n, `says?rest=${seconds}`)
-		await askUntilHeard(n)
+		await requestUntilReceived(n)
 	}
 	for (const n of [0, 1]) await callBackend(n, 'says')
-	const got = await askRoster(fleet, 0, '', { 'x-deadline-ms': '1500' })
-	assert.is(got.status, 503)
-	assert.match(got.body, 'resting')
-	const seconds = Number(got.retryAfter)
+	const answer = await requestRoster(fleet, 0, '', { 'x-deadline-ms': '1500' })
+	assert.is(answer.status, 503)
+	assert.match(answer.body, 'resting')
+	const seconds = Number(answer.retryAfter)
 	assert.ok(seconds > 0 && seconds <= short, `${seconds} s`)
 	await wait(seconds * 1_000)
-	assert.is((await askRoster(fleet, 0)).status, 200)
+	assert.is((await requestRoster(fleet, 0)).status, 200)
 	signal(fleet, 'backend-0', 'SIGKILL')
-	await wait(UNDER_WAY_MS)
+	await wait(IN_FLIGHT_MS)
 	await restart(fleet, 'backend-0')
-	await waitUntil(async () => (await countRequests(0)) === 0, 'its next life')
+	await waitUntil(
+		async () => (await countRequests(0)) === 0,
+		'its next incarnation',
+	)
 })
 
-test('a server with a limit gets no more from all entries together', async () => {
+test('a rate limit of a server holds over all entries together', async () => {
 	await callBackend(0, 'says?limit=1')
-	await askUntilHeard(0)
-	await wait(UNDER_WAY_MS)
-	const { bookings, arrived, waited } = await askFor(SPAN_MS)
-	const allowed = (1.5 * SPAN_MS) / 1_000 + 5
+	await requestUntilReceived(0)
+	await wait(IN_FLIGHT_MS)
+	const { bookings, arrived, maxWaiting } = await requestFor(LOAD_MS)
+	const allowed = (1.5 * LOAD_MS) / 1_000 + 5
 	assert.ok(arrived <= allowed, `${arrived} in four seconds`)
 	assert.ok(arrived > 0)
-	assert.equal(failures(bookings), [])
-	assert.is(waited, 0)
+	assert.equal(failedStatuses(bookings), [])
+	assert.is(maxWaiting, 0)
 	await callBackend(0, 'says')
-	// The next answer names none.
-	await askUntilHeard(0)
+	// The next answer contains no limit.
+	await requestUntilReceived(0)
 })
 
-test('a server that leaves gets nothing more, until its next life', async () => {
+test('a leaving server gets no requests until its next incarnation', async () => {
 	await callBackend(0, 'says?leaves=1')
-	await askUntilHeard(0)
-	await wait(UNDER_WAY_MS)
-	const { bookings, arrived } = await askFor(SPAN_MS / 2)
+	await requestUntilReceived(0)
+	await wait(IN_FLIGHT_MS)
+	const { bookings, arrived } = await requestFor(LOAD_MS / 2)
 	assert.is(arrived, 0)
-	assert.equal(failures(bookings), [])
+	assert.equal(failedStatuses(bookings), [])
 	signal(fleet, 'backend-0', 'SIGKILL')
-	await wait(UNDER_WAY_MS)
+	await wait(IN_FLIGHT_MS)
 	await restart(fleet, 'backend-0')
-	await waitUntil(async () => (await countRequests(0)) === 0, 'its next life')
-	await askUntilHeard(0)
+	await waitUntil(
+		async () => (await countRequests(0)) === 0,
+		'its next incarnation',
+	)
+	await requestUntilReceived(0)
 })
 
 test.run()
--- a/packages/entry/test/teams.process.test.ts
+++ b/packages/entry/test/teams.process.test.ts
@@ -1,4 +1,4 @@
-/** Limits of teams, kept together by entries that are processes. */
+/** Team limits, enforced together by real entry processes. */
 
 import { createHash } from 'node:crypto'
 import type { Fleet } from '@juniperhook/fakes'
@@ -15,12 +15,12 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 
-/** More by hand. */
+/** Can be raised for manual runs. */
 const ENTRIES = Number(process.env.ENTRIES ?? 3)
 const KEY = 'ten-key'
 const CONCURRENCY = 10
-/** Far longer than it takes to ask for all, also on a busy machine, ms. */
-const RUNS_MS = 6_000
+/** Far longer than it takes to send all requests, also on a busy machine, ms. */
+const SERVICE_TIME_MS = 6_000
 const ALL = Array.from({ length: ENTRIES }, (_, n) => n)
 let fleet: Fleet
 
@@ -29,7 +29,7 @@
 	fleet = await startFleet({
 		entries: ENTRIES,
 		services: 1,
-		serviceDelayMs: RUNS_MS,
+		serviceDelayMs: SERVICE_TIME_MS,
 		serviceSlots: 64,
 		ranks: 0,
 		extraConfig: `[team.ten]\nkeyDigests = ${digest}\nconcurrency = ${CONCURRENCY}\n`,
@@ -47,8 +47,8 @@
 	return entries
 }
 
-/** Asks at an entry; gives the status. */
-async function ask(n: number): Promise<number> {
+/** Sends a request to an entry; returns the status. */
+async function requestStatus(n: number): Promise<number> {
 	const url = `http://${entryIp(fleet, n)}:${PORTS.data}/services/huts/rosters/pine`
 	const headers = { authorization: `Bearer ${KEY}` }
 	const res = await request(url, { headers })
@@ -57,34 +57,37 @@
 }
 
 function countOf(statuses: readonly number[], status: number): number {
-	return statuses.filter(one => one === status).length
+	return statuses.filter(other => other === status).length
 }
 
-// Each entry rounded its part of a limit up: 12 of 10 ran at three entries, 36 at 36.
-test('what a team may have under way is counted over all entries', async () => {
-	const asked = ALL.flatMap(n =>
-		Array.from({ length: CONCURRENCY }, () => ask(n)),
+// Guards against shares of a limit that are each rounded up: with a limit of 10, 12
+// requests ran at three entries, and 36 at 36.
+test('the concurrency limit of a team holds over all entries', async () => {
+	const requests = ALL.flatMap(n =>
+		Array.from({ length: CONCURRENCY }, () => requestStatus(n)),
 	)
-	const statuses = await Promise.all(asked)
+	const statuses = await Promise.all(requests)
 	assert.is(countOf(statuses, 200), CONCURRENCY)
 	assert.is(countOf(statuses, 429), statuses.length - CONCURRENCY)
 })
 
-test('one entry alone may use all of it, and what has ended is free again', async () => {
+test('one entry alone may use the whole limit, and ended requests free it again', async () => {
 	const statuses = await Promise.all(
-		Array.from({ length: CONCURRENCY + 5 }, () => ask(ENTRIES - 1)),
+		Array.from({ length: CONCURRENCY + 5 }, () => requestStatus(ENTRIES - 1)),
 	)
 	assert.is(countOf(statuses, 200), CONCURRENCY)
 })
 
-test('while a team’s entry is silent, the others keep to their parts', async () => {
-	// Whoever keeps the limit: each is silent once.
+test('while the team home does not answer, the other entries keep to their shares', async () => {
+	// Each entry is stopped once, so that one of them is the team home.
 	for (const silent of ALL) {
 		const name = `entry-${silent}`
 		signal(fleet, name, 'SIGSTOP')
 		const others = ALL.filter(n => n !== silent)
 		const statuses = await Promise.all(
-			others.flatMap(n => Array.from({ length: CONCURRENCY }, () => ask(n))),
+			others.flatMap(n =>
+				Array.from({ length: CONCURRENCY }, () => requestStatus(n)),
+			),
 		)
 		signal(fleet, name, 'SIGCONT')
 		const served = countOf(statuses, 200)
