--- a/packages/entry/src/io/routeQuery.ts
+++ b/packages/entry/src/io/routeQuery.ts
@@ -44,7 +44,7 @@
 	return first === undefined ? candidates : [first]
 }
 
-/** Whether a request may wait at server `row` if it is unavailable: no other is available. */
+/** Whether a request may wait at the server in `row`: only if no other is available. */
 export function mayWaitAt(
 	ctx: EntryContext,
 	exchange: Exchange,
--- a/packages/entry/test/explain.test.ts
+++ b/packages/entry/test/explain.test.ts
@@ -196,7 +196,7 @@
 	const lines = [failed('noAnswer'), 'noise', sent('i-1', 'lost', 'x')]
 	const trace = explainRequest(ID, lines)
 	assert.equal(
-		trace!.requestLines.map(({ event }) => event),
+		trace!.requestLines.map(found => found.event),
 		['attempt', 'request failed'],
 	)
 })
--- a/packages/entry/test/failures.process.test.ts
+++ b/packages/entry/test/failures.process.test.ts
@@ -50,7 +50,7 @@
 		},
 		startRelays,
 	)
-	// To an agent, keys created within the clock skew of its start may be of before it.
+	// Within the maximum clock skew of its start, an agent cannot tell old keys from new.
 	await wait(MAX_CLOCK_SKEW_MS)
 })
 
