--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -32,16 +32,16 @@
 } from '@juniperhook/runtime'
 import { H3 } from 'h3'
 import { createCallerAnswer, failAnswer } from './io/caller.ts'
-import type { EntryContext } from './io/entryContext.ts'
-import {
-	EXCHANGE_TICK_INTERVAL_MS,
-	tickExchanges,
-} from './io/exchangeSilence.ts'
 import {
 	indexTeams,
 	readModelRequest,
 	readServiceRequest,
-} from './io/intake.ts'
+} from './io/callerRequest.ts'
+import type { EntryContext } from './io/entryContext.ts'
+import {
+	EXCHANGE_TICK_INTERVAL_MS,
+	tickExchanges,
+} from './io/exchangeTimeouts.ts'
 import {
 	createQuarantineGate,
 	createQuarantineMethods,
--- a/packages/entry/src/io/entryContext.ts
+++ b/packages/entry/src/io/entryContext.ts
@@ -18,7 +18,7 @@
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { AttemptHandle } from './attempt.ts'
 import type { CallerAnswer } from './caller.ts'
-import type { CallerRequest, TeamIndex } from './intake.ts'
+import type { CallerRequest, TeamIndex } from './callerRequest.ts'
 import type { QuarantineGate } from './quarantine.ts'
 import type { AgentPeer, ServerView } from './servers.ts'
 import type { LiveEntries } from './teamLimits.ts'
--- a/packages/entry/src/io/exchange.ts
+++ b/packages/entry/src/io/exchange.ts
@@ -24,8 +24,8 @@
 	readElapsed,
 	readNow,
 } from '@juniperhook/runtime'
-import { sendCancel, sendVoid } from './agentOrders.ts'
 import { offerAttempt, resumeAttempt } from './attempt.ts'
+import { sendCancel, sendVoid } from './attemptMessages.ts'
 import {
 	endAnswer,
 	failAnswer,
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -23,9 +23,9 @@
 	ServerEndSchema,
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
+import type { CallerRequest } from './callerRequest.ts'
 import type { EntryContext } from './entryContext.ts'
-import type { CallerRequest } from './intake.ts'
-import { notifyEntry } from './otherEntries.ts'
+import { notifyEntry } from './entryNotifications.ts'
 
 /**
  * Time between the entries' turns to retry a quarantined request, ms: longer than a server
--- a/packages/entry/src/io/refusals.ts
+++ b/packages/entry/src/io/refusals.ts
@@ -4,9 +4,9 @@
 import { ERRORS, notRun, unknown } from '@juniperhook/core'
 import type { CallerAnswer } from './caller.ts'
 import { failAnswer } from './caller.ts'
+import type { CallerRequest } from './callerRequest.ts'
 import type { EntryContext } from './entryContext.ts'
 import { hasCallerKey } from './entryContext.ts'
-import type { CallerRequest } from './intake.ts'
 
 /**
  * Refuses a request that could not be read or accepted. With a key of its caller, a
--- a/packages/entry/src/io/serveRequest.ts
+++ b/packages/entry/src/io/serveRequest.ts
@@ -10,11 +10,11 @@
 	messageOf,
 } from '@juniperhook/runtime'
 import { createCallerAnswer } from './caller.ts'
+import type { CallerRequest, TeamIndex } from './callerRequest.ts'
+import { KEY_HEADER } from './callerRequest.ts'
 import type { EntryContext } from './entryContext.ts'
 import { createExchange } from './entryContext.ts'
 import { startExchange } from './exchange.ts'
-import type { CallerRequest, TeamIndex } from './intake.ts'
-import { KEY_HEADER } from './intake.ts'
 import { quarantinedForMs } from './quarantine.ts'
 import { refuseLimited, refuseRequest } from './refusals.ts'
 import { admitRequest, endRequest } from './teamLimits.ts'
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -30,9 +30,9 @@
 	readNow,
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
+import type { CallerRequest } from './callerRequest.ts'
 import type { EntryContext } from './entryContext.ts'
-import type { CallerRequest } from './intake.ts'
-import { notifyEntry } from './otherEntries.ts'
+import { notifyEntry } from './entryNotifications.ts'
 import type { TeamReply } from './teamMessages.ts'
 import {
 	TeamAdmissionSchema,
--- a/packages/entry/test/quarantine.test.ts
+++ b/packages/entry/test/quarantine.test.ts
@@ -3,8 +3,8 @@
 import { computeFingerprint } from '@juniperhook/gateway'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
+import type { CallerRequest } from '../src/io/callerRequest.ts'
 import type { EntryContext } from '../src/io/entryContext.ts'
-import type { CallerRequest } from '../src/io/intake.ts'
 import {
 	createQuarantineGate,
 	createQuarantineMethods,
