--- a/packages/entry/src/commands/explain.ts
+++ b/packages/entry/src/commands/explain.ts
@@ -2,7 +2,7 @@
 import { explainRequest, formatTrace } from '../explain.ts'
 import { readLogFiles } from '../logLines.ts'
 
-/** `juniperhook explain ID LOG…`: traces a request and names the likely cause of its outcome. */
+/** `juniperhook explain ID LOG…`: traces a request and names its outcome's likely cause. */
 export class Explain extends Command {
 	static override summary = 'Trace a request through logs.'
 	static override description = `Reads the logs of any number of processes and
--- a/packages/entry/src/explain.ts
+++ b/packages/entry/src/explain.ts
@@ -63,7 +63,7 @@
 	return [...newest.values()].sort((a, b) => a.time - b.time)
 }
 
-/** Whether another entry had applied a newer configuration than the request was served with. */
+/** Whether another entry had applied a newer configuration than this request's entry. */
 function isNewerElsewhere(line: LogLine, last: LogLine): boolean {
 	const { event, node, version } = line
 	if (event !== 'configuration in force' || node === last.node) return false
@@ -177,7 +177,7 @@
 	return `All servers of its service limit requests per second (${limits.join(', ')}), and none had a permit in time.`
 }
 
-/** Describes a recent rollback of the source, after which the server list may be outdated. */
+/** Describes a rollback of the source, after which the server list may be outdated. */
 function describeRollback(
 	last: LogLine,
 	stateLines: readonly LogLine[],
--- a/packages/entry/src/io/callerRequest.ts
+++ b/packages/entry/src/io/callerRequest.ts
@@ -41,7 +41,7 @@
 /** The key of a request that may not be repeated. */
 export interface RequestKey {
 	readonly value: string
-	/** Whether this entry has just created it, so that no earlier request can have used it. */
+	/** Whether this entry has just created it: no earlier request can have used it. */
 	readonly fresh: boolean
 }
 
--- a/packages/entry/src/io/routeQuery.ts
+++ b/packages/entry/src/io/routeQuery.ts
@@ -54,7 +54,7 @@
 	return available.every(other => other === row)
 }
 
-/** Returns the rows of servers that can serve the request; with a key, only its key home. */
+/** Returns the rows of servers that can serve the request; with a key, its key home. */
 export function candidateRows(
 	ctx: EntryContext,
 	exchange: Exchange,
--- a/packages/entry/src/io/servers.ts
+++ b/packages/entry/src/io/servers.ts
@@ -51,7 +51,7 @@
 	isRemoved: boolean
 	/** Until when the server accepts no requests, as its agent reported, ms. */
 	unavailableUntil: number
-	/** Whether a link is maintained; others are opened for the first request to a key home. */
+	/** Whether a link is maintained: to the subset, and to key homes once needed. */
 	keepsLink: boolean
 }
 
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -55,7 +55,7 @@
 	/** Names of the live entries, including this one. */
 	names: readonly string[]
 	share: LimitShare
-	/** Until when a team home that did not answer gets no admission requests, ms, by entry. */
+	/** Until when unresponsive team homes get no admission requests, ms, by entry. */
 	readonly unresponsiveUntil: Map<string, number>
 }
 
--- a/packages/entry/test/serverSignals.process.test.ts
+++ b/packages/entry/test/serverSignals.process.test.ts
@@ -1,4 +1,4 @@
-/** Backoff, rate limits and leaving of backend servers, with real entry and agent processes. */
+/** Backoff, rate limits and leaving of backend servers, with real processes. */
 
 import { setTimeout as wait } from 'node:timers/promises'
 import type { Fleet } from '@juniperhook/fakes'
