--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -25,8 +25,8 @@
 	handleNode,
 	listen,
 	listenOperators,
-	noteRevision,
-	revisionOf,
+	handlePeerRevision,
+	activeRevision,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
@@ -84,7 +84,7 @@
 		name: settings.process.name,
 		kind: 'entry',
 		incarnation,
-		revision: revisionOf(follower),
+		revision: activeRevision(follower),
 	})
 	const { port } = splitAddress(settings.listen.control)
 	const ownMethods = {
@@ -98,7 +98,7 @@
 		servers: createServerView(
 			createHello,
 			port,
-			(server, revision) => noteRevision(follower, server, revision),
+			(server, revision) => handlePeerRevision(follower, server, revision),
 			{ ...createFollowerMethods(() => follower), ...ownMethods },
 		),
 		limits: createLimits(),
@@ -119,8 +119,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => applyActiveConfig(entry, held),
-			onVms: vms => applyVms(ctx, vms),
+			onConfigActivated: held => applyActiveConfig(entry, held),
+			onVmList: vms => applyVms(ctx, vms),
 		},
 		seed,
 		ownMethods,
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -13,14 +13,14 @@
 	topByRendezvous,
 } from '@juniperhook/core'
 import { bodyLengthOf, computeFingerprint } from '@juniperhook/gateway'
-import type { EndNewsNotice, Methods } from '@juniperhook/runtime'
+import type { CrashUpdatesNotice, Methods } from '@juniperhook/runtime'
 import {
 	call,
 	createLog,
-	EndNewsSchema,
+	CrashUpdatesSchema,
 	openMemberLink,
 	readElapsed,
-	ServerEndSchema,
+	ServerCrashSchema,
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { CallerRequest } from './callerRequest.ts'
@@ -87,13 +87,13 @@
 export function createQuarantineMethods(find: () => EntryContext): Methods {
 	return {
 		serverEnd(params: unknown): void {
-			const end = v.parse(ServerEndSchema, params)
+			const end = v.parse(ServerCrashSchema, params)
 			mergeEvidence(find(), fromNotice({ ends: [end], served: [] }), 'agent')
 		},
 		endNews(params: unknown): void {
-			mergeEvidence(find(), fromNotice(v.parse(EndNewsSchema, params)), 'entry')
+			mergeEvidence(find(), fromNotice(v.parse(CrashUpdatesSchema, params)), 'entry')
 		},
-		listEnds: (): EndNewsNotice =>
+		listEnds: (): CrashUpdatesNotice =>
 			toNotice(listCrashEvidence(find().quarantineGate.quarantine)),
 	}
 }
@@ -114,7 +114,7 @@
 	try {
 		const link = await openMemberLink(ctx.follower(), name)
 		if (!link) return
-		const reply = v.parse(EndNewsSchema, await call(link, 'listEnds', {}))
+		const reply = v.parse(CrashUpdatesSchema, await call(link, 'listEnds', {}))
 		mergeEvidence(ctx, fromNotice(reply), 'entry')
 	} catch {
 		// Evidence is pulled from other entries as well.
@@ -141,7 +141,7 @@
 	if (from !== 'entry') notifyAll(ctx, toNotice(added))
 }
 
-function notifyAll(ctx: EntryContext, notice: EndNewsNotice): void {
+function notifyAll(ctx: EntryContext, notice: CrashUpdatesNotice): void {
 	for (const name of ctx.liveEntries.names)
 		if (name !== ctx.name) void notifyEntry(ctx, name, 'endNews', notice)
 }
@@ -155,7 +155,7 @@
 	return computeFingerprint({ method, path, team: { name: teamName }, body })
 }
 
-function toNotice({ ends, served }: CrashEvidence): EndNewsNotice {
+function toNotice({ ends, served }: CrashEvidence): CrashUpdatesNotice {
 	const now = readElapsed()
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
 	return {
@@ -171,7 +171,7 @@
 	}
 }
 
-function fromNotice({ ends, served }: EndNewsNotice): CrashEvidence {
+function fromNotice({ ends, served }: CrashUpdatesNotice): CrashEvidence {
 	const now = readElapsed()
 	return {
 		ends: ends.map(({ server, agoMs, ran }) => ({
--- a/packages/entry/test/config.process.test.ts
+++ b/packages/entry/test/config.process.test.ts
@@ -7,9 +7,9 @@
 	entryIp,
 	PORTS,
 	readStatus,
-	restart,
+	restartProcess,
 	serviceIp,
-	signal,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	waitUntil,
@@ -115,8 +115,8 @@
 			status => status.refusedRevision === 11 && status.revision === 10,
 		)
 	}, 'the refusal at all processes')
-	signal(fleet, 'service-1', 'SIGKILL')
-	await restart(fleet, 'service-1')
+	signalProcess(fleet, 'service-1', 'SIGKILL')
+	await restartProcess(fleet, 'service-1')
 	await waitForRestarted(10)
 	const roster = await requestRoster(fleet, 0)
 	assert.is(roster.result, 'answered')
@@ -127,8 +127,8 @@
 	await waitForAll(20, IN_FORCE_MS)
 	await publish(12, team('twelve'))
 	for (const name of ['entry-2', 'service-2']) {
-		signal(fleet, name, 'SIGKILL')
-		await restart(fleet, name)
+		signalProcess(fleet, name, 'SIGKILL')
+		await restartProcess(fleet, name)
 	}
 	await waitForRestarted(20)
 	await wait(2_000)
@@ -137,8 +137,8 @@
 
 test('a process that starts while the platform is down gets the revision from peers', async () => {
 	await callPlatform(fleet, 'up', 'no')
-	signal(fleet, 'service-3', 'SIGKILL')
-	await restart(fleet, 'service-3')
+	signalProcess(fleet, 'service-3', 'SIGKILL')
+	await restartProcess(fleet, 'service-3')
 	// The settings of the tests contain no peers; entries connect to the agent.
 	await waitForRestarted(20)
 	await callPlatform(fleet, 'up', 'yes')
--- a/packages/entry/test/failures.process.test.ts
+++ b/packages/entry/test/failures.process.test.ts
@@ -9,9 +9,9 @@
 	healRelay,
 	PORTS,
 	relayIp,
-	restart,
+	restartProcess,
 	serviceIp,
-	signal,
+	signalProcess,
 	startFleet,
 	startRelay,
 	stopFleet,
@@ -118,11 +118,11 @@
 function killFor(process: string, ms: number): Failure {
 	return {
 		async fail() {
-			signal(fleet, process, 'SIGKILL')
+			signalProcess(fleet, process, 'SIGKILL')
 			await wait(ms)
 		},
 		async heal() {
-			await restart(fleet, process)
+			await restartProcess(fleet, process)
 		},
 	}
 }
@@ -130,11 +130,11 @@
 function stopFor(process: string, ms: number): Failure {
 	return {
 		async fail() {
-			signal(fleet, process, 'SIGSTOP')
+			signalProcess(fleet, process, 'SIGSTOP')
 			await wait(ms)
 		},
 		async heal() {
-			signal(fleet, process, 'SIGCONT')
+			signalProcess(fleet, process, 'SIGCONT')
 		},
 	}
 }
@@ -178,13 +178,13 @@
 	{
 		name: 'an agent is killed while another is stopped',
 		async fail() {
-			signal(fleet, 'service-0', 'SIGSTOP')
-			signal(fleet, 'service-1', 'SIGKILL')
+			signalProcess(fleet, 'service-0', 'SIGSTOP')
+			signalProcess(fleet, 'service-1', 'SIGKILL')
 			await wait(3_000)
 		},
 		async heal() {
-			signal(fleet, 'service-0', 'SIGCONT')
-			await restart(fleet, 'service-1')
+			signalProcess(fleet, 'service-0', 'SIGCONT')
+			await restartProcess(fleet, 'service-1')
 		},
 		answered: 0.1,
 	},
@@ -231,8 +231,8 @@
 	const before = await book(fleet, 0, 'forgotten', key)
 	assert.is(before.result, 'answered')
 	for (let n = 0; n < SERVICES; n++) {
-		signal(fleet, `service-${n}`, 'SIGKILL')
-		await restart(fleet, `service-${n}`)
+		signalProcess(fleet, `service-${n}`, 'SIGKILL')
+		await restartProcess(fleet, `service-${n}`)
 	}
 	await waitUntilAllOpen()
 	const again = await book(fleet, 1, 'forgotten', key)
@@ -248,12 +248,12 @@
 
 test('rosters are answered while an agent is stopped', async () => {
 	await waitUntilAllOpen()
-	signal(fleet, 'service-0', 'SIGSTOP')
+	signalProcess(fleet, 'service-0', 'SIGSTOP')
 	const calls = Array.from({ length: 20 }, (_, n) =>
 		requestRoster(fleet, n % 2),
 	)
 	const rosters = await Promise.all(calls)
-	signal(fleet, 'service-0', 'SIGCONT')
+	signalProcess(fleet, 'service-0', 'SIGCONT')
 	const answered = rosters.filter(roster => roster.result === 'answered')
 	assert.is(answered.length, rosters.length)
 	await waitUntilAllOpen()
@@ -262,9 +262,9 @@
 test('a stream is complete or reports an error when its agent crashes', async () => {
 	const streams = Array.from({ length: 8 }, () => streamChat(fleet, 0, 150))
 	await wait(400)
-	signal(fleet, 'rank-1', 'SIGKILL')
+	signalProcess(fleet, 'rank-1', 'SIGKILL')
 	await wait(300)
-	await restart(fleet, 'rank-1')
+	await restartProcess(fleet, 'rank-1')
 	for (const text of await Promise.all(streams)) {
 		const tokens = tokensOf(text)
 		assert.equal(
@@ -283,8 +283,8 @@
 		streamChat(fleet, n % 2, 300),
 	)
 	await wait(500)
-	signal(fleet, 'rank-0', 'SIGTERM')
-	signal(fleet, 'entry-1', 'SIGTERM')
+	signalProcess(fleet, 'rank-0', 'SIGTERM')
+	signalProcess(fleet, 'entry-1', 'SIGTERM')
 	for (const text of await Promise.all(before)) {
 		assert.match(text, /\[DONE\]/)
 		assert.is(tokensOf(text).length, 300)
@@ -297,13 +297,13 @@
 		() => fleet.processes.get('rank-0')?.child.exitCode === 0,
 		'the exit of the agent',
 	)
-	await restart(fleet, 'rank-0')
-	await restart(fleet, 'entry-1')
+	await restartProcess(fleet, 'rank-0')
+	await restartProcess(fleet, 'entry-1')
 	await waitUntilAllOpen()
 })
 
 test('a stopping entry answers "not run" only without a key of the caller', async () => {
-	signal(fleet, 'entry-1', 'SIGTERM')
+	signalProcess(fleet, 'entry-1', 'SIGTERM')
 	await wait(200)
 	const mayHaveRun = await book(fleet, 1, 'stopping-key', newKey())
 	const cannotHaveRun = await book(fleet, 1, 'stopping')
@@ -313,19 +313,19 @@
 		() => fleet.processes.get('entry-1')?.child.exitCode === 0,
 		'the exit of the entry',
 	)
-	await restart(fleet, 'entry-1')
+	await restartProcess(fleet, 'entry-1')
 	await waitUntilAllOpen()
 })
 
 test('a leaving server gets no new requests before the VM list shows it', async () => {
-	signal(fleet, 'service-2', 'SIGTERM')
+	signalProcess(fleet, 'service-2', 'SIGTERM')
 	await wait(500)
 	const before = await countServiceRequests(2)
 	const rosters = Array.from({ length: 30 }, () => requestRoster(fleet, 0))
 	const answers = await Promise.all(rosters)
 	assert.ok(answers.every(roster => roster.result === 'answered'))
 	assert.is(await countServiceRequests(2), before)
-	await restart(fleet, 'service-2')
+	await restartProcess(fleet, 'service-2')
 	await waitUntilAllOpen()
 })
 
--- a/packages/entry/test/quarantine.process.test.ts
+++ b/packages/entry/test/quarantine.process.test.ts
@@ -6,8 +6,8 @@
 	entryIp,
 	PORTS,
 	readStatus,
-	restart,
-	signal,
+	restartProcess,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	TEAM_KEY,
@@ -55,7 +55,7 @@
 			if (fleet.processes.get(name)?.child.exitCode !== 1) continue
 			crashes++
 			await wait(RESTART_DELAY_MS)
-			await restart(fleet, name)
+			await restartProcess(fleet, name)
 		}
 		await wait(20)
 	}
@@ -103,8 +103,8 @@
 
 test('a restarted entry pulls the evidence from the others', async () => {
 	const before = crashes
-	signal(fleet, 'entry-0', 'SIGKILL')
-	await restart(fleet, 'entry-0')
+	signalProcess(fleet, 'entry-0', 'SIGKILL')
+	await restartProcess(fleet, 'entry-0')
 	await waitUntil(async () => {
 		const ip = entryIp(fleet, 0)
 		const { entries } = await readStatus<{ entries: number }>(ip)
--- a/packages/entry/test/serverSignals.process.test.ts
+++ b/packages/entry/test/serverSignals.process.test.ts
@@ -5,9 +5,9 @@
 import {
 	PORTS,
 	readStatus,
-	restart,
+	restartProcess,
 	serviceIp,
-	signal,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	waitUntil,
@@ -125,9 +125,9 @@
 	assert.ok(seconds > 0 && seconds <= short, `${seconds} s`)
 	await wait(seconds * 1_000)
 	assert.is((await requestRoster(fleet, 0)).status, 200)
-	signal(fleet, 'backend-0', 'SIGKILL')
+	signalProcess(fleet, 'backend-0', 'SIGKILL')
 	await wait(IN_FLIGHT_MS)
-	await restart(fleet, 'backend-0')
+	await restartProcess(fleet, 'backend-0')
 	await waitUntil(
 		async () => (await countRequests(0)) === 0,
 		'its next incarnation',
@@ -156,9 +156,9 @@
 	const { bookings, arrived } = await requestFor(LOAD_MS / 2)
 	assert.is(arrived, 0)
 	assert.equal(failedStatuses(bookings), [])
-	signal(fleet, 'backend-0', 'SIGKILL')
+	signalProcess(fleet, 'backend-0', 'SIGKILL')
 	await wait(IN_FLIGHT_MS)
-	await restart(fleet, 'backend-0')
+	await restartProcess(fleet, 'backend-0')
 	await waitUntil(
 		async () => (await countRequests(0)) === 0,
 		'its next incarnation',
--- a/packages/entry/test/teams.process.test.ts
+++ b/packages/entry/test/teams.process.test.ts
@@ -6,7 +6,7 @@
 	entryIp,
 	PORTS,
 	readStatus,
-	signal,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	waitUntil,
@@ -82,14 +82,14 @@
 	// Each entry is stopped once, so that one of them is the team home.
 	for (const silent of ALL) {
 		const name = `entry-${silent}`
-		signal(fleet, name, 'SIGSTOP')
+		signalProcess(fleet, name, 'SIGSTOP')
 		const others = ALL.filter(n => n !== silent)
 		const statuses = await Promise.all(
 			others.flatMap(n =>
 				Array.from({ length: CONCURRENCY }, () => requestStatus(n)),
 			),
 		)
-		signal(fleet, name, 'SIGCONT')
+		signalProcess(fleet, name, 'SIGCONT')
 		const served = countOf(statuses, 200)
 		assert.ok(served <= CONCURRENCY, `${served} without ${name}`)
 		assert.ok(
