--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -6,7 +6,7 @@
 import { writeFileSync } from 'node:fs'
 import type { GroupMap, SetPlan } from '@juniperhook/core'
 import { computeSetSkew, passFactor, planMap, planSet } from '@juniperhook/core'
-import type { ExpertWorkload, ExpertGroup } from '@juniperhook/fakes'
+import type { ExpertGroup, ExpertWorkload } from '@juniperhook/fakes'
 import {
 	createExpertGroup,
 	demandOf,
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -13,17 +13,17 @@
 import type { Hello, RpcLink, Settings, Vm } from '@juniperhook/runtime'
 import {
 	AttemptRefSchema,
+	activeRevision,
 	createFollowerMethods,
 	createLog,
 	createMetrics,
 	describeFollower,
 	fail,
 	HelloSchema,
+	handlePeerConnected,
 	listen,
 	listenOperators,
-	handlePeerConnected,
 	notify,
-	activeRevision,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
--- a/packages/agent/src/io/serverSignals.ts
+++ b/packages/agent/src/io/serverSignals.ts
@@ -73,9 +73,9 @@
 }: AdmissionState): string {
 	const isBackingOff = backoffUntil > readMoment().now
 	return [
-		isBackingOff && `backing off until ${Math.round(backoffUntil)}`,
-		limit && `limited to ${limit.perSecond} requests per second`,
-		serverLeaves && 'leaving',
+		isBackingOff && `rests until ${Math.round(backoffUntil)}`,
+		limit && `takes ${limit.perSecond} a second`,
+		serverLeaves && 'leaves',
 	]
 		.filter(Boolean)
 		.join(', ')
--- a/packages/agent/src/reports.ts
+++ b/packages/agent/src/reports.ts
@@ -1,7 +1,7 @@
 /** Load reports to entries that have received no recent answer with the load. */
 
 import type { Report, RpcLink } from '@juniperhook/runtime'
-import { notify, activeRevision } from '@juniperhook/runtime'
+import { activeRevision, notify } from '@juniperhook/runtime'
 import type { AgentProcess } from './agentState.ts'
 import type { RequestTable } from './io/requestTable.ts'
 import { readLoad } from './io/requestTable.ts'
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -18,15 +18,15 @@
 	Vm,
 } from '@juniperhook/runtime'
 import {
+	activeRevision,
 	createFollowerMethods,
 	createLog,
 	createMetrics,
 	describeFollower,
 	handleNode,
+	handlePeerRevision,
 	listen,
 	listenOperators,
-	handlePeerRevision,
-	activeRevision,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
--- a/packages/entry/src/io/callerRequest.ts
+++ b/packages/entry/src/io/callerRequest.ts
@@ -279,7 +279,9 @@
 
 function forwardHeaders(req: IncomingMessage): Record<string, string> {
 	const headers: Record<string, string> = {}
-	for (const [name, value] of Object.entries(removeHopByHopHeaders(req.headers))) {
+	for (const [name, value] of Object.entries(
+		removeHopByHopHeaders(req.headers),
+	)) {
 		if (ENTRY_HEADERS.has(name)) continue
 		headers[name] = Array.isArray(value) ? value.join(', ') : value
 	}
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -15,9 +15,9 @@
 import { bodyLengthOf, computeFingerprint } from '@juniperhook/gateway'
 import type { CrashUpdatesNotice, Methods } from '@juniperhook/runtime'
 import {
+	CrashUpdatesSchema,
 	call,
 	createLog,
-	CrashUpdatesSchema,
 	openMemberLink,
 	readElapsed,
 	ServerCrashSchema,
@@ -91,7 +91,11 @@
 			mergeEvidence(find(), fromNotice({ ends: [end], served: [] }), 'agent')
 		},
 		endNews(params: unknown): void {
-			mergeEvidence(find(), fromNotice(v.parse(CrashUpdatesSchema, params)), 'entry')
+			mergeEvidence(
+				find(),
+				fromNotice(v.parse(CrashUpdatesSchema, params)),
+				'entry',
+			)
 		},
 		listEnds: (): CrashUpdatesNotice =>
 			toNotice(listCrashEvidence(find().quarantineGate.quarantine)),
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -120,7 +120,9 @@
 	'narrow the link to the store for one': (world, random) => {
 		const relay = drawOf(random, world.storeRelays)
 		// No trouble that excuses anything: peers make up for a slow link.
-		relay.link = createThrottledLink(drawBetween(random, ...NARROW_BYTES_PER_MS))
+		relay.link = createThrottledLink(
+			drawBetween(random, ...NARROW_BYTES_PER_MS),
+		)
 		return () => {
 			relay.link = undefined
 		}
