--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -17,8 +17,8 @@
 import {
 	createDemand,
 	refreshDemand,
-	shareOfSet,
-	takeChoices,
+	computeExpertShares,
+	addChoices,
 } from '@juniperhook/groups'
 import { isQuick, print, printTable } from './output.ts'
 
@@ -124,10 +124,10 @@
 		}
 		if (group.nowMs - countedAt < COUNTS_MS) continue
 		countedAt = group.nowMs
-		takeChoices(demand, counts)
+		addChoices(demand, counts)
 		refreshDemand(demand, group.nowMs)
 		counts.fill(0)
-		if (coming || demand.seen === 0) continue
+		if (coming || demand.totalChoices === 0) continue
 		const map = decide(group, demand, policy)
 		if (!map) continue
 		const copyMs = startCopies(group, map)
@@ -142,7 +142,7 @@
 	policy: Policy,
 ): GroupMap | undefined {
 	const { layout } = group.day
-	const shares = group.map.map((_, set) => shareOfSet(demand, set))
+	const shares = group.map.map((_, set) => computeExpertShares(demand, set))
 	const flat = new Float64Array(layout.sets * layout.experts)
 	for (const [set, share] of shares.entries())
 		flat.set(share, set * layout.experts)
--- a/packages/groups/src/coordinator.ts
+++ b/packages/groups/src/coordinator.ts
@@ -59,7 +59,7 @@
 	}
 	if (report.armed !== undefined) return
 	const map = await readMap(co, report)
-	if (!map || co.demand.seen < MIN_SEEN) return
+	if (!map || co.demand.totalChoices < MIN_SEEN) return
 	if (!needsMap(co, map)) return
 	const better = await planNext(co, map)
 	if (better) await runRound(co, report, better)
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -8,7 +8,7 @@
 import { createServer } from 'node:http'
 import type { Random } from '@juniperhook/core'
 import { incarnationId } from '@juniperhook/core'
-import type { StandInGroup } from '../../packages/groups/test/standInGroup.ts'
+import type { FakeGroup } from '../../packages/groups/test/standInGroup.ts'
 import { addressOf } from '../../packages/groups/test/standInGroup.ts'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import { PORTS, relayIp, serverIp } from './addresses.ts'
@@ -78,7 +78,7 @@
 /** All backend servers. */
 export interface Servers {
 	readonly all: BackendServer[]
-	readonly group: StandInGroup
+	readonly group: FakeGroup
 	readonly record: Record
 	readonly random: Random
 	readonly net: number
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -3,7 +3,7 @@
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
 import { startRelay, stopRelay } from '@juniperhook/fakes'
-import { startGroup } from '../../packages/groups/test/standInGroup.ts'
+import { startFakeGroup } from '../../packages/groups/test/standInGroup.ts'
 import type { StandInStore } from '../../platform/test/standInStore.ts'
 import { startStore } from '../../platform/test/standInStore.ts'
 import {
@@ -76,7 +76,7 @@
 	const { net, seed } = options
 	const record = createRecord()
 	const store = await startStore()
-	const group = startGroup(seed, options.ranks)
+	const group = startFakeGroup(seed, options.ranks)
 	const servers: Servers = {
 		all: [],
 		group,
