--- a/packages/groups/src/agent.ts
+++ b/packages/groups/src/agent.ts
@@ -1,7 +1,7 @@
 /**
- * The agent beside an engine that may be a rank of a group. It serves whoever
- * coordinates the group; the agents of a few ranks may coordinate it, the
- * first of them that lives does.
+ * Agent beside an engine that may be a rank of a lock-step group. It serves the group's
+ * coordinator. The agents of a few ranks are candidates for coordinator, in a fixed
+ * order of precedence: the first one that is alive coordinates the group.
  */
 
 import { randomBytes } from 'node:crypto'
@@ -18,64 +18,68 @@
 } from '@juniperhook/runtime'
 import { runCoordinator, stopCoordinator } from './coordinator.ts'
 import type { Coordinator } from './coordinatorState.ts'
-import { bypassAgent, createCoordinator, fitGroup } from './coordinatorState.ts'
-import { judgeEarlier } from './earlierCandidate.ts'
-import type { PaceTeller } from './paceTeller.ts'
-import { createPaceTeller, tellPaces } from './paceTeller.ts'
+import {
+	applyGroup,
+	bypassAgent,
+	createCoordinator,
+} from './coordinatorState.ts'
+import { assessCandidate } from './earlierCandidate.ts'
+import type { GroupReporter } from './paceTeller.ts'
+import { createGroupReporter, reportGroup } from './paceTeller.ts'
 import type { EnginePort, GroupSource, PublishedGroup } from './ports.ts'
 import type { AgentHello } from './rankMessages.ts'
 import { createRankMethods } from './rankService.ts'
 
 /**
- * Ranks whose agents may coordinate, first choice first. The anchor's comes
- * last: if its VM stops, nobody can let a held group go.
+ * Ranks whose agents may coordinate the group, in order of precedence. The anchor's is
+ * last: if its VM stopped while the group is held, nobody could release the group.
  */
 const CANDIDATES = [1, 2, 3, 0]
-/** Between a candidate's looks at its engine and at earlier ones, ms. */
-const CANDIDATE_LOOK_MS = 80
-/** Between looks of agents that only serve, ms. */
-const LOOK_MS = 500
-/** Between readings of the published group, ms. */
-const READ_MS = 2_000
-const HELLO_MS = 150
-/** A link of one Mbit/s carries so many bytes in a ms. */
-const BYTES_PER_MS_OF_MBPS = 125
-
-/** What an agent is told of its VM. */
+/** Interval at which a candidate polls its engine and the earlier candidates, ms. */
+const CANDIDATE_POLL_INTERVAL_MS = 80
+/** Polling interval of agents that are no candidates, ms. */
+const POLL_INTERVAL_MS = 500
+/** Interval between reads of the published group, ms. */
+const GROUP_READ_INTERVAL_MS = 2_000
+const HELLO_TIMEOUT_MS = 150
+/** Bytes per ms of a link of 1 Mbit/s. */
+const BYTES_PER_MS_PER_MBPS = 125
+
+/** Settings of an agent. */
 export interface AgentSettings {
 	readonly name: string
 	readonly ip: string
-	/** Port that agents listen on, the same everywhere. */
+	/** Port on which all agents listen. */
 	readonly agentPort: number
-	/** `IP:port` of the engine beside it. */
+	/** Address of the local engine, `IP:port`. */
 	readonly engine: string
 	readonly service: string
-	/** Of this VM's link. */
+	/** Bandwidth of this VM's link, Mbit/s. */
 	readonly linkMbps: number
-	/** Control addresses of some entries; may be stale. */
+	/** Control addresses of some entries; may be out of date. */
 	readonly entries: readonly string[]
 }
 
-/** A running agent. */
+/** State of a running agent. */
 interface Agent {
 	readonly settings: AgentSettings
 	readonly port: EnginePort
 	readonly source: GroupSource
 	readonly log: EventLog
 	readonly startedAt: number
-	readonly teller: PaceTeller
+	readonly reporter: GroupReporter
 	report: RankReport | undefined
 	group: PublishedGroup | undefined
-	readAt: number
+	groupReadAt: number
 	coordinator: Coordinator | undefined
-	/** Links to earlier candidates, by rank. */
-	readonly earlier: Map<number, { link: RpcLink; engine: string }>
-	/** When each earlier candidate was last heard, ms. */
-	readonly heardAt: Map<number, number>
+	/** Links to the agents of earlier candidates, by rank. */
+	readonly candidateLinks: Map<number, { link: RpcLink; engine: string }>
+	/** Time of the last answer of each earlier candidate, ms. */
+	readonly answeredAt: Map<number, number>
 	stopping: boolean
 }
 
-/** Starts an agent; resolves when it listens. */
+/** Starts an agent. Runs until the process is terminated. */
 export async function startAgent(
 	settings: AgentSettings,
 	port: EnginePort,
@@ -88,15 +92,15 @@
 		source,
 		log,
 		startedAt: readNow(),
-		teller: createPaceTeller(settings.entries, (entry, reason) =>
+		reporter: createGroupReporter(settings.entries, (entry, reason) =>
 			log.write('entry not reached', { entry, reason }),
 		),
 		report: undefined,
 		group: undefined,
-		readAt: Number.NEGATIVE_INFINITY,
+		groupReadAt: Number.NEGATIVE_INFINITY,
 		coordinator: undefined,
-		earlier: new Map(),
-		heardAt: new Map(),
+		candidateLinks: new Map(),
+		answeredAt: new Map(),
 		stopping: false,
 	}
 	const hello = (): AgentHello => ({
@@ -110,9 +114,11 @@
 	log.write('agent started', { name: settings.name, engine: settings.engine })
 	process.once('SIGTERM', () => stopAgent(agent))
 	while (!agent.stopping) {
-		await look(agent)
-		const lookMs = isCandidate(agent.report) ? CANDIDATE_LOOK_MS : LOOK_MS
-		await new Promise(resolve => setTimeout(resolve, lookMs))
+		await poll(agent)
+		const intervalMs = isCandidate(agent.report)
+			? CANDIDATE_POLL_INTERVAL_MS
+			: POLL_INTERVAL_MS
+		await new Promise(resolve => setTimeout(resolve, intervalMs))
 	}
 }
 
@@ -124,20 +130,20 @@
 	process.exit(0)
 }
 
-async function look(agent: Agent): Promise<void> {
+async function poll(agent: Agent): Promise<void> {
 	const report = await agent.port.report(agent.settings.engine)
-	if (report) takeReport(agent, report)
+	if (report) applyReport(agent, report)
 	if (!agent.report || !isCandidate(agent.report)) {
-		stepDown(agent, 'not a candidate')
+		stopCoordinating(agent, 'not a candidate')
 		return
 	}
 	await readGroup(agent, agent.report)
-	const rank = await findEarlier(agent, agent.report.rank)
-	if (rank !== undefined) stepDown(agent, `rank ${rank} lives`)
-	else stepUp(agent, agent.report)
+	const rank = await findEarlierCandidate(agent, agent.report.rank)
+	if (rank !== undefined) stopCoordinating(agent, `rank ${rank} is alive`)
+	else startCoordinating(agent, agent.report)
 }
 
-function takeReport(agent: Agent, report: RankReport): void {
+function applyReport(agent: Agent, report: RankReport): void {
 	const before = agent.report
 	agent.report = report
 	if (!before || before.bornAt === report.bornAt) return
@@ -155,63 +161,66 @@
 
 async function readGroup(agent: Agent, report: RankReport): Promise<void> {
 	const now = readElapsed()
-	if (now - agent.readAt < READ_MS) return
-	agent.readAt = now
+	if (now - agent.groupReadAt < GROUP_READ_INTERVAL_MS) return
+	agent.groupReadAt = now
 	const { service } = agent.settings
 	const group = await agent.source.read(service, report.group)
 	if (!group) return
 	agent.group = group
-	if (agent.coordinator) fitGroup(agent.coordinator, group)
+	if (agent.coordinator) applyGroup(agent.coordinator, group)
 }
 
-/** The first candidate before `rank` that has been heard of late. */
-async function findEarlier(
+/**
+ * Returns the rank of the first candidate before `rank` that is alive. An unresponsive
+ * one counts as alive unless the group is held.
+ */
+async function findEarlierCandidate(
 	agent: Agent,
 	rank: number,
 ): Promise<number | undefined> {
 	for (const earlier of CANDIDATES.slice(0, CANDIDATES.indexOf(rank))) {
-		await greet(agent, earlier)
-		const heardAt = agent.heardAt.get(earlier)
-		const state = judgeEarlier(heardAt, agent.startedAt, readNow())
-		if (state === 'gone') continue
-		if (state === 'lives' || !(await isHeld(agent))) return earlier
+		await sendHello(agent, earlier)
+		const answeredAt = agent.answeredAt.get(earlier)
+		const liveness = assessCandidate(answeredAt, agent.startedAt, readNow())
+		if (liveness === 'down') continue
+		if (liveness === 'alive' || !(await isGroupHeld(agent))) return earlier
 	}
 	return undefined
 }
 
-/** Whether the group is held, by its anchor's own word. */
-async function isHeld(agent: Agent): Promise<boolean> {
+/** Whether the group's anchor reports that the group is held. */
+async function isGroupHeld(agent: Agent): Promise<boolean> {
 	const anchor = agent.group?.members.find(item => item.rank === ANCHOR_RANK)
 	if (!anchor) return false
 	const report = await agent.port.report(anchor.engine)
 	return report?.held !== undefined
 }
 
-async function greet(agent: Agent, rank: number): Promise<void> {
+async function sendHello(agent: Agent, rank: number): Promise<void> {
 	const member = agent.group?.members.find(item => item.rank === rank)
 	if (!member) return
 	const { engine } = member
-	const known = agent.earlier.get(rank)
+	const known = agent.candidateLinks.get(rank)
 	try {
 		if (known && known.engine !== engine) throw new Error('moved')
 		const link = known?.link ?? (await openLink(agent, engine))
-		agent.earlier.set(rank, { link, engine })
-		const hello = await call<AgentHello>(link, 'hello', {}, HELLO_MS)
-		// One that does not know its rank yet cannot coordinate.
-		if (hello.rank === rank) agent.heardAt.set(rank, readNow())
+		agent.candidateLinks.set(rank, { link, engine })
+		const hello = await call<AgentHello>(link, 'hello', {}, HELLO_TIMEOUT_MS)
+		// An agent that does not know its rank yet cannot coordinate.
+		if (hello.rank === rank) agent.answeredAt.set(rank, readNow())
 	} catch {
-		// Silence is judged by the time of the last word.
+		// The liveness of the candidate depends on the time of its last answer.
 		known?.link.socket.destroy()
-		agent.earlier.delete(rank)
+		agent.candidateLinks.delete(rank)
 	}
 }
 
 function openLink(agent: Agent, engine: string): Promise<RpcLink> {
 	const { ip } = splitAddress(engine)
-	return connectRpc(`${ip}:${agent.settings.agentPort}`, {}, HELLO_MS)
+	return connectRpc(`${ip}:${agent.settings.agentPort}`, {}, HELLO_TIMEOUT_MS)
 }
 
-function stepUp(agent: Agent, report: RankReport): void {
+function startCoordinating(agent: Agent, report: RankReport): void {
 	if (agent.coordinator || !agent.group) return
 	const { port, log, settings, group } = agent
 	const random = createRandom(randomBytes(4).readUInt32LE())
@@ -222,23 +231,24 @@
 		random,
 		report.rank,
 		agentPort,
-		linkMbps * BYTES_PER_MS_OF_MBPS,
+		linkMbps * BYTES_PER_MS_PER_MBPS,
 	)
 	const name = `${settings.service}/${report.group}`
-	co.onStatus = status => tellPaces(agent.teller, { group: name, ...status })
-	fitGroup(co, group)
-	// The agents of earlier candidates are silent: engines are called directly.
+	co.onStatus = status =>
+		reportGroup(agent.reporter, { group: name, ...status })
+	applyGroup(co, group)
+	// The agents of earlier candidates do not answer: call their engines directly.
 	for (const rank of CANDIDATES.slice(0, CANDIDATES.indexOf(report.rank)))
 		bypassAgent(co, rank)
 	agent.coordinator = co
 	log.write('coordinates', { group: report.group, rank: report.rank })
 	void runCoordinator(co).catch(err => {
 		log.write('internal fault', { detail: messageOf(err) })
-		stepDown(agent, 'internal fault')
+		stopCoordinating(agent, 'internal fault')
 	})
 }
 
-function stepDown(agent: Agent, reason: string): void {
+function stopCoordinating(agent: Agent, reason: string): void {
 	if (!agent.coordinator) return
 	stopCoordinator(agent.coordinator)
 	agent.coordinator = undefined
--- a/packages/groups/src/armingTime.ts
+++ b/packages/groups/src/armingTime.ts
@@ -1,56 +1,66 @@
 /**
- * How long before a change of the map its pass is chosen, and how long a rank may
- * leave a probe unanswered: both follow from how long arming was seen to take.
+ * Lead of a map change, which is the time allowed from the hold until all ranks are
+ * armed, and timeout of the probe that precedes arming. Both are derived from the
+ * arming times of earlier rounds.
  */
 
 /**
- * A rank that does not answer a probe for this long cannot be armed, ms: so much,
- * and so many trips to all ranks and back, for those that share one small link.
+ * Minimum timeout of a probe, ms, to which round trips to all ranks are added, because
+ * the ranks' messages share the coordinator's small link.
  */
-const PROBE_MS = 60
-const PROBE_TRIPS = 3
-/** Where the lead is longer, a probe may take this part of it. */
-const PROBE_SHARE = 0.7
+const MIN_PROBE_TIMEOUT_MS = 60
+const PROBE_ROUND_TRIPS = 3
+/** Share of the lead that a probe may take, where that is longer. */
+const PROBE_LEAD_SHARE = 0.7
 /**
- * Time from the hold until all ranks are armed, ms; passes meanwhile run. It
- * covers a hold by way of a VM that has stopped, and the trips of the probe and
- * of the order to arm, so that streams do not pause for it.
+ * Minimum lead, ms. Passes continue during the lead. It covers a hold order that is sent
+ * via a VM that has stopped; the round trips of the probe and of the arm order are
+ * added, so that streams do not pause for them.
  */
-const LEAD_MS = 120
-const LEAD_TRIPS = 2
+const MIN_LEAD_MS = 120
+const LEAD_ROUND_TRIPS = 2
 /**
- * Where arming was seen to take longer, so many times that: a group of 192 ranks
- * whose lead was too short stood still for 0.11 s at each change of its map.
+ * Factor of the expected arming time that the lead allows. With too short a lead, a
+ * group of 192 ranks stood still for 0.11 s at each map change.
  */
-const LEAD_TIMES = 1.25
-/** What is kept at each round of the longest arming that was seen. */
-const KEPT = 0.8
+const LEAD_FACTOR = 1.25
+/** Factor by which the expected arming time decays with each shorter round. */
+const DECAY_PER_ROUND = 0.8
 /**
- * After a probe that was given up, arming is expected to take so many times what
- * that probe had: of 40 ranks on links that lose 2 in 100 packets, some answer
- * comes a retransmission late in nearly every round.
+ * Factor of a probe's timeout that arming is expected to take after the probe has timed
+ * out. With 40 ranks on links that lose 2 % of the packets, some answer is delayed by a
+ * retransmission in nearly every round.
  */
-const MISSED_TIMES = 2
-/** Longer than this no arming is waited for, ms: demand turns meanwhile. */
-const MOST_MS = 800
+const TIMEOUT_FACTOR = 2
+/** Maximum expected arming time, ms; with a longer one, demand shifts meanwhile. */
+const MAX_ARMING_MS = 800
 
-/** Time from the hold until all ranks are armed that is allowed for, ms. */
-export function leadMsOf(armingMs: number, tripMs: number): number {
-	return Math.max(LEAD_MS + LEAD_TRIPS * tripMs, LEAD_TIMES * armingMs)
+/** Returns the time allowed from the hold until all ranks are armed, ms. */
+export function computeLeadMs(armingMs: number, roundTripMs: number): number {
+	return Math.max(
+		MIN_LEAD_MS + LEAD_ROUND_TRIPS * roundTripMs,
+		LEAD_FACTOR * armingMs,
+	)
 }
 
-/** Time until a probe that some rank has not answered is given up, ms. */
-export function probeLimitMs(armingMs: number, tripMs: number): number {
-	const leadMs = leadMsOf(armingMs, tripMs)
-	return Math.max(PROBE_MS + PROBE_TRIPS * tripMs, PROBE_SHARE * leadMs)
+/** Returns the time within which all ranks have to answer a probe, ms. */
+export function computeProbeTimeoutMs(
+	armingMs: number,
+	roundTripMs: number,
+): number {
+	const leadMs = computeLeadMs(armingMs, roundTripMs)
+	return Math.max(
+		MIN_PROBE_TIMEOUT_MS + PROBE_ROUND_TRIPS * roundTripMs,
+		PROBE_LEAD_SHARE * leadMs,
+	)
 }
 
-/** What arming is expected to take after one that took `tookMs`, ms. */
-export function noteArmed(armingMs: number, tookMs: number): number {
-	return Math.min(MOST_MS, Math.max(tookMs, armingMs * KEPT))
+/** Returns the expected arming time after an arming that took `tookMs`, ms. */
+export function updateArmingMs(armingMs: number, tookMs: number): number {
+	return Math.min(MAX_ARMING_MS, Math.max(tookMs, armingMs * DECAY_PER_ROUND))
 }
 
-/** The same after a probe that was given up when its limit had passed. */
-export function noteMissed(armingMs: number, limitMs: number): number {
-	return Math.min(MOST_MS, Math.max(armingMs, MISSED_TIMES * limitMs))
+/** Returns the expected arming time after a probe that timed out, ms. */
+export function raiseArmingMs(armingMs: number, timeoutMs: number): number {
+	return Math.min(MAX_ARMING_MS, Math.max(armingMs, TIMEOUT_FACTOR * timeoutMs))
 }
--- a/packages/groups/src/choices.ts
+++ b/packages/groups/src/choices.ts
@@ -1,8 +1,8 @@
 /**
- * What the requests of a rank have chosen since it was last asked. Engines tell
- * totals since their start; between agents only what is new travels, a byte an
- * expert or less: the totals of 1,728 experts take 9 KB as JSON, and those of 16
- * ranks five times a second fill the link of a small VM.
+ * Samples of the experts that a rank's requests choose. Engines report totals since their
+ * start. Agents send each other only the increments since the last sample, in at most one
+ * byte per expert: the totals of 1,728 experts take 9 KB as JSON, and those of 16 ranks,
+ * read five times a second, saturate the link of a small VM.
  */
 
 import type { RankReport } from '@juniperhook/core'
@@ -10,92 +10,95 @@
 
 const MAX_BYTE = 255
 /**
- * From this number of experts of all sets on, a count takes half a byte: its root,
- * whose step is below what chance makes of a count. 3,840 experts take 2.6 KB in
- * place of 5.1, of a link that carries half a KB a ms.
+ * Number of experts of all sets above which a count is encoded as its square root in
+ * half a byte. The quantization error is below the sampling noise of a count. The counts
+ * of 3,840 experts then take 2.6 KB instead of 5.1 KB, on a link of half a KB per ms.
  */
-const MANY = 2_000
+const MIN_COMPACT_EXPERTS = 2_000
 const MAX_ROOT = 15
 
-/** What one reader has been told so far. */
-export interface ChoiceReader {
+/** Position of a reader of an engine's counts: the totals that it read last. */
+export interface CountCursor {
 	last: RankCounts | undefined
 }
 
-/** Makes a reader that has been told nothing. */
-export function createChoiceReader(): ChoiceReader {
+/** Creates a cursor before the first reading. */
+export function createCountCursor(): CountCursor {
 	return { last: undefined }
 }
 
 /**
- * Reads an engine's counts and how busy it was when it was last looked at;
- * undefined when it does not answer.
+ * Reads an engine's new expert choices and its load, the latter from `known` if given.
+ * Resolves to undefined if the engine does not answer.
  */
 export async function readSample(
 	port: EnginePort,
 	engine: string,
-	reader: ChoiceReader,
+	cursor: CountCursor,
 	known: RankReport | undefined,
 ): Promise<RankSample | undefined> {
 	const counts = await port.counts(engine)
 	const report = known ?? (await port.report(engine))
 	if (!counts || !report) return undefined
 	const { running, waiting, pace } = report
-	const chosen = takeNew(reader, counts)
+	const chosen = computeIncrements(cursor, counts)
 	return { epoch: counts.epoch, chosen, running, waiting, pace }
 }
 
-/** Choices since the last counts; none where those are of another life or epoch. */
-function takeNew(reader: ChoiceReader, counts: RankCounts): number[] {
-	const { last } = reader
-	reader.last = counts
-	// A rank that has started anew counts from nought.
-	const isSame =
+/**
+ * Returns the increments since the last counts; none if those belong to another
+ * incarnation of the engine or to another epoch.
+ */
+function computeIncrements(cursor: CountCursor, counts: RankCounts): number[] {
+	const { last } = cursor
+	cursor.last = counts
+	// An engine that has restarted counts from zero.
+	const isContinued =
 		last?.epoch === counts.epoch &&
 		last.bornAt === counts.bornAt &&
 		last.counts.length === counts.counts.length
-	if (!isSame) return []
+	if (!isContinued) return []
 	return counts.counts.map((count, at) => Math.max(0, count - last.counts[at]!))
 }
 
-/** A sample as agents send it to each other. */
+/** Encoded sample, as sent between agents. */
 export interface SampleMessage extends Omit<RankSample, 'chosen'> {
 	/**
-	 * Base64 of a byte an expert; times `unit`, it is the number of choices. Of
-	 * many experts, two in a byte, the first one low; the square of each, times
-	 * `unit`, is the number.
+	 * Counts in base64, one byte for each expert, in multiples of `unit`. In the compact
+	 * encoding for many experts, two to a byte, the first in the low half; a count is the
+	 * square of its half byte, times `unit`.
 	 */
 	readonly packed: string
 	readonly unit: number
 }
 
-/** Turns a sample into a message. */
-export function toSampleMessage(sample: RankSample): SampleMessage {
+/** Encodes a sample. */
+export function encodeSample(sample: RankSample): SampleMessage {
 	const { chosen, ...rest } = sample
-	const most = chosen.reduce((so, count) => Math.max(so, count), 0)
-	const isMany = chosen.length > MANY
-	const unit = Math.max(1, most / (isMany ? MAX_ROOT ** 2 : MAX_BYTE))
-	const bytes = isMany ? packRoots(chosen, unit) : packBytes(chosen, unit)
+	const maxCount = chosen.reduce((max, count) => Math.max(max, count), 0)
+	const isCompact = chosen.length > MIN_COMPACT_EXPERTS
+	const unit = Math.max(1, maxCount / (isCompact ? MAX_ROOT ** 2 : MAX_BYTE))
+	const bytes = isCompact ? packRoots(chosen, unit) : packBytes(chosen, unit)
 	return { ...rest, unit, packed: bytes.toString('base64') }
 }
 
-/** Turns a message about so many experts of all sets into a sample. */
-export function fromSampleMessage(
+/** Decodes a sample; `experts` is the number of experts of all sets. */
+export function decodeSample(
 	message: SampleMessage,
 	experts: number,
 ): RankSample {
 	const { packed, unit, ...rest } = message
 	const bytes = Buffer.from(packed, 'base64')
-	const isMany = experts > MANY
-	const chosen = isMany
+	const isCompact = experts > MIN_COMPACT_EXPERTS
+	const chosen = isCompact
 		? unpackRoots(bytes, unit).slice(0, experts)
 		: Array.from(bytes, byte => byte * unit)
 	return { ...rest, chosen }
 }
 
-/** Bytes of a sample of so many experts, before they are base64. */
-export function sampleBytes(experts: number): number {
-	return experts > MANY ? Math.ceil(experts / 2) : experts
+/** Returns the size of the encoded counts of a sample before base64, bytes. */
+export function sampleSize(experts: number): number {
+	return experts > MIN_COMPACT_EXPERTS ? Math.ceil(experts / 2) : experts
 }
 
 function packBytes(chosen: readonly number[], unit: number): Buffer {
@@ -111,7 +114,7 @@
 	return bytes
 }
 
-/** An odd number of experts leaves a nought behind the last one. */
+/** Decodes half bytes. With an odd number of experts, a zero follows the last one. */
 function unpackRoots(bytes: Buffer, unit: number): number[] {
 	const chosen: number[] = []
 	for (const byte of bytes) {
--- a/packages/groups/src/coordinator.ts
+++ b/packages/groups/src/coordinator.ts
@@ -1,24 +1,24 @@
 /**
- * A group's coordinator: it reads what experts are in demand, plans, and takes
- * the group from map to map, one round at a time.
+ * Coordinator of a lock-step group: monitors the demand for experts, plans expert maps, and
+ * changes the group's map, one round at a time.
  */
 
 import type { GroupMap, RankReport } from '@juniperhook/core'
 import { isMapNeeded } from '@juniperhook/core'
 import type { Coordinator } from './coordinatorState.ts'
-import { pause, readAnchor } from './coordinatorState.ts'
-import { followDemand, MIN_SEEN } from './demandWatch.ts'
-import { factorNow, planNext, readMap } from './mapWork.ts'
+import { delay, readAnchor } from './coordinatorState.ts'
+import { MIN_PLAN_CHOICES, monitorDemand } from './demandWatch.ts'
+import { computePassFactor, planMapChange, readMap } from './mapWork.ts'
 import { closeRankClient } from './rankClient.ts'
 import { runRound } from './roundRunner.ts'
 
-/** Between looks at the anchor while no round is under way, ms. */
-const IDLE_LOOK_MS = 80
+/** Polling interval of the anchor while no round is in progress, ms. */
+const IDLE_POLL_INTERVAL_MS = 80
 
-/** Coordinates until it is stopped. */
+/** Coordinates the group until the coordinator is stopped. */
 export async function runCoordinator(co: Coordinator): Promise<void> {
 	try {
-		await Promise.all([followDemand(co), improveMap(co)])
+		await Promise.all([monitorDemand(co), runMapLoop(co)])
 	} finally {
 		co.stopped = true
 		for (const client of co.clients.values()) closeRankClient(client)
@@ -26,41 +26,43 @@
 	}
 }
 
-async function improveMap(co: Coordinator): Promise<void> {
+/** Improves the map repeatedly while the group is complete. */
+async function runMapLoop(co: Coordinator): Promise<void> {
 	while (!co.stopped) {
 		const report = await readAnchor(co)
-		if (report && isWhole(co, report)) await improve(co, report)
-		await pause(IDLE_LOOK_MS)
+		if (report && isComplete(co, report)) await improveMap(co, report)
+		await delay(IDLE_POLL_INTERVAL_MS)
 	}
 }
 
-/** Tells a coordinator to end; a change in the making is left as it stands. */
+/** Stops a coordinator; a round in progress is left as it is. */
 export function stopCoordinator(co: Coordinator): void {
 	co.stopped = true
 }
 
-function isWhole(co: Coordinator, report: RankReport): boolean {
+/** Whether the group runs and all its ranks are known. */
+function isComplete(co: Coordinator, report: RankReport): boolean {
 	return report.open && co.clients.size === report.size
 }
 
 function needsMap(co: Coordinator, map: GroupMap): boolean {
-	const { group, held, shiftedFactor, fitter } = co
+	const { group, inFlightPerRank, shiftedFactor, fitter } = co
 	if (!group) return false
-	const factor = factorNow(co, group, map)
+	const factor = computePassFactor(co, group, map)
 	const state = { factor, shiftedFactor, fit: fitter.fit }
-	return isMapNeeded(held, state, group, group.cost)
+	return isMapNeeded(inFlightPerRank, state, group, group.cost)
 }
 
-/** Settles what an older round left, or makes the map better if that pays. */
-async function improve(co: Coordinator, report: RankReport): Promise<void> {
+/** Completes the change of an older round, or changes the map if that is worth it. */
+async function improveMap(co: Coordinator, report: RankReport): Promise<void> {
 	if (report.held !== undefined) {
 		await runRound(co, report, undefined)
 		return
 	}
 	if (report.armed !== undefined) return
 	const map = await readMap(co, report)
-	if (!map || co.demand.totalChoices < MIN_SEEN) return
+	if (!map || co.demand.totalChoices < MIN_PLAN_CHOICES) return
 	if (!needsMap(co, map)) return
-	const better = await planNext(co, map)
-	if (better) await runRound(co, report, better)
+	const plan = await planMapChange(co, map)
+	if (plan) await runRound(co, report, plan)
 }
--- a/packages/groups/src/coordinatorState.ts
+++ b/packages/groups/src/coordinatorState.ts
@@ -1,4 +1,4 @@
-/** What a coordinator knows of its group, and its way to the ranks. */
+/** State of a coordinator. */
 
 import type {
 	GroupMap,
@@ -20,97 +20,100 @@
 import type { RankClient } from './rankClient.ts'
 import {
 	closeRankClient,
-	noteSilent,
+	markUnresponsive,
 	openRankClient,
-	reportRank,
+	readRankReport,
 } from './rankClient.ts'
 import type { BaseMapRequest } from './rankMessages.ts'
-import type { PassWatch } from './timedPasses.ts'
-import { createPassWatch } from './timedPasses.ts'
+import type { PassTiming } from './timedPasses.ts'
+import { createPassTiming } from './timedPasses.ts'
 
-/** Fences are a counter and this many random low bits, so that none is doubled. */
+/** Number of random low bits of a fence, below a counter, that make it unique. */
 export const FENCE_BITS = 12
 
-/** Overhead of a round before one was seen: a few passes, ms. */
-const FIRST_OVERHEAD_MS = 300
-/** How long demand is taken to be steady before a shift was seen, ms. */
-const FIRST_STEADY_MS = 10_000
+/** Assumed overhead of a round before the first one, ms: a few passes. */
+const INITIAL_OVERHEAD_MS = 300
+/** Assumed interval between demand shifts before the first one, ms. */
+const INITIAL_STEADY_MS = 10_000
 
-/** What a coordinator finds out that entries are to know. */
+/** Status of a group for the entries. */
 export interface CoordinatedStatus {
-	/** How slow ranks are, by engine address. */
-	readonly paces: ReadonlyMap<string, number>
-	/** Requests that a rank may hold; undefined for as many as fit. */
-	readonly allowedHeld: number | undefined
-	/** Whether the group runs. */
+	/** Slowdown factors of the ranks, by engine address. */
+	readonly slowdowns: ReadonlyMap<string, number>
+	/** Maximum number of requests in flight per rank; undefined for no limit. */
+	readonly maxInFlightPerRank: number | undefined
+	/** Whether the group is formed and accepts requests. */
 	readonly open: boolean
 }
 
-/** A coordinator's state. */
+/** State of a coordinator. */
 export interface Coordinator {
 	readonly port: EnginePort
 	readonly log: EventLog
 	readonly random: Random
-	readonly homeRank: number
+	/** Rank of the engine beside this process. */
+	readonly localRank: number
 	readonly agentPort: number
-	/** Pace of an agent's link, bytes a ms; those of a group are taken as alike. */
+	/** Bandwidth of an agent's link, bytes per ms, assumed the same for the whole group. */
 	readonly bytesPerMs: number
 	readonly clients: Map<number, RankClient>
 	group: PublishedGroup | undefined
 	demand: Demand
-	/** Where the next turn of asking ranks how busy they are begins. */
-	turn: number
-	/** Requests that a rank holds, smoothed. */
-	held: number
-	/** How slow each rank is; 1 is its usual speed. */
-	readonly paces: Map<number, number>
-	/** What entries are to know of the group, as last found. */
+	/** Index of the rank at which the next round-robin load reading starts. */
+	nextPolled: number
+	/** Mean number of requests in flight per rank, smoothed. */
+	inFlightPerRank: number
+	/** Slowdown factor by rank; 1 is the usual speed. */
+	readonly slowdowns: Map<number, number>
+	/** Current status for the entries. */
 	status: CoordinatedStatus
-	/** Told after each reading, and when the group opens or breaks. */
+	/** Called after each demand reading, and when the group opens or breaks. */
 	onStatus: (status: CoordinatedStatus) => void
-	/** When the anchor's engine stopped answering, ms; 0 while it answers. */
-	lostAt: number
-	/** Map in use, if known, and the epoch and version it belongs to. */
+	/** Time at which the anchor's engine stopped answering, ms; 0 while it answers. */
+	anchorLostAt: number
+	/** Map in use, if known, with its epoch and version. */
 	map: GroupMap | undefined
 	mapEpoch: number
 	mapVersion: number
-	/** Highest counter part of a fence that is known. */
-	counter: number
+	/** Highest known counter of a fence. */
+	fenceCounter: number
+	/** Whether the next round rolls back a change that a rank refused. */
 	undo: boolean
+	/** Time of a pass, smoothed, ms. */
 	passMs: number
-	/** Passes that are being timed, and the model fitted to them. */
-	readonly passes: PassWatch
+	/** Measurement of pass times, and the model fitted to them. */
+	readonly passTiming: PassTiming
 	readonly fitter: PassFitter
-	/** Whether ranks copy experts for a round. */
+	/** Whether ranks are copying experts for a round. */
 	copying: boolean
-	/** Whether a round is in phases that passes wait for if they take long. */
+	/** Whether a round is in a phase that delays passes if it takes too long. */
 	urgent: boolean
-	/** From the wish to hold until all ranks are armed, as seen lately, ms. */
+	/** Expected time from the start of holding until all ranks are armed, ms. */
 	armingMs: number
-	/** From a plan until its map is in use, without copying, smoothed, ms. */
+	/** Time from a plan until its map is in use, without copying, smoothed, ms. */
 	overheadMs: number
-	/** Least agreement of new counts with known demand since it was logged. */
-	agreement: number
-	/** What ranks copied for the last change, ms; undefined before the first. */
-	copyingMs: number | undefined
-	/** Between two shifts of demand, smoothed, ms. */
+	/** Minimum agreement of new counts with the demand history since the last log line. */
+	minAgreement: number
+	/** Copying time of the last map change, ms; undefined before the first. */
+	lastCopyingMs: number | undefined
+	/** Interval between demand shifts, smoothed, ms. */
 	steadyMs: number
-	/** Passes over balanced ones right after shifts, smoothed. */
+	/** Time of a pass relative to a balanced one right after demand shifts, smoothed. */
 	shiftedFactor: number
-	/** Passes over balanced ones while no shift is being cured, smoothed. */
-	calmFactor: number | undefined
-	/** When demand was last seen to shift, ms. */
+	/** The same while the map is adapted to demand, smoothed. */
+	settledFactor: number | undefined
+	/** Time of the last observed demand shift, ms. */
 	shiftedAt: number
 	lastReport: { report: RankReport; at: number } | undefined
 	stopped: boolean
 }
 
-/** Makes a coordinator that has not begun. */
+/** Creates a coordinator that is not running yet. */
 export function createCoordinator(
 	port: EnginePort,
 	log: EventLog,
 	random: Random,
-	homeRank: number,
+	localRank: number,
 	agentPort: number,
 	bytesPerMs: number,
 ): Coordinator {
@@ -118,64 +121,64 @@
 		port,
 		log,
 		random,
-		homeRank,
+		localRank: localRank,
 		agentPort,
 		bytesPerMs,
 		clients: new Map(),
 		group: undefined,
 		demand: createDemand(0, 0),
-		turn: 0,
-		held: 0,
-		paces: new Map(),
-		status: { paces: new Map(), allowedHeld: undefined, open: true },
+		nextPolled: 0,
+		inFlightPerRank: 0,
+		slowdowns: new Map(),
+		status: { slowdowns: new Map(), maxInFlightPerRank: undefined, open: true },
 		onStatus: () => {},
-		lostAt: 0,
+		anchorLostAt: 0,
 		map: undefined,
 		mapEpoch: -1,
 		mapVersion: -1,
-		counter: 0,
+		fenceCounter: 0,
 		undo: false,
 		passMs: 50,
-		passes: createPassWatch(),
+		passTiming: createPassTiming(),
 		fitter: createPassFitter(),
 		copying: false,
 		urgent: false,
 		armingMs: 0,
-		overheadMs: FIRST_OVERHEAD_MS,
-		copyingMs: undefined,
-		agreement: 1,
-		steadyMs: FIRST_STEADY_MS,
+		overheadMs: INITIAL_OVERHEAD_MS,
+		lastCopyingMs: undefined,
+		minAgreement: 1,
+		steadyMs: INITIAL_STEADY_MS,
 		shiftedFactor: 1,
-		calmFactor: undefined,
+		settledFactor: undefined,
 		shiftedAt: Number.NEGATIVE_INFINITY,
 		lastReport: undefined,
 		stopped: false,
 	}
 }
 
-/** Fits the coordinator to a group as published. */
-export function fitGroup(co: Coordinator, group: PublishedGroup): void {
+/** Applies the published properties of a group to a coordinator. */
+export function applyGroup(co: Coordinator, group: PublishedGroup): void {
 	const { layout } = group
 	const { sets, experts } = co.demand
 	if (sets !== layout.sets || experts !== layout.experts)
 		co.demand = createDemand(layout.sets, layout.experts)
 	co.group = group
-	const baseMap = (wanted: BaseMapRequest) => packMapInUse(co, wanted)
-	// A rank that is not listed may only have lapsed: it keeps its client.
+	const baseMap = (request: BaseMapRequest) => packCurrentMap(co, request)
+	// The listing of a rank may have expired only temporarily, so it keeps its client.
 	for (const member of group.members) {
 		const known = co.clients.get(member.rank)
 		if (known?.member.engine === member.engine) continue
 		if (known) closeRankClient(known)
-		const home = member.rank === co.homeRank
-		const client = openRankClient(co.port, member, co.agentPort, home, {
+		const isLocal = member.rank === co.localRank
+		const client = openRankClient(co.port, member, co.agentPort, isLocal, {
 			baseMap,
 		})
 		co.clients.set(member.rank, client)
 	}
 }
 
-/** The map in use for an agent that lacks it; null if another one is asked for. */
-function packMapInUse(
+/** Packs the map in use for an agent that requests it; null if it requests another. */
+function packCurrentMap(
 	{ map, mapEpoch, mapVersion }: Coordinator,
 	{ epoch, version }: BaseMapRequest,
 ): string | null {
@@ -184,23 +187,23 @@
 		: null
 }
 
-/** Calls a rank's engine without its agent for a while. */
+/** Bypasses the agent of a rank for a while. */
 export function bypassAgent(co: Coordinator, rank: number): void {
 	const client = co.clients.get(rank)
-	if (client) noteSilent(client)
+	if (client) markUnresponsive(client)
 }
 
-/** A fresh report of the anchor; passes are timed on the way. */
+/** Reads a report of the anchor and updates the mean pass time and the fence counter. */
 export async function readAnchor(
 	co: Coordinator,
 ): Promise<RankReport | undefined> {
 	const client = co.clients.get(ANCHOR_RANK)
 	if (!client) return undefined
-	const report = await reportRank(client)
+	const report = await readRankReport(client)
 	const at = readNow()
-	noteReached(co, report !== undefined, at)
+	recordAnchorReachable(co, report !== undefined, at)
 	if (!report) return undefined
-	if (report.open !== co.status.open) noteStatus(co, { open: report.open })
+	if (report.open !== co.status.open) updateStatus(co, { open: report.open })
 	const last = co.lastReport
 	const passes = last ? report.step - last.report.step : 0
 	if (last && passes > 0 && last.report.epoch === report.epoch) {
@@ -210,32 +213,36 @@
 	if (!last || passes !== 0) co.lastReport = { report, at }
 	const versions = [report.map, report.prepared, report.armed?.version]
 	for (const version of versions)
-		co.counter = Math.max(
-			co.counter,
+		co.fenceCounter = Math.max(
+			co.fenceCounter,
 			Math.floor(fenceOfVersion(version ?? 0) / 2 ** FENCE_BITS),
 		)
 	return report
 }
 
-/** Notes part of what entries are to know, and has it told. */
-export function noteStatus(
+/** Updates parts of the status and notifies its listener. */
+export function updateStatus(
 	co: Coordinator,
-	found: Partial<CoordinatedStatus>,
+	changed: Partial<CoordinatedStatus>,
 ): void {
-	co.status = { ...co.status, ...found }
+	co.status = { ...co.status, ...changed }
 	co.onStatus(co.status)
 }
 
-/** Logs when the anchor's engine is lost or answers again. */
-function noteReached(co: Coordinator, reached: boolean, now: number): void {
-	if (reached && co.lostAt > 0)
-		co.log.write('anchor back', { awayMs: Math.round(now - co.lostAt) })
-	if (!reached && co.lostAt === 0) co.log.write('anchor lost')
-	if (reached) co.lostAt = 0
-	else co.lostAt ||= now
+/** Records whether the anchor's engine answers, and logs changes. */
+function recordAnchorReachable(
+	co: Coordinator,
+	reachable: boolean,
+	now: number,
+): void {
+	if (reachable && co.anchorLostAt > 0)
+		co.log.write('anchor back', { awayMs: Math.round(now - co.anchorLostAt) })
+	if (!reachable && co.anchorLostAt === 0) co.log.write('anchor lost')
+	if (reachable) co.anchorLostAt = 0
+	else co.anchorLostAt ||= now
 }
 
-/** Waits. */
-export function pause(ms: number): Promise<void> {
+/** Resolves after a delay. */
+export function delay(ms: number): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/packages/groups/src/demandWatch.ts
+++ b/packages/groups/src/demandWatch.ts
@@ -1,146 +1,164 @@
 /**
- * What a coordinator learns of its group: experts in demand, how busy and how
- * slow ranks are, when demand shifts, and what the group may hold for that.
+ * Monitors a group for its coordinator: demand for experts and its shifts, load and
+ * slowdown of ranks. Derives the group's limit of requests in flight from them.
  */
 
 import { isRankTooSlow, maxInFlightPerRank } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
-import { sampleBytes } from './choices.ts'
+import { sampleSize } from './choices.ts'
 import type { Coordinator } from './coordinatorState.ts'
-import { noteStatus, pause } from './coordinatorState.ts'
-import { AGREES_NOT, isShifting, refreshDemand, addChoices } from './demand.ts'
-import { factorNow } from './mapWork.ts'
-import { watchPasses } from './passWatch.ts'
-import type { RankBusy } from './ports.ts'
+import { delay, updateStatus } from './coordinatorState.ts'
+import {
+	addChoices,
+	isShifting,
+	MIN_AGREEMENT,
+	refreshDemand,
+} from './demand.ts'
+import { computePassFactor } from './mapWork.ts'
+import { recordPasses } from './passWatch.ts'
+import type { RankLoad } from './ports.ts'
 import type { RankClient } from './rankClient.ts'
-import { busyOfRank, reportRank, sampleRank } from './rankClient.ts'
+import { readRankLoad, readRankReport, readRankSample } from './rankClient.ts'
 
-/** Between readings of all ranks' counts, ms: a few passes. */
-const COUNTS_MS = 200
+/** Interval between readings of the ranks' counts, ms: a few passes. */
+const COUNTS_INTERVAL_MS = 200
 /**
- * Between readings of the counts of the engine beside this process, ms: a pass or
- * less, so that a shift of demand is seen with the first passes that have it.
+ * Interval between readings of the local engine's counts, ms: at most a pass, so that a
+ * demand shift is detected within its first passes.
  */
-const HOME_COUNTS_MS = 50
-/** Ranks whose counts are read; the others' requests are like theirs. */
-const MAX_COUNTED = 16
-const MIN_COUNTED = 4
+const LOCAL_COUNTS_INTERVAL_MS = 50
+/** Maximum number of ranks whose counts are read; other ranks have similar requests. */
+const MAX_COUNTED_RANKS = 16
+const MIN_COUNTED_RANKS = 4
 /**
- * Part of the coordinator's link that counts may take: with more, reports of the
- * anchor came 0.3 s late and other agents took the coordinator for dead.
+ * Share of the coordinator's link that counts may use. With more, the anchor's reports
+ * arrived 0.3 s late and other agents took the coordinator for down.
  */
 const COUNTS_LINK_SHARE = 0.25
-/** A sample besides its counts, and a byte of them in base64, bytes. */
-const SAMPLE_BYTES = 150
-const BASE64_TIMES = 4 / 3
+/** Size of a sample without its counts, bytes, and of base64 relative to its input. */
+const SAMPLE_OVERHEAD_BYTES = 150
+const BASE64_RATIO = 4 / 3
 /**
- * Other ranks that are asked how busy they are at each reading, in turn: one
- * slow rank slows its whole group, so each is asked twice a second.
+ * Number of other ranks whose load is read each time, round robin. One slow rank slows its
+ * whole group, so the load of each rank is read twice a second.
  */
-const ASKED_IN_TURN = 28
-/** Choices that must have been seen before the first plan. */
-export const MIN_SEEN = 20_000
+const POLLED_PER_READING = 28
+/** Minimum number of choices before the first plan. */
+export const MIN_PLAN_CHOICES = 20_000
 /**
- * Weight of a new reading of what ranks hold: a group that opens is filled
- * within a second, and a plan for an empty one has to be made again.
+ * Weights of a new reading in the smoothed requests in flight. The weight is larger when
+ * they rise, because a group that opens is filled within a second, and a plan for an empty
+ * group would have to be replaced.
  */
 const RISING_WEIGHT = 0.8
 const FALLING_WEIGHT = 0.3
-/** A shift may show in several readings; they count as one, ms. */
-const ONE_SHIFT_MS = 1_000
-/** Weight of a new interval between shifts. */
+/** Time within which readings that show a shift count as one shift, ms. */
+const MIN_SHIFT_INTERVAL_MS = 1_000
+/** Weight of a new interval between shifts in the smoothed one. */
 const STEADY_WEIGHT = 0.4
-/** A shift is expected to be cured within so many times what rounds take. */
-const CURE_TIMES = 2
-/** What is kept of the factor of calm times at each reading. */
-const CALM_KEPT = 0.8
-/** Limits are told in steps of this, so that news of them stay rare. */
+/** Multiple of a round's overhead within which the map is adapted to a shift. */
+const ADAPTATION_FACTOR = 2
+/** Weight of the previous value in the smoothed factor between shifts. */
+const SETTLED_FACTOR_DECAY = 0.8
+/** Step to which limits are rounded, so that changes are rarely reported. */
 const LIMIT_STEP = 0.25
 
-/** Goes on during rounds: the plan that follows one needs fresh counts. */
-export async function followDemand(co: Coordinator): Promise<void> {
+/**
+ * Monitors demand until the coordinator is stopped, also during rounds, because the plan
+ * after a round needs recent counts.
+ */
+export async function monitorDemand(co: Coordinator): Promise<void> {
 	while (!co.stopped) {
 		const startedAt = readNow()
-		// What all ranks are asked for now must not wait behind counts.
+		// Orders to all ranks in an urgent phase must not queue behind counts.
 		if (!co.urgent) await readDemand(co)
-		await watchHome(co, startedAt + COUNTS_MS)
+		await pollLocalEngine(co, startedAt + COUNTS_INTERVAL_MS)
 	}
 }
 
-/** Waits until `until`, or until the engine at home shows another demand. */
-async function watchHome(co: Coordinator, until: number): Promise<void> {
-	const home = co.clients.get(co.homeRank)
+/** Polls the local engine until `until`, or until its counts show a demand shift. */
+async function pollLocalEngine(co: Coordinator, until: number): Promise<void> {
+	const local = co.clients.get(co.localRank)
 	while (!co.stopped && readNow() < until) {
-		await pause(Math.min(HOME_COUNTS_MS, Math.max(0, until - readNow())))
-		if (!home) continue
-		const report = await reportRank(home)
-		if (report) watchPasses(co, report)
-		const sample = await sampleRank(home, expertsOf(co), report)
+		await delay(
+			Math.min(LOCAL_COUNTS_INTERVAL_MS, Math.max(0, until - readNow())),
+		)
+		if (!local) continue
+		const report = await readRankReport(local)
+		if (report) recordPasses(co, report)
+		const sample = await readRankSample(local, totalExperts(co), report)
 		if (!sample) continue
 		addChoices(co.demand, sample.chosen)
 		if (isShifting(co.demand)) return
 	}
 }
 
+/** Reads counts and load of the ranks and updates the demand and the status. */
 async function readDemand(co: Coordinator): Promise<void> {
 	const clients = [...co.clients.values()]
-	const counting = countedRanks(co)
-	const counted = clients.slice(0, counting)
-	const others = takeTurn(co, clients.slice(counting))
-	const busy: number[] = []
-	const note = ({ member }: RankClient, told: RankBusy) => {
-		busy.push(told.running + told.waiting)
-		co.paces.set(member.rank, told.pace)
+	const maxCounted = maxCountedRanks(co)
+	const counted = clients.slice(0, maxCounted)
+	const others = selectPolled(co, clients.slice(maxCounted))
+	const inFlight: number[] = []
+	const recordLoad = ({ member }: RankClient, load: RankLoad) => {
+		inFlight.push(load.running + load.waiting)
+		co.slowdowns.set(member.rank, load.pace)
 	}
 	await Promise.all([
 		...counted.map(async client => {
-			const sample = await sampleRank(client, expertsOf(co))
+			const sample = await readRankSample(client, totalExperts(co))
 			if (!sample) return
 			addChoices(co.demand, sample.chosen)
-			note(client, sample)
+			recordLoad(client, sample)
 		}),
 		...others.map(async client => {
-			const told = await busyOfRank(client)
-			if (told) note(client, told)
+			const load = await readRankLoad(client)
+			if (load) recordLoad(client, load)
 		}),
 	])
-	noteDemand(co)
-	const paces = clients.map(
-		({ member }) => [member.engine, co.paces.get(member.rank) ?? 1] as const,
+	updateDemand(co)
+	const slowdowns = clients.map(
+		({ member }) =>
+			[member.engine, co.slowdowns.get(member.rank) ?? 1] as const,
 	)
-	noteStatus(co, { paces: new Map(paces), allowedHeld: letIn(co) })
-	if (busy.length === 0) return
-	const mean = busy.reduce((sum, held) => sum + held, 0) / busy.length
-	const weight = mean > co.held ? RISING_WEIGHT : FALLING_WEIGHT
-	co.held += (mean - co.held) * weight
+	updateStatus(co, {
+		slowdowns: new Map(slowdowns),
+		maxInFlightPerRank: computeMaxInFlight(co),
+	})
+	if (inFlight.length === 0) return
+	const mean = inFlight.reduce((sum, count) => sum + count, 0) / inFlight.length
+	const weight = mean > co.inFlightPerRank ? RISING_WEIGHT : FALLING_WEIGHT
+	co.inFlightPerRank += (mean - co.inFlightPerRank) * weight
 }
 
-/** Experts of all sets. */
-function expertsOf({ demand }: Coordinator): number {
+/** Returns the number of experts of all sets. */
+function totalExperts({ demand }: Coordinator): number {
 	return demand.sets * demand.experts
 }
 
-/** Ranks whose counts the coordinator's link carries beside everything else. */
-function countedRanks(co: Coordinator): number {
-	const bytes = SAMPLE_BYTES + BASE64_TIMES * sampleBytes(expertsOf(co))
-	const carried = COUNTS_LINK_SHARE * co.bytesPerMs * COUNTS_MS
-	const fitting = Math.floor(carried / bytes)
-	return Math.min(MAX_COUNTED, Math.max(MIN_COUNTED, fitting))
+/** Returns the number of ranks whose counts fit into their share of the link. */
+function maxCountedRanks(co: Coordinator): number {
+	const bytes =
+		SAMPLE_OVERHEAD_BYTES + BASE64_RATIO * sampleSize(totalExperts(co))
+	const budget = COUNTS_LINK_SHARE * co.bytesPerMs * COUNTS_INTERVAL_MS
+	const fitting = Math.floor(budget / bytes)
+	return Math.min(MAX_COUNTED_RANKS, Math.max(MIN_COUNTED_RANKS, fitting))
 }
 
-function noteDemand(co: Coordinator): void {
+/** Refreshes the demand and updates what is known of its shifts. */
+function updateDemand(co: Coordinator): void {
 	const now = readNow()
 	const agreement = refreshDemand(co.demand, now)
-	co.agreement = Math.min(co.agreement, agreement)
+	co.minAgreement = Math.min(co.minAgreement, agreement)
 	const sinceMs = now - co.shiftedAt
-	const factor = factorOfDemand(co)
-	// The map that a group forms with fits demand no better than one after a shift.
+	const factor = computeDemandFactor(co)
+	// The initial map fits demand no better than any map after a shift.
 	if (co.mapVersion === 0 && factor !== undefined) co.shiftedFactor = factor
-	// Where shifts have stopped, demand is expected to stay.
+	// The longer no shift occurs, the longer demand is expected to remain steady.
 	if (sinceMs < Number.POSITIVE_INFINITY)
 		co.steadyMs = Math.max(co.steadyMs, sinceMs)
-	if (agreement >= AGREES_NOT) return
-	if (sinceMs > ONE_SHIFT_MS) {
+	if (agreement >= MIN_AGREEMENT) return
+	if (sinceMs > MIN_SHIFT_INTERVAL_MS) {
 		if (sinceMs < Number.POSITIVE_INFINITY)
 			co.steadyMs += STEADY_WEIGHT * (sinceMs - co.steadyMs)
 		co.shiftedAt = now
@@ -155,48 +173,53 @@
 	})
 }
 
-/** What demand alone makes of passes, slow ranks left out. */
-function factorOfDemand(co: Coordinator): number | undefined {
+/**
+ * Returns the pass factor due to demand alone, without slow ranks; undefined if too little
+ * is known.
+ */
+function computeDemandFactor(co: Coordinator): number | undefined {
 	const { group, map, demand } = co
-	if (!group || !map || demand.totalChoices < MIN_SEEN) return undefined
-	return factorNow(co, group, map, [])
+	if (!group || !map || demand.totalChoices < MIN_PLAN_CHOICES) return undefined
+	return computePassFactor(co, group, map, [])
 }
 
-/** The clients that are asked this time. */
-function takeTurn(
+/** Returns the clients whose load is read this time. */
+function selectPolled(
 	co: Coordinator,
 	others: readonly RankClient[],
 ): readonly RankClient[] {
-	if (others.length <= ASKED_IN_TURN) return others
-	const from = co.turn % others.length
-	co.turn = from + ASKED_IN_TURN
+	if (others.length <= POLLED_PER_READING) return others
+	const from = co.nextPolled % others.length
+	co.nextPolled = from + POLLED_PER_READING
 	return [...others.slice(from), ...others.slice(0, from)].slice(
 		0,
-		ASKED_IN_TURN,
+		POLLED_PER_READING,
 	)
 }
 
 /**
- * The factor that a limit is for. Right after a shift passes are long until the new
- * map is in use; the streams that live then are late already, and callers turned
- * away would come back when the map is.
+ * Returns the pass factor for which the limit is computed. Right after a shift passes are
+ * long until the new map is in use. A lower limit would not help then: the streams in
+ * progress are late already, and refused callers would retry when the map is in use.
  */
-function lastingFactor(co: Coordinator, factor: number): number {
-	const { calmFactor, shiftedAt, overheadMs } = co
-	const isCuring = readNow() - shiftedAt < CURE_TIMES * overheadMs
-	if (isCuring) return Math.min(factor, calmFactor ?? factor)
-	co.calmFactor = factor + CALM_KEPT * ((calmFactor ?? factor) - factor)
+function computeLastingFactor(co: Coordinator, factor: number): number {
+	const { settledFactor, shiftedAt, overheadMs } = co
+	const isAdapting = readNow() - shiftedAt < ADAPTATION_FACTOR * overheadMs
+	if (isAdapting) return Math.min(factor, settledFactor ?? factor)
+	co.settledFactor =
+		factor + SETTLED_FACTOR_DECAY * ((settledFactor ?? factor) - factor)
 	return factor
 }
 
-/** Requests that a rank may hold; undefined for as many as fit. */
-function letIn(co: Coordinator): number | undefined {
+/** Returns the maximum number of requests in flight per rank; undefined for no limit. */
+function computeMaxInFlight(co: Coordinator): number | undefined {
 	const { group, map, shiftedFactor, steadyMs, fitter } = co
 	if (!group || !map) return undefined
-	const slowest = Math.max(1, ...co.paces.values())
+	const slowest = Math.max(1, ...co.slowdowns.values())
 	if (isRankTooSlow(group, group.cost, slowest)) return undefined
-	const factor = lastingFactor(co, factorNow(co, group, map))
-	const copiesLong = co.copyingMs === undefined || co.copyingMs > co.passMs
+	const factor = computeLastingFactor(co, computePassFactor(co, group, map))
+	const copiesLong =
+		co.lastCopyingMs === undefined || co.lastCopyingMs > co.passMs
 	const { fit } = fitter
 	const state = { factor, shiftedFactor, steadyMs, copiesLong, fit }
 	const limit = maxInFlightPerRank(state, group, group.cost)
--- a/packages/groups/src/earlierCandidate.ts
+++ b/packages/groups/src/earlierCandidate.ts
@@ -1,39 +1,41 @@
 /**
- * Whether the agent of an earlier candidate still coordinates its group, by its last
- * word. Taking over is safe at any time; doing it while the other one is at work makes
- * each end the other's rounds.
+ * Liveness of an earlier candidate, by the time of its agent's last answer. A takeover is
+ * safe at any time, but two coordinators at work abort each other's rounds.
  */
 
-/** An earlier candidate that is silent for this long is taken for dead, ms. */
-const SILENT_MS = 1_500
+/** An earlier candidate that has not answered for this long counts as down, ms. */
+const DOWN_AFTER_MS = 1_500
 /**
- * The same while the group is held. A coordinator that stops while it holds the group
- * makes every stream wait, and callers give a stream up after 2 s.
+ * The same time while the group is held. If a coordinator stops while it holds the group,
+ * all streams wait, and callers abandon a stream after 2 s.
  */
-const SILENT_HELD_MS = 350
+const DOWN_AFTER_HELD_MS = 350
 /**
- * One that was never heard of is waited for after this process's start, ms: after a
- * loss of power all begin together, and three of four candidates of a group of 192
- * ranks coordinated at once for 1.9 s.
+ * Time after this process's start in which a candidate that has never answered counts as
+ * alive, ms. After a power failure all agents start together; without this time, three of
+ * the four candidates of a group of 192 ranks coordinated it at once for 1.9 s.
  */
-const FIRST_WORD_MS = 600
+const STARTUP_GRACE_MS = 600
 
-/** What is thought of an earlier candidate. */
-export type EarlierState =
-	| 'lives'
-	/** Gone if the group is held. */
-	| 'doubtful'
-	| 'gone'
+/** Liveness of an earlier candidate. */
+export type CandidateLiveness =
+	| 'alive'
+	/** Counts as down if the group is held. */
+	| 'unresponsive'
+	| 'down'
 
-/** Judges an earlier candidate; `heardAt` is undefined before its first word. */
-export function judgeEarlier(
-	heardAt: number | undefined,
+/**
+ * Returns the liveness of an earlier candidate; `answeredAt` is undefined before its
+ * first answer.
+ */
+export function assessCandidate(
+	answeredAt: number | undefined,
 	startedAt: number,
 	now: number,
-): EarlierState {
-	if (heardAt === undefined)
-		return now - startedAt < FIRST_WORD_MS ? 'lives' : 'gone'
-	const silentMs = now - heardAt
-	if (silentMs < SILENT_HELD_MS) return 'lives'
-	return silentMs < SILENT_MS ? 'doubtful' : 'gone'
+): CandidateLiveness {
+	if (answeredAt === undefined)
+		return now - startedAt < STARTUP_GRACE_MS ? 'alive' : 'down'
+	const silentMs = now - answeredAt
+	if (silentMs < DOWN_AFTER_HELD_MS) return 'alive'
+	return silentMs < DOWN_AFTER_MS ? 'unresponsive' : 'down'
 }
--- a/packages/groups/src/index.ts
+++ b/packages/groups/src/index.ts
@@ -1,4 +1,7 @@
-/** Keeps the expert map of a lock-step group, beside its engines. */
+/**
+ * Agents beside the engines of a lock-step group. One of them coordinates the group and
+ * adapts its expert map to demand.
+ */
 
 export * from './agent.ts'
 export * from './armingTime.ts'
--- a/packages/groups/src/mapChanges.ts
+++ b/packages/groups/src/mapChanges.ts
@@ -1,83 +1,84 @@
 /**
- * A map told by what differs from one that the other side knows. The map of 72
- * ranks, packed, takes 5 KB for each rank that is to prepare it; the changes of
- * one plan take a fraction of that on the coordinator's small link.
+ * Delta encoding of expert maps against a base map that the receiver has. The packed map
+ * of 72 ranks takes 5 KB for each rank that prepares it; the delta of one plan takes a
+ * fraction of that on the coordinator's small link.
  */
 
 import { crc32 } from 'node:zlib'
 import type { GroupMap } from '@juniperhook/core'
 import { distributeRoundRobin } from '@juniperhook/core'
-import { packNumbers, unpackNumbers } from './packedNumbers.ts'
+import { decodeVarints, encodeVarints } from './packedNumbers.ts'
 
-/** Maps that an agent remembers: the one in use, and one in the making. */
-const REMEMBERED = 3
+/** Capacity of the cache: the map in use, and those of rounds in progress or failed. */
+const MAX_CACHED_MAPS = 3
 
-/** A map that both sides may know. */
+/** Map that sender and receiver may have in common. */
 export interface MapBase {
 	readonly epoch: number
-	/** 0 is the map that a group forms with. */
+	/** Version of the map; 0 is the map with which a group forms. */
 	readonly version: number
 	readonly map: GroupMap
-	/** Experts of each set. */
+	/** Number of experts in each set. */
 	readonly experts: number
 }
 
-/** What to change in a map. */
-export interface MapChanges {
-	/** Version of the map that changes. */
+/** Differences of a map from its base. */
+export interface MapDelta {
+	/** Version of the base map. */
 	readonly base: number
 	readonly sets: number
 	readonly ranks: number
 	readonly experts: number
 	/**
-	 * For each rank that changes: ranks passed over since the last one, set by
-	 * set; how many experts it loses and gets; in which places of the base the
-	 * lost ones are, and which it gets. Five bytes a copied expert.
+	 * Varints, for each rank that changes, set by set: the distance in ranks from the
+	 * previous one that changes, the numbers of removed and of added experts, the places
+	 * of the removed ones in the base, and the added ones. Takes five bytes for each copied
+	 * expert.
 	 */
 	readonly packed: string
-	/** Checksum of the changed map: the two sides may differ on the base. */
+	/** Checksum of the resulting map, as the two sides may differ on the base. */
 	readonly sum: number
 }
 
-/** Maps that an agent has been told of, newest last. */
-export interface KnownMaps {
+/** Maps that an agent has received in an epoch, least recently used first. */
+export interface MapCache {
 	epoch: number
 	readonly maps: Map<number, GroupMap>
 }
 
-/** Makes a memory that knows no map. */
-export function createKnownMaps(): KnownMaps {
+/** Creates an empty cache. */
+export function createMapCache(): MapCache {
 	return { epoch: -1, maps: new Map() }
 }
 
-/** Remembers a map. */
-export function noteMap(
-	known: KnownMaps,
+/** Adds a map, and evicts the least recently used one if the cache is full. */
+export function cacheMap(
+	cache: MapCache,
 	epoch: number,
 	version: number,
 	map: GroupMap,
 ): void {
-	if (epoch !== known.epoch) known.maps.clear()
-	known.epoch = epoch
-	known.maps.delete(version)
-	known.maps.set(version, map)
-	const [oldest] = known.maps.keys()
-	if (known.maps.size > REMEMBERED) known.maps.delete(oldest!)
+	if (epoch !== cache.epoch) cache.maps.clear()
+	cache.epoch = epoch
+	cache.maps.delete(version)
+	cache.maps.set(version, map)
+	const [oldest] = cache.maps.keys()
+	if (cache.maps.size > MAX_CACHED_MAPS) cache.maps.delete(oldest!)
 }
 
-/** What turns a base into `map`. */
-export function findChanges(base: MapBase, map: GroupMap): MapChanges {
+/** Computes the delta of `map` against a base. */
+export function computeMapDelta(base: MapBase, map: GroupMap): MapDelta {
 	const numbers: number[] = []
 	const ranks = map[0]!.length
 	let last = 0
 	for (const [set, placement] of map.entries())
 		for (const [rank, experts] of placement.entries()) {
 			const before = base.map[set]![rank]!
-			const lost = listPlaces(before, expert => !experts.includes(expert))
-			const got = experts.filter(expert => !before.includes(expert))
-			if (lost.length + got.length === 0) continue
+			const lost = findPlaces(before, expert => !experts.includes(expert))
+			const gained = experts.filter(expert => !before.includes(expert))
+			if (lost.length + gained.length === 0) continue
 			const at = set * ranks + rank
-			numbers.push(at - last, lost.length, got.length, ...lost, ...got)
+			numbers.push(at - last, lost.length, gained.length, ...lost, ...gained)
 			last = at
 		}
 	return {
@@ -85,72 +86,78 @@
 		sets: map.length,
 		ranks,
 		experts: base.experts,
-		packed: packNumbers(numbers),
-		sum: sumOf(map),
+		packed: encodeVarints(numbers),
+		sum: checksumOf(map),
 	}
 }
 
-/** Places of the experts that a check is true of. */
-function listPlaces(
+/** Returns the places of the experts that satisfy a condition. */
+function findPlaces(
 	experts: readonly number[],
-	check: (expert: number) => boolean,
+	condition: (expert: number) => boolean,
 ): number[] {
-	return [...experts.keys()].filter(place => check(experts[place]!))
+	return [...experts.keys()].filter(place => condition(experts[place]!))
 }
 
-function sumOf(map: GroupMap): number {
+function checksumOf(map: GroupMap): number {
 	return crc32(JSON.stringify(map))
 }
 
 /**
- * The changed map; undefined when the base is not known, or not the same one on
- * both sides. Throws a RangeError when the changes are not whole.
+ * Applies a delta and returns the resulting map; undefined if the base is not in the cache
+ * or differs between the two sides. Throws a RangeError if the delta is truncated.
  */
-export function applyChanges(
-	known: KnownMaps,
+export function applyMapDelta(
+	cache: MapCache,
 	epoch: number,
-	changes: MapChanges,
+	delta: MapDelta,
 ): GroupMap | undefined {
-	const base = findBase(known, epoch, changes)
+	const base = resolveBase(cache, epoch, delta)
 	if (!base) return undefined
 	const map = base.map(placement => [...placement])
-	const numbers = unpackNumbers(changes.packed)
+	const numbers = decodeVarints(delta.packed)
 	let cell = 0
 	for (let at = 0; at < numbers.length; ) {
-		const [passed = -1, losing = -1, getting = -1] = numbers.slice(at, at + 3)
+		const [skipped = -1, lostCount = -1, gainedCount = -1] = numbers.slice(
+			at,
+			at + 3,
+		)
 		at += 3
-		cell += passed
-		const set = Math.floor(cell / changes.ranks)
-		const rank = cell % changes.ranks
+		cell += skipped
+		const set = Math.floor(cell / delta.ranks)
+		const rank = cell % delta.ranks
 		const before = map[set]?.[rank]
-		if (!before || at + losing + getting > numbers.length)
-			throw new RangeError('changes of a map are not whole')
-		const lost = new Set(numbers.slice(at, at + losing))
-		const got = numbers.slice(at + losing, at + losing + getting)
+		if (!before || at + lostCount + gainedCount > numbers.length)
+			throw new RangeError('map delta truncated or out of range')
+		const lost = new Set(numbers.slice(at, at + lostCount))
+		const gained = numbers.slice(at + lostCount, at + lostCount + gainedCount)
 		const kept = before.filter((_, place) => !lost.has(place))
-		map[set]![rank] = [...kept, ...got].sort((a, b) => a - b)
-		at += losing + getting
+		map[set]![rank] = [...kept, ...gained].sort((a, b) => a - b)
+		at += lostCount + gainedCount
 	}
-	return sumOf(map) === changes.sum ? map : undefined
+	return checksumOf(map) === delta.sum ? map : undefined
 }
 
-/** A known map; one that is used is not forgotten for those of failed rounds. */
-function useMap(
-	known: KnownMaps,
+/**
+ * Returns a cached map and marks it as recently used, so that the maps of failed rounds
+ * do not evict it.
+ */
+function touchMap(
+	cache: MapCache,
 	epoch: number,
 	version: number,
 ): GroupMap | undefined {
-	const map = epoch === known.epoch ? known.maps.get(version) : undefined
-	if (map) noteMap(known, epoch, version, map)
+	const map = epoch === cache.epoch ? cache.maps.get(version) : undefined
+	if (map) cacheMap(cache, epoch, version, map)
 	return map
 }
 
-function findBase(
-	known: KnownMaps,
+function resolveBase(
+	cache: MapCache,
 	epoch: number,
-	{ base, sets, ranks, experts }: MapChanges,
+	{ base, sets, ranks, experts }: MapDelta,
 ): GroupMap | undefined {
-	if (base !== 0) return useMap(known, epoch, base)
-	const dealt = distributeRoundRobin(ranks, { experts })
-	return Array.from({ length: sets }, () => dealt)
+	if (base !== 0) return touchMap(cache, epoch, base)
+	const placement = distributeRoundRobin(ranks, { experts })
+	return Array.from({ length: sets }, () => placement)
 }
--- a/packages/groups/src/mapWork.ts
+++ b/packages/groups/src/mapWork.ts
@@ -1,4 +1,4 @@
-/** A group's present map, and a better one when passes need it. */
+/** Reads a group's present expert map, and plans changes of it. */
 
 import type {
 	GroupMap,
@@ -17,14 +17,14 @@
 import { computeExpertShares } from './demand.ts'
 import type { MapBase } from './mapChanges.ts'
 import type { PublishedGroup } from './ports.ts'
-import { placementOfRank } from './rankClient.ts'
+import { readRankPlacement } from './rankClient.ts'
 
-/** A search lets others run after this time, ms. */
+/** Time for which a search may block the event loop, ms. */
 const MAX_BLOCK_MS = 5
 const BITS = 8
 const SECOND_MS = 1_000
 
-/** The map in use, from memory or from the ranks. */
+/** Returns the map in use, cached or read from the ranks; undefined if not available. */
 export async function readMap(
 	co: Coordinator,
 	report: RankReport,
@@ -34,17 +34,17 @@
 	const layout = co.group?.layout
 	if (!layout) return undefined
 	if (report.map === 0) {
-		const dealt = distributeRoundRobin(report.size, layout)
+		const initial = distributeRoundRobin(report.size, layout)
 		setMap(
 			co,
-			Array.from({ length: layout.sets }, () => dealt),
+			Array.from({ length: layout.sets }, () => initial),
 			report,
 		)
 		return co.map
 	}
 	const ranks = await Promise.all(
 		Array.from({ length: report.size }, (_, rank) =>
-			placementOfRank(co.clients.get(rank)!, report.size),
+			readRankPlacement(co.clients.get(rank)!, report.size),
 		),
 	)
 	const known = ranks.every(
@@ -58,7 +58,7 @@
 	return co.map
 }
 
-/** Notes the map in use. */
+/** Sets the map in use. */
 export function setMap(
 	co: Coordinator,
 	map: GroupMap,
@@ -69,16 +69,16 @@
 	co.mapVersion = version
 }
 
-/** The map in use as one that agents may know. */
-export function baseOf(co: Coordinator): MapBase | undefined {
+/** Returns the map in use as a base for deltas; undefined if it is not known. */
+export function currentMapBase(co: Coordinator): MapBase | undefined {
 	const { map, mapEpoch, mapVersion, group } = co
 	if (!map || !group) return undefined
 	const { experts } = group.layout
 	return { epoch: mapEpoch, version: mapVersion, map, experts }
 }
 
-/** Plans a better map, if one is worth its copying, and logs why. */
-export async function planNext(
+/** Plans a better map and logs the plan; undefined if none is worth its copying. */
+export async function planMapChange(
 	co: Coordinator,
 	map: GroupMap,
 ): Promise<MapPlan | undefined> {
@@ -86,10 +86,10 @@
 	if (!group) return undefined
 	const startedAt = readNow()
 	const shares = map.map((_, set) => computeExpertShares(demand, set))
-	const paces = pacesOf(co, map)
-	const cost = costOfRound(co, group)
+	const paces = slowdownsOf(co, map)
+	const cost = estimateChangeCost(co, group)
 	const { layout } = group
-	const plan = await finish(planMap({ map, shares, layout, paces, cost }))
+	const plan = await runSearch(planMap({ map, shares, layout, paces, cost }))
 	if (!plan) return undefined
 	co.log.write('map planned', {
 		before: round3(plan.before),
@@ -99,7 +99,7 @@
 		overheadMs: Math.round(cost.overheadMs),
 		steadyMs: Math.round(cost.steadyMs),
 		passMs: Math.round(co.passMs),
-		held: round3(co.held),
+		held: round3(co.inFlightPerRank),
 		slow: paces.filter(pace => pace > 1.2).length,
 		tookMs: Math.round(readNow() - startedAt),
 		of: co.mapVersion,
@@ -108,27 +108,35 @@
 }
 
 /**
- * Time of a pass with the map in use over that of a balanced one; `paces` tells
- * how slow ranks are, none if left out.
+ * Returns the predicted time of a pass with a map relative to a balanced one. `slowdowns`
+ * are the ranks' slowdown factors; with an empty array all ranks count as normal.
  */
-export function factorNow(
+export function computePassFactor(
 	co: Coordinator,
 	{ layout }: PublishedGroup,
 	map: GroupMap,
-	paces: readonly number[] = pacesOf(co, map),
+	slowdowns: readonly number[] = slowdownsOf(co, map),
 ): number {
 	const skews = map.map((placement, set) =>
-		computeSetSkew(placement, computeExpertShares(co.demand, set), layout, paces),
+		computeSetSkew(
+			placement,
+			computeExpertShares(co.demand, set),
+			layout,
+			slowdowns,
+		),
 	)
 	return passFactor(skews, layout.expertShare)
 }
 
-function pacesOf(co: Coordinator, map: GroupMap): number[] {
-	return map[0]!.map((_, rank) => co.paces.get(rank) ?? 1)
+function slowdownsOf(co: Coordinator, map: GroupMap): number[] {
+	return map[0]!.map((_, rank) => co.slowdowns.get(rank) ?? 1)
 }
 
-/** Runs a search; steps of a large group take long, so others run between. */
-async function finish<T>(steps: Generator<void, T>): Promise<T> {
+/**
+ * Runs a search to its end. It yields to the event loop regularly, because a search for a
+ * large group takes long.
+ */
+async function runSearch<T>(steps: Generator<void, T>): Promise<T> {
 	let yieldedAt = readNow()
 	for (;;) {
 		const step = steps.next()
@@ -139,17 +147,20 @@
 	}
 }
 
-/** What the next round is expected to cost. */
-function costOfRound(co: Coordinator, group: PublishedGroup): MapChangeCost {
+/** Estimates the cost of a map change. */
+function estimateChangeCost(
+	co: Coordinator,
+	group: PublishedGroup,
+): MapChangeCost {
 	return {
-		copyMs: copyMsOf(group),
+		copyMs: expertCopyMs(group),
 		overheadMs: co.overheadMs,
 		steadyMs: co.steadyMs,
 	}
 }
 
-/** Time that a rank takes to copy one expert, ms. */
-export function copyMsOf({ layout, linkMbps }: PublishedGroup): number {
+/** Returns the time that a rank takes to copy one expert, ms. */
+export function expertCopyMs({ layout, linkMbps }: PublishedGroup): number {
 	return linkMbps > 0 ? (layout.expertMb * BITS * SECOND_MS) / linkMbps : 0
 }
 
--- a/packages/groups/src/orderGiver.ts
+++ b/packages/groups/src/orderGiver.ts
@@ -1,6 +1,6 @@
 /**
- * Gives the ranks what a round wants of them: by way of their agents, from one to
- * the next, and straight to engines whose agents cannot be reached.
+ * Sends the orders of a round to the ranks: along a tree of their agents, or directly to
+ * engines whose agents are not available.
  */
 
 import type { GroupRound, OrderAnswer, PendingOrder } from '@juniperhook/core'
@@ -11,128 +11,141 @@
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { baseOf, copyMsOf } from './mapWork.ts'
+import { currentMapBase, expertCopyMs } from './mapWork.ts'
 import type { OrderMessage } from './orderMessage.ts'
-import { sizeOfMessage, toOrderMessage } from './orderMessage.ts'
+import { encodeOrder, messageSize } from './orderMessage.ts'
 import type { TreeLoad } from './orderTree.ts'
 import {
 	chooseFanOut,
-	longestHopMs,
-	predictSpreadMs,
+	maxHopMs,
+	predictBroadcastMs,
 	splitBranches,
 } from './orderTree.ts'
-import type { RankClient, RelayTerms } from './rankClient.ts'
-import { hasAgent, orderBranch, orderRank, orderRankBy } from './rankClient.ts'
+import type { RankClient, RelayOptions } from './rankClient.ts'
+import { hasAgent, orderBranch, orderRank, orderRankVia } from './rankClient.ts'
 
-/** An order that takes longer is logged, ms. */
+/** Duration above which an order is logged, ms. */
 const SLOW_ORDER_MS = 60
-/** An order to all ranks but for a map: its JSON, bytes. */
+/** Size of an order without a map as JSON, bytes. */
 const SMALL_ORDER_BYTES = 200
-/** Fewer ranks than this are told one by one: a tree would add a hop. */
-const LEAST_SPREAD = 4
-/** How long an agent and its engine may take: two calls left unanswered, ms. */
-const WORK_MS = 300
 /**
- * The same for a map: nothing waits for it, and so many times what is to be
- * copied, since an order that is given twice makes an engine refuse.
+ * Minimum number of ranks for a broadcast along a tree; fewer ones are called
+ * individually, as a tree would add a hop.
  */
-const PREPARE_WORK_MS = 1_000
-const COPYING_TIMES = 2
+const MIN_TREE_RANKS = 4
+/** Time allowed for an agent and its engine, ms: two unanswered calls. */
+const ORDER_WORK_TIMEOUT_MS = 300
 /**
- * How long a hop may take, there and back: so many times what it should, for a
- * link that others use too, and a packet that is lost and sent again, ms.
+ * The same time for a `prepare`, ms, to which a multiple of the copying time is added. It
+ * is longer, because no pass waits for a `prepare`, and an engine refuses one that it
+ * receives twice.
  */
-const HOP_TIMES = 3
-const LOST_PACKET_MS = 150
+const PREPARE_WORK_TIMEOUT_MS = 1_000
+const COPYING_FACTOR = 2
+/**
+ * Time allowed for the round trip of a hop: a multiple of the predicted time, as the link
+ * has other traffic, plus the retransmission of a lost packet, ms.
+ */
+const HOP_FACTOR = 3
+const RETRANSMIT_MS = 150
 
-/** A round under way. */
-export interface Run {
+/** A round in progress. */
+export interface RunningRound {
 	readonly round: GroupRound
-	/** Orders that are under way. */
-	readonly asked: Set<string>
-	/** Times that orders of the present phase were given to ranks. */
-	tries: number
-	/** Most experts that one rank has to copy. */
+	/** Keys of the orders in flight. */
+	readonly inFlight: Set<string>
+	/** Number of broadcasts in the present phase. */
+	broadcasts: number
+	/** Maximum number of experts that a rank has to copy. */
 	readonly mostNew: number
-	/** When a rank last confirmed anything, ms of elapsed time. */
+	/** Time of the last confirmation by a rank, ms of the elapsed clock. */
 	progressAt: number
 }
 
-/** Time for a small order to reach all ranks and for their answers, ms. */
-export function tripMs({ bytesPerMs }: Coordinator, ranks: number): number {
+/** Returns the predicted round-trip time of a small order to all ranks, ms. */
+export function estimateRoundTripMs(
+	{ bytesPerMs }: Coordinator,
+	ranks: number,
+): number {
 	const load = { orderBytes: SMALL_ORDER_BYTES, bytesPerMs }
-	return 2 * predictSpreadMs(ranks, chooseFanOut(ranks, load), load)
+	return 2 * predictBroadcastMs(ranks, chooseFanOut(ranks, load), load)
 }
 
-/** Time that the experts of this round take to copy, ms. */
-export function copyingMsOf({ group }: Coordinator, run: Run): number {
-	return group ? run.mostNew * copyMsOf(group) : 0
+/** Returns the predicted copying time of a round, ms. */
+export function estimateCopyingMs(
+	{ group }: Coordinator,
+	run: RunningRound,
+): number {
+	return group ? run.mostNew * expertCopyMs(group) : 0
 }
 
-/** Gives all orders that are wanted and not under way. */
-export function giveAll(co: Coordinator, run: Run): void {
-	const { asked } = run
-	const wanted = listPendingOrders(run.round).filter(
-		one => !asked.has(keyOf(one)),
+/** Sends all pending orders that are not in flight. */
+export function sendPendingOrders(co: Coordinator, run: RunningRound): void {
+	const { inFlight } = run
+	const pending = listPendingOrders(run.round).filter(
+		item => !inFlight.has(keyOf(item)),
 	)
-	if (wanted.length === 0) return
-	const spread = wanted.filter(one => isSpread(co, one))
-	const isTree = spread.length >= LEAST_SPREAD
-	for (const one of wanted)
-		if (!isTree || !isSpread(co, one)) void give(co, run, one)
-	if (isTree) giveByTree(co, run, spread)
+	if (pending.length === 0) return
+	const relayed = pending.filter(item => canRelay(co, item))
+	const isTree = relayed.length >= MIN_TREE_RANKS
+	for (const item of pending)
+		if (!isTree || !canRelay(co, item)) void sendOrder(co, run, item)
+	if (isTree) broadcastOrder(co, run, relayed)
 }
 
-/** Whether an order goes the way that others like it go. */
-function isSpread(co: Coordinator, { rank, order }: PendingOrder): boolean {
+/**
+ * Whether an order can be broadcast via agents. A hold order cannot, as only the anchor
+ * receives it.
+ */
+function canRelay(co: Coordinator, { rank, order }: PendingOrder): boolean {
 	const client = co.clients.get(rank)
 	return (
 		client !== undefined &&
-		!client.home &&
+		!client.isLocal &&
 		hasAgent(client) &&
 		order.type !== 'hold'
 	)
 }
 
-/** Gives an order unless the same one is under way. */
-async function give(
+/** Sends an order to one rank unless it is in flight. */
+async function sendOrder(
 	co: Coordinator,
-	run: Run,
-	wanted: PendingOrder,
+	run: RunningRound,
+	pending: PendingOrder,
 ): Promise<void> {
-	const { asked } = run
-	const { rank, order } = wanted
-	const key = keyOf(wanted)
+	const { inFlight } = run
+	const { rank, order } = pending
+	const key = keyOf(pending)
 	const client = co.clients.get(rank)
-	if (!client || asked.has(key)) return
-	asked.add(key)
-	const askedAt = readNow()
-	const holder = order.type === 'hold' ? findHolder(co) : undefined
-	const answer = holder
-		? await orderRankBy(client, holder, order)
-		: await orderRank(client, order, baseOf(co))
-	asked.delete(key)
-	takeAnswer(co, run, wanted, answer, askedAt)
+	if (!client || inFlight.has(key)) return
+	inFlight.add(key)
+	const sentAt = readNow()
+	const holdSender = order.type === 'hold' ? findHoldSender(co) : undefined
+	const answer = holdSender
+		? await orderRankVia(client, holdSender, order)
+		: await orderRank(client, order, currentMapBase(co))
+	inFlight.delete(key)
+	applyAnswer(co, run, pending, answer, sentAt)
 }
 
 function keyOf({ rank, order }: PendingOrder): string {
 	return `${rank} ${order.type} ${'step' in order ? order.step : ''}`
 }
 
-function takeAnswer(
+function applyAnswer(
 	co: Coordinator,
-	run: Run,
-	wanted: PendingOrder,
+	run: RunningRound,
+	pending: PendingOrder,
 	answer: OrderAnswer,
-	askedAt: number,
+	sentAt: number,
 ): void {
 	const { round } = run
-	const { rank, order } = wanted
+	const { rank, order } = pending
 	const { phase } = round
-	applyOrderAnswer(round, wanted, answer)
+	applyOrderAnswer(round, pending, answer)
 	const now = readNow()
 	if (answer === 'done') run.progressAt = readElapsed()
-	const tookMs = Math.round(now - askedAt)
+	const tookMs = Math.round(now - sentAt)
 	if (answer !== 'done' || (tookMs > SLOW_ORDER_MS && order.type !== 'prepare'))
 		co.log.write('order slow or refused', {
 			rank,
@@ -145,60 +158,62 @@
 }
 
 /**
- * Gives the same order to many ranks, from agent to agent. Those that gave no
- * answer are given it again along another tree: who was last comes first then,
- * so that nobody stands behind the same silent agent twice.
+ * Broadcasts an order to many ranks via their agents. Every other broadcast of a phase
+ * uses the reverse order of ranks, so that a rank that did not answer is not behind the
+ * same unresponsive agent again.
  */
-function giveByTree(
+function broadcastOrder(
 	co: Coordinator,
-	run: Run,
-	spread: readonly PendingOrder[],
+	run: RunningRound,
+	targets: readonly PendingOrder[],
 ): void {
-	const { order: wanted } = spread[0]!
-	const isAgain = run.tries % 2 === 1
-	run.tries++
-	const order = toOrderMessage(wanted, baseOf(co))
+	const { order: engineOrder } = targets[0]!
+	const isReversed = run.broadcasts % 2 === 1
+	run.broadcasts++
+	const order = encodeOrder(engineOrder, currentMapBase(co))
 	const { bytesPerMs } = co
-	const load: TreeLoad = { orderBytes: sizeOfMessage(order), bytesPerMs }
-	const { length } = spread
+	const load: TreeLoad = { orderBytes: messageSize(order), bytesPerMs }
+	const { length } = targets
 	const fanOut = chooseFanOut(length, load)
-	const prepareMs = PREPARE_WORK_MS + COPYING_TIMES * copyingMsOf(co, run)
-	const terms: RelayTerms = {
+	const prepareMs =
+		PREPARE_WORK_TIMEOUT_MS + COPYING_FACTOR * estimateCopyingMs(co, run)
+	const options: RelayOptions = {
 		fanOut,
-		workMs: wanted.type === 'prepare' ? prepareMs : WORK_MS,
-		hopMs: HOP_TIMES * longestHopMs(length, fanOut, load) + LOST_PACKET_MS,
+		workMs: engineOrder.type === 'prepare' ? prepareMs : ORDER_WORK_TIMEOUT_MS,
+		hopMs: HOP_FACTOR * maxHopMs(length, fanOut, load) + RETRANSMIT_MS,
 	}
-	const ordered = isAgain ? [...spread].reverse() : spread
+	const ordered = isReversed ? [...targets].reverse() : targets
 	for (const branch of splitBranches(ordered, fanOut))
-		void giveBranch(co, run, branch, order, terms)
+		void sendBranch(co, run, branch, order, options)
 }
 
-async function giveBranch(
+async function sendBranch(
 	co: Coordinator,
-	run: Run,
+	run: RunningRound,
 	branch: readonly PendingOrder[],
 	order: OrderMessage,
-	terms: RelayTerms,
+	options: RelayOptions,
 ): Promise<void> {
-	const { asked } = run
-	const askedAt = readNow()
-	for (const one of branch) asked.add(keyOf(one))
+	const { inFlight } = run
+	const sentAt = readNow()
+	for (const item of branch) inFlight.add(keyOf(item))
 	const clients = branch.map(({ rank }) => co.clients.get(rank)!)
-	const answers = await orderBranch(clients, order, terms)
-	for (const [at, one] of branch.entries()) {
-		asked.delete(keyOf(one))
-		takeAnswer(co, run, one, answers[at]!, askedAt)
+	const answers = await orderBranch(clients, order, options)
+	for (const [at, item] of branch.entries()) {
+		inFlight.delete(keyOf(item))
+		applyAnswer(co, run, item, answers[at]!, sentAt)
 	}
 }
 
 /**
- * The rank whose agent asks for the hold. Should its VM stop right then, both
- * the anchor and this coordinator can still be reached to let the group go.
+ * Returns the rank whose agent sends the hold order to the anchor. If the sender's VM
+ * stops at that moment, both the anchor and this coordinator are still available to
+ * release the group.
  */
-function findHolder(co: Coordinator): RankClient | undefined {
+function findHoldSender(co: Coordinator): RankClient | undefined {
 	for (let rank = co.clients.size - 1; rank > ANCHOR_RANK; rank--) {
 		const client = co.clients.get(rank)
-		if (client && !client.home && hasAgent(client)) return client
+		if (client && !client.isLocal && hasAgent(client)) return client
 	}
 	return undefined
 }
--- a/packages/groups/src/orderMessage.ts
+++ b/packages/groups/src/orderMessage.ts
@@ -1,65 +1,59 @@
 /**
- * Orders between agents. A map goes packed, and as changes of one that both
- * sides know where there is one: as JSON, that of 72 ranks takes 10 KB, and sent
- * to each of them a second of a small VM's link.
+ * Encoding of orders between agents. A map is sent as a delta against a base that both
+ * sides have, or else packed. As JSON, the map of 72 ranks takes 10 KB; sending it to each
+ * rank takes a second of a small VM's link.
  */
 
 import type { EngineOrder, GroupMap } from '@juniperhook/core'
-import type { KnownMaps, MapBase, MapChanges } from './mapChanges.ts'
-import { applyChanges, findChanges } from './mapChanges.ts'
-import { packNumbers, unpackNumbers } from './packedNumbers.ts'
+import type { MapBase, MapCache, MapDelta } from './mapChanges.ts'
+import { applyMapDelta, computeMapDelta } from './mapChanges.ts'
+import { decodeVarints, encodeVarints } from './packedNumbers.ts'
 
 type PrepareOrder = Extract<EngineOrder, { type: 'prepare' }>
 
-/** A map as agents send it to each other. */
-type SentMap =
+/** Encoded map, as sent between agents. */
+type EncodedMap =
 	/** See {@link packMap}. */
-	{ readonly packed: string } | { readonly changes: MapChanges }
+	{ readonly packed: string } | { readonly changes: MapDelta }
 
-/** An order as agents send it to each other. */
+/** Encoded order, as sent between agents. */
 export type OrderMessage =
 	| Exclude<EngineOrder, { type: 'prepare' }>
-	| (Omit<PrepareOrder, 'map'> & { readonly sent: SentMap })
+	| (Omit<PrepareOrder, 'map'> & { readonly sent: EncodedMap })
 
-/** Turns an order into a message; a map as changes of `base`, if given. */
-export function toOrderMessage(
-	order: EngineOrder,
-	base?: MapBase,
-): OrderMessage {
+/** Encodes an order; its map as a delta against `base`, if given and compatible. */
+export function encodeOrder(order: EngineOrder, base?: MapBase): OrderMessage {
 	if (order.type !== 'prepare') return order
 	const { map, ...rest } = order
 	const fits = base?.epoch === order.epoch && base.map.length === map.length
-	if (!fits) return { ...rest, sent: { packed: packOnce(map) } }
-	return { ...rest, sent: { changes: findOnce(base, map) } }
+	if (!fits) return { ...rest, sent: { packed: packMapCached(map) } }
+	return { ...rest, sent: { changes: computeDeltaCached(base, map) } }
 }
 
-/** Bytes that a message takes on the way. */
-export function sizeOfMessage(message: OrderMessage): number {
+/** Returns the size of a message on the wire, bytes. */
+export function messageSize(message: OrderMessage): number {
 	return JSON.stringify(message).length
 }
 
-/**
- * Turns a message into an order; undefined when it changes a map that is not
- * known here.
- */
-export function fromOrderMessage(
+/** Decodes an order; undefined if it contains a delta against a map not in the cache. */
+export function decodeOrder(
 	message: OrderMessage,
-	known: KnownMaps,
+	cache: MapCache,
 ): EngineOrder | undefined {
 	if (message.type !== 'prepare') return message
 	const { sent, ...rest } = message
 	const map =
 		'packed' in sent
 			? unpackMap(sent.packed)
-			: applyChanges(known, rest.epoch, sent.changes)
+			: applyMapDelta(cache, rest.epoch, sent.changes)
 	return map && { ...rest, map }
 }
 
-/** What was packed of a map: a coordinator sends the same one to every rank. */
+/** Encoded maps, kept because a coordinator sends the same map to every rank. */
 const packedMaps = new WeakMap<GroupMap, string>()
-const foundChanges = new WeakMap<GroupMap, MapChanges>()
+const deltas = new WeakMap<GroupMap, MapDelta>()
 
-function packOnce(map: GroupMap): string {
+function packMapCached(map: GroupMap): string {
 	const known = packedMaps.get(map)
 	if (known !== undefined) return known
 	const packed = packMap(map)
@@ -67,32 +61,32 @@
 	return packed
 }
 
-function findOnce(base: MapBase, map: GroupMap): MapChanges {
-	const known = foundChanges.get(map)
+function computeDeltaCached(base: MapBase, map: GroupMap): MapDelta {
+	const known = deltas.get(map)
 	if (known?.base === base.version) return known
-	const changes = findChanges(base, map)
-	foundChanges.set(map, changes)
-	return changes
+	const delta = computeMapDelta(base, map)
+	deltas.set(map, delta)
+	return delta
 }
 
 /**
- * Packed numbers: how many sets and ranks there are; then, set by set and rank
- * by rank, how many experts and which.
+ * Encodes a map as varints: the numbers of sets and ranks, then for each rank, set by set,
+ * the number of its experts and the experts.
  */
 export function packMap(map: GroupMap): string {
 	const numbers = [map.length, map[0]?.length ?? 0]
 	for (const placement of map)
 		for (const experts of placement) numbers.push(experts.length, ...experts)
-	return packNumbers(numbers)
+	return encodeVarints(numbers)
 }
 
-/** The map that was packed; throws a RangeError when it is not whole. */
+/** Decodes a packed map. Throws a RangeError if it is truncated. */
 export function unpackMap(packed: string): GroupMap {
-	const numbers = unpackNumbers(packed)
+	const numbers = decodeVarints(packed)
 	let at = 0
 	const next = () => {
 		const number = numbers[at++]
-		if (number === undefined) throw new RangeError('a map is not whole')
+		if (number === undefined) throw new RangeError('packed map truncated')
 		return number
 	}
 	const sets = next()
--- a/packages/groups/src/orderTree.ts
+++ b/packages/groups/src/orderTree.ts
@@ -1,27 +1,30 @@
 /**
- * How an order reaches many ranks soonest: the coordinator gives it to a few
- * agents, each of those to a few more, and so on. What bounds it is the link of a
- * small VM, so the number of agents that one of them tells follows from the size
- * of the order and the pace of the link, not from the number of ranks alone.
+ * Broadcast tree for orders to many ranks: the coordinator sends an order to a few agents,
+ * each of which relays it to a few more, and so on. The bottleneck is the link of a small
+ * VM, so the fan-out is chosen by the size of the order and the bandwidth of the link, not
+ * by the number of ranks alone.
  */
 
 /**
- * For an agent to take a message and pass it on, besides the bytes: two zones'
- * way and the work of a small VM's part of a core, ms.
+ * Time of a hop besides transmission, ms: latency between two zones, and processing by an
+ * agent with the fraction of a core that a small VM has.
  */
-const HOP_MS = 6
-/** An agent's address and its quotes in a message, bytes. */
+const HOP_OVERHEAD_MS = 6
+/** Size of an agent's address in a message, with quotes, bytes. */
 export const ADDRESS_BYTES = 20
 
-/** What is sent and over which links. */
+/** Size of an order and bandwidth of the links. */
 export interface TreeLoad {
-	/** The order itself, bytes. */
+	/** Size of the order, bytes. */
 	readonly orderBytes: number
-	/** Pace of an agent's link, bytes a ms. */
+	/** Bandwidth of an agent's link, bytes per ms. */
 	readonly bytesPerMs: number
 }
 
-/** Ranks that one agent gives an order to, themselves and those behind them. */
+/**
+ * Splits recipients into at most `fanOut` branches. The first recipient of a branch
+ * relays to the others.
+ */
 export function splitBranches<T>(
 	all: readonly T[],
 	fanOut: number,
@@ -33,22 +36,22 @@
 	return branches
 }
 
-/** Hops from a sender until an order has reached all of `count` ranks. */
+/** Returns the number of hops until an order has reached all of `count` ranks. */
 export function countHops(count: number, fanOut: number): number {
 	let hops = 0
 	for (let left = count; left > 0; left = Math.ceil(left / fanOut) - 1) hops++
 	return hops
 }
 
-/** Time of one hop to the first of the branches of `count` ranks, ms. */
+/** Returns the time of one hop of a sender to the branches of `count` ranks, ms. */
 function hopMs(count: number, fanOut: number, load: TreeLoad): number {
 	const branches = Math.min(count, fanOut)
 	const bytes = branches * load.orderBytes + count * ADDRESS_BYTES
-	return bytes / load.bytesPerMs + HOP_MS
+	return bytes / load.bytesPerMs + HOP_OVERHEAD_MS
 }
 
-/** Time until an order has reached all of `count` ranks, ms. */
-export function predictSpreadMs(
+/** Returns the predicted time until an order has reached all of `count` ranks, ms. */
+export function predictBroadcastMs(
 	count: number,
 	fanOut: number,
 	load: TreeLoad,
@@ -59,8 +62,8 @@
 	return total
 }
 
-/** Longest hop of a tree, ms: the first, which carries most addresses. */
-export function longestHopMs(
+/** Returns the time of the longest hop, ms: the first, with the most addresses. */
+export function maxHopMs(
 	count: number,
 	fanOut: number,
 	load: TreeLoad,
@@ -68,15 +71,15 @@
 	return count === 0 ? 0 : hopMs(count, fanOut, load)
 }
 
-/** The number of agents that each tells for the order to be everywhere soonest. */
+/** Returns the fan-out with the shortest predicted broadcast time. */
 export function chooseFanOut(count: number, load: TreeLoad): number {
 	let best = Math.max(1, count)
-	let bestMs = predictSpreadMs(count, best, load)
+	let bestMs = predictBroadcastMs(count, best, load)
 	for (let fanOut = 2; fanOut < count; fanOut++) {
-		const takes = predictSpreadMs(count, fanOut, load)
-		if (takes >= bestMs) continue
+		const totalMs = predictBroadcastMs(count, fanOut, load)
+		if (totalMs >= bestMs) continue
 		best = fanOut
-		bestMs = takes
+		bestMs = totalMs
 	}
 	return best
 }
--- a/packages/groups/src/paceTeller.ts
+++ b/packages/groups/src/paceTeller.ts
@@ -1,7 +1,7 @@
 /**
- * Tells some entries whether a group runs, which ranks are slow and how much it may
- * hold; they tell the others. Which entries there are it learns from those that it
- * reaches: the ones named at its start may be gone.
+ * Sends group reports to some entries, which forward them to the others: whether the
+ * group runs, which ranks are slow, and its limit of requests in flight. Further entries
+ * are learnt from the answers, because the ones configured at the start may be gone.
  */
 
 import { randomBytes } from 'node:crypto'
@@ -9,111 +9,134 @@
 import { call, connectRpc, messageOf, readNow } from '@juniperhook/runtime'
 import type { CoordinatedStatus } from './coordinatorState.ts'
 
-/** A rank counts as slow from this pace on. */
-const SLOW_PACE = 1.2
-/** Between two tellings of what is not ordinary, ms. */
-const TELL_MS = 1_000
-/** The same after some entry has missed the last one, ms. */
-const MISSED_MS = 200
-const CONNECT_MS = 300
-/** An entry that has not confirmed by then is told again on a new link, ms. */
-const CONFIRM_MS = 500
+/** Slowdown factor above which a rank is reported as slow. */
+const MIN_REPORTED_SLOWDOWN = 1.2
+/** Interval at which a report that is not the normal one is repeated, ms. */
+const REPORT_INTERVAL_MS = 1_000
+/** The same interval after an entry has not confirmed the last report, ms. */
+const RETRY_INTERVAL_MS = 200
+const CONNECT_TIMEOUT_MS = 300
+/**
+ * Time within which an entry has to confirm a report, ms; after it, the link is closed
+ * and the report repeated over a new one.
+ */
+const CONFIRM_TIMEOUT_MS = 500
 
-/** Entries that are told each time: any one of them passes it on to all. */
-const TOLD_AT_ONCE = 3
-/** Entries that are remembered; the ones that failed last are at the end. */
-const MOST_KNOWN = 24
+/** Number of entries that receive each report; any one of them forwards it to all. */
+const ENTRIES_PER_REPORT = 3
+/** Maximum number of known entries; those that failed last are at the end. */
+const MAX_KNOWN_ENTRIES = 24
 
-/** What is told of a group that runs, without slow ranks and limit. */
-const ORDINARY = JSON.stringify({ slow: {} })
+/** Report of a group that runs without slow ranks and limit. */
+const NORMAL_REPORT = JSON.stringify({ slow: {} })
 
-/** Links to entries and what they were told. */
-export interface PaceTeller {
-	/** Control addresses of entries, those to tell first in front. */
+/** Links to entries and the state of reports to them. */
+export interface GroupReporter {
+	/** Control addresses of entries, in order of preference. */
 	entries: readonly string[]
 	readonly links: Map<string, RpcLink>
-	/** Tells this process's news from those of other coordinators. */
+	/** Distinguishes the reports of this process from those of other coordinators. */
 	readonly by: string
-	/** How many times something was told. */
-	count: number
-	told: string
-	toldAt: number
-	/** Whether an entry has missed what was told last. */
-	missed: boolean
-	/** Entries that could not be reached, and why. */
-	onUnreached(entry: string, reason: string): void
+	/** Number of reports so far. */
+	reportCount: number
+	/** The last report without its header, as JSON. */
+	lastReport: string
+	reportedAt: number
+	/** Whether an entry has not confirmed the last report. */
+	unconfirmed: boolean
+	/** Called when an entry could not be reached, with the reason. */
+	onUnreachable(entry: string, reason: string): void
 }
 
-/** Makes a teller without links. */
-export function createPaceTeller(
+/** Creates a reporter without links. */
+export function createGroupReporter(
 	entries: readonly string[],
-	onUnreached: PaceTeller['onUnreached'],
-): PaceTeller {
+	onUnreachable: GroupReporter['onUnreachable'],
+): GroupReporter {
 	return {
 		entries,
 		links: new Map(),
 		by: randomBytes(6).toString('base64url'),
-		count: 0,
-		told: ORDINARY,
-		toldAt: 0,
-		missed: false,
-		onUnreached,
+		reportCount: 0,
+		lastReport: NORMAL_REPORT,
+		reportedAt: 0,
+		unconfirmed: false,
+		onUnreachable: onUnreachable,
 	}
 }
 
-/** What entries are told of a group. */
+/** Status of a group, to be reported to entries. */
 export interface GroupStatus extends CoordinatedStatus {
-	/** The service and the group's name in it. */
+	/** Service and name of the group, `service/name`. */
 	readonly group: string
 }
 
-/** Tells entries what is not ordinary of a group, or what has changed. */
-export function tellPaces(teller: PaceTeller, status: GroupStatus): void {
-	const { group, paces, allowedHeld, open } = status
-	const slowOnes = [...paces].filter(([, pace]) => pace > SLOW_PACE)
-	const slow = Object.fromEntries(slowOnes)
-	const isLimited = allowedHeld !== undefined
-	const told = {
+/** Reports a group's status if it has changed, or again if it is not the normal one. */
+export function reportGroup(
+	reporter: GroupReporter,
+	status: GroupStatus,
+): void {
+	const { group, slowdowns, maxInFlightPerRank, open } = status
+	const slowRanks = [...slowdowns].filter(
+		([, slowdown]) => slowdown > MIN_REPORTED_SLOWDOWN,
+	)
+	const slow = Object.fromEntries(slowRanks)
+	const isLimited = maxInFlightPerRank !== undefined
+	const report = {
 		slow,
-		...(isLimited && { limit: allowedHeld }),
+		...(isLimited && { limit: maxInFlightPerRank }),
 		...(!open && { broken: true }),
 	}
-	const text = JSON.stringify(told)
+	const text = JSON.stringify(report)
 	const now = readNow()
-	const isRepeated = text !== ORDINARY || teller.missed
-	const pauseMs = teller.missed ? MISSED_MS : TELL_MS
-	if (text === teller.told && !(isRepeated && now - teller.toldAt > pauseMs))
+	const isRepeated = text !== NORMAL_REPORT || reporter.unconfirmed
+	const intervalMs = reporter.unconfirmed
+		? RETRY_INTERVAL_MS
+		: REPORT_INTERVAL_MS
+	if (
+		text === reporter.lastReport &&
+		!(isRepeated && now - reporter.reportedAt > intervalMs)
+	)
 		return
-	teller.missed = false
-	teller.told = text
-	teller.toldAt = now
-	teller.count++
-	const { by, count } = teller
-	const news = { group, by, number: count, hops: 0, ...told }
-	for (const entry of teller.entries.slice(0, TOLD_AT_ONCE))
-		void tell(teller, entry, news)
+	reporter.unconfirmed = false
+	reporter.lastReport = text
+	reporter.reportedAt = now
+	reporter.reportCount++
+	const { by, reportCount } = reporter
+	const message = { group, by, number: reportCount, hops: 0, ...report }
+	for (const entry of reporter.entries.slice(0, ENTRIES_PER_REPORT))
+		void sendReport(reporter, entry, message)
 }
 
-async function tell(
-	teller: PaceTeller,
+async function sendReport(
+	reporter: GroupReporter,
 	entry: string,
 	message: object,
 ): Promise<void> {
-	const known = teller.links.get(entry)
+	const known = reporter.links.get(entry)
 	let link = known?.socket.destroyed === false ? known : undefined
 	try {
-		link ??= await connectRpc(entry, {}, CONNECT_MS)
-		teller.links.set(entry, link)
-		const others = await call<string[]>(link, 'paces', message, CONFIRM_MS)
-		const unknown = others.filter(one => !teller.entries.includes(one))
-		teller.entries = [...teller.entries, ...unknown].slice(0, MOST_KNOWN)
+		link ??= await connectRpc(entry, {}, CONNECT_TIMEOUT_MS)
+		reporter.links.set(entry, link)
+		const others = await call<string[]>(
+			link,
+			'paces',
+			message,
+			CONFIRM_TIMEOUT_MS,
+		)
+		const unknown = others.filter(other => !reporter.entries.includes(other))
+		reporter.entries = [...reporter.entries, ...unknown].slice(
+			0,
+			MAX_KNOWN_ENTRIES,
+		)
 	} catch (err) {
-		// Without a reset, only the missing answer tells of a link gone silent.
+		// A link may fail without a reset; only the missing answer shows it.
+		// The next report opens a new link.
 		link?.socket.destroy()
-		teller.missed = true
-		// Another one is told in its place, until that one fails too.
-		const rest = teller.entries.filter(one => one !== entry)
-		teller.entries = [...rest, entry]
-		teller.onUnreached(entry, messageOf(err))
+		reporter.unconfirmed = true
+		// The entry moves to the end, so the next report goes to another one instead.
+		const rest = reporter.entries.filter(other => other !== entry)
+		reporter.entries = [...rest, entry]
+		reporter.onUnreachable(entry, messageOf(err))
 	}
 }
--- a/packages/groups/src/passWatch.ts
+++ b/packages/groups/src/passWatch.ts
@@ -1,87 +1,94 @@
 /**
- * Times the passes of a group at the engine beside the coordinator, and fits the
- * model of a pass to them. On an emulated day with a slow rank, means of four
- * passes were predicted within 10% (p50) and 16% (p90).
+ * Measures pass times of a group at the coordinator's local engine and fits the pass model
+ * to them. On an emulated day with a slow rank, the model predicted means of four passes
+ * to within 10% (p50) and 16% (p90).
  */
 
 import type { PassSample, RankReport } from '@juniperhook/core'
 import { addPassSample, predictPassMs } from '@juniperhook/core'
 import { countClockJumps, readNow, rpcCounts } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { factorNow } from './mapWork.ts'
+import { computePassFactor } from './mapWork.ts'
 import type { PublishedGroup } from './ports.ts'
 
-/** Passes that are timed together: looks are as far apart as passes take. */
-const PASSES = 4
-/** Between two lines that compare a prediction with what was seen, ms. */
-const LOG_MS = 1_000
-/** A mean beyond this is of a group that stood still, not of passes, ms. */
+/** Number of passes per measurement, as the polling interval is as long as a pass. */
+const PASSES_PER_SAMPLE = 4
+/** Interval between log lines that compare predicted and measured pass times, ms. */
+const LOG_INTERVAL_MS = 1_000
+/** Mean pass time above which the group is assumed to have stood still, ms. */
 const MAX_PASS_MS = 1_000
 
-/** Factors this far apart count as the same conditions. */
-const SAME_FACTOR = 0.15
+/** Relative difference of factors up to which conditions count as constant. */
+const FACTOR_TOLERANCE = 0.15
 
-/** Takes a fresh report of the engine beside this process. */
-export function watchPasses(co: Coordinator, report: RankReport): void {
-	const { group, map, passes, copying } = co
+/** Updates the measurement with a new report of the local engine. */
+export function recordPasses(co: Coordinator, report: RankReport): void {
+	const { group, map, passTiming, copying } = co
 	if (!group || !map || !report.open) {
-		passes.since = undefined
+		passTiming.startedFrom = undefined
 		return
 	}
 	const at = readNow()
 	const jumps = countClockJumps()
-	const factor = factorNow(co, group, map)
-	const { since } = passes
+	const factor = computePassFactor(co, group, map)
+	const { startedFrom } = passTiming
 	const isSame =
-		since !== undefined &&
-		since.report.epoch === report.epoch &&
-		since.report.map === report.map &&
+		startedFrom !== undefined &&
+		startedFrom.report.epoch === report.epoch &&
+		startedFrom.report.map === report.map &&
 		report.map === co.mapVersion &&
-		passes.copying === copying &&
-		passes.jumps === jumps &&
-		Math.abs(passes.factor / factor - 1) < SAME_FACTOR
-	if (isSame && report.step - since.report.step < PASSES) return
+		passTiming.copying === copying &&
+		passTiming.jumps === jumps &&
+		Math.abs(passTiming.factor / factor - 1) < FACTOR_TOLERANCE
+	if (isSame && report.step - startedFrom.report.step < PASSES_PER_SAMPLE)
+		return
 	if (isSame) {
-		const passMs = (at - since.at) / (report.step - since.report.step)
-		takePasses(co, group, { passMs, inFlight: co.held, factor, copying })
+		const passMs =
+			(at - startedFrom.at) / (report.step - startedFrom.report.step)
+		addPassTiming(co, group, {
+			passMs,
+			inFlight: co.inFlightPerRank,
+			factor,
+			copying,
+		})
 	}
-	passes.since = { report, at }
-	passes.copying = copying
-	passes.jumps = jumps
-	passes.factor = factor
+	passTiming.startedFrom = { report, at }
+	passTiming.copying = copying
+	passTiming.jumps = jumps
+	passTiming.factor = factor
 }
 
-function takePasses(
+function addPassTiming(
 	co: Coordinator,
 	group: PublishedGroup,
-	seen: PassSample,
+	sample: PassSample,
 ): void {
-	if (seen.passMs > MAX_PASS_MS || seen.inFlight <= 0) return
-	const { fitter, passes } = co
+	if (sample.passMs > MAX_PASS_MS || sample.inFlight <= 0) return
+	const { fitter, passTiming } = co
 	const { fit } = fitter
-	const predicted = predictPassMs(group.cost, fit, seen.inFlight, seen)
-	addPassSample(fitter, group.cost, seen)
+	const predicted = predictPassMs(group.cost, fit, sample.inFlight, sample)
+	addPassSample(fitter, group.cost, sample)
 	const now = readNow()
-	if (now - passes.loggedAt < LOG_MS) return
-	const sinceMs = now - passes.loggedAt
-	passes.loggedAt = now
+	if (now - passTiming.loggedAt < LOG_INTERVAL_MS) return
+	const sinceMs = now - passTiming.loggedAt
+	passTiming.loggedAt = now
 	const { bytesIn, bytesOut } = rpcCounts
 	const perSecond = (bytes: number) => Math.round((bytes * 1_000) / sinceMs)
-	const inPerSecond = perSecond(bytesIn - passes.bytesIn)
-	const outPerSecond = perSecond(bytesOut - passes.bytesOut)
-	passes.bytesIn = bytesIn
-	passes.bytesOut = bytesOut
+	const inPerSecond = perSecond(bytesIn - passTiming.bytesIn)
+	const outPerSecond = perSecond(bytesOut - passTiming.bytesOut)
+	passTiming.bytesIn = bytesIn
+	passTiming.bytesOut = bytesOut
 	co.log.write('passes seen', {
-		passMs: Math.round(seen.passMs),
+		passMs: Math.round(sample.passMs),
 		predictedMs: Math.round(predicted),
-		held: Number(seen.inFlight.toFixed(2)),
-		factor: Number(seen.factor.toFixed(2)),
-		copying: seen.copying,
+		held: Number(sample.inFlight.toFixed(2)),
+		factor: Number(sample.factor.toFixed(2)),
+		copying: sample.copying,
 		base: Number(fit.base.toFixed(2)),
 		stepSkew: Number(fit.stepSkew.toFixed(2)),
-		agreement: Number(co.agreement.toFixed(3)),
+		agreement: Number(co.minAgreement.toFixed(3)),
 		inPerSecond,
 		outPerSecond,
 	})
-	co.agreement = 1
+	co.minAgreement = 1
 }
--- a/packages/groups/src/ports.ts
+++ b/packages/groups/src/ports.ts
@@ -1,4 +1,4 @@
-/** What this package needs from the platform that it runs on. */
+/** Interfaces of the platform on which this package runs. */
 
 import type {
 	EngineOrder,
@@ -8,40 +8,43 @@
 	RankReport,
 } from '@juniperhook/core'
 
-/** How often the requests of a rank have chosen each expert since its start. */
+/** Cumulative counts of a rank's expert choices since its engine started. */
 export interface RankCounts {
 	readonly epoch: number
-	/** Set by set, one number an expert. */
+	/** One count for each expert, set by set. */
 	readonly counts: readonly number[]
-	/** When the engine started, Unix ms, if it tells. */
+	/** Start time of the engine, Unix ms, if reported. */
 	readonly bornAt?: number | undefined
 }
 
-/** How busy a rank is. */
-export interface RankBusy {
+/** Load of a rank. */
+export interface RankLoad {
 	readonly running: number
 	readonly waiting: number
-	/** Over 1: the engine is slow. */
+	/** Slowdown factor of the engine; 1 is its usual speed. */
 	readonly pace: number
 }
 
-/** What a rank's requests chose since the last sample, and how busy it is. */
-export interface RankSample extends RankBusy {
+/** Expert choices of a rank's requests since the last sample, and its load. */
+export interface RankSample extends RankLoad {
 	readonly epoch: number
-	/** Set by set, one number an expert; empty for a first sample. */
+	/** One count for each expert, set by set; empty in the first sample. */
 	readonly chosen: readonly number[]
 }
 
-/** The experts that a rank holds. */
+/** Experts whose weights a rank has loaded. */
 export interface RankPlacement {
 	readonly epoch: number
 	/** Version of the map in use. */
 	readonly map: number
-	/** Experts by set. */
+	/** Experts of each set. */
 	readonly experts: readonly (readonly number[])[]
 }
 
-/** Calls to engines, by `IP:port`; undefined when no answer came. */
+/**
+ * Calls to engines by their address, `IP:port`. Reads resolve to undefined if the engine
+ * does not answer.
+ */
 export interface EnginePort {
 	report(address: string): Promise<RankReport | undefined>
 	counts(address: string): Promise<RankCounts | undefined>
@@ -49,28 +52,28 @@
 	order(address: string, order: EngineOrder): Promise<OrderAnswer>
 }
 
-/** One rank of a group, as listed. */
+/** A listed rank of a group. */
 export interface GroupMember {
 	readonly rank: number
-	/** `IP:port` of its engine. */
+	/** Address of its engine, `IP:port`. */
 	readonly engine: string
 }
 
-/** A group as published. */
+/** Published properties of a group. */
 export interface PublishedGroup {
 	readonly members: readonly GroupMember[]
 	readonly layout: ExpertLayout
 	readonly linkMbps: number
-	/** How a pass grows with the requests of its ranks. */
+	/** Cost of a pass as a function of the requests of its ranks. */
 	readonly cost: PassCost
-	/** Requests that an engine runs at once. */
+	/** Number of requests that an engine runs at once. */
 	readonly slots: number
-	/** Longest pause between events that is in time, ms; 0 if unstated. */
+	/** Longest allowed pause between the events of a stream, ms; 0 if not set. */
 	readonly maxPauseMs: number
 }
 
-/** Where groups are published. */
+/** Source of published groups. */
 export interface GroupSource {
-	/** The group called `name` of a service; undefined when it is not known. */
+	/** Reads a service's group by its name; undefined if it is not published. */
 	read(service: string, name: string): Promise<PublishedGroup | undefined>
 }
--- a/packages/groups/src/rankClient.ts
+++ b/packages/groups/src/rankClient.ts
@@ -1,80 +1,81 @@
 /**
- * A coordinator's way to a rank: through the agent beside its engine, or
- * straight to the engine where there is no agent to be had.
+ * Client of a coordinator for a rank. Calls go to the agent beside the rank's engine, or
+ * directly to the engine if the agent is not available.
  */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
 import { splitAddress } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { call, connectRpc, readNow, sleep } from '@juniperhook/runtime'
-import type { ChoiceReader } from './choices.ts'
-import { createChoiceReader, fromSampleMessage, readSample } from './choices.ts'
+import type { CountCursor } from './choices.ts'
+import { createCountCursor, decodeSample, readSample } from './choices.ts'
 import type { MapBase } from './mapChanges.ts'
 import type { OrderMessage } from './orderMessage.ts'
-import { toOrderMessage } from './orderMessage.ts'
+import { encodeOrder } from './orderMessage.ts'
 import type { RelayRequest } from './orderRelay.ts'
-import { branchWaitMs } from './orderRelay.ts'
+import { branchTimeoutMs } from './orderRelay.ts'
 import type {
 	EnginePort,
 	GroupMember,
-	RankBusy,
+	RankLoad,
 	RankPlacement,
 	RankSample,
 } from './ports.ts'
-import type { RankAnswers } from './rankMessages.ts'
-import { giveOrder, isCarriedOut } from './rankService.ts'
+import type { RankResults } from './rankMessages.ts'
+import { executeOrder, isOrderExecuted } from './rankService.ts'
 
-const CONNECT_MS = 300
-const RECONNECT_MS = 150
-const MAX_RECONNECT_MS = 1_000
-/** An order that has no answer by then is sent again, ms. */
-const ORDER_MS = 250
-/** A prepare is answered once the experts are copied, ms. */
-const PREPARE_MS = 3_000
-const READ_MS = 250
+const CONNECT_TIMEOUT_MS = 300
+const MIN_RECONNECT_DELAY_MS = 150
+const MAX_RECONNECT_DELAY_MS = 1_000
+/** Timeout of an order, after which it is sent again, ms. */
+const ORDER_TIMEOUT_MS = 250
+/** Timeout of a `prepare`, which is answered after the experts are copied, ms. */
+const PREPARE_TIMEOUT_MS = 3_000
+const READ_TIMEOUT_MS = 250
 /**
- * Besides, where all ranks are read at once: some 0.3 KB of a small VM's link and its
- * part of a core for each, ms. One that is given up closes a link that was sound.
+ * Addition to the timeout for each rank where all ranks are read at once, ms: each takes
+ * some 0.3 KB of a small VM's link and time of its fraction of a core. A time-out closes
+ * the link, even one that works.
  */
-const READ_PER_RANK_MS = 3
+const READ_TIMEOUT_PER_RANK_MS = 3
 /**
- * Readings of demand may queue behind a large map on a small link: only much
- * later does their silence speak of the agent, ms.
+ * Timeout of demand readings, ms. It is longer than the others, because the readings may
+ * queue behind a large map on a small link while the agent is well.
  */
-const DEMAND_MS = 600
-/** An order by way of another VM is looked after if it takes longer, ms. */
-const ELSEWHERE_MS = 50
-/** Without an agent for this long, its engine is called from here, ms. */
-const ALONE_AFTER_MS = 400
-/** After an agent did not answer, its engine is called from here, ms. */
-const DIRECT_MS = 1_000
-/** What a report from afar may lag behind, ms; engines say 200. */
+const DEMAND_TIMEOUT_MS = 600
+/** Timeout of an order sent via another VM's agent, after which its effect is checked, ms. */
+const REMOTE_ORDER_TIMEOUT_MS = 50
+/** Time without a link to an agent after which its engine is called directly, ms. */
+const BYPASS_AFTER_MS = 400
+/** Time for which an agent is bypassed after it did not answer, ms. */
+const BYPASS_MS = 1_000
+/** Maximum age of an engine's report to other VMs, ms; engines state 200. */
 const REPORT_LAG_MS = 230
 
-/** A rank within a coordinator's reach. */
+/** Connection of a coordinator to a rank. */
 export interface RankClient {
 	readonly member: GroupMember
 	readonly port: EnginePort
-	/** `IP:port` of its agent. */
+	/** Address of its agent, `IP:port`. */
 	readonly agent: string
-	/** This process's own engine needs no link. */
-	readonly home: boolean
+	/** Whether the engine is the local one, which needs no link. */
+	readonly isLocal: boolean
 	link: RpcLink | undefined
-	/** When the link was lost or first sought, ms. */
-	linklessSince: number
-	/** Its agent is bypassed until then, ms. */
-	directUntil: number
-	/** What this process has read of its own engine's counts. */
-	readonly reader: ChoiceReader
+	/** Time at which the link was lost or first attempted, ms. */
+	disconnectedAt: number
+	/** Time until which its agent is bypassed, ms. */
+	bypassUntil: number
+	/** Position in the counts of the local engine. */
+	readonly cursor: CountCursor
 	closed: boolean
 }
 
-/** Makes a client and keeps its link. */
+/** Creates a client and keeps its link connected. */
 export function openRankClient(
 	port: EnginePort,
 	member: GroupMember,
 	agentPort: number,
-	home: boolean,
+	isLocal: boolean,
 	methods: Methods,
 ): RankClient {
 	const { ip } = splitAddress(member.engine)
@@ -82,55 +83,55 @@
 		member,
 		port,
 		agent: `${ip}:${agentPort}`,
-		home,
+		isLocal: isLocal,
 		link: undefined,
-		linklessSince: readNow(),
-		directUntil: 0,
-		reader: createChoiceReader(),
+		disconnectedAt: readNow(),
+		bypassUntil: 0,
+		cursor: createCountCursor(),
 		closed: false,
 	}
-	if (!home) void keepLink(client, methods)
+	if (!isLocal) void keepLink(client, methods)
 	return client
 }
 
-/** Ends a client. */
+/** Closes a client. */
 export function closeRankClient(client: RankClient): void {
 	client.closed = true
 	client.link?.socket.destroy()
 }
 
 async function keepLink(client: RankClient, methods: Methods): Promise<void> {
-	let pause = RECONNECT_MS
+	let delayMs = MIN_RECONNECT_DELAY_MS
 	while (!client.closed) {
 		try {
-			const link = await connectRpc(client.agent, methods, CONNECT_MS)
+			const link = await connectRpc(client.agent, methods, CONNECT_TIMEOUT_MS)
 			client.link = link
-			pause = RECONNECT_MS
+			delayMs = MIN_RECONNECT_DELAY_MS
 			await new Promise(resolve => link.socket.once('close', resolve))
 		} catch {
-			// Refused or cut off: the engine is called without its agent.
-			pause = Math.min(pause * 2, MAX_RECONNECT_MS)
+			// Refused or timed out: the engine is called directly meanwhile.
+			delayMs = Math.min(delayMs * 2, MAX_RECONNECT_DELAY_MS)
 		}
-		if (client.link) client.linklessSince = readNow()
+		if (client.link) client.disconnectedAt = readNow()
 		client.link = undefined
-		await sleep(pause)
+		await sleep(delayMs)
 	}
 }
 
-/** Notes that an agent does not answer. */
-export function noteSilent(client: RankClient): void {
-	client.directUntil = readNow() + DIRECT_MS
+/** Records that an agent does not answer, so that it is bypassed for a while. */
+export function markUnresponsive(client: RankClient): void {
+	client.bypassUntil = readNow() + BYPASS_MS
 }
 
-/** Whether an engine is to be called without its agent. */
-function isAlone(client: RankClient): boolean {
-	if (client.home || readNow() < client.directUntil) return true
-	return !client.link && readNow() - client.linklessSince > ALONE_AFTER_MS
+/** Whether to call an engine directly. */
+function isBypassed(client: RankClient): boolean {
+	if (client.isLocal || readNow() < client.bypassUntil) return true
+	return !client.link && readNow() - client.disconnectedAt > BYPASS_AFTER_MS
 }
 
 /**
- * Gives an order; `silent` when nothing is known of it. A map is told as changes
- * of `base` where the rank's agent knows that one.
+ * Sends an order; resolves to `silent` if its outcome is not known. A map is sent as a
+ * delta against `base` if the rank's agent has that map.
  */
 export async function orderRank(
 	client: RankClient,
@@ -138,120 +139,127 @@
 	base?: MapBase,
 ): Promise<OrderAnswer> {
 	const { port, member } = client
-	if (isAlone(client)) return await giveOrder(port, member.engine, order)
-	const timeoutMs = order.type === 'prepare' ? PREPARE_MS : ORDER_MS
-	const message = toOrderMessage(order, base)
-	const answer = await ask(client, 'order', message, timeoutMs)
+	if (isBypassed(client)) return await executeOrder(port, member.engine, order)
+	const timeoutMs =
+		order.type === 'prepare' ? PREPARE_TIMEOUT_MS : ORDER_TIMEOUT_MS
+	const message = encodeOrder(order, base)
+	const answer = await callAgent(client, 'order', message, timeoutMs)
 	if (answer === 'unknownBase') return await orderRank(client, order)
 	return answer ?? 'silent'
 }
 
 /**
- * Lets the agent of `by` give an order to this rank's engine, and looks for
- * itself what became of it.
+ * Sends an order to a rank's engine via the agent of `relay`. If that agent does not
+ * answer in time, determines the outcome from a report of the rank.
  */
-export async function orderRankBy(
+export async function orderRankVia(
 	client: RankClient,
-	by: RankClient,
+	relay: RankClient,
 	order: EngineOrder,
 ): Promise<OrderAnswer> {
 	const { engine } = client.member
 	const params = { engine, order }
-	const answer = await ask(by, 'orderElsewhere', params, ELSEWHERE_MS)
+	const answer = await callAgent(
+		relay,
+		'orderElsewhere',
+		params,
+		REMOTE_ORDER_TIMEOUT_MS,
+	)
 	if (answer) return answer
-	const report = await reportRank(client)
-	return report && isCarriedOut(report, order) ? 'done' : 'silent'
+	const report = await readRankReport(client)
+	return report && isOrderExecuted(report, order) ? 'done' : 'silent'
 }
 
-/** How an order travels from agent to agent. */
-export type RelayTerms = Omit<RelayRequest, 'order' | 'to'>
+/** Fan-out and timeouts of a relayed order. */
+export type RelayOptions = Omit<RelayRequest, 'order' | 'to'>
 
 /**
- * Gives an order to the first of several ranks, whose agent passes it on to the
- * others; `silent` for those of which nothing is known then.
+ * Sends an order to the agent of the first of several ranks, which relays it to the
+ * others. Resolves to `silent` for ranks whose outcome is not known.
  */
 export async function orderBranch(
 	branch: readonly RankClient[],
 	order: OrderMessage,
-	terms: RelayTerms,
+	options: RelayOptions,
 ): Promise<OrderAnswer[]> {
 	const [first, ...behind] = branch
 	const to = behind.map(client => client.agent)
-	const params: RelayRequest = { order, to, ...terms }
-	const waitMs = branchWaitMs(terms, behind.length)
-	const answers = await ask(first!, 'relay', params, waitMs)
+	const params: RelayRequest = { order, to, ...options }
+	const timeoutMs = branchTimeoutMs(options, behind.length)
+	const answers = await callAgent(first!, 'relay', params, timeoutMs)
 	return branch.map((_, at) => {
 		const answer = answers?.[at] ?? 'silent'
-		// The order is given again, whole, to an agent that lacks the base.
+		// The order is sent again, with the whole map if the agent does not have the base.
 		return answer === 'unknownBase' ? 'silent' : answer
 	})
 }
 
-/** Whether the agent of a rank can be asked. */
+/** Whether the agent of a rank is available. */
 export function hasAgent(client: RankClient): boolean {
-	return client.link !== undefined && readNow() >= client.directUntil
+	return client.link !== undefined && readNow() >= client.bypassUntil
 }
 
-/** A report that was made after this call began. */
-export async function reportRank(
+/** Reads a report that was made after this call began. */
+export async function readRankReport(
 	client: RankClient,
 ): Promise<RankReport | undefined> {
 	const { port, member } = client
-	if (client.home) return await port.report(member.engine)
-	if (!isAlone(client))
-		return (await ask(client, 'report', {}, READ_MS)) ?? undefined
+	if (client.isLocal) return await port.report(member.engine)
+	if (!isBypassed(client))
+		return (await callAgent(client, 'report', {}, READ_TIMEOUT_MS)) ?? undefined
 	await sleep(REPORT_LAG_MS)
 	return await port.report(member.engine)
 }
 
 /**
- * Counts, from an agent only: from afar they cost the group time. `experts` is
- * the number in all sets; `known` a fresh report of the engine at home, if any.
+ * Reads a sample, only from the local engine or an agent, because reading counts from
+ * another VM delays the group. `experts` is the number of experts of all sets; `known` is
+ * a recent report of the local engine, if any.
  */
-export async function sampleRank(
+export async function readRankSample(
 	client: RankClient,
 	experts: number,
 	known?: RankReport,
 ): Promise<RankSample | undefined> {
 	const { port, member } = client
-	if (client.home)
-		return await readSample(port, member.engine, client.reader, known)
-	const message = await ask(client, 'sample', {}, DEMAND_MS)
-	return message ? fromSampleMessage(message, experts) : undefined
+	if (client.isLocal)
+		return await readSample(port, member.engine, client.cursor, known)
+	const message = await callAgent(client, 'sample', {}, DEMAND_TIMEOUT_MS)
+	return message ? decodeSample(message, experts) : undefined
 }
 
-/** How busy a rank was when its agent last looked. */
-export async function busyOfRank(
+/** Reads the load of a rank as last seen by its agent. */
+export async function readRankLoad(
 	client: RankClient,
-): Promise<RankBusy | undefined> {
-	return (await ask(client, 'busy', {}, DEMAND_MS)) ?? undefined
+): Promise<RankLoad | undefined> {
+	return (await callAgent(client, 'busy', {}, DEMAND_TIMEOUT_MS)) ?? undefined
 }
 
-/** The experts of a rank; `together` ranks are read at the same time. */
-export async function placementOfRank(
+/** Reads the experts of a rank; `concurrentReads` is the number of ranks read at once. */
+export async function readRankPlacement(
 	client: RankClient,
-	together: number,
+	concurrentReads: number,
 ): Promise<RankPlacement | undefined> {
 	const { port, member } = client
-	if (isAlone(client)) return await port.placement(member.engine)
-	const timeoutMs = READ_MS + READ_PER_RANK_MS * together
-	return (await ask(client, 'placement', {}, timeoutMs)) ?? undefined
+	if (isBypassed(client)) return await port.placement(member.engine)
+	const timeoutMs = READ_TIMEOUT_MS + READ_TIMEOUT_PER_RANK_MS * concurrentReads
+	return (await callAgent(client, 'placement', {}, timeoutMs)) ?? undefined
 }
 
-async function ask<M extends keyof RankAnswers>(
+async function callAgent<M extends keyof RankResults>(
 	client: RankClient,
 	method: M,
 	params: object,
 	timeoutMs: number,
-): Promise<RankAnswers[M] | null> {
+): Promise<RankResults[M] | null> {
 	const { link } = client
 	if (!link) return null
 	try {
-		return await call<RankAnswers[M]>(link, method, params, timeoutMs)
+		return await call<RankResults[M]>(link, method, params, timeoutMs)
 	} catch {
-		// A frozen agent still takes connections: it is bypassed for a while.
+		// A frozen agent still accepts connections, so it has to be bypassed for a while.
 		link.socket.destroy()
-		noteSilent(client)
+		markUnresponsive(client)
 		return null
 	}
 }
--- a/packages/groups/src/rankMessages.ts
+++ b/packages/groups/src/rankMessages.ts
@@ -1,36 +1,37 @@
-/** What agents ask each other, and what they answer. */
+/** Messages between agents. */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
 import type { SampleMessage } from './choices.ts'
-import type { RankBusy, RankPlacement } from './ports.ts'
+import type { RankLoad, RankPlacement } from './ports.ts'
 
-/** An order that an agent gives to the engine of another VM. */
-export interface OrderElsewhere {
-	/** `IP:port`. */
+/** Order that an agent sends to the engine of another VM. */
+export interface RemoteOrder {
+	/** Address of the engine, `IP:port`. */
 	readonly engine: string
 	readonly order: EngineOrder
 }
 
-/** The last word of an agent on itself. */
+/** An agent's answer to `hello`. */
 export interface AgentHello {
+	/** Rank of its engine; -1 if not known yet. */
 	readonly rank: number
 	/** Whether it coordinates its group. */
 	readonly active: boolean
 }
 
-/** Asks for a map that changes were told of. */
+/** Request for the base map of a received delta. */
 export interface BaseMapRequest {
 	readonly epoch: number
 	readonly version: number
 }
 
-/** An engine's answer, or that an agent lacks the map that is to change. */
+/** Answer of an engine, or of an agent that does not have the base of a delta. */
 export type RankAnswer = OrderAnswer | 'unknownBase'
 
-/** What the methods answer. */
-export interface RankAnswers {
+/** Results of the methods that agents serve. */
+export interface RankResults {
 	readonly report: RankReport | null
-	readonly busy: RankBusy | null
+	readonly busy: RankLoad | null
 	readonly sample: SampleMessage | null
 	readonly placement: RankPlacement | null
 	readonly order: RankAnswer
--- a/packages/groups/src/rankService.ts
+++ b/packages/groups/src/rankService.ts
@@ -1,46 +1,46 @@
 /**
- * What an agent does for coordinators: it passes their orders to its own
- * engine, where they cost nothing and reports are fresh.
+ * Methods that an agent serves to coordinators. It executes their orders at its local
+ * engine, where calls are cheap and reports are up to date.
  */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { call, readNow } from '@juniperhook/runtime'
-import type { ChoiceReader, SampleMessage } from './choices.ts'
-import { createChoiceReader, readSample, toSampleMessage } from './choices.ts'
-import type { KnownMaps } from './mapChanges.ts'
-import { createKnownMaps, noteMap } from './mapChanges.ts'
+import type { CountCursor, SampleMessage } from './choices.ts'
+import { createCountCursor, encodeSample, readSample } from './choices.ts'
+import type { MapCache } from './mapChanges.ts'
+import { cacheMap, createMapCache } from './mapChanges.ts'
 import type { OrderMessage } from './orderMessage.ts'
-import { fromOrderMessage, packMap, unpackMap } from './orderMessage.ts'
+import { decodeOrder, packMap, unpackMap } from './orderMessage.ts'
 import type { RelayRequest } from './orderRelay.ts'
 import { createOrderRelay, relayOrder } from './orderRelay.ts'
-import type { EnginePort, RankBusy } from './ports.ts'
+import type { EnginePort, RankLoad } from './ports.ts'
 import type {
 	AgentHello,
 	BaseMapRequest,
-	OrderElsewhere,
 	RankAnswer,
+	RemoteOrder,
 } from './rankMessages.ts'
 
-/** Between looks at an engine that copies experts, ms. */
-const COPY_LOOK_MS = 25
-/** An engine that copies for longer counts as one that does not answer, ms. */
-const COPY_MS = 2_500
+/** Polling interval of an engine that copies experts, ms. */
+const COPY_POLL_INTERVAL_MS = 25
+/** Time after which an engine that still copies counts as not answering, ms. */
+const COPY_TIMEOUT_MS = 2_500
 /**
- * Times that an agent gives an order which its engine leaves unanswered: a call
- * on the same VM, where asking by way of the coordinator takes a trip of the tree.
+ * Attempts at an order that the local engine does not answer. A retry on the same VM is
+ * cheap; one by the coordinator takes another broadcast.
  */
-const TRIES = 2
+const MAX_ATTEMPTS = 2
 /**
- * A whole map comes from the neighbour that sent its changes: so much time, and so
- * much for each expert of each set: four bytes, over a tenth of a link that carries
- * half a KB in a ms.
+ * Timeout of a request to the sender of a delta for the whole base map, ms, with an
+ * addition for each expert of each set: four bytes, over a tenth of a link that carries
+ * half a KB per ms.
  */
-const BASE_MAP_MS = 400
-const BASE_MAP_PER_EXPERT_MS = 1 / 12
+const BASE_MAP_TIMEOUT_MS = 400
+const BASE_MAP_TIMEOUT_PER_EXPERT_MS = 1 / 12
 
-/** Passes an order to an engine and tells what became of it. */
-export async function giveOrder(
+/** Executes an order at an engine and returns the outcome. */
+export async function executeOrder(
 	port: EnginePort,
 	engine: string,
 	order: EngineOrder,
@@ -55,9 +55,9 @@
 			return 'fenced'
 		case 'conflict':
 		case 'silent': {
-			// An earlier sending of the same order may have been carried out.
+			// An earlier attempt at the same order may have been executed.
 			const report = await port.report(engine)
-			return report && isCarriedOut(report, order) ? 'done' : answer
+			return report && isOrderExecuted(report, order) ? 'done' : answer
 		}
 		case 'done':
 			if (order.type !== 'prepare') return 'done'
@@ -67,23 +67,27 @@
 	}
 }
 
+/** Waits until an engine has copied the experts of a prepared map. */
 async function awaitCopies(
 	port: EnginePort,
 	engine: string,
 	order: EngineOrder,
 ): Promise<OrderAnswer> {
-	const until = readNow() + COPY_MS
+	const until = readNow() + COPY_TIMEOUT_MS
 	while (readNow() < until) {
 		const report = await port.report(engine)
-		if (report && isCarriedOut(report, order)) return 'done'
+		if (report && isOrderExecuted(report, order)) return 'done'
 		if (report && report.epoch !== order.epoch) return 'conflict'
-		await new Promise(resolve => setTimeout(resolve, COPY_LOOK_MS))
+		await new Promise(resolve => setTimeout(resolve, COPY_POLL_INTERVAL_MS))
 	}
 	return 'silent'
 }
 
 /** Whether a report shows that an order has taken effect. */
-export function isCarriedOut(report: RankReport, order: EngineOrder): boolean {
+export function isOrderExecuted(
+	report: RankReport,
+	order: EngineOrder,
+): boolean {
 	if (report.epoch !== order.epoch) return false
 	switch (order.type) {
 		case 'prepare':
@@ -98,112 +102,125 @@
 			return true
 		case 'disarm':
 		case 'go':
-			// Their fence matters too, and no report shows it.
+			// Their fence has to be recorded too, and no report contains it.
 			return false
 		default:
 			return order satisfies never
 	}
 }
 
-/** Methods that an agent serves. */
+/** Creates the methods that an agent serves. */
 export function createRankMethods(
 	port: EnginePort,
 	engine: string,
 	hello: () => AgentHello,
 	lastReport: () => RankReport | undefined,
 ): Methods {
-	// Each link is told what is new to it.
-	const readers = new WeakMap<RpcLink, ChoiceReader>()
+	// Each link receives the increments since its own last sample.
+	const cursors = new WeakMap<RpcLink, CountCursor>()
 	const sample = async (link: RpcLink): Promise<SampleMessage | undefined> => {
-		const reader = readers.get(link) ?? createChoiceReader()
-		readers.set(link, reader)
-		const read = await readSample(port, engine, reader, undefined)
-		return read && toSampleMessage(read)
+		const cursor = cursors.get(link) ?? createCountCursor()
+		cursors.set(link, cursor)
+		const read = await readSample(port, engine, cursor, undefined)
+		return read && encodeSample(read)
 	}
-	const known = createKnownMaps()
-	const takeOrder = async (
+	const cache = createMapCache()
+	const handleOrder = async (
 		message: OrderMessage,
 		link: RpcLink,
 	): Promise<RankAnswer> => {
-		const order = await readOrder(message, known, link)
+		const order = await resolveOrder(message, cache, link)
 		if (!order) return 'unknownBase'
-		const answer = await giveOrderAgain(port, engine, order)
+		const answer = await executeWithRetry(port, engine, order)
 		if (order.type === 'prepare' && answer === 'done')
-			noteMap(known, order.epoch, order.version, order.map)
+			cacheMap(cache, order.epoch, order.version, order.map)
 		return answer
 	}
-	const baseMap = (wanted: BaseMapRequest) => packKnown(known, wanted)
+	const baseMap = (request: BaseMapRequest) => packCachedMap(cache, request)
 	const relay = createOrderRelay({ baseMap })
 	return {
 		hello,
-		report: () => orNull(port.report(engine)),
-		busy: () => toBusy(lastReport()),
-		sample: (_params: object, link: RpcLink) => orNull(sample(link)),
-		placement: () => orNull(port.placement(engine)),
-		order: takeOrder,
+		report: () => toNullable(port.report(engine)),
+		busy: () => toRankLoad(lastReport()),
+		sample: (_params: object, link: RpcLink) => toNullable(sample(link)),
+		placement: () => toNullable(port.placement(engine)),
+		order: handleOrder,
 		relay: async (req: RelayRequest, link: RpcLink) => {
 			const [own, behind] = await Promise.all([
-				takeOrder(req.order, link),
+				handleOrder(req.order, link),
 				relayOrder(relay, req),
 			])
 			return [own, ...behind]
 		},
-		orderElsewhere: ({ engine: other, order }: OrderElsewhere) =>
-			giveOrder(port, other, order),
+		orderElsewhere: ({ engine: other, order }: RemoteOrder) =>
+			executeOrder(port, other, order),
 	}
 }
 
-/** A known map, packed, for an agent that lacks it; null when it is not known. */
-function packKnown(
-	known: KnownMaps,
+/** Packs a cached map for an agent that does not have it; null if it is not cached. */
+function packCachedMap(
+	cache: MapCache,
 	{ epoch, version }: BaseMapRequest,
 ): string | null {
-	const map = epoch === known.epoch ? known.maps.get(version) : undefined
+	const map = epoch === cache.epoch ? cache.maps.get(version) : undefined
 	return map ? packMap(map) : null
 }
 
-/** The order in a message; what it changes is asked for where it came from. */
-async function readOrder(
+/**
+ * Decodes an order. If it contains a delta against a map that is not cached, requests the
+ * map from the sender.
+ */
+async function resolveOrder(
 	message: OrderMessage,
-	known: KnownMaps,
+	cache: MapCache,
 	link: RpcLink,
 ): Promise<EngineOrder | undefined> {
-	const order = fromOrderMessage(message, known)
+	const order = decodeOrder(message, cache)
 	if (order || message.type !== 'prepare') return order
 	if (!('changes' in message.sent)) return undefined
 	const { epoch } = message
 	const { base: version, sets, experts } = message.sent.changes
-	const timeoutMs = BASE_MAP_MS + BASE_MAP_PER_EXPERT_MS * sets * experts
+	const timeoutMs =
+		BASE_MAP_TIMEOUT_MS + BASE_MAP_TIMEOUT_PER_EXPERT_MS * sets * experts
 	try {
-		const wanted: BaseMapRequest = { epoch, version }
-		const packed = await call<string | null>(link, 'baseMap', wanted, timeoutMs)
+		const request: BaseMapRequest = { epoch, version }
+		const packed = await call<string | null>(
+			link,
+			'baseMap',
+			request,
+			timeoutMs,
+		)
 		if (packed === null) return undefined
-		noteMap(known, epoch, version, unpackMap(packed))
+		cacheMap(cache, epoch, version, unpackMap(packed))
 	} catch {
-		// The coordinator sends the whole map to an agent that says so.
+		// The answer `unknownBase` makes the coordinator send the whole map.
 		return undefined
 	}
-	return fromOrderMessage(message, known)
+	return decodeOrder(message, cache)
 }
 
-async function giveOrderAgain(
+async function executeWithRetry(
 	port: EnginePort,
 	engine: string,
 	order: EngineOrder,
 ): Promise<OrderAnswer> {
 	let answer: OrderAnswer = 'silent'
-	for (let tries = 0; tries < TRIES && answer === 'silent'; tries++)
-		answer = await giveOrder(port, engine, order)
+	for (
+		let attempt = 0;
+		attempt < MAX_ATTEMPTS && answer === 'silent';
+		attempt++
+	)
+		answer = await executeOrder(port, engine, order)
 	return answer
 }
 
-function toBusy(report: RankReport | undefined): RankBusy | null {
+function toRankLoad(report: RankReport | undefined): RankLoad | null {
 	if (!report) return null
 	const { running, waiting, pace } = report
 	return { running, waiting, pace }
 }
 
-/** JSON has no undefined. */
-async function orNull<T>(value: Promise<T | undefined>): Promise<T | null> {
+/** Replaces undefined, which JSON cannot represent, by null. */
+async function toNullable<T>(value: Promise<T | undefined>): Promise<T | null> {
 	return (await value) ?? null
 }
--- a/packages/groups/src/roundRunner.ts
+++ b/packages/groups/src/roundRunner.ts
@@ -1,4 +1,4 @@
-/** Takes one change of the map from order to order. */
+/** Runs the rounds of a coordinator; a round makes one change of the map. */
 
 import type {
 	GroupRound,
@@ -14,53 +14,66 @@
 	REFUSED_TO_ARM,
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
-import { leadMsOf, noteArmed, noteMissed, probeLimitMs } from './armingTime.ts'
+import {
+	computeLeadMs,
+	computeProbeTimeoutMs,
+	raiseArmingMs,
+	updateArmingMs,
+} from './armingTime.ts'
 import type { Coordinator } from './coordinatorState.ts'
-import { FENCE_BITS, pause, readAnchor } from './coordinatorState.ts'
+import { delay, FENCE_BITS, readAnchor } from './coordinatorState.ts'
 import { setMap } from './mapWork.ts'
-import type { Run } from './orderGiver.ts'
-import { copyingMsOf, giveAll, tripMs } from './orderGiver.ts'
+import type { RunningRound } from './orderGiver.ts'
+import {
+	estimateCopyingMs,
+	estimateRoundTripMs,
+	sendPendingOrders,
+} from './orderGiver.ts'
 
-/** Between steps of a round that waits for a report, ms. */
-const LOOK_MS = 20
+/** Base of the polling interval during a round, ms. */
+const POLL_INTERVAL_MS = 20
 /**
- * A round in which no rank has confirmed anything for this long is given up, ms.
- * It covers an agent on the way that has gone silent and the way round it.
+ * Time without a confirmation by any rank after which a round is abandoned, ms. It covers
+ * an unresponsive agent in the tree and the broadcast along another tree.
  */
-const STUCK_MS = 2_500
+const STALL_TIMEOUT_MS = 2_500
 /**
- * Why a round is left while nothing is held by it: its plan followed the demand
- * before, and one for the present demand would have to wait for its end, up to
- * 1.3 s of the 3.6 s for which demand stays as it is.
+ * Reason for abandoning a round after a demand shift, while it holds nothing. Its plan is
+ * for the earlier demand, and a plan for the present one would have to wait for its end:
+ * for up to 1.3 s of the 3.6 s for which demand remains steady.
  */
 const OUTDATED = 'demand has shifted'
-/** After a failed round, ms. */
-const FAILED_PAUSE_MS = 200
+/** Mean delay after a failed round, ms. */
+const FAILURE_DELAY_MS = 200
 
-/** Weight of a new round in what rounds take besides copying. */
+/** Weight of a new round in the smoothed overhead. */
 const OVERHEAD_WEIGHT = 0.3
 
+/** Returns a fence higher than all known ones. */
 function nextFence(co: Coordinator): number {
-	co.counter++
+	co.fenceCounter++
 	const low = Math.floor(co.random() * 2 ** FENCE_BITS)
-	return co.counter * 2 ** FENCE_BITS + low
+	return co.fenceCounter * 2 ** FENCE_BITS + low
 }
 
-/** Takes a round to its end, or until this coordinator is stopped. */
+/**
+ * Runs a round to its end, or until the coordinator is stopped. Without a plan, the round
+ * only completes the change of an older one.
+ */
 export async function runRound(
 	co: Coordinator,
 	report: RankReport,
-	planned: MapPlan | undefined,
+	plan: MapPlan | undefined,
 ): Promise<void> {
 	const fence = nextFence(co)
 	const { epoch, size } = report
-	const round = createRound(fence, epoch, size, planned?.placements, co.undo)
+	const round = createRound(fence, epoch, size, plan?.placements, co.undo)
 	const startedAt = readNow()
-	const run: Run = {
+	const run: RunningRound = {
 		round,
-		asked: new Set(),
-		tries: 0,
-		mostNew: planned?.mostNew ?? 0,
+		inFlight: new Set(),
+		broadcasts: 0,
+		mostNew: plan?.mostNew ?? 0,
 		progressAt: readElapsed(),
 	}
 	co.log.write('round begun', {
@@ -69,52 +82,56 @@
 		step: report.step,
 		held: report.held,
 	})
-	const trip = tripMs(co, round.ranks)
+	const roundTripMs = estimateRoundTripMs(co, round.ranks)
 	const phases: string[] = []
 	let urgentMs = 0
-	let shown = round.phase
+	let lastPhase = round.phase
 	let phaseAt = startedAt
 	while (!isRoundOver(round) && !co.stopped) {
-		giveAll(co, run)
-		await pause(isUrgentPhase(round.phase) ? LOOK_MS / 8 : LOOK_MS / 2)
+		sendPendingOrders(co, run)
+		await delay(
+			isUrgentPhase(round.phase) ? POLL_INTERVAL_MS / 8 : POLL_INTERVAL_MS / 2,
+		)
 		if (needsReport(round)) {
 			const { phase } = round
 			const fresh = await readAnchor(co)
-			const leadMs = leadMsOf(co.armingMs, trip)
+			const leadMs = computeLeadMs(co.armingMs, roundTripMs)
 			const lead = Math.max(1, Math.ceil(leadMs / co.passMs))
 			if (fresh && round.phase === phase) applyAnchorReport(round, fresh, lead)
 		}
-		if (round.phase !== shown) {
+		if (round.phase !== lastPhase) {
 			const tookMs = readNow() - phaseAt
-			phases.push(`${shown} ${Math.round(tookMs)}`)
-			if (isUrgentPhase(shown)) urgentMs += tookMs
-			if (shown === 'arming' && round.phase === 'releasing')
-				co.armingMs = noteArmed(co.armingMs, urgentMs)
+			phases.push(`${lastPhase} ${Math.round(tookMs)}`)
+			if (isUrgentPhase(lastPhase)) urgentMs += tookMs
+			if (lastPhase === 'arming' && round.phase === 'releasing')
+				co.armingMs = updateArmingMs(co.armingMs, urgentMs)
 			phaseAt = readNow()
-			run.tries = 0
+			run.broadcasts = 0
 			run.progressAt = readElapsed()
 		}
 		co.copying = round.phase === 'preparing'
 		co.urgent = isUrgentPhase(round.phase)
-		shown = round.phase
-		const probeMs = probeLimitMs(co.armingMs, trip)
-		if (round.phase === 'probing' && readNow() - phaseAt > probeMs) {
-			co.armingMs = noteMissed(co.armingMs, probeMs)
+		lastPhase = round.phase
+		const probeTimeoutMs = computeProbeTimeoutMs(co.armingMs, roundTripMs)
+		if (round.phase === 'probing' && readNow() - phaseAt > probeTimeoutMs) {
+			co.armingMs = raiseArmingMs(co.armingMs, probeTimeoutMs)
 			abandonProbing(round)
 		}
-		if (co.shiftedAt > startedAt && round.map && isHarmless(round)) {
+		if (co.shiftedAt > startedAt && round.map && canAbandon(round)) {
 			round.reason = OUTDATED
 			break
 		}
-		const isStuck =
-			readElapsed() - run.progressAt > STUCK_MS + copyingMsOf(co, run)
-		if (isStuck && isHarmless(round)) break
+		const isStalled =
+			readElapsed() - run.progressAt >
+			STALL_TIMEOUT_MS + estimateCopyingMs(co, run)
+		if (isStalled && canAbandon(round)) break
 	}
 	co.copying = false
 	co.urgent = false
-	await endRound(co, run, startedAt, phases)
+	await finishRound(co, run, startedAt, phases)
 }
 
+/** Whether a round needs a report of the anchor to proceed. */
 function needsReport(round: GroupRound): boolean {
 	switch (round.phase) {
 		case 'inspecting':
@@ -137,7 +154,7 @@
 	}
 }
 
-/** Whether passes wait for a phase that takes longer than the lead. */
+/** Whether a phase delays passes if it takes longer than the lead. */
 function isUrgentPhase(phase: RoundPhase): boolean {
 	return (
 		phase === 'holding' ||
@@ -147,18 +164,18 @@
 	)
 }
 
-/** Whether a round may be left where it is: nothing is held or armed by it. */
-function isHarmless({ phase }: GroupRound): boolean {
+/** Whether a round can be abandoned, as it has neither held nor armed anything. */
+function canAbandon({ phase }: GroupRound): boolean {
 	return phase === 'fencing' || phase === 'preparing' || phase === 'waiting'
 }
 
-function noteOverhead(co: Coordinator, tookMs: number): void {
+function recordOverhead(co: Coordinator, tookMs: number): void {
 	co.overheadMs += OVERHEAD_WEIGHT * (Math.max(0, tookMs) - co.overheadMs)
 }
 
-async function endRound(
+async function finishRound(
 	co: Coordinator,
-	run: Run,
+	run: RunningRound,
 	startedAt: number,
 	phases: readonly string[],
 ): Promise<void> {
@@ -176,13 +193,13 @@
 	if (round.phase !== 'done') {
 		if (round.reason === OUTDATED) return
 		// Another coordinator may have a higher counter than any report shows.
-		co.counter += 1 + Math.floor(co.random() * 8)
-		await pause(FAILED_PAUSE_MS * (0.5 + co.random()))
+		co.fenceCounter += 1 + Math.floor(co.random() * 8)
+		await delay(FAILURE_DELAY_MS * (0.5 + co.random()))
 		return
 	}
-	const ours = round.map && !round.inherited && round.version > 0
-	if (!ours) return
-	co.copyingMs = copyingMsOf(co, run)
-	noteOverhead(co, readNow() - startedAt - co.copyingMs)
+	const hasOwnMap = round.map && !round.inherited && round.version > 0
+	if (!hasOwnMap) return
+	co.lastCopyingMs = estimateCopyingMs(co, run)
+	recordOverhead(co, readNow() - startedAt - co.lastCopyingMs)
 	setMap(co, round.map!, { epoch: round.epoch, map: round.version })
 }
--- a/packages/groups/src/timedPasses.ts
+++ b/packages/groups/src/timedPasses.ts
@@ -1,24 +1,26 @@
-/** The passes that a coordinator times, between two looks. */
+/** State of a coordinator's measurement of pass times. */
 
 import type { RankReport } from '@juniperhook/core'
 
-/** Passes that are being timed under the same conditions. */
-export interface PassWatch {
-	since: { readonly report: RankReport; readonly at: number } | undefined
+/** Measurement of passes under constant conditions. */
+export interface PassTiming {
+	/** Report at which the measurement in progress began. */
+	startedFrom: { readonly report: RankReport; readonly at: number } | undefined
 	copying: boolean
-	/** How often the clocks had parted; what is timed across that is dropped. */
+	/** Number of clock jumps at the start; a measurement across a jump is dropped. */
 	jumps: number
+	/** Time of a pass relative to a balanced one, at the start. */
 	factor: number
 	loggedAt: number
-	/** What had gone over this process's links then. */
+	/** Bytes transferred over this process's links until the last log line. */
 	bytesIn: number
 	bytesOut: number
 }
 
-/** Makes a watch that has seen nothing. */
-export function createPassWatch(): PassWatch {
+/** Creates the state before the first measurement. */
+export function createPassTiming(): PassTiming {
 	return {
-		since: undefined,
+		startedFrom: undefined,
 		copying: false,
 		jumps: 0,
 		factor: 1,
--- a/packages/groups/test/agents.test.ts
+++ b/packages/groups/test/agents.test.ts
@@ -1,6 +1,6 @@
 /**
- * Agents that keep a group's map, over loopback: under orders that are lost or
- * late, VMs that are cut off, and a group that forms anew.
+ * Agents that coordinate a group over loopback, with orders that are lost or late,
+ * unreachable VMs, and a group that re-forms.
  */
 
 import { createEventLog } from '@juniperhook/runtime'
@@ -12,8 +12,8 @@
 
 const AGENT_PORT = 22_640
 const SEED = 20261202
-/** Far beyond what a change takes, also on a busy machine, ms. */
-const LONG_MS = 20_000
+/** Timeout, far above the time of a map change even on a busy machine, ms. */
+const TIMEOUT_MS = 20_000
 
 const log = { ...createEventLog('test'), write: () => {}, flush: () => {} }
 const group = startFakeGroup(SEED)
@@ -38,7 +38,7 @@
 }
 
 async function until(condition: () => boolean): Promise<void> {
-	const end = performance.now() + LONG_MS
+	const end = performance.now() + TIMEOUT_MS
 	while (!condition() && performance.now() < end)
 		await new Promise(resolve => setTimeout(resolve, 20))
 	assert.ok(condition(), describe(group))
@@ -53,18 +53,18 @@
 	})
 }
 
-/** Changes of map, seen at the first rank. */
+/** Waits until the first rank uses another map. */
 async function awaitChange(): Promise<void> {
 	const { map } = group.engines[0]!
 	await until(() => group.engines[0]!.map !== map)
 }
 
-test('agents: a skewed demand leads to a new map, in every rank at once', async () => {
+test('agents: with a skewed demand all ranks change to a new map at the same pass', async () => {
 	await awaitChange()
 	assert.equal(group.mixed, [])
 })
 
-test('agents: with a third of the orders lost or late, one map a pass', async () => {
+test('agents: no pass has different maps with a third of the orders lost or late', async () => {
 	group.reform()
 	group.lossRate = 0.35
 	await awaitChange()
@@ -73,10 +73,10 @@
 	assert.equal(group.mixed, [])
 })
 
-const CUTS = [1, 2, 3]
+const UNREACHABLE_RANKS = [1, 2, 3]
 
-for (const rank of CUTS)
-	test(`agents: rank ${rank} cut off for a while, the group goes on`, async () => {
+for (const rank of UNREACHABLE_RANKS)
+	test(`agents: the group continues while rank ${rank} is unreachable`, async () => {
 		group.lossRate = 0
 		group.reform()
 		group.cutOff.add(addressOf(rank))
@@ -88,7 +88,7 @@
 		assert.equal(group.mixed, [])
 	})
 
-test('agents: a hold that somebody left is let go', async () => {
+test('agents: a hold of a coordinator that is gone is released', async () => {
 	group.held = group.step + 3
 	const { step } = group
 	await until(() => group.step > step + 20)
--- a/packages/groups/test/choices.test.ts
+++ b/packages/groups/test/choices.test.ts
@@ -1,13 +1,13 @@
-/** What a rank's requests chose: only what is new, and small on the way. */
+/** Samples of expert choices: only increments, in a compact encoding. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EnginePort, RankCounts } from '../src/index.ts'
 import {
-	createChoiceReader,
-	fromSampleMessage,
+	createCountCursor,
+	decodeSample,
+	encodeSample,
 	readSample,
-	toSampleMessage,
 } from '../src/index.ts'
 
 const REPORT = {
@@ -33,25 +33,25 @@
 	chosen: readonly number[]
 }[] = [
 	{
-		name: 'what came since',
+		name: 'increments since the last reading',
 		first: { epoch: 1, counts: [5, 7] },
 		second: { epoch: 1, counts: [5, 9] },
 		chosen: [0, 2],
 	},
 	{
-		name: 'nothing of a new epoch at first',
+		name: 'none in the first reading of a new epoch',
 		first: { epoch: 1, counts: [5, 7] },
 		second: { epoch: 2, counts: [6, 8] },
 		chosen: [],
 	},
 	{
-		name: 'nothing of a new life in the same epoch at first',
+		name: 'none in the first reading of a new incarnation in the same epoch',
 		first: { epoch: 1, counts: [5, 7], bornAt: 10 },
 		second: { epoch: 1, counts: [6, 8], bornAt: 20 },
 		chosen: [],
 	},
 	{
-		name: 'nothing below nought',
+		name: 'no negative increments',
 		first: { epoch: 1, counts: [5, 7] },
 		second: { epoch: 1, counts: [1, 8] },
 		chosen: [0, 1],
@@ -60,12 +60,14 @@
 
 for (const { name, first, second, chosen } of READINGS)
 	test(`choices: ${name}`, async () => {
-		const told = [first, second]
-		const port = { counts: async () => told.shift() } as unknown as EnginePort
-		const reader = createChoiceReader()
-		const one = await readSample(port, '', reader, REPORT)
+		const readings = [first, second]
+		const port = {
+			counts: async () => readings.shift(),
+		} as unknown as EnginePort
+		const cursor = createCountCursor()
+		const one = await readSample(port, '', cursor, REPORT)
 		assert.equal(one?.chosen, [])
-		const two = await readSample(port, '', reader, REPORT)
+		const two = await readSample(port, '', cursor, REPORT)
 		assert.equal(two?.chosen, chosen)
 		assert.is(two?.running, 3)
 	})
@@ -77,34 +79,34 @@
 ]
 
 for (const { name, chosen } of SAMPLES)
-	test(`choices: ${name} arrive within a 255th of the largest`, () => {
+	test(`choices: ${name} are decoded to within a 255th of the largest`, () => {
 		const rest = { epoch: 1, running: 1, waiting: 0, pace: 1 }
-		const line = JSON.stringify(toSampleMessage({ ...rest, chosen }))
+		const line = JSON.stringify(encodeSample({ ...rest, chosen }))
 		const { length } = chosen
-		const got = fromSampleMessage(JSON.parse(line), length).chosen
+		const got = decodeSample(JSON.parse(line), length).chosen
 		assert.is(got.length, chosen.length)
 		const unit = Math.max(1, Math.max(0, ...chosen) / 255)
 		for (const [at, count] of chosen.entries())
 			assert.ok(Math.abs(got[at]! - count) <= unit / 2)
 	})
 
-/** Counts of 0.2 s of a rank whose 3,840 experts are chosen unevenly. */
+/** Counts of 0.2 s of a rank whose 3,839 experts are chosen unevenly. */
 const MANY = Array.from({ length: 3_839 }, (_, at) => (at * 7_919) % 225)
 
-test('choices: of many experts, roots arrive within half a step', () => {
+test('choices: counts of many experts are decoded to within half a root step', () => {
 	const sample = { epoch: 1, chosen: MANY, running: 1, waiting: 0, pace: 1 }
-	const line = JSON.stringify(toSampleMessage(sample))
+	const line = JSON.stringify(encodeSample(sample))
 	assert.ok(line.length < 2_700, `${line.length} bytes`)
-	const got = fromSampleMessage(JSON.parse(line), MANY.length).chosen
+	const got = decodeSample(JSON.parse(line), MANY.length).chosen
 	assert.is(got.length, MANY.length)
 	for (const [at, count] of MANY.entries())
 		assert.ok(Math.abs(Math.sqrt(got[at]!) - Math.sqrt(count)) <= 0.5)
 })
 
-test('choices: those of 1,728 experts take under 3 KB', () => {
+test('choices: counts of 1,728 experts take less than 3 KB', () => {
 	const chosen = Array.from({ length: 1_728 }, (_, at) => at)
 	const sample = { epoch: 1, chosen, running: 1, waiting: 0, pace: 1 }
-	assert.ok(JSON.stringify(toSampleMessage(sample)).length < 3_000)
+	assert.ok(JSON.stringify(encodeSample(sample)).length < 3_000)
 })
 
 test.run()
--- a/packages/groups/test/earlierCandidate.test.ts
+++ b/packages/groups/test/earlierCandidate.test.ts
@@ -1,38 +1,53 @@
-/** When an agent takes its group over from an earlier candidate. */
+/** Liveness of earlier candidates, by the time of their last answer. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { EarlierState } from '../src/index.ts'
-import { judgeEarlier } from '../src/index.ts'
+import type { CandidateLiveness } from '../src/index.ts'
+import { assessCandidate } from '../src/index.ts'
 
 const STARTED_AT = 1_000
 
 const CASES: {
 	name: string
-	heardAt: number | undefined
+	answeredAt: number | undefined
 	now: number
-	state: EarlierState
+	liveness: CandidateLiveness
 }[] = [
 	{
-		name: 'not heard of yet, all have just begun',
-		heardAt: undefined,
+		name: 'no answer yet, shortly after the start',
+		answeredAt: undefined,
 		now: 1_080,
-		state: 'lives',
+		liveness: 'alive',
 	},
-	{ name: 'never heard of', heardAt: undefined, now: 1_700, state: 'gone' },
-	{ name: 'heard a moment ago', heardAt: 9_900, now: 10_000, state: 'lives' },
 	{
-		name: 'silent for a while',
-		heardAt: 9_500,
+		name: 'never answered',
+		answeredAt: undefined,
+		now: 1_700,
+		liveness: 'down',
+	},
+	{
+		name: 'answered recently',
+		answeredAt: 9_900,
+		now: 10_000,
+		liveness: 'alive',
+	},
+	{
+		name: 'no answer for a while',
+		answeredAt: 9_500,
+		now: 10_000,
+		liveness: 'unresponsive',
+	},
+	{
+		name: 'no answer for long',
+		answeredAt: 8_000,
 		now: 10_000,
-		state: 'doubtful',
+		liveness: 'down',
 	},
-	{ name: 'silent for long', heardAt: 8_000, now: 10_000, state: 'gone' },
 ]
 
-for (const { name, heardAt, now, state } of CASES)
-	test(`earlier candidate, ${name}: ${state}`, () => {
-		assert.is(judgeEarlier(heardAt, STARTED_AT, now), state)
+for (const { name, answeredAt, now, liveness } of CASES)
+	test(`earlier candidate, ${name}: ${liveness}`, () => {
+		assert.is(assessCandidate(answeredAt, STARTED_AT, now), liveness)
 	})
 
 test.run()
--- a/packages/groups/test/largeGroup.test.ts
+++ b/packages/groups/test/largeGroup.test.ts
@@ -1,4 +1,4 @@
-/** Agents of a group with more ranks than those whose counts are read. */
+/** Agents of a group with more ranks than the number whose counts are read. */
 
 import { createEventLog, serveRpc } from '@juniperhook/runtime'
 import { test } from 'uvu'
@@ -9,20 +9,20 @@
 const AGENT_PORT = 22_641
 const ENTRY = '127.0.0.19:22642'
 const RANKS = 30
-/** A rank that is not among the first ones. */
+/** A rank whose counts are not read. */
 const SLOW_RANK = 22
-const PACE = 3
+const SLOWDOWN = 3
 const SEED = 20261202
-/** Far beyond what it takes, also on a busy machine, ms. */
-const LONG_MS = 20_000
+/** Timeout, far above the expected time even on a busy machine, ms. */
+const TIMEOUT_MS = 20_000
 
 const log = { ...createEventLog('test'), write: () => {}, flush: () => {} }
 const group = startFakeGroup(SEED, RANKS)
-const told: Record<string, number>[] = []
+const reports: Record<string, number>[] = []
 
 async function startAll(): Promise<void> {
-	const paces = (news: { slow: Record<string, number> }) => {
-		told.push(news.slow)
+	const paces = (report: { slow: Record<string, number> }) => {
+		reports.push(report.slow)
 		return []
 	}
 	await serveRpc(ENTRY, { paces })
@@ -43,35 +43,36 @@
 	}
 }
 
-test('large group: a slow rank beyond those that are counted is told', async () => {
+test('large group: a slow rank whose counts are not read is reported', async () => {
 	await startAll()
-	group.paces[SLOW_RANK] = PACE
-	const end = performance.now() + LONG_MS
-	const isTold = () => told.some(paces => paces[addressOf(SLOW_RANK)] === PACE)
-	while (!isTold() && performance.now() < end)
+	group.paces[SLOW_RANK] = SLOWDOWN
+	const end = performance.now() + TIMEOUT_MS
+	const isReported = () =>
+		reports.some(slow => slow[addressOf(SLOW_RANK)] === SLOWDOWN)
+	while (!isReported() && performance.now() < end)
 		await new Promise(resolve => setTimeout(resolve, 20))
-	assert.ok(isTold(), JSON.stringify(told.at(-1)))
-	assert.is(Object.keys(told.at(-1)!).length, 1)
+	assert.ok(isReported(), JSON.stringify(reports.at(-1)))
+	assert.is(Object.keys(reports.at(-1)!).length, 1)
 	assert.equal(group.mixed, [])
 })
 
-test('large group: a map that agents relay is used by all at once', async () => {
-	await awaitMaps()
+test('large group: all ranks change at the same pass to a map that agents relay', async () => {
+	await awaitTwoMaps()
 })
 
-test('large group: the same with orders lost and late, and a rank cut off', async () => {
+test('large group: the same with lost and late orders and an unreachable rank', async () => {
 	group.lossRate = 0.2
 	group.cutOff.add(addressOf(SLOW_RANK))
 	group.reform()
 	await new Promise(resolve => setTimeout(resolve, 500))
 	group.cutOff.clear()
-	await awaitMaps()
+	await awaitTwoMaps()
 })
 
-/** Two changes of map, without a pass that begins with two of them. */
-async function awaitMaps(): Promise<void> {
+/** Waits for two maps in use, and checks that no pass began with different maps. */
+async function awaitTwoMaps(): Promise<void> {
 	const seen = new Set<number>()
-	const end = performance.now() + LONG_MS
+	const end = performance.now() + TIMEOUT_MS
 	while (seen.size < 2 && performance.now() < end) {
 		seen.add(group.engines[RANKS - 1]!.map)
 		await new Promise(resolve => setTimeout(resolve, 20))
@@ -82,7 +83,7 @@
 
 const ADDRESSES = ['127.0.0.60:22643', '127.0.0.61:22643', '127.0.0.62:22643']
 
-test('large group: an agent passes an order on and says who took it', async () => {
+test('large group: an agent relays an order and returns the answer of each rank', async () => {
 	await serveRpc(ADDRESSES[0]!, { relay: () => ['done'] })
 	await serveRpc(ADDRESSES[1]!, { relay: () => new Promise(() => {}) })
 	const order = { type: 'probe', epoch: 1 } as const
--- a/packages/groups/test/orderMessage.test.ts
+++ b/packages/groups/test/orderMessage.test.ts
@@ -1,15 +1,15 @@
-/** Orders between agents: what is sent is what is received. */
+/** Encoding of orders between agents. */
 
 import type { EngineOrder } from '@juniperhook/core'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { MapBase } from '../src/index.ts'
 import {
-	createKnownMaps,
-	fromOrderMessage,
-	noteMap,
+	cacheMap,
+	createMapCache,
+	decodeOrder,
+	encodeOrder,
 	packMap,
-	toOrderMessage,
 	unpackMap,
 } from '../src/index.ts'
 
@@ -43,17 +43,17 @@
 ]
 
 for (const { name, order } of ORDERS)
-	test(`order message: ${name} arrives as it was sent`, () => {
-		const line = JSON.stringify(toOrderMessage(order))
-		assert.equal(fromOrderMessage(JSON.parse(line), createKnownMaps()), order)
+	test(`order message: ${name} is decoded as it was encoded`, () => {
+		const line = JSON.stringify(encodeOrder(order))
+		assert.equal(decodeOrder(JSON.parse(line), createMapCache()), order)
 	})
 
-test('order message: a map of 72 ranks is less than half of its JSON', () => {
+test('order message: a packed map of 72 ranks takes less than half of its JSON', () => {
 	const map = largeMap()
 	assert.ok(packMap(map).length * 2 < JSON.stringify(map).length)
 })
 
-const DEALT: MapBase = {
+const INITIAL: MapBase = {
 	epoch: 2,
 	version: 0,
 	map: Array.from({ length: 2 }, () => [[0, 2], [1]]),
@@ -76,51 +76,51 @@
 const BASES: {
 	name: string
 	base: MapBase
-	/** What the receiving agent remembers. */
-	known?: MapBase
-	/** Whether it can tell the map. */
-	told: boolean
+	/** Map in the receiver's cache. */
+	cached?: MapBase
+	/** Whether the receiver can decode the map. */
+	decoded: boolean
 }[] = [
-	{ name: 'of the dealt map', base: DEALT, told: true },
-	{ name: 'of the map in use', base: USED, known: USED, told: true },
-	{ name: 'of a map never seen', base: USED, told: false },
+	{ name: 'against the initial map', base: INITIAL, decoded: true },
+	{ name: 'against the map in use', base: USED, cached: USED, decoded: true },
+	{ name: 'against an unknown map', base: USED, decoded: false },
 	{
-		name: 'of a map of another epoch',
+		name: 'against a map of another epoch',
 		base: USED,
-		known: { ...USED, epoch: 1 },
-		told: false,
+		cached: { ...USED, epoch: 1 },
+		decoded: false,
 	},
 	{
-		name: 'of a version that is another map here',
+		name: 'against a version that is another map at the receiver',
 		base: USED,
-		known: { ...USED, map: DEALT.map },
-		told: false,
+		cached: { ...USED, map: INITIAL.map },
+		decoded: false,
 	},
 ]
 
-for (const { name, base, known, told } of BASES)
-	test(`order message: changes ${name}, ${told ? 'told' : 'asked for whole'}`, () => {
-		const memory = createKnownMaps()
-		if (known) noteMap(memory, known.epoch, known.version, known.map)
+for (const { name, base, cached, decoded } of BASES)
+	test(`order message: delta ${name}, ${decoded ? 'decoded' : 'not decoded'}`, () => {
+		const cache = createMapCache()
+		if (cached) cacheMap(cache, cached.epoch, cached.version, cached.map)
 		const order = {
 			...SHARED,
 			type: 'prepare',
 			version: 14,
 			map: NEXT,
 		} as const
-		const line = JSON.stringify(toOrderMessage(order, base))
-		const got = fromOrderMessage(JSON.parse(line), memory)
-		assert.equal(got, told ? order : undefined)
+		const line = JSON.stringify(encodeOrder(order, base))
+		const got = decodeOrder(JSON.parse(line), cache)
+		assert.equal(got, decoded ? order : undefined)
 	})
 
-test('order message: two changes take a fraction of a map of 72 ranks', () => {
-	const base = { ...DEALT, map: largeMap(), experts: 144 }
+test('order message: a delta of two ranks takes a fraction of a map of 72 ranks', () => {
+	const base = { ...INITIAL, map: largeMap(), experts: 144 }
 	const map = largeMap()
 	map[0]![0] = [5]
 	map[11]![71] = []
 	const order = { ...SHARED, type: 'prepare', version: 14, map } as const
-	const changed = JSON.stringify(toOrderMessage(order, base))
-	const whole = JSON.stringify(toOrderMessage(order))
+	const changed = JSON.stringify(encodeOrder(order, base))
+	const whole = JSON.stringify(encodeOrder(order))
 	assert.ok(changed.length * 10 < whole.length)
 })
 
@@ -130,7 +130,7 @@
 	return Array.from({ length: 12 }, set)
 }
 
-test('order message: a map that is cut short is refused', () => {
+test('order message: a truncated map is refused', () => {
 	const packed = packMap([[[1, 2], [3]]])
 	assert.throws(() => unpackMap(packed.slice(0, 4)))
 })
--- a/packages/groups/test/orderTree.test.ts
+++ b/packages/groups/test/orderTree.test.ts
@@ -1,10 +1,9 @@
 /**
- * How long a change of the map takes to reach all ranks: pattern of a large group
- * whose demand turns every 3.6 s, so that a change that takes a second is of little
- * use. Messages travel in virtual time, over links with a rate and a delay and
- * through processes with a part of a core; no network. Link and core are those of
- * the smallest VM that an agent is known to have; the change is that of a plan of
- * 650 copies, found by the real functions.
+ * Time until a map change reaches all ranks of a large group. With demand that shifts
+ * every 3.6 s, a change that takes a second is of little use. Messages are simulated in
+ * virtual time, over links with bandwidth and latency and through processes with a
+ * fraction of a core, without a network. Link and core are those of the smallest known VM
+ * of an agent; the delta is that of a plan of 650 copies, computed by the real functions.
  */
 
 import type { GroupMap } from '@juniperhook/core'
@@ -18,20 +17,20 @@
 import {
 	ADDRESS_BYTES,
 	chooseFanOut,
+	computeMapDelta,
 	countHops,
-	findChanges,
-	predictSpreadMs,
+	predictBroadcastMs,
 	splitBranches,
 } from '../src/index.ts'
 
 const BYTES_PER_MS = 525
-const WAY_MS = 1.4
-/** To take a message and write those that follow from it, ms of 0.4 core. */
+const LATENCY_MS = 1.4
+/** Time to process a message and relay it, ms on 0.4 of a core. */
 const WORK_MS = 3
 const COPIES_PER_RANK = 3.4
 
-/** When each of `count` agents has an order, sent by one who has it at `from`. */
-function play(
+/** Returns when each of `count` agents receives an order that is sent at `from`. */
+function simulateBroadcast(
 	count: number,
 	fanOut: number,
 	orderBytes: number,
@@ -41,21 +40,23 @@
 	const times: number[] = []
 	let sentAt = from
 	for (const [, ...behind] of splitBranches(all, fanOut)) {
-		// Messages leave one after the other over the sender's link.
+		// The sender's link transmits the messages one after the other.
 		sentAt += (orderBytes + behind.length * ADDRESS_BYTES) / BYTES_PER_MS
-		const takenAt = sentAt + WAY_MS + WORK_MS
-		times.push(takenAt)
-		times.push(...play(behind.length, fanOut, orderBytes, takenAt))
+		const relayedAt = sentAt + LATENCY_MS + WORK_MS
+		times.push(relayedAt)
+		times.push(
+			...simulateBroadcast(behind.length, fanOut, orderBytes, relayedAt),
+		)
 	}
 	return times
 }
 
-/** Bytes of the change from the map that a group forms with to one for demand. */
-function changeBytes(ranks: number): number {
+/** Returns the size of the delta from the initial map to a planned one, bytes. */
+function deltaBytes(ranks: number): number {
 	const random = createRandom(192)
 	const experts = 2 * ranks
-	const dealt = distributeRoundRobin(ranks, { experts })
-	const map: GroupMap = Array.from({ length: 10 }, () => dealt)
+	const initial = distributeRoundRobin(ranks, { experts })
+	const map: GroupMap = Array.from({ length: 10 }, () => initial)
 	const changed = map.map(placement => placement.map(own => [...own]))
 	for (let copy = 0; copy < COPIES_PER_RANK * ranks; copy++) {
 		const own = changed[randomIndex(random, 10)]![randomIndex(random, ranks)]!
@@ -63,37 +64,39 @@
 		if (own.length < 3 && !own.includes(expert)) own.push(expert)
 	}
 	const base = { epoch: 1, version: 0, map, experts }
-	return JSON.stringify(findChanges(base, changed)).length + 120
+	return JSON.stringify(computeMapDelta(base, changed)).length + 120
 }
 
 const GROUPS = [
-	{ ranks: 16, atMostMs: 20 },
-	{ ranks: 72, atMostMs: 60 },
-	{ ranks: 192, atMostMs: 150 },
-	{ ranks: 512, atMostMs: 420 },
+	{ ranks: 16, maxMs: 20 },
+	{ ranks: 72, maxMs: 60 },
+	{ ranks: 192, maxMs: 150 },
+	{ ranks: 512, maxMs: 420 },
 ]
 
-for (const { ranks, atMostMs } of GROUPS)
-	test(`order tree: a change reaches ${ranks} ranks within ${atMostMs} ms`, () => {
-		const orderBytes = changeBytes(ranks)
+for (const { ranks, maxMs } of GROUPS)
+	test(`order tree: a delta reaches ${ranks} ranks within ${maxMs} ms`, () => {
+		const orderBytes = deltaBytes(ranks)
 		const load = { orderBytes, bytesPerMs: BYTES_PER_MS }
 		const fanOut = chooseFanOut(ranks - 1, load)
-		const times = play(ranks - 1, fanOut, orderBytes)
+		const times = simulateBroadcast(ranks - 1, fanOut, orderBytes)
 		assert.is(times.length, ranks - 1)
 		const last = Math.max(...times)
-		assert.ok(last < atMostMs, `${last} ms by ${fanOut}, ${orderBytes} bytes`)
-		const direct = Math.max(...play(ranks - 1, ranks - 1, orderBytes))
-		assert.ok(last <= direct, `${last} ms, ${direct} ms one by one`)
-		const predicted = predictSpreadMs(ranks - 1, fanOut, load)
+		assert.ok(last < maxMs, `${last} ms by ${fanOut}, ${orderBytes} bytes`)
+		const direct = Math.max(
+			...simulateBroadcast(ranks - 1, ranks - 1, orderBytes),
+		)
+		assert.ok(last <= direct, `${last} ms, ${direct} ms without a tree`)
+		const predicted = predictBroadcastMs(ranks - 1, fanOut, load)
 		assert.ok(predicted > last / 2 && predicted < 2 * last, `${predicted}`)
 	})
 
-test('order tree: 192 ranks are told sooner than in two steps of 14', () => {
-	const orderBytes = changeBytes(192)
+test('order tree: a broadcast to 192 ranks is faster than in two steps of 14', () => {
+	const orderBytes = deltaBytes(192)
 	const load = { orderBytes, bytesPerMs: BYTES_PER_MS }
 	const fanOut = chooseFanOut(191, load)
-	const last = Math.max(...play(191, fanOut, orderBytes))
-	const twoSteps = Math.max(...play(191, 14, orderBytes))
+	const last = Math.max(...simulateBroadcast(191, fanOut, orderBytes))
+	const twoSteps = Math.max(...simulateBroadcast(191, 14, orderBytes))
 	assert.ok(last < 0.7 * twoSteps, `${last} ms, ${twoSteps} ms`)
 })
 
@@ -107,7 +110,7 @@
 ]
 
 for (const { count, fanOut, hops } of TREES)
-	test(`order tree: ${count} ranks, ${fanOut} each, ${hops} hops`, () => {
+	test(`order tree: ${count} ranks with a fan-out of ${fanOut} take ${hops} hops`, () => {
 		assert.is(countHops(count, fanOut), hops)
 	})
 
--- a/packages/groups/test/paceTeller.test.ts
+++ b/packages/groups/test/paceTeller.test.ts
@@ -1,24 +1,24 @@
-/** News of a group to entries whose links go silent without a reset. */
+/** Group reports to entries whose links fail without a reset. */
 
 import type { Methods } from '@juniperhook/runtime'
 import { serveRpc } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createPaceTeller, tellPaces } from '../src/index.ts'
+import { createGroupReporter, reportGroup } from '../src/index.ts'
 
 const ENTRY = '127.0.0.1:22690'
 const GROUP = 's/g'
-const STATUS = { group: GROUP, paces: new Map(), open: true }
-/** Far beyond what a link takes to be given up, also on a busy machine, ms. */
-const LONG_MS = 10_000
+const STATUS = { group: GROUP, slowdowns: new Map(), open: true }
+/** Timeout, far above that of a link even on a busy machine, ms. */
+const TIMEOUT_MS = 10_000
 
-const told: unknown[] = []
+const reports: unknown[] = []
 let links = 0
-/** The first link takes what it is sent and never answers. */
+/** The server never answers over the first link. */
 const methods: Methods = {
 	paces: params => {
 		if (links === 1) return new Promise(() => {})
-		told.push(params)
+		reports.push(params)
 		return []
 	},
 }
@@ -26,86 +26,88 @@
 	links++
 })
 
-test('paces: told again on a new link when one goes silent', async () => {
+test('group reports: repeated over a new link when one stops answering', async () => {
 	const reasons: string[] = []
-	const teller = createPaceTeller([ENTRY], (_, reason) => reasons.push(reason))
-	const status = { ...STATUS, allowedHeld: 4.5 }
-	const end = performance.now() + LONG_MS
-	while (told.length === 0 && performance.now() < end) {
-		tellPaces(teller, status)
+	const reporter = createGroupReporter([ENTRY], (_, reason) =>
+		reasons.push(reason),
+	)
+	const status = { ...STATUS, maxInFlightPerRank: 4.5 }
+	const end = performance.now() + TIMEOUT_MS
+	while (reports.length === 0 && performance.now() < end) {
+		reportGroup(reporter, status)
 		await new Promise(resolve => setTimeout(resolve, 50))
 	}
 	assert.ok(links >= 2, `${links} links`)
-	const { by } = teller
-	const news = { group: GROUP, by, number: 2, hops: 0, slow: {}, limit: 4.5 }
-	assert.equal(told[0], news)
+	const { by } = reporter
+	const report = { group: GROUP, by, number: 2, hops: 0, slow: {}, limit: 4.5 }
+	assert.equal(reports[0], report)
 	assert.ok(reasons.length > 0)
-	for (const link of teller.links.values()) link.socket.destroy()
+	for (const link of reporter.links.values()) link.socket.destroy()
 	server.close()
 })
 
-const NAMED = ['127.0.0.81:22691', '127.0.0.82:22691', '127.0.0.83:22691']
+const CONFIGURED = ['127.0.0.81:22691', '127.0.0.82:22691', '127.0.0.83:22691']
 const OTHERS = ['127.0.0.84:22691', '127.0.0.85:22691']
 
-test('paces: when those named at the start are gone, others are told', async () => {
-	const heard = new Set<string>()
+test('group reports: sent to other entries when the configured ones are gone', async () => {
+	const reached = new Set<string>()
 	const serve = (address: string, others: readonly string[]) =>
 		serveRpc(address, {
 			paces: () => {
-				heard.add(address)
+				reached.add(address)
 				return others
 			},
 		})
-	const first = await serve(NAMED[0]!, [OTHERS[0]!])
+	const first = await serve(CONFIGURED[0]!, [OTHERS[0]!])
 	const rest = [await serve(OTHERS[0]!, [OTHERS[1]!])]
 	rest.push(await serve(OTHERS[1]!, []))
-	const teller = createPaceTeller(NAMED, () => {})
+	const reporter = createGroupReporter(CONFIGURED, () => {})
 	let limit = 4
-	const tellUntil = async (isTold: () => boolean) => {
-		const end = performance.now() + LONG_MS
-		while (!isTold() && performance.now() < end) {
+	const reportUntil = async (condition: () => boolean) => {
+		const end = performance.now() + TIMEOUT_MS
+		while (!condition() && performance.now() < end) {
 			limit += 0.25
-			tellPaces(teller, { ...STATUS, allowedHeld: limit })
+			reportGroup(reporter, { ...STATUS, maxInFlightPerRank: limit })
 			await new Promise(resolve => setTimeout(resolve, 20))
 		}
-		assert.ok(isTold(), [...heard].join())
+		assert.ok(condition(), [...reached].join())
 	}
-	// Its answer, which names others, is read some time after it was told.
-	const knowsOther = () => teller.entries.includes(OTHERS[0]!)
-	await tellUntil(() => heard.has(NAMED[0]!) && knowsOther())
+	// The answer with another entry is read some time after the report.
+	const knowsOther = () => reporter.entries.includes(OTHERS[0]!)
+	await reportUntil(() => reached.has(CONFIGURED[0]!) && knowsOther())
 	first.close()
-	for (const link of teller.links.values()) link.socket.destroy()
-	heard.clear()
-	await tellUntil(() => heard.has(OTHERS[1]!))
-	for (const link of teller.links.values()) link.socket.destroy()
+	for (const link of reporter.links.values()) link.socket.destroy()
+	reached.clear()
+	await reportUntil(() => reached.has(OTHERS[1]!))
+	for (const link of reporter.links.values()) link.socket.destroy()
 	for (const one of rest) one.close()
 })
 
-test('paces: a group that breaks or runs again is told at once', async () => {
-	const news: object[] = []
+test('group reports: sent at once when a group breaks or runs again', async () => {
+	const received: object[] = []
 	const entry = '127.0.0.86:22691'
 	const server = await serveRpc(entry, {
 		paces: params => {
-			news.push(params)
+			received.push(params)
 			return []
 		},
 	})
-	const teller = createPaceTeller([entry], () => {})
-	const end = performance.now() + LONG_MS
+	const reporter = createGroupReporter([entry], () => {})
+	const end = performance.now() + TIMEOUT_MS
 	for (const open of [true, false, false, true]) {
-		tellPaces(teller, { ...STATUS, allowedHeld: undefined, open })
-		while (!open && news.length < 1 && performance.now() < end)
+		reportGroup(reporter, { ...STATUS, maxInFlightPerRank: undefined, open })
+		while (!open && received.length < 1 && performance.now() < end)
 			await new Promise(resolve => setTimeout(resolve, 10))
 	}
-	while (news.length < 2 && performance.now() < end)
+	while (received.length < 2 && performance.now() < end)
 		await new Promise(resolve => setTimeout(resolve, 10))
-	const { by } = teller
+	const { by } = reporter
 	const rest = { group: GROUP, by, hops: 0, slow: {} }
-	assert.equal(news, [
+	assert.equal(received, [
 		{ ...rest, number: 1, broken: true },
 		{ ...rest, number: 2 },
 	])
-	for (const link of teller.links.values()) link.socket.destroy()
+	for (const link of reporter.links.values()) link.socket.destroy()
 	server.close()
 })
 
--- a/packages/groups/test/rankService.test.ts
+++ b/packages/groups/test/rankService.test.ts
@@ -1,32 +1,32 @@
-/** Agents that pass maps on, and one that lacks what changes are changes of. */
+/** Agents that relay maps, one of which does not have the base of a delta. */
 
 import type { EngineOrder, GroupMap, RankReport } from '@juniperhook/core'
 import { call, connectRpc, serveRpc } from '@juniperhook/runtime'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EnginePort, RankAnswer, RelayRequest } from '../src/index.ts'
-import { createRankMethods, toOrderMessage } from '../src/index.ts'
+import { createRankMethods, encodeOrder } from '../src/index.ts'
 
 const AGENTS = ['127.0.0.71:22651', '127.0.0.72:22651', '127.0.0.73:22651']
 const EPOCH = 3
 const FIRST: GroupMap = [[[0, 1], [2], [0]]]
 const SECOND: GroupMap = [[[0], [1, 2], [0]]]
 
-/** An engine that takes each map at once, but for its first `silent` orders. */
+/** Creates an engine that executes orders at once, but does not answer the first `silent`. */
 function createEngine(silent = 0) {
-	const taken: EngineOrder[] = []
-	let left = silent
+	const executed: EngineOrder[] = []
+	let unanswered = silent
 	let prepared = 0
 	const port: Pick<EnginePort, 'order' | 'report'> = {
 		async order(_address, order) {
-			if (left-- > 0) return 'silent'
-			taken.push(order)
+			if (unanswered-- > 0) return 'silent'
+			executed.push(order)
 			if (order.type === 'prepare') prepared = order.version
 			return 'done'
 		},
 		report: async () => ({ epoch: EPOCH, prepared }) as RankReport,
 	}
-	return { taken, port: port as EnginePort }
+	return { executed, port: port as EnginePort }
 }
 
 const engines = [createEngine(), createEngine(), createEngine(1)]
@@ -35,7 +35,7 @@
 	return { type: 'prepare', version, fence: version, epoch: EPOCH, map }
 }
 
-test('agents: one that lacks a map gets it from whom its changes came', async () => {
+test('agents: one without the base map requests it from the sender of the delta', async () => {
 	for (const [at, { port }] of engines.entries())
 		await serveRpc(
 			AGENTS[at]!,
@@ -51,20 +51,20 @@
 		const req: RelayRequest = { order, to, fanOut: 1, workMs: 900, hopMs: 900 }
 		return call<RankAnswer[]>(link, 'relay', req, 5_000)
 	}
-	// The last agent is not told of the first map: it was started anew since.
-	const first = toOrderMessage(prepare(2, FIRST))
+	// The last agent does not receive the first map, as if it had restarted since.
+	const first = encodeOrder(prepare(2, FIRST))
 	assert.equal(await relay(first, AGENTS.slice(1, 2)), ['done', 'done'])
 	const base = { epoch: EPOCH, version: 2, map: FIRST, experts: 3 }
-	const second = toOrderMessage(prepare(4, SECOND), base)
+	const second = encodeOrder(prepare(4, SECOND), base)
 	assert.equal(await relay(second, AGENTS.slice(1)), ['done', 'done', 'done'])
-	assert.equal(engines[2]!.taken, [prepare(4, SECOND)])
+	assert.equal(engines[2]!.executed, [prepare(4, SECOND)])
 	link.socket.destroy()
 })
 
-test('agents: changes of a map that nobody knows are not guessed', async () => {
+test('agents: a delta against an unknown map is refused', async () => {
 	const link = await connectRpc(AGENTS[0]!, {})
 	const base = { epoch: EPOCH, version: 77, map: FIRST, experts: 3 }
-	const order = toOrderMessage(prepare(80, SECOND), base)
+	const order = encodeOrder(prepare(80, SECOND), base)
 	assert.is(await call(link, 'order', order, 5_000), 'unknownBase')
 	link.socket.destroy()
 })
--- a/packages/groups/test/roundRunner.test.ts
+++ b/packages/groups/test/roundRunner.test.ts
@@ -1,4 +1,4 @@
-/** Rounds that are left before their end. */
+/** Rounds that are abandoned before their end. */
 
 import type { MapPlan, RankReport } from '@juniperhook/core'
 import { createRandom, distributeRoundRobin } from '@juniperhook/core'
@@ -6,7 +6,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EnginePort, PublishedGroup } from '../src/index.ts'
-import { createCoordinator, fitGroup, runRound } from '../src/index.ts'
+import { applyGroup, createCoordinator, runRound } from '../src/index.ts'
 
 const LAYOUT = {
 	sets: 1,
@@ -55,7 +55,7 @@
 	clocks.wall = wall
 })
 
-/** Runs a round in which nothing is prepared; gives what is written of its end. */
+/** Runs a round in which no rank finishes preparing; returns the log lines of its end. */
 async function runOutdated(): Promise<Record<string, unknown>[]> {
 	const ended: Record<string, unknown>[] = []
 	const log = {
@@ -64,12 +64,12 @@
 			if (event === 'round over') ended.push({ ...fields })
 		},
 	}
-	const asked: string[] = []
+	const orders: string[] = []
 	const port: Partial<EnginePort> = {
 		report: async () => REPORT,
 		async order(_address, order) {
-			asked.push(order.type)
-			// The shift is seen while the map is being prepared.
+			orders.push(order.type)
+			// Demand shifts while the map is being prepared.
 			if (order.type === 'prepare') co.shiftedAt = readNow()
 			return order.type === 'prepare' ? new Promise(() => {}) : 'done'
 		},
@@ -82,19 +82,19 @@
 		22_661,
 		500,
 	)
-	fitGroup(co, GROUP)
+	applyGroup(co, GROUP)
 	await runRound(co, REPORT, PLAN)
-	assert.not(asked.includes('hold'))
+	assert.not(orders.includes('hold'))
 	return ended
 }
 
 const SUSPENDED: { name: string; forMs: number }[] = [
-	{ name: 'a VM that never was suspended', forMs: 0 },
+	{ name: 'a VM that was never suspended', forMs: 0 },
 	{ name: 'a VM that was suspended before', forMs: 60_000 },
 ]
 
 for (const { name, forMs } of SUSPENDED)
-	test(`on ${name} a round whose plan is outdated is left while ranks copy experts`, async () => {
+	test(`on ${name} a round with an outdated plan is abandoned while ranks copy experts`, async () => {
 		clocks.wall = () => wall() + forMs
 		const ended = await runOutdated()
 		assert.is(ended.length, 1)
--- a/packages/groups/test/standInGroup.ts
+++ b/packages/groups/test/standInGroup.ts
@@ -1,19 +1,19 @@
 /**
- * A lock-step group of engines for tests: passes, maps, orders that are lost or
- * carried out late, and counts that follow a skewed demand.
+ * Fake lock-step group of engines for tests: passes, maps, orders that are lost or executed
+ * late, and counts with a skewed demand.
  */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
 import { createRandom, distributeRoundRobin } from '@juniperhook/core'
 import type { EnginePort, PublishedGroup } from '../src/index.ts'
 
-/** Size of the stand-in. */
+/** Default number of ranks. */
 export const RANKS = 4
 const SETS = 2
 const EXPERTS = 16
 const PASS_MS = 5
-const CHOICES_A_PASS = 4_000
-/** Late orders are carried out after up to this time, ms. */
+const CHOICES_PER_PASS = 4_000
+/** Maximum delay of orders that are executed late, ms. */
 const MAX_LATE_MS = 700
 
 interface Engine {
@@ -26,7 +26,7 @@
 	counts: number[]
 }
 
-/** The group's state. */
+/** State of a fake group. */
 export interface FakeGroup {
 	readonly port: EnginePort
 	readonly group: PublishedGroup
@@ -34,25 +34,25 @@
 	step: number
 	epoch: number
 	held: number | undefined
-	/** Part of the orders that get no answer; half of them are carried out late. */
+	/** Share of the orders without an answer; half of them are executed late. */
 	lossRate: number
-	/** Addresses that nothing reaches. */
+	/** Addresses of unreachable engines. */
 	readonly cutOff: Set<string>
-	/** Passes that began with two maps; must stay empty. */
+	/** Passes that began with different maps; has to remain empty. */
 	readonly mixed: string[]
-	/** How slow each engine is, by rank. */
+	/** Slowdown factor of each engine, by rank. */
 	readonly paces: number[]
-	/** Lets all engines forget, as when the group forms anew. */
+	/** Resets all engines and begins a new epoch, as when a group re-forms. */
 	reform(): void
 	stop(): void
 }
 
-/** Address of a rank's engine; each has an IP number of its own. */
+/** Returns the address of a rank's engine; each has its own IP address. */
 export function addressOf(rank: number): string {
 	return `127.0.0.${20 + rank}:9000`
 }
 
-/** Starts a group whose passes run by themselves. */
+/** Starts a group that runs passes on a timer. */
 export function startFakeGroup(seed: number, ranks = RANKS): FakeGroup {
 	const random = createRandom(seed)
 	const layout = {
@@ -64,10 +64,10 @@
 		expertShare: 0.85,
 		reformMs: 10,
 	}
-	const dealt = distributeRoundRobin(ranks, layout)
+	const placement = distributeRoundRobin(ranks, layout)
 	const createEngine = (rank: number): Engine => ({
 		map: 0,
-		placements: Array.from({ length: SETS }, () => [...dealt[rank]!]),
+		placements: Array.from({ length: SETS }, () => [...placement[rank]!]),
 		prepared: undefined,
 		highest: 0,
 		armed: undefined,
@@ -118,9 +118,12 @@
 			async order(address, order) {
 				const engine = reach(address)
 				if (!engine) return 'silent'
-				if (random() >= group.lossRate) return take(group, engine, order)
+				if (random() >= group.lossRate) return handleOrder(group, engine, order)
 				if (random() < 0.5)
-					setTimeout(() => take(group, engine, order), random() * MAX_LATE_MS)
+					setTimeout(
+						() => handleOrder(group, engine, order),
+						random() * MAX_LATE_MS,
+					)
 				return 'silent'
 			},
 		},
@@ -132,11 +135,11 @@
 		},
 		stop: () => clearInterval(timer),
 	}
-	const timer = setInterval(() => pass(group, random), PASS_MS)
+	const timer = setInterval(() => runPass(group, random), PASS_MS)
 	return group
 }
 
-function pass(group: FakeGroup, random: () => number): void {
+function runPass(group: FakeGroup, random: () => number): void {
 	if (group.held === group.step + 1) return
 	group.step++
 	for (const engine of group.engines) {
@@ -146,15 +149,17 @@
 			engine.armed = undefined
 		}
 		for (let at = 0; at < engine.counts.length; at++) {
-			const liked = at % EXPERTS === 0 || at % EXPERTS === 4 ? 6 : 1
-			engine.counts[at]! += Math.round((liked * random() * CHOICES_A_PASS) / 20)
+			const weight = at % EXPERTS === 0 || at % EXPERTS === 4 ? 6 : 1
+			engine.counts[at]! += Math.round(
+				(weight * random() * CHOICES_PER_PASS) / 20,
+			)
 		}
 	}
 	const maps = new Set(group.engines.map(engine => engine.map))
 	if (maps.size > 1) group.mixed.push(`pass ${group.step}: ${[...maps]}`)
 }
 
-function take(
+function handleOrder(
 	group: FakeGroup,
 	engine: Engine,
 	order: EngineOrder,
@@ -162,12 +167,12 @@
 	if (order.epoch !== group.epoch) return 'conflict'
 	if (order.type === 'probe') return 'done'
 	if (order.fence < engine.fence) return 'fenced'
-	const answer = carryOut(group, engine, order)
+	const answer = executeOrder(group, engine, order)
 	if (answer === 'done') engine.fence = Math.max(engine.fence, order.fence)
 	return answer
 }
 
-function carryOut(
+function executeOrder(
 	group: FakeGroup,
 	engine: Engine,
 	order: Exclude<EngineOrder, { type: 'probe' }>,
@@ -207,11 +212,7 @@
 	}
 }
 
-function reportOf(
-	group: FakeGroup,
-	engine: Engine,
-	rank: number,
-): RankReport {
+function reportOf(group: FakeGroup, engine: Engine, rank: number): RankReport {
 	return {
 		group: 'g',
 		rank,
