--- a/packages/groups/src/coordinator.ts
+++ b/packages/groups/src/coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Coordinator of a lock-step group: monitors the demand for experts, plans expert maps, and
- * changes the group's map, one round at a time.
+ * Coordinator of a lock-step group: monitors the demand for experts, plans expert maps,
+ * and changes the group's map, one round at a time.
  */
 
 import type { GroupMap, RankReport } from '@juniperhook/core'
--- a/packages/groups/src/coordinatorState.ts
+++ b/packages/groups/src/coordinatorState.ts
@@ -100,7 +100,7 @@
 	steadyMs: number
 	/** Time of a pass relative to a balanced one right after demand shifts, smoothed. */
 	shiftedFactor: number
-	/** The same while the map is adapted to demand, smoothed. */
+	/** The same outside the adaptation to a shift, smoothed; undefined before the first. */
 	settledFactor: number | undefined
 	/** Time of the last observed demand shift, ms. */
 	shiftedAt: number
@@ -121,7 +121,7 @@
 		port,
 		log,
 		random,
-		localRank: localRank,
+		localRank,
 		agentPort,
 		bytesPerMs,
 		clients: new Map(),
--- a/packages/groups/src/demand.ts
+++ b/packages/groups/src/demand.ts
@@ -1,12 +1,12 @@
 /**
  * Estimate of the demand for experts from the counts of a group's ranks. The history of
- * counts reduces sampling noise. It decays exponentially and is dropped when new counts do
- * not agree with it: after a demand shift it would conceal half of the shift for its
+ * counts reduces sampling noise. It decays exponentially and is dropped when new counts
+ * do not agree with it: after a demand shift it would conceal half of the shift for its
  * half-life.
  *
  * Dropping the history at a shift raised the share of streams in time from 0.62 to 0.67;
- * the longer half-life that it allows raised it from 0.87 to 0.93 (emulated days with low
- * load of 12 ranks whose demand shifts every 3.5 s, the second with plans by gain).
+ * the longer half-life that it allows raised it from 0.87 to 0.93 (emulated days with
+ * low load of 12 ranks whose demand shifts every 3.5 s, the second with plans by gain).
  */
 
 /** Half-life of the history, ms. */
@@ -90,9 +90,9 @@
 
 /**
  * Returns the cosine of a set's new counts and its history; 1 if either is small. The
- * expected contribution of sampling noise to the squares of the counts, which equals their
- * sum, is subtracted; otherwise a reading with few choices among 384 experts would never
- * agree.
+ * expected contribution of sampling noise to the squares of the counts, which equals
+ * their sum, is subtracted; otherwise a reading with few choices among 384 experts would
+ * never agree.
  */
 function computeAgreement(
 	{ experts, weights, newCounts }: Demand,
--- a/packages/groups/src/demandWatch.ts
+++ b/packages/groups/src/demandWatch.ts
@@ -39,16 +39,16 @@
 const SAMPLE_OVERHEAD_BYTES = 150
 const BASE64_RATIO = 4 / 3
 /**
- * Number of other ranks whose load is read each time, round robin. One slow rank slows its
- * whole group, so the load of each rank is read twice a second.
+ * Number of other ranks whose load is read each time, round robin. One slow rank slows
+ * its whole group, so the load of each rank is read twice a second.
  */
 const POLLED_PER_READING = 28
 /** Minimum number of choices before the first plan. */
 export const MIN_PLAN_CHOICES = 20_000
 /**
  * Weights of a new reading in the smoothed requests in flight. The weight is larger when
- * they rise, because a group that opens is filled within a second, and a plan for an empty
- * group would have to be replaced.
+ * they rise, because a group that opens is filled within a second, and a plan for an
+ * empty group would have to be replaced.
  */
 const RISING_WEIGHT = 0.8
 const FALLING_WEIGHT = 0.3
@@ -174,8 +174,8 @@
 }
 
 /**
- * Returns the pass factor due to demand alone, without slow ranks; undefined if too little
- * is known.
+ * Returns the pass factor due to demand alone, without slow ranks; undefined if too
+ * little is known.
  */
 function computeDemandFactor(co: Coordinator): number | undefined {
 	const { group, map, demand } = co
--- a/packages/groups/src/mapChanges.ts
+++ b/packages/groups/src/mapChanges.ts
@@ -104,8 +104,8 @@
 }
 
 /**
- * Applies a delta and returns the resulting map; undefined if the base is not in the cache
- * or differs between the two sides. Throws a RangeError if the delta is truncated.
+ * Applies a delta and returns the resulting map; undefined if the base is not in the
+ * cache or differs between the two sides. Throws a RangeError if the delta is truncated.
  */
 export function applyMapDelta(
 	cache: MapCache,
--- a/packages/groups/src/mapWork.ts
+++ b/packages/groups/src/mapWork.ts
@@ -21,7 +21,7 @@
 
 /** Time for which a search may block the event loop, ms. */
 const MAX_BLOCK_MS = 5
-const BITS = 8
+const BITS_PER_BYTE = 8
 const SECOND_MS = 1_000
 
 /** Returns the map in use, cached or read from the ranks; undefined if not available. */
@@ -161,7 +161,9 @@
 
 /** Returns the time that a rank takes to copy one expert, ms. */
 export function expertCopyMs({ layout, linkMbps }: PublishedGroup): number {
-	return linkMbps > 0 ? (layout.expertMb * BITS * SECOND_MS) / linkMbps : 0
+	return linkMbps > 0
+		? (layout.expertMb * BITS_PER_BYTE * SECOND_MS) / linkMbps
+		: 0
 }
 
 function round3(value: number): number {
--- a/packages/groups/src/orderGiver.ts
+++ b/packages/groups/src/orderGiver.ts
@@ -41,7 +41,7 @@
  * receives twice.
  */
 const PREPARE_WORK_TIMEOUT_MS = 1_000
-const COPYING_FACTOR = 2
+const COPY_TIMEOUT_FACTOR = 2
 /**
  * Time allowed for the round trip of a hop: a multiple of the predicted time, as the link
  * has other traffic, plus the retransmission of a lost packet, ms.
@@ -94,8 +94,7 @@
 }
 
 /**
- * Whether an order can be broadcast via agents. A hold order cannot, as only the anchor
- * receives it.
+ * Whether to broadcast an order via agents; a hold order is sent via one agent instead.
  */
 function canRelay(co: Coordinator, { rank, order }: PendingOrder): boolean {
 	const client = co.clients.get(rank)
@@ -176,7 +175,7 @@
 	const { length } = targets
 	const fanOut = chooseFanOut(length, load)
 	const prepareMs =
-		PREPARE_WORK_TIMEOUT_MS + COPYING_FACTOR * estimateCopyingMs(co, run)
+		PREPARE_WORK_TIMEOUT_MS + COPY_TIMEOUT_FACTOR * estimateCopyingMs(co, run)
 	const options: RelayOptions = {
 		fanOut,
 		workMs: engineOrder.type === 'prepare' ? prepareMs : ORDER_WORK_TIMEOUT_MS,
--- a/packages/groups/src/orderMessage.ts
+++ b/packages/groups/src/orderMessage.ts
@@ -1,7 +1,7 @@
 /**
  * Encoding of orders between agents. A map is sent as a delta against a base that both
- * sides have, or else packed. As JSON, the map of 72 ranks takes 10 KB; sending it to each
- * rank takes a second of a small VM's link.
+ * sides have, or else packed. As JSON, the map of 72 ranks takes 10 KB; sending it to
+ * each rank takes a second of a small VM's link.
  */
 
 import type { EngineOrder, GroupMap } from '@juniperhook/core'
@@ -70,8 +70,8 @@
 }
 
 /**
- * Encodes a map as varints: the numbers of sets and ranks, then for each rank, set by set,
- * the number of its experts and the experts.
+ * Encodes a map as varints: the numbers of sets and ranks, then for each rank, set by
+ * set, the number of its experts and the experts.
  */
 export function packMap(map: GroupMap): string {
 	const numbers = [map.length, map[0]?.length ?? 0]
--- a/packages/groups/src/orderTree.ts
+++ b/packages/groups/src/orderTree.ts
@@ -1,8 +1,8 @@
 /**
- * Broadcast tree for orders to many ranks: the coordinator sends an order to a few agents,
- * each of which relays it to a few more, and so on. The bottleneck is the link of a small
- * VM, so the fan-out is chosen by the size of the order and the bandwidth of the link, not
- * by the number of ranks alone.
+ * Broadcast tree for orders to many ranks: the coordinator sends an order to a few
+ * agents, each of which relays it to a few more, and so on. The bottleneck is the link
+ * of a small VM, so the fan-out is chosen by the size of the order and the bandwidth of
+ * the link, not by the number of ranks alone.
  */
 
 /**
--- a/packages/groups/src/paceTeller.ts
+++ b/packages/groups/src/paceTeller.ts
@@ -61,7 +61,7 @@
 		lastReport: NORMAL_REPORT,
 		reportedAt: 0,
 		unconfirmed: false,
-		onUnreachable: onUnreachable,
+		onUnreachable,
 	}
 }
 
--- a/packages/groups/src/packedNumbers.ts
+++ b/packages/groups/src/packedNumbers.ts
@@ -4,8 +4,8 @@
  * ms.
  */
 
-const BITS = 7
-const CONTINUATION = 1 << BITS
+const PAYLOAD_BITS = 7
+const CONTINUATION = 1 << PAYLOAD_BITS
 const MAX_BYTES = 5
 
 /** Encodes integers from 0 to 2^31 as varints, in base64. */
@@ -28,7 +28,7 @@
 	let number = 0
 	let length = 0
 	for (const byte of Buffer.from(packed, 'base64')) {
-		number += (byte % CONTINUATION) * 2 ** (BITS * length)
+		number += (byte % CONTINUATION) * 2 ** (PAYLOAD_BITS * length)
 		length++
 		if (length > MAX_BYTES) throw new RangeError('varint longer than 5 bytes')
 		if (byte >= CONTINUATION) continue
--- a/packages/groups/src/passWatch.ts
+++ b/packages/groups/src/passWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Measures pass times of a group at the coordinator's local engine and fits the pass model
- * to them. On an emulated day with a slow rank, the model predicted means of four passes
- * to within 10% (p50) and 16% (p90).
+ * Measures pass times of a group at the coordinator's local engine and fits the pass
+ * model to them. On an emulated day with a slow rank, the model predicted means of four
+ * passes to within 10% (p50) and 16% (p90).
  */
 
 import type { PassSample, RankReport } from '@juniperhook/core'
--- a/packages/groups/src/rankClient.ts
+++ b/packages/groups/src/rankClient.ts
@@ -43,7 +43,9 @@
  * queue behind a large map on a small link while the agent is well.
  */
 const DEMAND_TIMEOUT_MS = 600
-/** Timeout of an order sent via another VM's agent, after which its effect is checked, ms. */
+/**
+ * Timeout of an order sent via another VM's agent, ms; after it, the effect is checked.
+ */
 const REMOTE_ORDER_TIMEOUT_MS = 50
 /** Time without a link to an agent after which its engine is called directly, ms. */
 const BYPASS_AFTER_MS = 400
@@ -83,7 +85,7 @@
 		member,
 		port,
 		agent: `${ip}:${agentPort}`,
-		isLocal: isLocal,
+		isLocal,
 		link: undefined,
 		disconnectedAt: readNow(),
 		bypassUntil: 0,
@@ -235,7 +237,9 @@
 	return (await callAgent(client, 'busy', {}, DEMAND_TIMEOUT_MS)) ?? undefined
 }
 
-/** Reads the experts of a rank; `concurrentReads` is the number of ranks read at once. */
+/**
+ * Reads the experts of a rank; `concurrentReads` is the number of ranks read at once.
+ */
 export async function readRankPlacement(
 	client: RankClient,
 	concurrentReads: number,
--- a/packages/groups/src/roundRunner.ts
+++ b/packages/groups/src/roundRunner.ts
@@ -192,7 +192,7 @@
 	co.undo = round.reason === REFUSED_TO_ARM
 	if (round.phase !== 'done') {
 		if (round.reason === OUTDATED) return
-		// Another coordinator may have a higher counter than any report shows.
+		// Another coordinator may have used a higher counter than any report shows.
 		co.fenceCounter += 1 + Math.floor(co.random() * 8)
 		await delay(FAILURE_DELAY_MS * (0.5 + co.random()))
 		return
--- a/packages/groups/test/rankService.test.ts
+++ b/packages/groups/test/rankService.test.ts
@@ -12,7 +12,10 @@
 const FIRST: GroupMap = [[[0, 1], [2], [0]]]
 const SECOND: GroupMap = [[[0], [1, 2], [0]]]
 
-/** Creates an engine that executes orders at once, but does not answer the first `silent`. */
+/**
+ * Creates an engine that executes orders at once, but does not answer the first
+ * `silent`.
+ */
 function createEngine(silent = 0) {
 	const executed: EngineOrder[] = []
 	let unanswered = silent
--- a/packages/groups/test/roundRunner.test.ts
+++ b/packages/groups/test/roundRunner.test.ts
@@ -55,7 +55,9 @@
 	clocks.wall = wall
 })
 
-/** Runs a round in which no rank finishes preparing; returns the log lines of its end. */
+/**
+ * Runs a round in which no rank finishes preparing; returns the log lines of its end.
+ */
 async function runOutdated(): Promise<Record<string, unknown>[]> {
 	const ended: Record<string, unknown>[] = []
 	const log = {
--- a/packages/groups/test/standInGroup.ts
+++ b/packages/groups/test/standInGroup.ts
@@ -1,6 +1,6 @@
 /**
- * Fake lock-step group of engines for tests: passes, maps, orders that are lost or executed
- * late, and counts with a skewed demand.
+ * Fake lock-step group of engines for tests: passes, maps, orders that are lost or
+ * executed late, and counts with a skewed demand.
  */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
