--- a/packages/groups/src/agent.ts
+++ b/packages/groups/src/agent.ts
@@ -16,6 +16,7 @@
 	readNow,
 	serveRpc,
 } from '@juniperhook/runtime'
+import { assessCandidate } from './candidateLiveness.ts'
 import { runCoordinator, stopCoordinator } from './coordinator.ts'
 import type { Coordinator } from './coordinatorState.ts'
 import {
@@ -23,9 +24,8 @@
 	bypassAgent,
 	createCoordinator,
 } from './coordinatorState.ts'
-import { assessCandidate } from './earlierCandidate.ts'
-import type { GroupReporter } from './paceTeller.ts'
-import { createGroupReporter, reportGroup } from './paceTeller.ts'
+import type { GroupReporter } from './groupReporter.ts'
+import { createGroupReporter, reportGroup } from './groupReporter.ts'
 import type { EnginePort, GroupSource, PublishedGroup } from './ports.ts'
 import type { AgentHello } from './rankMessages.ts'
 import { createRankMethods } from './rankService.ts'
--- a/packages/groups/src/coordinatorState.ts
+++ b/packages/groups/src/coordinatorState.ts
@@ -16,6 +16,8 @@
 import type { Demand } from './demand.ts'
 import { createDemand } from './demand.ts'
 import { packMap } from './orderMessage.ts'
+import type { PassTiming } from './passTiming.ts'
+import { createPassTiming } from './passTiming.ts'
 import type { EnginePort, PublishedGroup } from './ports.ts'
 import type { RankClient } from './rankClient.ts'
 import {
@@ -25,8 +27,6 @@
 	readRankReport,
 } from './rankClient.ts'
 import type { BaseMapRequest } from './rankMessages.ts'
-import type { PassTiming } from './timedPasses.ts'
-import { createPassTiming } from './timedPasses.ts'
 
 /** Number of random low bits of a fence, below a counter, that make it unique. */
 export const FENCE_BITS = 12
--- a/packages/groups/src/demandWatch.ts
+++ b/packages/groups/src/demandMonitor.ts
@@ -5,7 +5,6 @@
 
 import { isRankTooSlow, maxInFlightPerRank } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
-import { sampleSize } from './choices.ts'
 import type { Coordinator } from './coordinatorState.ts'
 import { delay, updateStatus } from './coordinatorState.ts'
 import {
@@ -14,11 +13,12 @@
 	MIN_AGREEMENT,
 	refreshDemand,
 } from './demand.ts'
-import { computePassFactor } from './mapWork.ts'
-import { recordPasses } from './passWatch.ts'
+import { computePassFactor } from './mapPlanning.ts'
+import { recordPasses } from './passMonitor.ts'
 import type { RankLoad } from './ports.ts'
 import type { RankClient } from './rankClient.ts'
 import { readRankLoad, readRankReport, readRankSample } from './rankClient.ts'
+import { sampleSize } from './rankSample.ts'
 
 /** Interval between readings of the ranks' counts, ms: a few passes. */
 const COUNTS_INTERVAL_MS = 200
--- a/packages/groups/src/mapChanges.ts
+++ b/packages/groups/src/mapDelta.ts
@@ -7,7 +7,7 @@
 import { crc32 } from 'node:zlib'
 import type { GroupMap } from '@juniperhook/core'
 import { distributeRoundRobin } from '@juniperhook/core'
-import { decodeVarints, encodeVarints } from './packedNumbers.ts'
+import { decodeVarints, encodeVarints } from './varints.ts'
 
 /** Capacity of the cache: the map in use, and those of rounds in progress or failed. */
 const MAX_CACHED_MAPS = 3
--- a/packages/groups/src/mapWork.ts
+++ b/packages/groups/src/mapPlanning.ts
@@ -15,7 +15,7 @@
 import { readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
 import { computeExpertShares } from './demand.ts'
-import type { MapBase } from './mapChanges.ts'
+import type { MapBase } from './mapDelta.ts'
 import type { PublishedGroup } from './ports.ts'
 import { readRankPlacement } from './rankClient.ts'
 
--- a/packages/groups/src/orderMessage.ts
+++ b/packages/groups/src/orderMessage.ts
@@ -5,9 +5,9 @@
  */
 
 import type { EngineOrder, GroupMap } from '@juniperhook/core'
-import type { MapBase, MapCache, MapDelta } from './mapChanges.ts'
-import { applyMapDelta, computeMapDelta } from './mapChanges.ts'
-import { decodeVarints, encodeVarints } from './packedNumbers.ts'
+import type { MapBase, MapCache, MapDelta } from './mapDelta.ts'
+import { applyMapDelta, computeMapDelta } from './mapDelta.ts'
+import { decodeVarints, encodeVarints } from './varints.ts'
 
 type PrepareOrder = Extract<EngineOrder, { type: 'prepare' }>
 
--- a/packages/groups/src/orderGiver.ts
+++ b/packages/groups/src/orderSender.ts
@@ -11,7 +11,7 @@
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { currentMapBase, expertCopyMs } from './mapWork.ts'
+import { currentMapBase, expertCopyMs } from './mapPlanning.ts'
 import type { OrderMessage } from './orderMessage.ts'
 import { encodeOrder, messageSize } from './orderMessage.ts'
 import type { TreeLoad } from './orderTree.ts'
--- a/packages/groups/src/passWatch.ts
+++ b/packages/groups/src/passMonitor.ts
@@ -8,7 +8,7 @@
 import { addPassSample, predictPassMs } from '@juniperhook/core'
 import { countClockJumps, readNow, rpcCounts } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { computePassFactor } from './mapWork.ts'
+import { computePassFactor } from './mapPlanning.ts'
 import type { PublishedGroup } from './ports.ts'
 
 /** Number of passes per measurement, as the polling interval is as long as a pass. */
--- a/packages/groups/src/rankClient.ts
+++ b/packages/groups/src/rankClient.ts
@@ -7,9 +7,7 @@
 import { splitAddress } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { call, connectRpc, readNow, sleep } from '@juniperhook/runtime'
-import type { CountCursor } from './choices.ts'
-import { createCountCursor, decodeSample, readSample } from './choices.ts'
-import type { MapBase } from './mapChanges.ts'
+import type { MapBase } from './mapDelta.ts'
 import type { OrderMessage } from './orderMessage.ts'
 import { encodeOrder } from './orderMessage.ts'
 import type { RelayRequest } from './orderRelay.ts'
@@ -22,6 +20,8 @@
 	RankSample,
 } from './ports.ts'
 import type { RankResults } from './rankMessages.ts'
+import type { CountCursor } from './rankSample.ts'
+import { createCountCursor, decodeSample, readSample } from './rankSample.ts'
 import { executeOrder, isOrderExecuted } from './rankService.ts'
 
 const CONNECT_TIMEOUT_MS = 300
--- a/packages/groups/src/rankMessages.ts
+++ b/packages/groups/src/rankMessages.ts
@@ -1,8 +1,8 @@
 /** Messages between agents. */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
-import type { SampleMessage } from './choices.ts'
 import type { RankLoad, RankPlacement } from './ports.ts'
+import type { SampleMessage } from './rankSample.ts'
 
 /** Order that an agent sends to the engine of another VM. */
 export interface RemoteOrder {
--- a/packages/groups/src/rankService.ts
+++ b/packages/groups/src/rankService.ts
@@ -6,10 +6,8 @@
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
 import type { Methods, RpcLink } from '@juniperhook/runtime'
 import { call, readNow } from '@juniperhook/runtime'
-import type { CountCursor, SampleMessage } from './choices.ts'
-import { createCountCursor, encodeSample, readSample } from './choices.ts'
-import type { MapCache } from './mapChanges.ts'
-import { cacheMap, createMapCache } from './mapChanges.ts'
+import type { MapCache } from './mapDelta.ts'
+import { cacheMap, createMapCache } from './mapDelta.ts'
 import type { OrderMessage } from './orderMessage.ts'
 import { decodeOrder, packMap, unpackMap } from './orderMessage.ts'
 import type { RelayRequest } from './orderRelay.ts'
@@ -21,6 +19,8 @@
 	RankAnswer,
 	RemoteOrder,
 } from './rankMessages.ts'
+import type { CountCursor, SampleMessage } from './rankSample.ts'
+import { createCountCursor, encodeSample, readSample } from './rankSample.ts'
 
 /** Polling interval of an engine that copies experts, ms. */
 const COPY_POLL_INTERVAL_MS = 25
--- a/packages/groups/src/roundRunner.ts
+++ b/packages/groups/src/roundRunner.ts
@@ -22,13 +22,13 @@
 } from './armingTime.ts'
 import type { Coordinator } from './coordinatorState.ts'
 import { delay, FENCE_BITS, readAnchor } from './coordinatorState.ts'
-import { setMap } from './mapWork.ts'
-import type { RunningRound } from './orderGiver.ts'
+import { setMap } from './mapPlanning.ts'
+import type { RunningRound } from './orderSender.ts'
 import {
 	estimateCopyingMs,
 	estimateRoundTripMs,
 	sendPendingOrders,
-} from './orderGiver.ts'
+} from './orderSender.ts'
 
 /** Base of the polling interval during a round, ms. */
 const POLL_INTERVAL_MS = 20
--- a/packages/groups/test/agents.test.ts
+++ b/packages/groups/test/agents.test.ts
@@ -7,8 +7,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { startAgent } from '../src/index.ts'
-import type { FakeGroup } from './standInGroup.ts'
-import { addressOf, RANKS, startFakeGroup } from './standInGroup.ts'
+import type { FakeGroup } from './fakeGroup.ts'
+import { addressOf, RANKS, startFakeGroup } from './fakeGroup.ts'
 
 const AGENT_PORT = 22_640
 const SEED = 20261202
--- a/packages/groups/test/largeGroup.test.ts
+++ b/packages/groups/test/largeGroup.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createOrderRelay, relayOrder, startAgent } from '../src/index.ts'
-import { addressOf, startFakeGroup } from './standInGroup.ts'
+import { addressOf, startFakeGroup } from './fakeGroup.ts'
 
 const AGENT_PORT = 22_641
 const ENTRY = '127.0.0.19:22642'
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -25,7 +25,7 @@
 const STATEMENT = 'packages/gateway/src/serverStatement.ts'
 const WAITING = 'packages/gateway/src/serverQueue.ts'
 const ENTRY_DEMAND = 'packages/gateway/src/entryDemand.ts'
-const DEMAND_WATCH = 'packages/groups/src/demandWatch.ts'
+const DEMAND_WATCH = 'packages/groups/src/demandMonitor.ts'
 
 /** All mechanisms that can be switched off. */
 export const SWITCHES: readonly Switch[] = [
@@ -55,7 +55,7 @@
 	},
 	{
 		name: 'homeWatch',
-		file: 'packages/groups/src/demandWatch.ts',
+		file: 'packages/groups/src/demandMonitor.ts',
 		on: 'const LOCAL_COUNTS_INTERVAL_MS = 50',
 		off: 'const LOCAL_COUNTS_INTERVAL_MS = 1_000',
 	},
@@ -187,7 +187,7 @@
 	},
 	{
 		name: 'tree',
-		file: 'packages/groups/src/orderGiver.ts',
+		file: 'packages/groups/src/orderSender.ts',
 		on: 'const MIN_TREE_RANKS = 4',
 		off: 'const MIN_TREE_RANKS = 100_000',
 	},
--- a/soak/src/engineCalls.ts
+++ b/soak/src/engineCalls.ts
@@ -2,7 +2,7 @@
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
-import type { FakeGroup } from '../../packages/groups/test/standInGroup.ts'
+import type { FakeGroup } from '../../packages/groups/test/fakeGroup.ts'
 
 const STATUS_OF = { done: 200, conflict: 409, fenced: 412 } as const
 
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -3,7 +3,7 @@
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
 import { startRelay, stopRelay } from '@juniperhook/fakes'
-import { startFakeGroup } from '../../packages/groups/test/standInGroup.ts'
+import { startFakeGroup } from '../../packages/groups/test/fakeGroup.ts'
 import type { StandInStore } from '../../platform/test/standInStore.ts'
 import { startStore } from '../../platform/test/standInStore.ts'
 import {
