--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -6,11 +6,11 @@
 import { writeFileSync } from 'node:fs'
 import type { GroupMap, SetPlan } from '@juniperhook/core'
 import { computeSetSkew, passFactor, planMap, planSet } from '@juniperhook/core'
-import type { ExpertDay, ExpertGroup } from '@juniperhook/fakes'
+import type { ExpertWorkload, ExpertGroup } from '@juniperhook/fakes'
 import {
 	createExpertGroup,
 	demandOf,
-	playPass,
+	simulatePass,
 	startCopies,
 } from '@juniperhook/fakes'
 import type { Demand } from '@juniperhook/groups'
@@ -23,7 +23,7 @@
 import { isQuick, print, printTable } from './output.ts'
 
 /** Figures as the users' configuration tells them. */
-const DAY: ExpertDay = {
+const DAY: ExpertWorkload = {
 	ranks: 16,
 	layout: {
 		sets: 4,
@@ -47,7 +47,7 @@
 	lengthMs: 34_000,
 	seed: 20261202,
 }
-const DAYS: { name: string; change: Partial<ExpertDay> }[] = [
+const DAYS: { name: string; change: Partial<ExpertWorkload> }[] = [
 	{ name: 'quiet', change: {} },
 	{ name: 'peak', change: { arrivalsPerSecond: 72 } },
 	{
@@ -104,7 +104,7 @@
 	readonly changes: number
 }
 
-function play(name: string, day: ExpertDay, policy: Policy): Played {
+function play(name: string, day: ExpertWorkload, policy: Policy): Played {
 	const group = createExpertGroup(day)
 	const { sets, experts } = day.layout
 	const demand = createDemand(sets, experts)
@@ -114,7 +114,7 @@
 	while (group.nowMs < day.lengthMs) {
 		if (policy === 'bound') group.map = planAll(group, demandOf(group), 1)
 		const now = demandOf(group)
-		playPass(group)
+		simulatePass(group)
 		for (const [at, share] of now.entries())
 			counts[at]! += Math.round(share * CHOICES)
 		if (coming && group.nowMs >= coming.at) {
@@ -141,7 +141,7 @@
 	demand: Demand,
 	policy: Policy,
 ): GroupMap | undefined {
-	const { layout } = group.day
+	const { layout } = group.workload
 	const shares = group.map.map((_, set) => computeExpertShares(demand, set))
 	const flat = new Float64Array(layout.sets * layout.experts)
 	for (const [set, share] of shares.entries())
@@ -163,11 +163,11 @@
 				? planAll(group, flat, 1)
 				: undefined
 		case 'present': {
-			const paces = new Array<number>(group.day.ranks).fill(1)
+			const paces = new Array<number>(group.workload.ranks).fill(1)
 			const cost = {
-				copyMs: (layout.expertMb * 8_000) / group.day.linkMbps,
+				copyMs: (layout.expertMb * 8_000) / group.workload.linkMbps,
 				overheadMs: ARM_MS,
-				steadyMs: group.day.shiftEveryMs,
+				steadyMs: group.workload.shiftEveryMs,
 			}
 			const basis = { map: group.map, shares, layout, paces, cost }
 			return finish(planMap(basis))?.placements
@@ -191,7 +191,7 @@
 	target: number,
 	anew = false,
 ): GroupMap {
-	const { layout, ranks } = group.day
+	const { layout, ranks } = group.workload
 	const free = { ...layout, maxNew: layout.places }
 	return group.map.map((placement, set) => {
 		const share = shares.subarray(
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -7,7 +7,7 @@
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
 import {
-	createNarrowLink,
+	createThrottledLink,
 	cutRelay,
 	healRelay,
 	resetRelay,
@@ -89,11 +89,11 @@
 		spoilServerLink(world, random, relay => cutRelay(relay)),
 	'lose what a server is sent': (world, random) =>
 		spoilServerLink(world, random, relay => {
-			relay.mood = 'deaf'
+			relay.mode = 'deaf'
 		}),
 	'lose what a server sends': (world, random) =>
 		spoilServerLink(world, random, relay => {
-			relay.mood = 'mute'
+			relay.mode = 'mute'
 		}),
 	'delay a server': (world, random) =>
 		spoilServerLink(world, random, relay => {
@@ -120,7 +120,7 @@
 	'narrow the link to the store for one': (world, random) => {
 		const relay = drawOf(random, world.storeRelays)
 		// No trouble that excuses anything: peers make up for a slow link.
-		relay.link = createNarrowLink(drawBetween(random, ...NARROW_BYTES_PER_MS))
+		relay.link = createThrottledLink(drawBetween(random, ...NARROW_BYTES_PER_MS))
 		return () => {
 			relay.link = undefined
 		}
@@ -252,13 +252,13 @@
 	}
 }
 
-function spoilStore(world: World, mood: World['store']['mood']): () => void {
+function spoilStore(world: World, mood: World['store']['mode']): () => void {
 	const end = beginTrouble(world.troubles, EVERYBODY)
-	world.store.mood = mood
+	world.store.mode = mood
 	// Watches that wait are cut, as when a store goes down.
 	world.store.server.closeAllConnections()
 	return () => {
-		world.store.mood = 'serve'
+		world.store.mode = 'serve'
 		world.store.server.closeAllConnections()
 		end()
 	}
--- a/soak/src/rewinds.ts
+++ b/soak/src/rewinds.ts
@@ -20,16 +20,16 @@
 	const random = createRandom(options.seed + 4)
 	while (!world.over) {
 		await sleep(drawBetween(random, ...PAUSE_MS))
-		if (world.over || store.mood !== 'serve') continue
+		if (world.over || store.mode !== 'serve') continue
 		count(record, 'times the store went back')
 		const back = Math.ceil(random() * MOST_CHANGES)
 		const end = beginTrouble(troubles, EVERYBODY)
 		const before = [...store.items.keys()]
-		store.mood = 'reset'
-		store.rewind(Math.max(1, store.revision - back))
+		store.mode = 'reset'
+		store.rollBack(Math.max(1, store.revision - back))
 		const keys = new Set([...before, ...store.items.keys()])
 		await sleep(drawBetween(random, ...AWAY_MS))
-		store.mood = 'serve'
+		store.mode = 'serve'
 		end()
 		for (const key of keys)
 			setTimeout(() => rewrite(world, key), drawBetween(random, ...REWRITE_MS))
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -4,8 +4,8 @@
 import type { Relay } from '@juniperhook/fakes'
 import { startRelay, stopRelay } from '@juniperhook/fakes'
 import { startFakeGroup } from '../../packages/groups/test/fakeGroup.ts'
-import type { StandInStore } from '../../platform/test/standInStore.ts'
-import { startStore } from '../../platform/test/standInStore.ts'
+import type { FakeStore } from '../../platform/test/fakeStore.ts'
+import { startFakeStore } from '../../platform/test/fakeStore.ts'
 import {
 	agentIp,
 	agentStoreIp,
@@ -43,7 +43,7 @@
 	readonly options: SoakOptions
 	readonly record: Record
 	readonly troubles: Troubles
-	readonly store: StandInStore
+	readonly store: FakeStore
 	/** What writers last wrote, by key; they write it again when the store lacks it. */
 	readonly written: Map<string, string | undefined>
 	readonly servers: Servers
@@ -75,7 +75,7 @@
 export async function startWorld(options: SoakOptions): Promise<World> {
 	const { net, seed } = options
 	const record = createRecord()
-	const store = await startStore()
+	const store = await startFakeStore()
 	const group = startFakeGroup(seed, options.ranks)
 	const servers: Servers = {
 		all: [],
