--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -15,10 +15,10 @@
 } from '@juniperhook/fakes'
 import type { Demand } from '@juniperhook/groups'
 import {
+	addChoices,
+	computeExpertShares,
 	createDemand,
 	refreshDemand,
-	computeExpertShares,
-	addChoices,
 } from '@juniperhook/groups'
 import { isQuick, print, printTable } from './output.ts'
 
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -25,7 +25,7 @@
 const STATEMENT = 'packages/gateway/src/serverStatement.ts'
 const WAITING = 'packages/gateway/src/serverQueue.ts'
 const ENTRY_DEMAND = 'packages/gateway/src/entryDemand.ts'
-const DEMAND_WATCH = 'packages/groups/src/demandWatch.ts'
+const DEMAND_WATCH = 'packages/groups/src/demandMonitor.ts'
 
 /** All mechanisms that can be switched off. */
 export const SWITCHES: readonly Switch[] = [
@@ -55,9 +55,9 @@
 	},
 	{
 		name: 'homeWatch',
-		file: 'packages/groups/src/demandWatch.ts',
-		on: 'const HOME_COUNTS_MS = 50',
-		off: 'const HOME_COUNTS_MS = 1_000',
+		file: 'packages/groups/src/demandMonitor.ts',
+		on: 'const LOCAL_COUNTS_INTERVAL_MS = 50',
+		off: 'const LOCAL_COUNTS_INTERVAL_MS = 1_000',
 	},
 	{
 		name: 'gainRate',
@@ -187,9 +187,9 @@
 	},
 	{
 		name: 'tree',
-		file: 'packages/groups/src/orderGiver.ts',
-		on: 'const LEAST_SPREAD = 4',
-		off: 'const LEAST_SPREAD = 100_000',
+		file: 'packages/groups/src/orderSender.ts',
+		on: 'const MIN_TREE_RANKS = 4',
+		off: 'const MIN_TREE_RANKS = 100_000',
 	},
 	{
 		name: 'newsOfGroups',
@@ -224,32 +224,32 @@
 	{
 		name: 'shiftBounds',
 		file: DEMAND,
-		on: 'export const AGREES_NOT = 0.9',
-		off: 'export const AGREES_NOT = 0.8',
+		on: 'export const MIN_AGREEMENT = 0.9',
+		off: 'export const MIN_AGREEMENT = 0.8',
 	},
 	{
 		name: 'outdatedRounds',
 		file: 'packages/groups/src/roundRunner.ts',
-		on: '		if (co.shiftedAt > startedAt && round.map && isHarmless(round)) {',
+		on: '		if (co.shiftedAt > startedAt && round.map && canAbandon(round)) {',
 		off: '		if (co.shiftedAt > startedAt && round.map && round.fence < 0) {',
 	},
 	{
 		name: 'lastingFactor',
 		file: DEMAND_WATCH,
-		on: 'const CURE_TIMES = 2',
-		off: 'const CURE_TIMES = 0',
+		on: 'const ADAPTATION_FACTOR = 2',
+		off: 'const ADAPTATION_FACTOR = 0',
 	},
 	{
 		name: 'reserveCopying',
 		file: DEMAND_WATCH,
-		on: '	const copiesLong = co.copyingMs === undefined || co.copyingMs > co.passMs',
-		off: '	const copiesLong = co.copyingMs === undefined || co.copyingMs >= 0',
+		on: '		co.lastCopyingMs === undefined || co.lastCopyingMs > co.passMs',
+		off: '		co.lastCopyingMs === undefined || co.lastCopyingMs >= 0',
 	},
 	{
 		name: 'leadSeen',
 		file: 'packages/groups/src/armingTime.ts',
-		on: 'const LEAD_TIMES = 1.25',
-		off: 'const LEAD_TIMES = 0',
+		on: 'const LEAD_FACTOR = 1.25',
+		off: 'const LEAD_FACTOR = 0',
 	},
 	{
 		name: 'countsOnLink',
