--- a/packages/core/test/models/quarantineNet.ts
+++ b/packages/core/test/models/quarantineNet.ts
@@ -12,7 +12,7 @@
 	quarantineLeftMs,
 } from '../../src/index.ts'
 
-const POISON = 'deadly'
+const POISON = 'poison'
 /** Time from the start of a poison request until its server crashes, ms. */
 const MIN_RUN_MS = 20
 const MAX_RUN_MS = 2_000
