--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -18,7 +18,7 @@
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
 import { isQuick, print, printTable } from './output.ts'
-import { drawFrontier } from './picture.ts'
+import { drawFrontier } from './frontierPlot.ts'
 import type { Policy } from './policies.ts'
 import { createPolicies } from './policies.ts'
 import type { Trace } from './traces.ts'
--- a/soak/src/rests.ts
+++ b/soak/src/backoffs.ts
@@ -7,7 +7,7 @@
 import { createRandom } from '@juniperhook/core'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import type { BackendServer } from './servers.ts'
-import { isCalm } from './trouble.ts'
+import { isCalm } from './disturbances.ts'
 import { breakPromise, count, drawBetween, drawOf, sleep } from './types.ts'
 import type { World } from './world.ts'
 
--- a/soak/src/probes.ts
+++ b/soak/src/configProbes.ts
@@ -3,9 +3,9 @@
 import type { Turn } from './call.ts'
 import { openCall, sendCall } from './call.ts'
 import { addedPath, DOOMED_KEY, PREFIX_OF, TEAM_OF_KEY } from './config.ts'
-import type { Got } from './judge.ts'
+import type { Got } from './checks.ts'
 import type { Managed } from './processes.ts'
-import { isCalm } from './trouble.ts'
+import { isCalm } from './disturbances.ts'
 import { breakPromise, count, drawOf } from './types.ts'
 import type { World } from './world.ts'
 
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -12,7 +12,7 @@
 	healRelay,
 	resetRelay,
 } from '@juniperhook/fakes'
-import { DEADLY_DOWN_MS } from './deadly.ts'
+import { DEADLY_DOWN_MS } from './poisonRequest.ts'
 import type { Managed } from './processes.ts'
 import {
 	killProcess,
@@ -22,7 +22,7 @@
 } from './processes.ts'
 import type { BackendServer, Misbehaviour } from './servers.ts'
 import { behave, crashServer, startServer } from './servers.ts'
-import { beginTrouble, EVERYBODY } from './trouble.ts'
+import { beginTrouble, EVERYBODY } from './disturbances.ts'
 import { count, drawBetween, drawOf, sleep } from './types.ts'
 import type { World } from './world.ts'
 import { listServer, publish, unlistServer } from './world.ts'
--- a/soak/src/verdict.ts
+++ b/soak/src/finalChecks.ts
@@ -1,8 +1,8 @@
 /** What can only be judged when a soak is over. */
 
 import { RETRIES, SERVICE_OF } from './config.ts'
-import { isHeldRightly } from './held.ts'
-import { isCalm } from './trouble.ts'
+import { isHeldRightly } from './unavailability.ts'
+import { isCalm } from './disturbances.ts'
 import type { Asked, Run } from './types.ts'
 import { breakPromise, count } from './types.ts'
 import type { World } from './world.ts'
--- a/soak/src/limits.ts
+++ b/soak/src/rateLimits.ts
@@ -7,7 +7,7 @@
 import { createRandom } from '@juniperhook/core'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import type { BackendServer } from './servers.ts'
-import { CONTACT_MS, isCalm } from './trouble.ts'
+import { CONTACT_MS, isCalm } from './disturbances.ts'
 import { breakPromise, count, drawBetween, drawOf, sleep } from './types.ts'
 import type { World } from './world.ts'
 
--- a/soak/src/rewinds.ts
+++ b/soak/src/rollbacks.ts
@@ -4,7 +4,7 @@
  */
 
 import { createRandom } from '@juniperhook/core'
-import { beginTrouble, EVERYBODY } from './trouble.ts'
+import { beginTrouble, EVERYBODY } from './disturbances.ts'
 import { count, drawBetween, sleep } from './types.ts'
 import type { World } from './world.ts'
 
