--- a/bench/config.ts
+++ b/bench/config.ts
@@ -19,9 +19,9 @@
 const SIZES = [50, 500, 4_230]
 const REGIONS = 5
 const SETTLE_MS = 12_000
-const CALM_MS = 60_000
+const QUIET_MS = 60_000
 const LIMIT_MS = 60_000
-const AIM_MS = 5_000
+const TARGET_MS = 5_000
 const WATCHES_PER_MINUTE = 2
 const CHANGES_PER_SECOND = 2_500 / 86_400
 const SERVER_BYTES = 150
@@ -79,9 +79,9 @@
 				String(at(0.99)),
 				String(at(1)),
 				String(missing),
-				at(0.99) <= AIM_MS && missing === 0 ? 'met' : 'MISSED',
+				at(0.99) <= TARGET_MS && missing === 0 ? 'met' : 'MISSED',
 			])
-			if (name === 'none') calm.push(measureCalm(net))
+			if (name === 'none') calm.push(measureQuiet(net))
 		}
 	}
 	print('time until a revision is in force, ms')
@@ -104,12 +104,12 @@
 	)
 }
 
-function measureCalm(net: GossipNet): string[] {
+function measureQuiet(net: GossipNet): string[] {
 	const size = net.nodes.length
 	runNet(net, SETTLE_MS)
 	const before = { ...net }
-	runNet(net, CALM_MS)
-	const seconds = CALM_MS / 1_000
+	runNet(net, QUIET_MS)
+	const seconds = QUIET_MS / 1_000
 	const calls = net.calls - before.calls
 	const messages = (net.messages - before.messages) / seconds / size
 	const bytes = (net.bytes - before.bytes) / seconds / size
--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -15,7 +15,7 @@
 const REQUESTS = 20_000
 const QUICK_REQUESTS = 2_000
 const MAX_EVENTS = 80
-const AIM_SHARE = 0.1
+const TARGET_RATIO = 0.1
 /** A failure is this much rarer than any other next event. */
 const FAILURE_WEIGHT = 0.25
 const FAILURES = ['linkLost', 'silent', 'restart', 'pause', 'leave']
@@ -81,7 +81,7 @@
 			percent(tally.unknown),
 			percent(tally.baseline),
 			share.toFixed(2),
-			share <= AIM_SHARE ? 'met' : 'MISSED',
+			share <= TARGET_RATIO ? 'met' : 'MISSED',
 		])
 	}
 	print(`bookings under failure, ${count} random requests a row`)
@@ -93,7 +93,7 @@
 			'unknown',
 			'baseline unknown',
 			'ratio',
-			`aim at most ${AIM_SHARE}`,
+			`aim at most ${TARGET_RATIO}`,
 		],
 		rows,
 	)
--- a/bench/gateway.ts
+++ b/bench/gateway.ts
@@ -24,9 +24,9 @@
 /** Linux counts processor time in these, ms. */
 const TICK_MS = 10
 /** Places of user and system time in `/proc/PID/stat` after the name. */
-const TIMES_AT = [11, 12] as const
-const READY_MS = 20_000
-const LOOK_MS = 100
+const CPU_TIME_FIELDS = [11, 12] as const
+const READY_TIMEOUT_MS = 20_000
+const POLL_INTERVAL_MS = 100
 
 /** Prints the cost of a request, and of pairs. */
 export async function run(): Promise<void> {
@@ -57,27 +57,27 @@
 		seed: 1,
 		entries: 1,
 		ranks: 1,
-		plain: 3,
+		plainServers: 3,
 		clients: CALLERS,
-		faultMs: 0,
+		faultPhaseMs: 0,
 		faults: 0,
 		net: NET,
-		only: '',
-		deadly: false,
-		limited: false,
-		rests: false,
-		rewinds: false,
-		timed: false,
+		faultFilter: '',
+		poisonRequest: false,
+		rateLimits: false,
+		backoffs: false,
+		rollbacks: false,
+		checksTiming: false,
 		bundle,
 		folder: join(tmpdir(), 'juniperhook-bench-gateway'),
 	}
 	const world = await startWorld(options)
 	const agent = new Agent({ keepAlive: true, maxSockets: CALLERS })
 	await awaitReady(agent)
-	await askMany(agent, WARM_UP)
+	await sendRequests(agent, WARM_UP)
 	const pid = world.entries[0]!.child!.pid!
 	const before = readTicks(pid)
-	await askMany(agent, REQUESTS)
+	await sendRequests(agent, REQUESTS)
 	const spentMs = (readTicks(pid) - before) * TICK_MS
 	agent.destroy()
 	await stopWorld(world)
@@ -85,19 +85,19 @@
 }
 
 async function awaitReady(agent: Agent): Promise<void> {
-	const end = performance.now() + READY_MS
+	const end = performance.now() + READY_TIMEOUT_MS
 	while (performance.now() < end) {
-		if ((await ask(agent, 0).catch(() => 0)) === 200) return
-		await sleep(LOOK_MS)
+		if ((await sendRequest(agent, 0).catch(() => 0)) === 200) return
+		await sleep(POLL_INTERVAL_MS)
 	}
 	throw new Error('the entry does not serve')
 }
 
-async function askMany(agent: Agent, count: number): Promise<void> {
+async function sendRequests(agent: Agent, count: number): Promise<void> {
 	let next = 1
 	const caller = async () => {
 		while (next <= count) {
-			const status = await ask(agent, next++)
+			const status = await sendRequest(agent, next++)
 			if (status !== 200) throw new Error(`status ${status}`)
 		}
 	}
@@ -106,7 +106,7 @@
 
 let lastId = 0
 
-function ask(agent: Agent, number: number): Promise<number> {
+function sendRequest(agent: Agent, number: number): Promise<number> {
 	return new Promise((resolve, reject) => {
 		const req = request({
 			host: entryIp(NET, 0),
@@ -131,7 +131,7 @@
 function readTicks(pid: number): number {
 	const text = readFileSync(`/proc/${pid}/stat`, 'utf8')
 	const fields = text.slice(text.lastIndexOf(')') + 2).split(' ')
-	return TIMES_AT.reduce((sum, at) => sum + Number(fields[at]), 0)
+	return CPU_TIME_FIELDS.reduce((sum, at) => sum + Number(fields[at]), 0)
 }
 
 function medianOf(values: readonly number[]): number {
--- a/bench/map.ts
+++ b/bench/map.ts
@@ -23,9 +23,9 @@
 const RANKS = 16
 const CALLERS = 24
 const FREEZE_MS = 3_000
-const DEAD_MS = 500
+const DOWNTIME_MS = 500
 const SETTLE_MS = 8_000
-const CALM_MS = 15_000
+const QUIET_MS = 15_000
 const MOMENTS_MS = [0, 150, 300, 450, 600, 750, 900]
 
 interface GroupLoad {
@@ -49,7 +49,7 @@
 		name: 'coordinator killed',
 		async fail(fleet) {
 			signal(fleet, 'rank-0', 'SIGKILL')
-			await wait(DEAD_MS)
+			await wait(DOWNTIME_MS)
 			await restart(fleet, 'rank-0')
 		},
 	},
@@ -74,12 +74,12 @@
 	})
 	const rows: string[][] = []
 	try {
-		for (let n = 0; n < CALLERS; n++) void keepBusy(fleet)
+		for (let n = 0; n < CALLERS; n++) void runCaller(fleet)
 		await waitUntil(
 			async () => (await readLoad(fleet)).switches >= RANKS,
 			'a first change',
 		)
-		rows.push(await measure(fleet, 'none', () => wait(CALM_MS), 1))
+		rows.push(await measure(fleet, 'none', () => wait(QUIET_MS), 1))
 		const moments = isQuick() ? MOMENTS_MS.slice(0, 2) : MOMENTS_MS
 		for (const { name, fail } of FAULTS)
 			rows.push(
@@ -146,7 +146,7 @@
 }
 
 /** One caller that asks again and again until the fleet is stopped. */
-async function keepBusy(fleet: Fleet): Promise<void> {
+async function runCaller(fleet: Fleet): Promise<void> {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.data}/v1/completions`
 	while (fleet.processes.size > 0) {
 		const body = JSON.stringify({
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -16,8 +16,8 @@
 import { measureTeamLimits } from './teamLimits.ts'
 
 /** Work that came too late is worth nothing. */
-const GOODPUT_AIM = 0.95
-const ROSTER_AIM = 1.5
+const GOODPUT_TARGET = 0.95
+const ROSTER_TARGET = 1.5
 
 /** Runs the bench. */
 export async function run(): Promise<void> {
@@ -58,13 +58,18 @@
 		rows,
 	)
 	const ours = results.get('juniperhook')!
-	judge('goodput of capacity', ours.goodput / capacity, GOODPUT_AIM, true)
+	checkTarget(
+		'goodput of capacity',
+		ours.goodput / capacity,
+		GOODPUT_TARGET,
+		true,
+	)
 	const ratio = ours.rosterP99 / calm.rosterP99
-	judge('roster p99 over unloaded', ratio, ROSTER_AIM, false)
+	checkTarget('roster p99 over unloaded', ratio, ROSTER_TARGET, false)
 	measureTeamLimits()
 }
 
-function judge(
+function checkTarget(
 	what: string,
 	value: number,
 	aim: number,
--- a/bench/overloadWorld.ts
+++ b/bench/overloadWorld.ts
@@ -29,7 +29,7 @@
 export const STALL_FACTOR = 50
 const STEP_MS = 1
 /** Tries of a request that was refused elsewhere. */
-const TRIES = 3
+const MAX_ATTEMPTS = 3
 
 /** How requests are placed. */
 export type Strategy = 'juniperhook' | 'round robin' | 'least connections'
@@ -37,8 +37,8 @@
 interface Job {
 	readonly id: number
 	readonly roster: boolean
-	readonly bornAt: number
-	tries: number
+	readonly arrivedAt: number
+	attempts: number
 	row: number
 }
 
@@ -50,7 +50,7 @@
 	readonly late: number
 }
 
-interface World {
+interface Simulation {
 	readonly strategy: Strategy
 	readonly random: () => number
 	readonly table: ServerTable
@@ -59,7 +59,7 @@
 	readonly queues: Job[][]
 	readonly running: number[]
 	readonly jobs: Map<string, Job>
-	readonly ends: Map<number, { row: number; id: string }[]>
+	readonly finishesAt: Map<number, { row: number; id: string }[]>
 	readonly latency: ReturnType<typeof build>
 	stalledRow: number
 	good: number
@@ -76,7 +76,7 @@
 	stalled: boolean,
 ): Result {
 	const at = (now: number): Moment => ({ now, wall: now })
-	const world: World = {
+	const world: Simulation = {
 		strategy,
 		random: createRandom(1),
 		table: createServerTable(
@@ -88,7 +88,7 @@
 		queues: Array.from({ length: SERVERS }, () => []),
 		running: new Array(SERVERS).fill(0),
 		jobs: new Map(),
-		ends: new Map(),
+		finishesAt: new Map(),
 		latency: build(),
 		stalledRow: stalled ? 0 : -1,
 		good: 0,
@@ -104,9 +104,9 @@
 	let due = 0
 	for (let now = 1; now <= end; now += STEP_MS) {
 		if (now === warmUp) resetTallies(world)
-		for (const { row, id } of world.ends.get(now) ?? [])
+		for (const { row, id } of world.finishesAt.get(now) ?? [])
 			finish(world, row, id, now)
-		world.ends.delete(now)
+		world.finishesAt.delete(now)
 		if (now % 100 === 0 && strategy === 'juniperhook')
 			for (const row of world.agents.keys())
 				stepAgent(world, row, { type: 'tick' }, now)
@@ -114,7 +114,7 @@
 		for (due += perMs * STEP_MS; due >= 1; due--) {
 			const roster = world.random() < ROSTER_SHARE
 			const id = world.next++
-			place(world, { id, roster, bornAt: now, tries: 0, row: -1 }, now)
+			place(world, { id, roster, arrivedAt: now, attempts: 0, row: -1 }, now)
 		}
 	}
 	return {
@@ -125,15 +125,15 @@
 	}
 }
 
-function resetTallies(world: World): void {
+function resetTallies(world: Simulation): void {
 	world.good = 0
 	world.late = 0
 	world.refused = 0
 	world.latency.reset()
 }
 
-function place(world: World, job: Job, now: number): void {
-	job.tries++
+function place(world: Simulation, job: Job, now: number): void {
+	job.attempts++
 	const row = choose(world, job, now)
 	if (row < 0) {
 		world.refused++
@@ -147,20 +147,20 @@
 	}
 	recordSent(world.table, row, 1)
 	const reqId = String(job.id)
-	world.jobs.set(`${reqId}/${job.tries}`, job)
+	world.jobs.set(`${reqId}/${job.attempts}`, job)
 	const offer = {
 		reqId,
-		attempt: job.tries,
+		attempt: job.attempts,
 		team: job.roster ? 'rangers' : 'notes',
 		weight: 1,
 		priority: job.roster ? 0 : 6,
-		startBudgetMs: DEADLINE_MS - (now - job.bornAt) - SERVICE_MS * 2,
+		startBudgetMs: DEADLINE_MS - (now - job.arrivedAt) - SERVICE_MS * 2,
 		mayWait: true,
 	}
 	stepAgent(world, row, { type: 'offer', offer }, now)
 }
 
-function choose(world: World, job: Job, now: number): number {
+function choose(world: Simulation, job: Job, now: number): number {
 	const rows = [...world.agents.keys()]
 	switch (world.strategy) {
 		case 'juniperhook': {
@@ -181,7 +181,7 @@
 }
 
 function stepAgent(
-	world: World,
+	world: Simulation,
 	row: number,
 	event: Parameters<typeof stepAdmission>[1],
 	now: number,
@@ -195,21 +195,26 @@
 		if (effect.do !== 'refuse') continue
 		world.jobs.delete(id)
 		recordSent(world.table, row, -1)
-		if (job.tries < TRIES) place(world, job, now)
+		if (job.attempts < MAX_ATTEMPTS) place(world, job, now)
 		else world.refused++
 	}
 }
 
-function schedule(world: World, row: number, id: string, now: number): void {
+function schedule(
+	world: Simulation,
+	row: number,
+	id: string,
+	now: number,
+): void {
 	const factor = row === world.stalledRow ? STALL_FACTOR : 1
 	const spread = 0.5 + world.random()
 	const end = Math.ceil(now + SERVICE_MS * spread * factor)
-	const ends = world.ends.get(end) ?? []
+	const ends = world.finishesAt.get(end) ?? []
 	ends.push({ row, id })
-	world.ends.set(end, ends)
+	world.finishesAt.set(end, ends)
 }
 
-function startPlain(world: World, row: number, now: number): void {
+function startPlain(world: Simulation, row: number, now: number): void {
 	while (world.running[row]! < SLOTS) {
 		const job = world.queues[row]!.shift()
 		if (!job) return
@@ -220,11 +225,11 @@
 	}
 }
 
-function finish(world: World, row: number, id: string, now: number): void {
+function finish(world: Simulation, row: number, id: string, now: number): void {
 	const job = world.jobs.get(id)
 	world.jobs.delete(id)
 	if (job) {
-		const took = now - job.bornAt
+		const took = now - job.arrivedAt
 		if (took <= DEADLINE_MS) world.good++
 		else world.late++
 		if (job.roster) world.latency.recordValue(took)
@@ -235,13 +240,14 @@
 		return
 	}
 	recordSent(world.table, row, -1)
-	if (job) recordResult(world.table, row, now - job.bornAt <= DEADLINE_MS, now)
+	if (job)
+		recordResult(world.table, row, now - job.arrivedAt <= DEADLINE_MS, now)
 	const [reqId = '', attempt] = id.split('/')
 	const name = { reqId, attempt: Number(attempt) }
 	stepAgent(world, row, { type: 'finish', name, how: 'whole' }, now)
 }
 
-function report(world: World, now: number): void {
+function report(world: Simulation, now: number): void {
 	for (const [row, agent] of world.agents.entries()) {
 		const load = agent.running + agent.queue.waiting.length
 		const { serviceMs } = agent
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -65,8 +65,8 @@
 		['way', 'p50 ms', 'p99 ms', 'count'],
 		[row('direct', base), row('juniperhook', added)],
 	)
-	judge('added p50 (ms)', p50, 1)
-	judge('added p99 (ms)', p99, 5)
+	checkTarget('added p50 (ms)', p50, 1)
+	checkTarget('added p99 (ms)', p99, 5)
 }
 
 async function driveBoth(
@@ -119,8 +119,8 @@
 	const took = (performance.now() - started) / MS
 	const cpu = readCpuMs(entryPid) - before
 	print(`\n${streams} streams at once for ${took.toFixed(1)} s`)
-	judge('chunks a second', chunks / took, 20_000, 'at least')
-	judge('entry CPU a chunk (µs)', (cpu * MICRO) / chunks, 50)
+	checkTarget('chunks a second', chunks / took, 20_000, 'at least')
+	checkTarget('entry CPU a chunk (µs)', (cpu * MICRO) / chunks, 50)
 	print(`  entry CPU: ${((cpu / took / MS) * 100).toFixed(0)}% of a core`)
 	const agents = [0, 1].map(
 		n => fleet.processes.get(`rank-${n}`)?.child.pid ?? 0,
@@ -156,7 +156,7 @@
 	}
 }
 
-function judge(
+function checkTarget(
 	what: string,
 	value: number,
 	aim: number,
--- a/bench/picture.ts
+++ b/bench/picture.ts
@@ -8,7 +8,7 @@
 const COLOURS = ['#1b6ca8', '#c0392b', '#1e8449', '#8e44ad', '#b9770e']
 
 /** Draws one dot a policy and trace; the axis of cost is logarithmic. */
-export function drawFrontier(rows: readonly PolicyResult[]): string {
+export function plotFrontier(rows: readonly PolicyResult[]): string {
 	const traces = [...new Set(rows.map(row => row.trace))]
 	const most = Math.max(...rows.map(row => row.lostSeconds), 1)
 	const worst = Math.min(3, Math.max(...rows.map(row => row.meanSkew)))
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -18,19 +18,19 @@
 import { createQuarantineGate } from '../packages/gateway/src/quarantineState.ts'
 import { isQuick, printTable } from './output.ts'
 
-const ENDS = 256
-const NAMED = 16
+const CRASHES = 256
+const REQUESTS_PER_CRASH = 16
 /** Between ends, ms; more than ends that come together. */
-const APART_MS = 1_000
+const CRASH_INTERVAL_MS = 1_000
 const MICRO = 1_000
 const KIB = 1_024
 
 const TRIALS = 3_000
 /** Requests that run beside the deadly one for the first time, at each end. */
-const NEW_BESIDE = 5
-const MOST_ROUNDS = 8
+const NEW_CONCURRENT_REQUESTS = 5
+const MAX_ROUNDS = 8
 /** Between two tries of the deadly request, ms: a group forms in between. */
-const TRY_MS = 4_000
+const ATTEMPT_INTERVAL_MS = 4_000
 
 /** Runs the bench. */
 export async function run(): Promise<void> {
@@ -40,48 +40,48 @@
 		[
 			String(bytes),
 			'nothing remembered',
-			timeOne(createQuarantineGate(), bytes, rounds),
+			timeRequest(createQuarantineGate(), bytes, rounds),
 		],
 		[
 			String(bytes),
 			'full, no body of that length',
-			timeOne(full, bytes + 1, rounds),
+			timeRequest(full, bytes + 1, rounds),
 		],
 		[
 			String(bytes),
 			'full, bodies of that length',
-			timeOne(fillGate(bytes), bytes, rounds),
+			timeRequest(fillGate(bytes), bytes, rounds),
 		],
 	])
 	printTable(['body bytes', 'remembered', 'µs a request'], rows)
 	printTable(
 		['servers', 'ends', 'ran beside it', 'barred for a time', 'still barred'],
-		[3, 16, 64].map(measureBeside),
+		[3, 16, 64].map(measureConcurrent),
 	)
 	printTable(
 		['full', 'value'],
 		[
-			['one more end judged, ms', timeEnd()],
+			['one more end judged, ms', timeCrash()],
 			['memory, KiB', measureMemory()],
 		],
 	)
 }
 
 /** Requests beside a deadly one, all of which come again once a server ended. */
-function measureBeside(servers: number): string[] {
+function measureConcurrent(servers: number): string[] {
 	const random = createRandom(5)
 	let [ends, beside, barred, stillBarred] = [0, 0, 0, 0]
 	for (let trial = 0; trial < TRIALS; trial++) {
 		const quarantine = createQuarantine()
 		const hit = new Set<string>()
 		let again: string[] = []
-		for (let round = 0; round < MOST_ROUNDS; round++) {
+		for (let round = 0; round < MAX_ROUNDS; round++) {
 			if (listQuarantined(quarantine).includes('deadly')) break
-			const at = round * TRY_MS
+			const at = round * ATTEMPT_INTERVAL_MS
 			const here = again.filter(() => randomIndex(random, servers) === 0)
 			const answered = again.filter(one => !here.includes(one))
 			const fresh = Array.from(
-				{ length: NEW_BESIDE },
+				{ length: NEW_CONCURRENT_REQUESTS },
 				(_, one) => `${round}-${one}`,
 			)
 			const running = [...here, ...fresh]
@@ -109,11 +109,11 @@
 
 function fillGate(bodyLength: number): QuarantineGate {
 	const gate = createQuarantineGate()
-	const ends = Array.from({ length: ENDS }, (_, at) => ({
+	const ends = Array.from({ length: CRASHES }, (_, at) => ({
 		server: `server-${at}`,
-		at: at * APART_MS,
+		at: at * CRASH_INTERVAL_MS,
 		ran: new Map(
-			Array.from({ length: NAMED }, (_, one) => [
+			Array.from({ length: REQUESTS_PER_CRASH }, (_, one) => [
 				one === 0
 					? `${bodyLength.toString(36)}.deadly`
 					: `${bodyLength.toString(36)}.${at}-${one}`,
@@ -121,7 +121,11 @@
 			]),
 		),
 	}))
-	mergeCrashEvidence(gate.quarantine, { ends, served: [] }, ENDS * APART_MS)
+	mergeCrashEvidence(
+		gate.quarantine,
+		{ ends, served: [] },
+		CRASHES * CRASH_INTERVAL_MS,
+	)
 	gate.bodyLengths = new Set(
 		[...gate.quarantine.suspects.keys()].map(bodyLengthOf),
 	)
@@ -129,7 +133,11 @@
 	return gate
 }
 
-function timeOne(gate: QuarantineGate, bytes: number, rounds: number): string {
+function timeRequest(
+	gate: QuarantineGate,
+	bytes: number,
+	rounds: number,
+): string {
 	const body = Buffer.alloc(bytes)
 	const request = { method: 'POST', path: '/x', team: undefined, body }
 	const startedAt = performance.now()
@@ -138,12 +146,12 @@
 	return (((performance.now() - startedAt) * MICRO) / rounds).toFixed(2)
 }
 
-function timeEnd(): string {
+function timeCrash(): string {
 	const { quarantine } = fillGate(1_000)
 	const startedAt = performance.now()
 	const rounds = 50
 	for (let round = 0; round < rounds; round++) {
-		const at = (ENDS + round) * APART_MS
+		const at = (CRASHES + round) * CRASH_INTERVAL_MS
 		const ran = new Map([[`x.${round}`, 50]])
 		const ends = [{ server: `more-${round}`, at, ran }]
 		mergeCrashEvidence(quarantine, { ends, served: [] }, at)
--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -18,7 +18,7 @@
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
 import { isQuick, print, printTable } from './output.ts'
-import { drawFrontier } from './picture.ts'
+import { plotFrontier } from './picture.ts'
 import type { Policy } from './policies.ts'
 import { createPolicies } from './policies.ts'
 import type { Trace } from './traces.ts'
@@ -76,10 +76,10 @@
 		results.push({ setting, rows })
 		printSetting(setting, rows)
 	}
-	judge(results)
+	checkTargets(results)
 	const [first] = results
 	if (!first || isQuick()) return
-	writeFileSync(CHART, drawFrontier(first.rows))
+	writeFileSync(CHART, plotFrontier(first.rows))
 	print(`\nfrontier written to ${CHART}`)
 }
 
@@ -233,7 +233,7 @@
 	)
 }
 
-function judge(
+function checkTargets(
 	results: readonly { setting: Setting; rows: readonly PolicyResult[] }[],
 ): void {
 	print('\naims (policy "ours, even", settings with spare slots)')
--- a/bench/rewind.ts
+++ b/bench/rewind.ts
@@ -23,34 +23,34 @@
 /** Candidates for coordinator of two groups. */
 const READERS = 8
 const READ_MS = 1_000
-const AWAY_MS = [0, 1_000, 3_000] as const
+const OUTAGES_MS = [0, 1_000, 3_000] as const
 /** Changes that the copy lacks: servers that started again. */
-const LACKS = 24
+const LOST_CHANGES = 24
 /** Until writers write again what the copy lacks, ms. */
 const REWRITE_MS = 1_800
 const FIRST_PORT = 29_000
 const PORTS_EACH = 4
-const LOOK_MS = 20
-const MOST_MS = 20_000
+const POLL_INTERVAL_MS = 20
+const MAX_WAIT_MS = 20_000
 const SETTLE_MS = 6_000
 const CONTACT_MS = 3_000
 
 interface Fleet {
 	readonly store: StandInStore
 	readonly entries: GatewayContext[]
-	readonly lives: Map<string, number>
+	readonly incarnations: Map<string, number>
 	readonly sent: { calls: number; bytes: number }
-	nextLife: number
+	nextIncarnation: number
 }
 
 /** Prints calls, bytes and time for each time that the store is away. */
 export async function run(): Promise<void> {
 	const fleet = await startFleet()
 	const rows: string[][] = []
-	for (const awayMs of isQuick() ? AWAY_MS.slice(0, 1) : AWAY_MS)
-		rows.push(await playRewind(fleet, awayMs))
+	for (const awayMs of isQuick() ? OUTAGES_MS.slice(0, 1) : OUTAGES_MS)
+		rows.push(await measureRollback(fleet, awayMs))
 	print(
-		`${ENTRIES} entries, ${READERS} agents that read, ${RANKS + PLAIN} servers, ${LACKS} changes lost`,
+		`${ENTRIES} entries, ${READERS} agents that read, ${RANKS + PLAIN} servers, ${LOST_CHANGES} changes lost`,
 	)
 	printTable(
 		['store away', 'calls', 'KB', 'KB an entry', 'right after (ms)'],
@@ -63,9 +63,9 @@
 	const fleet: Fleet = {
 		store,
 		entries: [],
-		lives: new Map(),
+		incarnations: new Map(),
 		sent: { calls: 0, bytes: 0 },
-		nextLife: 1,
+		nextIncarnation: 1,
 	}
 	store.server.prependListener('request', (_req, res) => {
 		fleet.sent.calls++
@@ -76,7 +76,7 @@
 		}) as typeof res.end
 	})
 	store.put('op/config', buildConfig(1, false, 0))
-	for (let at = 0; at < RANKS + PLAIN; at++) startLife(fleet, at)
+	for (let at = 0; at < RANKS + PLAIN; at++) startIncarnation(fleet, at)
 	for (let at = 0; at < ENTRIES; at++)
 		fleet.entries.push(await startEntry(fleet, at))
 	for (let at = 0; at < READERS; at++)
@@ -90,12 +90,12 @@
 }
 
 /** Lists the next life of a server. */
-function startLife(fleet: Fleet, at: number): void {
-	fleet.lives.set(`i-${at}`, fleet.nextLife++)
+function startIncarnation(fleet: Fleet, at: number): void {
+	fleet.incarnations.set(`i-${at}`, fleet.nextIncarnation++)
 	write(fleet, at)
 }
 
-function write({ store, lives }: Fleet, at: number): void {
+function write({ store, incarnations: lives }: Fleet, at: number): void {
 	const isRank = at < RANKS
 	const name = `i-${at}`
 	const entry = {
@@ -148,22 +148,25 @@
 	}
 }
 
-async function playRewind(fleet: Fleet, awayMs: number): Promise<string[]> {
+async function measureRollback(
+	fleet: Fleet,
+	awayMs: number,
+): Promise<string[]> {
 	const { store, sent } = fleet
-	for (let at = 0; at < LACKS; at++) startLife(fleet, at * 8)
+	for (let at = 0; at < LOST_CHANGES; at++) startIncarnation(fleet, at * 8)
 	await sleep(SETTLE_MS)
 	const before = { ...sent }
 	const begunAt = performance.now()
 	store.mood = 'reset'
-	store.rewind(store.revision - LACKS)
+	store.rewind(store.revision - LOST_CHANGES)
 	await sleep(awayMs)
 	store.mood = 'serve'
-	for (let at = 0; at < LACKS; at++)
-		setTimeout(() => write(fleet, at * 8), (REWRITE_MS * at) / LACKS)
+	for (let at = 0; at < LOST_CHANGES; at++)
+		setTimeout(() => write(fleet, at * 8), (REWRITE_MS * at) / LOST_CHANGES)
 	// Right is all that was so before, and is so again when all is written.
 	await sleep(REWRITE_MS)
-	while (!isRight(fleet) && performance.now() - begunAt < MOST_MS)
-		await sleep(LOOK_MS)
+	while (!isUpToDate(fleet) && performance.now() - begunAt < MAX_WAIT_MS)
+		await sleep(POLL_INTERVAL_MS)
 	const tookMs = performance.now() - begunAt - awayMs
 	const calls = sent.calls - before.calls
 	const kb = (sent.bytes - before.bytes) / 1_000
@@ -177,7 +180,7 @@
 }
 
 /** Whether all entries send to the lives that are, and to all of them. */
-function isRight({ entries, lives }: Fleet): boolean {
+function isUpToDate({ entries, incarnations: lives }: Fleet): boolean {
 	return entries.every(({ fleet, list }) => {
 		const isKnown = [...lives].every(
 			([name, life]) =>
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -23,7 +23,7 @@
 import { isQuick, print, printTable } from './output.ts'
 
 /** Figures as the users' configuration tells them. */
-const DAY: ExpertDay = {
+const WORKLOAD: ExpertDay = {
 	ranks: 16,
 	layout: {
 		sets: 4,
@@ -47,7 +47,7 @@
 	lengthMs: 34_000,
 	seed: 20261202,
 }
-const DAYS: { name: string; change: Partial<ExpertDay> }[] = [
+const WORKLOADS: { name: string; change: Partial<ExpertDay> }[] = [
 	{ name: 'quiet', change: {} },
 	{ name: 'peak', change: { arrivalsPerSecond: 72 } },
 	{
@@ -56,17 +56,23 @@
 			ranks: 72,
 			slots: 7,
 			arrivalsPerSecond: 188,
-			layout: { ...DAY.layout, sets: 12, experts: 144, places: 3, maxNew: 1 },
+			layout: {
+				...WORKLOAD.layout,
+				sets: 12,
+				experts: 144,
+				places: 3,
+				maxNew: 1,
+			},
 		},
 	},
 ]
 
 /** Between readings of counts, ms; the agents' own figure. */
-const COUNTS_MS = 200
+const COUNT_INTERVAL_MS = 200
 /** From the end of copying to a map in use, ms. */
 const ARM_MS = 150
 /** Choices of a pass, to turn demand into counts. */
-const CHOICES = 100_000
+const CHOICES_PER_PASS = 100_000
 const MAX_PAUSE_MS = 120
 
 type Policy =
@@ -92,7 +98,7 @@
 ]
 const THRESHOLD = 1.5
 
-interface Played {
+interface PolicyResult {
 	readonly day: string
 	readonly policy: Policy
 	readonly mean: number
@@ -104,7 +110,7 @@
 	readonly changes: number
 }
 
-function play(name: string, day: ExpertDay, policy: Policy): Played {
+function simulate(name: string, day: ExpertDay, policy: Policy): PolicyResult {
 	const group = createExpertGroup(day)
 	const { sets, experts } = day.layout
 	const demand = createDemand(sets, experts)
@@ -116,13 +122,13 @@
 		const now = demandOf(group)
 		playPass(group)
 		for (const [at, share] of now.entries())
-			counts[at]! += Math.round(share * CHOICES)
+			counts[at]! += Math.round(share * CHOICES_PER_PASS)
 		if (coming && group.nowMs >= coming.at) {
 			group.map = coming.map
 			group.changes++
 			coming = undefined
 		}
-		if (group.nowMs - countedAt < COUNTS_MS) continue
+		if (group.nowMs - countedAt < COUNT_INTERVAL_MS) continue
 		countedAt = group.nowMs
 		takeChoices(demand, counts)
 		refreshDemand(demand, group.nowMs)
@@ -170,14 +176,14 @@
 				steadyMs: group.day.shiftEveryMs,
 			}
 			const basis = { map: group.map, shares, layout, paces, cost }
-			return finish(planMap(basis))?.placements
+			return runToEnd(planMap(basis))?.placements
 		}
 		default:
 			return policy satisfies never
 	}
 }
 
-function finish<T>(steps: Generator<void, T>): T {
+function runToEnd<T>(steps: Generator<void, T>): T {
 	for (;;) {
 		const step = steps.next()
 		if (step.done) return step.value
@@ -198,20 +204,24 @@
 			set * layout.experts,
 			(set + 1) * layout.experts,
 		)
-		const from = anew ? dealt(ranks, layout.experts) : placement
+		const from = anew ? assignRoundRobin(ranks, layout.experts) : placement
 		const plan: SetPlan = planSet(from, share, anew ? free : layout, [], target)
 		return plan.placement
 	})
 }
 
-function dealt(ranks: number, experts: number): number[][] {
+function assignRoundRobin(ranks: number, experts: number): number[][] {
 	const byRank: number[][] = Array.from({ length: ranks }, () => [])
 	for (let expert = 0; expert < experts; expert++)
 		byRank[expert % ranks]!.push(expert)
 	return byRank
 }
 
-function summarize(day: string, policy: Policy, group: ExpertGroup): Played {
+function summarize(
+	day: string,
+	policy: Policy,
+	group: ExpertGroup,
+): PolicyResult {
 	const passes = [...group.passes].sort((a, b) => a - b)
 	const at = (share: number) => passes[Math.floor(share * (passes.length - 1))]!
 	// By time, not by number: long passes are what streams stand in.
@@ -231,11 +241,11 @@
 
 /** Runs the bench. */
 export async function run(): Promise<void> {
-	const days = isQuick() ? DAYS.slice(0, 1) : DAYS
-	const rows: Played[] = []
+	const days = isQuick() ? WORKLOADS.slice(0, 1) : WORKLOADS
+	const rows: PolicyResult[] = []
 	for (const { name, change } of days)
 		for (const policy of POLICIES)
-			rows.push(play(name, { ...DAY, ...change }, policy))
+			rows.push(simulate(name, { ...WORKLOAD, ...change }, policy))
 	printTable(
 		['day', 'policy', 'mean ms', 'p50', 'p99', 'late', 'copies', 'changes'],
 		rows.map(row => [
@@ -259,7 +269,7 @@
 const MARGIN = 150
 
 /** Bars of mean pass time, with the copies beside them. */
-function draw(rows: readonly Played[]): string {
+function draw(rows: readonly PolicyResult[]): string {
 	const most = Math.max(...rows.map(row => row.mean))
 	const bars = rows.map((row, at) => {
 		const y = 30 + at * ROW
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -29,7 +29,7 @@
 /** Keys older than an agent by less than the clock bound are not run. */
 const CLOCK_BOUND_WAIT_MS = 5_500
 
-function say(text: string): void {
+function print(text: string): void {
 	process.stdout.write(`${text}\n`)
 }
 
@@ -51,8 +51,8 @@
 	return (await res.body.json()) as Record<string, number>
 }
 
-say('starting 1 platform, 1 group of 4 ranks, 3 plain backends,')
-say('3 entries and 7 agents, each a process on its own loopback IP …')
+print('starting 1 platform, 1 group of 4 ranks, 3 plain backends,')
+print('3 entries and 7 agents, each a process on its own loopback IP …')
 const fleet = await startFleet({
 	entries: ENTRIES,
 	services: SERVICES,
@@ -65,9 +65,9 @@
 	},
 	groupConfig: 'planSeconds = 2\nspareSlots = 2',
 })
-say('ready; waiting out the clock bound, so that bookings can be run …')
+print('ready; waiting out the clock bound, so that bookings can be run …')
 await new Promise(resolve => setTimeout(resolve, CLOCK_BOUND_WAIT_MS))
-say(`load for ${seconds} s, a storm after ${Math.round(seconds / 3)} s`)
+print(`load for ${seconds} s, a storm after ${Math.round(seconds / 3)} s`)
 const report = await runLoad({
 	entries: Array.from({ length: ENTRIES }, (_, n) => entryIp(fleet, n)),
 	directService: serviceIp(fleet, 0),
@@ -76,14 +76,14 @@
 	chatPerSecond: 20,
 	rostersPerSecond: 60,
 	bookingsPerSecond: 20,
-	onProgress: say,
+	onProgress: print,
 	readGroup: () => readGroup(fleet),
 })
-say(formatReport(report))
-say('')
-say(curlLine(fleet))
+print(formatReport(report))
+print('')
+print(curlLine(fleet))
 if (values.keep) {
-	say('still running; Ctrl-C ends it')
+	print('still running; Ctrl-C ends it')
 	process.once('SIGINT', () => {
 		stopFleet(fleet)
 		process.exit(0)
--- a/scripts/load.ts
+++ b/scripts/load.ts
@@ -7,7 +7,7 @@
 import { Agent, request } from 'undici'
 
 const MS = 1_000
-const MICRO = 1_000
+const MICROS_PER_MS = 1_000
 const KEY_BYTES = 16
 const TICK_MS = 5
 const MAX_TOKENS = 24
@@ -150,7 +150,9 @@
 	try {
 		const res = await call(kind, entry, options)
 		const text = await res.body.text()
-		row.latency.recordValue(Math.round((performance.now() - started) * MICRO))
+		row.latency.recordValue(
+			Math.round((performance.now() - started) * MICROS_PER_MS),
+		)
 		const outcome = res.headers['x-request-outcome']
 		const whole = kind !== 'chat' || text.includes('[DONE]')
 		if (outcome === 'notRun') row.notRun++
--- a/soak/src/call.ts
+++ b/soak/src/call.ts
@@ -1,26 +1,26 @@
 /** One request of a caller over a kept connection, and what comes back. */
 
 import type { Agent, ClientRequest, IncomingMessage } from 'node:http'
-import { request } from 'node:http'
+import { request as sendHttp } from 'node:http'
 import type { Random } from '@juniperhook/core'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import { entryIp, PORTS } from './addresses.ts'
 import { HOST, TEAM_OF_KEY, TIMEOUT_MS } from './config.ts'
-import type { Got } from './judge.ts'
-import { notePassed, serverOfSeal } from './leavings.ts'
-import type { Managed } from './processes.ts'
-import type { Asked, RequestKind } from './types.ts'
-import { count, drawBetween } from './types.ts'
+import type { CallerAnswer } from './judge.ts'
+import { recordRelayedLeaving, serverOfSeal } from './leavings.ts'
+import type { ManagedProcess } from './processes.ts'
+import type { RequestKind, RequestRecord } from './types.ts'
+import { count, randomBetween } from './types.ts'
 import type { World } from './world.ts'
 
 /** A connection that hangs is given up this long after the deadline, ms. */
-const CONNECT_MS = 1_000
+const ABORT_DELAY_MS = 1_000
 const DEADLINES_MS = [900, 6_000] as const
 
 /** A caller's next request: from whom, to which entry, on which connection. */
-export interface Turn {
+export interface CallContext {
 	readonly world: World
-	readonly entry: Managed
+	readonly entry: ManagedProcess
 	readonly agent: Agent
 	/** Belongs to this request alone. */
 	readonly id: string
@@ -28,101 +28,107 @@
 }
 
 /** A request that is ready to be sent. */
-export interface Call {
-	readonly asked: Asked
+export interface PreparedCall {
+	readonly request: RequestRecord
 	readonly key: string
 	readonly method: string
 }
 
 /** Makes a request and notes what is asked. */
-export function openCall(
-	{ world, entry, id, random }: Turn,
+export function prepareCall(
+	{ world, entry, id, random }: CallContext,
 	kind: RequestKind,
 	path: string,
 	key: string,
 	body = kind === 'repeatable' ? '' : `body of ${id} `.repeat(20),
-): Call {
+): PreparedCall {
 	const now = performance.now()
-	const deadline = Math.round(drawBetween(random, ...DEADLINES_MS))
-	const asked: Asked = {
+	const deadline = Math.round(randomBetween(random, ...DEADLINES_MS))
+	const request: RequestRecord = {
 		id: `soak-${id}`,
 		kind,
 		path,
 		body,
 		team: TEAM_OF_KEY[key] ?? 'doomed',
 		entry: entry.index,
-		life: entry.life,
+		incarnation: entry.incarnation,
 		sentAt: now,
-		givenUpAt: now + Math.min(deadline, TIMEOUT_MS[kind]),
+		timeoutAt: now + Math.min(deadline, TIMEOUT_MS[kind]),
 		deadlineAt: now + deadline,
-		leftAt: undefined,
-		gaveUp: false,
-		promisedAt: undefined,
+		abandonedAt: undefined,
+		timedOut: false,
+		promisedNotRunAt: undefined,
 		answeredAt: undefined,
 		status: 0,
 		error: '',
 	}
-	world.record.asked.set(asked.id, asked)
-	return { asked, key, method: body === '' ? 'GET' : 'POST' }
+	world.record.requests.set(request.id, request)
+	return { request, key, method: body === '' ? 'GET' : 'POST' }
 }
 
 /** Sends a request; the caller leaves after a while, if that is given, ms. */
 export function sendCall(
-	{ world, entry, agent }: Turn,
-	{ asked, key, method }: Call,
+	{ world, entry, agent }: CallContext,
+	{ request, key, method }: PreparedCall,
 	leavesAfter?: number,
-): Promise<Got> {
-	const none: Got = {
+): Promise<CallerAnswer> {
+	const none: CallerAnswer = {
 		status: 0,
 		seal: undefined,
-		answeredId: undefined,
+		requestId: undefined,
 		retryAfter: undefined,
 		body: '',
-		whole: false,
+		complete: false,
 	}
-	count(world.record, `requests ${asked.kind}`)
+	count(world.record, `requests ${request.kind}`)
 	return new Promise(resolve => {
-		const req = request({
+		const req = sendHttp({
 			host: entryIp(world.options.net, entry.index),
 			port: PORTS.callers,
-			path: asked.path,
+			path: request.path,
 			method,
 			agent,
 			headers: {
 				host: HOST,
 				authorization: `${WIRE.keyScheme} ${key}`,
-				[WIRE.requestId]: asked.id,
-				[WIRE.deadlineMs]: String(Math.round(asked.deadlineAt - asked.sentAt)),
+				[WIRE.requestId]: request.id,
+				[WIRE.deadlineMs]: String(
+					Math.round(request.deadlineAt - request.sentAt),
+				),
 			},
 		})
 		const leave = () => {
-			asked.leftAt = performance.now()
+			request.abandonedAt = performance.now()
 			count(world.record, 'callers that left')
 			req.destroy()
 		}
 		if (leavesAfter !== undefined) setTimeout(leave, leavesAfter)
-		giveUpLater(req, asked)
+		abortAfterDeadline(req, request)
 		req.on('error', () => resolve(none))
 		req.on('response', res => {
 			if (res.headers[SIGNAL_HEADERS.leaving] !== undefined)
-				notePassed(world, asked, serverOfSeal(headerOf(res, WIRE.seal)))
-			void takeAnswer(res).then(resolve)
+				recordRelayedLeaving(
+					world,
+					request,
+					serverOfSeal(headerOf(res, WIRE.seal)),
+				)
+			void readAnswer(res).then(resolve)
 		})
-		req.end(asked.body || undefined)
+		req.end(request.body || undefined)
 	})
 }
 
 /** A caller does not wait for ever for a process that hangs. */
-function giveUpLater(req: ClientRequest, asked: Asked): void {
-	const waitMs = asked.deadlineAt - performance.now() + CONNECT_MS
+function abortAfterDeadline(req: ClientRequest, request: RequestRecord): void {
+	const waitMs = request.deadlineAt - performance.now() + ABORT_DELAY_MS
 	const timer = setTimeout(() => {
-		asked.gaveUp = true
+		request.timedOut = true
 		req.destroy()
 	}, waitMs)
 	req.on('close', () => clearTimeout(timer))
 }
 
-function takeAnswer(res: IncomingMessage): Promise<Got> {
+function readAnswer(res: IncomingMessage): Promise<CallerAnswer> {
 	return new Promise(resolve => {
 		let body = ''
 		res.setEncoding('utf8')
@@ -134,10 +140,10 @@
 			resolve({
 				status: res.statusCode ?? 0,
 				seal: headerOf(res, WIRE.seal),
-				answeredId: headerOf(res, WIRE.requestId),
+				requestId: headerOf(res, WIRE.requestId),
 				retryAfter: headerOf(res, 'retry-after'),
 				body,
-				whole: res.complete,
+				complete: res.complete,
 			}),
 		)
 	})
--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -5,26 +5,32 @@
 
 import { Agent } from 'node:http'
 import { createRandom } from '@juniperhook/core'
-import type { Turn } from './call.ts'
-import { openCall, sendCall } from './call.ts'
+import type { CallContext } from './call.ts'
+import { prepareCall, sendCall } from './call.ts'
 import { PREFIX_OF, TEAM_OF_KEY } from './config.ts'
-import type { Got } from './judge.ts'
-import { judgeAnswer, judgePart } from './judge.ts'
-import { probe } from './probes.ts'
-import type { Managed } from './processes.ts'
+import type { CallerAnswer } from './judge.ts'
+import { checkAnswer, checkPartialStream } from './judge.ts'
+import { probeConfig } from './probes.ts'
+import type { ManagedProcess } from './processes.ts'
 import { bodyOf, STREAM_EVENTS } from './servers.ts'
-import { isCalm } from './trouble.ts'
-import type { Asked } from './types.ts'
-import { breakPromise, count, drawBetween, drawOf, sleep } from './types.ts'
+import { isUndisturbed } from './trouble.ts'
+import type { RequestRecord } from './types.ts'
+import {
+	count,
+	randomBetween,
+	randomItem,
+	recordViolation,
+	sleep,
+} from './types.ts'
 import type { World } from './world.ts'
 
 const THINK_MS = [10, 90] as const
 /** Part of the requests whose caller leaves before the answer. */
-const LEAVING_PART = 0.03
+const ABANDON_RATIO = 0.03
 /** Part of the requests that ask which configuration is in force. */
-const PROBE_PART = 0.12
+const PROBE_RATIO = 0.12
 /** An answer at its route's time-out may be this late, ms. */
-const LATE_MS = 500
+const TIMEOUT_TOLERANCE_MS = 500
 
 /** Runs a caller until the soak is over. */
 export async function runCaller(world: World, number: number): Promise<void> {
@@ -32,39 +38,40 @@
 	const agents = world.entries.map(
 		() => new Agent({ keepAlive: true, maxSockets: 1 }),
 	)
-	let entry = drawOf(random, world.entries)
-	for (let at = 0; !world.over; at++) {
+	let entry = randomItem(random, world.entries)
+	for (let at = 0; !world.finished; at++) {
 		const agent = agents[entry.index]!
 		const turn = { world, entry, agent, id: `${number}-${at}`, random }
-		const isProbe = random() < PROBE_PART
-		const got = isProbe ? await probe(turn) : await ask(turn)
+		const isProbe = random() < PROBE_RATIO
+		const answer = isProbe ? await probeConfig(turn) : await sendRequest(turn)
 		// The connection is kept as long as the process has it.
-		if (got.status === 0 || random() < 0.02)
-			entry = drawOf(random, world.entries)
-		await sleep(drawBetween(random, ...THINK_MS))
+		if (answer.status === 0 || random() < 0.02)
+			entry = randomItem(random, world.entries)
+		await sleep(randomBetween(random, ...THINK_MS))
 	}
 	for (const agent of agents) agent.destroy()
 }
 
-async function ask(turn: Turn): Promise<Got> {
+async function sendRequest(turn: CallContext): Promise<CallerAnswer> {
 	const { world, entry, id, random } = turn
-	const kind = drawOf(random, ['once', 'repeatable', 'stream'] as const)
-	const key = drawOf(random, Object.keys(TEAM_OF_KEY))
-	const call = openCall(turn, kind, `${PREFIX_OF[kind]}${id}`, key)
-	const leavesAfter = random() < LEAVING_PART ? random() * 60 : undefined
-	const got = await sendCall(turn, call, leavesAfter)
-	const { asked } = call
-	if (asked.leftAt !== undefined) return got
-	const expected = kind === 'stream' ? eventsOf(asked.id) : bodyOf(asked.id)
-	judgeAnswer(world.record, asked, got, expected)
-	if (kind === 'stream' && got.status === 200 && !got.whole)
-		judgePart(world.record, asked, got.body, expected)
-	judgeEnd(world, entry, asked, got)
-	return got
+	const kind = randomItem(random, ['once', 'repeatable', 'stream'] as const)
+	const key = randomItem(random, Object.keys(TEAM_OF_KEY))
+	const call = prepareCall(turn, kind, `${PREFIX_OF[kind]}${id}`, key)
+	const leavesAfter = random() < ABANDON_RATIO ? random() * 60 : undefined
+	const answer = await sendCall(turn, call, leavesAfter)
+	const { request } = call
+	if (request.abandonedAt !== undefined) return answer
+	const expected =
+		kind === 'stream' ? expectedEvents(request.id) : bodyOf(request.id)
+	checkAnswer(world.record, request, answer, expected)
+	if (kind === 'stream' && answer.status === 200 && !answer.complete)
+		checkPartialStream(world.record, request, answer.body, expected)
+	checkCompletion(world, entry, request, answer)
+	return answer
 }
 
 /** All events of a stream. */
-function eventsOf(id: string): string {
+function expectedEvents(id: string): string {
 	return Array.from(
 		{ length: STREAM_EVENTS },
 		(_, at) => `id: ${at + 1}\ndata: ${id} event ${at + 1}\n\n`,
@@ -72,37 +79,44 @@
 }
 
 /** The kind of a refusal or failure; '' for an answer of a server. */
-function errorOf({ status, body }: Got): string {
+function errorKindOf({ status, body }: CallerAnswer): string {
 	if (status === 0 || status === 200) return ''
 	return /^\{"error":"(\w+)"/.exec(body)?.[1] ?? ''
 }
 
 /** Judges whether and when an answer came to its end. */
-function judgeEnd(world: World, entry: Managed, asked: Asked, got: Got): void {
-	const { record, troubles, options } = world
+function checkCompletion(
+	world: World,
+	entry: ManagedProcess,
+	request: RequestRecord,
+	answer: CallerAnswer,
+): void {
+	const { record, disturbances, options } = world
 	const now = performance.now()
-	asked.answeredAt = now
-	asked.status = got.status
-	asked.error = errorOf(got)
-	const wasKilled = entry.life !== asked.life || entry.killedAt > asked.sentAt
-	const brokeOff = got.status !== 0 && !got.whole
+	request.answeredAt = now
+	request.status = answer.status
+	request.error = errorKindOf(answer)
+	const wasKilled =
+		entry.incarnation !== request.incarnation || entry.killedAt > request.sentAt
+	const brokeOff = answer.status !== 0 && !answer.complete
 	if (brokeOff) count(record, 'answers that broke off')
-	if (got.status === 0) {
+	if (answer.status === 0) {
 		count(record, 'connections without an answer')
-		const wasRead = (record.runs.get(asked.id) ?? []).length > 0
+		const wasRead = (record.runs.get(request.id) ?? []).length > 0
 		// One that was frozen while it stops runs out of its time to end.
-		const isStopping = entry.stoppingAt !== undefined
+		const isStopping = entry.stopRequestedAt !== undefined
 		const isExcused =
-			isStopping && !isCalm(troubles, entry.name, asked.sentAt, now)
-		if (wasRead && !wasKilled && !asked.gaveUp && !isExcused && entry.child)
-			breakPromise(record, 'LOST', `${asked.id} at ${entry.name}`)
+			isStopping &&
+			!isUndisturbed(disturbances, entry.name, request.sentAt, now)
+		if (wasRead && !wasKilled && !request.timedOut && !isExcused && entry.child)
+			recordViolation(record, 'LOST', `${request.id} at ${entry.name}`)
 	}
-	if (!options.timed || wasKilled) return
-	const isLate = now > asked.givenUpAt + LATE_MS
-	if (isLate && isCalm(troubles, entry.name, asked.sentAt, now))
-		breakPromise(
+	if (!options.checksTiming || wasKilled) return
+	const isLate = now > request.timeoutAt + TIMEOUT_TOLERANCE_MS
+	if (isLate && isUndisturbed(disturbances, entry.name, request.sentAt, now))
+		recordViolation(
 			record,
 			'CONFIG',
-			`${asked.id} ended ${Math.round(now - asked.givenUpAt)} ms late`,
+			`${request.id} ended ${Math.round(now - request.timeoutAt)} ms late`,
 		)
 }
--- a/soak/src/config.ts
+++ b/soak/src/config.ts
@@ -10,7 +10,7 @@
 	'key-guests': 'guests',
 }
 /** A key that a later configuration takes away. */
-export const DOOMED_KEY = 'key-doomed'
+export const REVOKED_KEY = 'key-doomed'
 /** Second sends allowed: part of the requests, and besides, in a window. */
 export const RETRIES = { ratio: 0.2, slack: 40, windowMs: 10_000 }
 
@@ -22,38 +22,38 @@
 export const PREFIX_OF = { once: '/o/', repeatable: '/r/', stream: '/s/' }
 
 /** Path of the route that a version adds. */
-export function addedPath(version: number): string {
+export function versionPath(version: number): string {
 	return `/v${version}/`
 }
 
 /** Routes that each growth of the configuration adds; nobody asks for them. */
-const GROWTH_ROUTES = 1_000
+const ROUTES_PER_GROWTH = 1_000
 
 /** A configuration's JSON text; version 1 is the first. */
 export function buildConfig(
 	version: number,
-	keepsDoomed: boolean,
+	keepsRevokedKey: boolean,
 	growths: number,
 ): string {
 	const added = Array.from({ length: version }, (_, at) => at + 1)
 	const grown = Array.from(
-		{ length: growths * GROWTH_ROUTES },
+		{ length: growths * ROUTES_PER_GROWTH },
 		(_, at) => `/grown-${at}/`,
 	)
-	const keys = keepsDoomed ? [DOOMED_KEY] : []
+	const keys = keepsRevokedKey ? [REVOKED_KEY] : []
 	return JSON.stringify({
 		config_version: version,
 		routes: [
-			route(PREFIX_OF.once, 'non_idempotent', PLAIN, 2),
-			route(PREFIX_OF.repeatable, 'idempotent', PLAIN, 2),
+			buildRoute(PREFIX_OF.once, 'non_idempotent', PLAIN, 2),
+			buildRoute(PREFIX_OF.repeatable, 'idempotent', PLAIN, 2),
 			{
-				...route(PREFIX_OF.stream, 'streaming', MODEL, 2),
+				...buildRoute(PREFIX_OF.stream, 'streaming', MODEL, 2),
 				timeout_ms: TIMEOUT_MS.stream,
 				stream_resume: true,
 				gap_aim_ms: 200,
 			},
-			...added.map(one => route(addedPath(one), 'idempotent', PLAIN, 2)),
-			...grown.map(path => route(path, 'idempotent', PLAIN, 2)),
+			...added.map(one => buildRoute(versionPath(one), 'idempotent', PLAIN, 2)),
+			...grown.map(path => buildRoute(path, 'idempotent', PLAIN, 2)),
 		],
 		services: [
 			{ name: PLAIN, max_connections: 200 },
@@ -91,7 +91,7 @@
 	form_ms: 10,
 }
 
-function route(
+function buildRoute(
 	prefix: string,
 	kind: string,
 	service: string,
--- a/soak/src/deadly.ts
+++ b/soak/src/deadly.ts
@@ -5,49 +5,61 @@
 
 import { Agent } from 'node:http'
 import { createRandom } from '@juniperhook/core'
-import { openCall, sendCall } from './call.ts'
+import { prepareCall, sendCall } from './call.ts'
 import { PREFIX_OF } from './config.ts'
 import { CONTACT_MS } from './trouble.ts'
 import type { Run } from './types.ts'
-import { breakPromise, count, drawBetween, drawOf, sleep } from './types.ts'
+import {
+	count,
+	randomBetween,
+	randomItem,
+	recordViolation,
+	sleep,
+} from './types.ts'
 import type { World } from './world.ts'
 
 /** Path and body of the request, the same each time. */
-export const DEADLY_PATH = `${PREFIX_OF.once}deadly`
-const DEADLY_BODY = 'what no server survives'
+export const POISON_PATH = `${PREFIX_OF.once}deadly`
+const POISON_BODY = 'what no server survives'
 /** From the beginning of a run until its server ends, ms. */
-export const DEADLY_MS = 40
+export const POISON_CRASH_DELAY_MS = 40
 /** Until a server that has ended is there again, ms. */
-export const DEADLY_DOWN_MS = 1_500
+export const POISON_DOWNTIME_MS = 1_500
 const PAUSE_MS = [300, 1_500] as const
 /** Between looks at which entries run, ms; less than a process takes to start. */
-const LOOK_MS = 20
+const POLL_INTERVAL_MS = 20
 /** Ends under it before it must be known, and sends that are allowed after that. */
-const ENDS_KNOWN = 3
-const MOST_SENDS = 3
+const CRASHES_UNTIL_QUARANTINE = 3
+const MAX_LATE_SENDS = 3
 
 /** Asks until the soak is over. */
-export async function runDeadlyCaller(world: World): Promise<void> {
+export async function runPoisonCaller(world: World): Promise<void> {
 	const random = createRandom(world.options.seed + 2)
 	const agent = new Agent({ keepAlive: false })
-	for (let at = 0; !world.over; at++) {
-		const entry = drawOf(random, world.entries)
+	for (let at = 0; !world.finished; at++) {
+		const entry = randomItem(random, world.entries)
 		const turn = { world, entry, agent, id: `deadly-${at}`, random }
-		const call = openCall(turn, 'once', DEADLY_PATH, 'key-guests', DEADLY_BODY)
-		const got = await sendCall(turn, call)
-		count(world.record, `deadly requests answered ${got.status}`)
-		await sleep(drawBetween(random, ...PAUSE_MS))
+		const call = prepareCall(
+			turn,
+			'once',
+			POISON_PATH,
+			'key-guests',
+			POISON_BODY,
+		)
+		const answer = await sendCall(turn, call)
+		count(world.record, `deadly requests answered ${answer.status}`)
+		await sleep(randomBetween(random, ...PAUSE_MS))
 	}
 }
 
 /** Notes each time at which no entry runs, until the soak is over: nobody is left who knows. */
-export async function watchForgetting(world: World): Promise<void> {
+export async function watchEntryOutages(world: World): Promise<void> {
 	let isForgotten = false
-	while (!world.over) {
+	while (!world.finished) {
 		const isNobody = world.entries.every(({ child }) => child === undefined)
-		if (isNobody && !isForgotten) world.forgotAt.push(performance.now())
+		if (isNobody && !isForgotten) world.evidenceLostAt.push(performance.now())
 		isForgotten = isNobody
-		await sleep(LOOK_MS)
+		await sleep(POLL_INTERVAL_MS)
 	}
 }
 
@@ -55,17 +67,17 @@
  * Judges what reached servers after the third end and the contact time. Where
  * no entry had been running none is left that knows: it begins anew.
  */
-export function judgeDeadly(world: World): void {
+export function checkPoisonRequest(world: World): void {
 	const { record } = world
-	const sends = [...record.asked.values()]
-		.filter(({ path }) => path === DEADLY_PATH)
+	const sends = [...record.requests.values()]
+		.filter(({ path }) => path === POISON_PATH)
 		.flatMap(({ id }) => record.runs.get(id) ?? [])
 		.sort((a, b) => a.startedAt - b.startedAt)
 	count(record, 'servers that ended under the deadly request', sends.length)
 	let since = 0
-	const forgotAt = [...world.forgotAt].sort((a, b) => a - b)
-	for (const until of [...forgotAt, Number.POSITIVE_INFINITY]) {
-		judgeLate(
+	const evidenceLostAt = [...world.evidenceLostAt].sort((a, b) => a - b)
+	for (const until of [...evidenceLostAt, Number.POSITIVE_INFINITY]) {
+		checkLateSends(
 			world,
 			sends.filter(one => one.startedAt >= since && one.startedAt < until),
 		)
@@ -73,11 +85,15 @@
 	}
 }
 
-function judgeLate({ record }: World, sends: readonly Run[]): void {
-	const third = sends[ENDS_KNOWN - 1]
+function checkLateSends({ record }: World, sends: readonly Run[]): void {
+	const third = sends[CRASHES_UNTIL_QUARANTINE - 1]
 	if (!third) return
-	const judgedFrom = third.startedAt + DEADLY_MS + CONTACT_MS
-	const late = sends.filter(({ startedAt }) => startedAt > judgedFrom)
-	if (late.length > MOST_SENDS)
-		breakPromise(record, 'BUDGET', `${late.length} servers run ${late[0]!.id}`)
+	const checkedFrom = third.startedAt + POISON_CRASH_DELAY_MS + CONTACT_MS
+	const late = sends.filter(({ startedAt }) => startedAt > checkedFrom)
+	if (late.length > MAX_LATE_SENDS)
+		recordViolation(
+			record,
+			'BUDGET',
+			`${late.length} servers run ${late[0]!.id}`,
+		)
 }
--- a/soak/src/engineCalls.ts
+++ b/soak/src/engineCalls.ts
@@ -7,7 +7,7 @@
 const STATUS_OF = { done: 200, conflict: 409, fenced: 412 } as const
 
 /** Answers a call; an order that is lost gets no answer. */
-export async function answerControl(
+export async function handleEngineCall(
 	group: StandInGroup,
 	engine: string,
 	req: IncomingMessage,
@@ -33,14 +33,14 @@
 			return
 		}
 		case 'POST /v1/order':
-			answerOrder(res, await port.order(engine, toOrder(JSON.parse(body))))
+			replyToOrder(res, await port.order(engine, parseOrder(JSON.parse(body))))
 			return
 		default:
 			res.writeHead(404).end()
 	}
 }
 
-function answerOrder(res: ServerResponse, answer: OrderAnswer): void {
+function replyToOrder(res: ServerResponse, answer: OrderAnswer): void {
 	if (answer === 'silent') return
 	res.writeHead(STATUS_OF[answer]).end()
 }
@@ -84,7 +84,7 @@
 	readonly map: number[][][]
 }
 
-function toOrder(wire: WireOrder): EngineOrder {
+function parseOrder(wire: WireOrder): EngineOrder {
 	const { operation: type, epoch, step, map } = wire
 	const fence = wire.fencing_token
 	const version = wire.config_version
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -12,18 +12,18 @@
 	healRelay,
 	resetRelay,
 } from '@juniperhook/fakes'
-import { DEADLY_DOWN_MS } from './deadly.ts'
-import type { Managed } from './processes.ts'
+import { POISON_DOWNTIME_MS } from './deadly.ts'
+import type { ManagedProcess } from './processes.ts'
 import {
 	killProcess,
-	signalSettings,
+	signalSettingsChange,
 	stopProcess,
 	writeSettings,
 } from './processes.ts'
 import type { BackendServer, Misbehaviour } from './servers.ts'
-import { behave, crashServer, startServer } from './servers.ts'
-import { beginTrouble, EVERYBODY } from './trouble.ts'
-import { count, drawBetween, drawOf, sleep } from './types.ts'
+import { crashServer, noMisbehaviour, startServer } from './servers.ts'
+import { ALL_VMS, beginDisturbance } from './trouble.ts'
+import { count, randomBetween, randomItem, sleep } from './types.ts'
 import type { World } from './world.ts'
 import { listServer, publish, unlistServer } from './world.ts'
 
@@ -31,116 +31,118 @@
  * A server that has said that it leaves serves on for this long, ms: longer than
  * entries may send it anything, so that one that does is seen.
  */
-const SERVES_ON_MS = 4_500
+const LEAVING_SERVE_MS = 4_500
 /** An entry in the list runs out this long after a crash, ms. */
-const LAPSE_MS = 900
+const RECORD_EXPIRY_MS = 900
 const FAULT_MS = [300, 3_500] as const
 /** The largest configuration, 0.8 MB as text, takes 0.5 to 5 s over these. */
-const NARROW_BYTES_PER_MS = [200, 2_000] as const
+const THROTTLED_BYTES_PER_MS = [200, 2_000] as const
 /** As many times a configuration grows; a published value is at most 1 MB. */
 const MAX_GROWTHS = 3
 
 /** Begins a fault; the function that is returned ends it. */
-type Begin = (world: World, random: Random) => () => void
+type StartFault = (world: World, random: Random) => () => void
 
-const nothing = () => {}
+const noop = () => {}
 
 /** Every kind of fault, by name. */
-export const FAULT_KINDS: { readonly [name: string]: Begin } = {
+export const FAULT_KINDS: { readonly [name: string]: StartFault } = {
 	'kill an entry': (world, random) => {
-		killProcess(world.record, drawOf(random, world.entries))
-		return nothing
+		killProcess(world.record, randomItem(random, world.entries))
+		return noop
 	},
 	'stop an entry': (world, random) => {
-		stopProcess(world.record, drawOf(random, world.entries))
-		return nothing
+		stopProcess(world.record, randomItem(random, world.entries))
+		return noop
 	},
 	'stop entries in turn': (world, random) => {
-		const gapMs = drawBetween(random, 100, 900)
+		const gapMs = randomBetween(random, 100, 900)
 		for (const [at, entry] of world.entries.entries())
 			setTimeout(() => stopProcess(world.record, entry), at * gapMs)
-		return nothing
+		return noop
 	},
 	'freeze an entry': (world, random) =>
-		freeze(world, drawOf(random, world.entries)),
+		freeze(world, randomItem(random, world.entries)),
 	'kill an agent': (world, random) => {
-		killProcess(world.record, drawOf(random, world.agents))
-		return nothing
+		killProcess(world.record, randomItem(random, world.agents))
+		return noop
 	},
 	'stop an agent': (world, random) => {
-		stopProcess(world.record, drawOf(random, world.agents))
-		return nothing
+		stopProcess(world.record, randomItem(random, world.agents))
+		return noop
 	},
 	'freeze an agent': (world, random) =>
-		freeze(world, drawOf(random, world.agents)),
+		freeze(world, randomItem(random, world.agents)),
 	'kill every process': world => {
-		world.forgotAt.push(performance.now())
+		world.evidenceLostAt.push(performance.now())
 		for (const one of [...world.entries, ...world.agents])
 			killProcess(world.record, one)
-		return nothing
+		return noop
 	},
 	'change settings': (world, random) => {
-		const one = drawOf(random, [...world.entries, ...world.agents])
+		const one = randomItem(random, [...world.entries, ...world.agents])
 		writeSettings(world.options, one, Math.floor(random() * 1_000_000))
-		if (random() < 0.7) signalSettings(one)
-		return nothing
+		if (random() < 0.7) signalSettingsChange(one)
+		return noop
 	},
 	'silence a server': (world, random) =>
-		spoilServerLink(world, random, relay => cutRelay(relay)),
+		disturbServerLink(world, random, relay => cutRelay(relay)),
 	'lose what a server is sent': (world, random) =>
-		spoilServerLink(world, random, relay => {
+		disturbServerLink(world, random, relay => {
 			relay.mood = 'deaf'
 		}),
 	'lose what a server sends': (world, random) =>
-		spoilServerLink(world, random, relay => {
+		disturbServerLink(world, random, relay => {
 			relay.mood = 'mute'
 		}),
 	'delay a server': (world, random) =>
-		spoilServerLink(world, random, relay => {
-			relay.delayMs = drawBetween(random, 20, 250)
+		disturbServerLink(world, random, relay => {
+			relay.delayMs = randomBetween(random, 20, 250)
 		}),
 	'reset a server': (world, random) =>
-		spoilServerLink(world, random, relay => resetRelay(relay)),
+		disturbServerLink(world, random, relay => resetRelay(relay)),
 	'silence an agent': (world, random) =>
-		spoilAgentLink(world, random, cutRelay),
+		disturbAgentLink(world, random, cutRelay),
 	'reset an agent': (world, random) =>
-		spoilAgentLink(world, random, resetRelay),
+		disturbAgentLink(world, random, resetRelay),
 	'delay an agent': (world, random) =>
-		spoilAgentLink(world, random, relay => {
-			relay.delayMs = drawBetween(random, 20, 250)
+		disturbAgentLink(world, random, relay => {
+			relay.delayMs = randomBetween(random, 20, 250)
 		}),
 	'silence the store for one': (world, random) =>
-		spoilStoreLink(world, random, cutRelay),
+		disturbStoreLink(world, random, cutRelay),
 	'delay the store for one': (world, random) =>
-		spoilStoreLink(world, random, relay => {
-			relay.delayMs = drawBetween(random, 50, 600)
+		disturbStoreLink(world, random, relay => {
+			relay.delayMs = randomBetween(random, 50, 600)
 		}),
 	'reset the store for one': (world, random) =>
-		spoilStoreLink(world, random, resetRelay),
+		disturbStoreLink(world, random, resetRelay),
 	'narrow the link to the store for one': (world, random) => {
-		const relay = drawOf(random, world.storeRelays)
+		const relay = randomItem(random, world.storeRelays)
 		// No trouble that excuses anything: peers make up for a slow link.
-		relay.link = createNarrowLink(drawBetween(random, ...NARROW_BYTES_PER_MS))
+		relay.link = createNarrowLink(
+			randomBetween(random, ...THROTTLED_BYTES_PER_MS),
+		)
 		return () => {
 			relay.link = undefined
 		}
 	},
-	'turn calls to the store away': world => spoilStore(world, 'busy'),
-	'reset calls to the store': world => spoilStore(world, 'reset'),
-	'silence the store': world => spoilStore(world, 'silent'),
+	'turn calls to the store away': world => disturbStore(world, 'busy'),
+	'reset calls to the store': world => disturbStore(world, 'reset'),
+	'silence the store': world => disturbStore(world, 'silent'),
 	'forget history': world => {
 		world.store.compact()
-		return nothing
+		return noop
 	},
 	'lose orders': (world, random) => {
-		world.servers.group.lossRate = drawBetween(random, 0.1, 0.5)
+		world.servers.group.lossRate = randomBetween(random, 0.1, 0.5)
 		return () => {
 			world.servers.group.lossRate = 0
 		}
 	},
 	'spoil answers': (world, random) => {
 		const share = () => (random() < 0.4 ? random() * 0.2 : 0)
-		return misbehave(world, random, {
+		return injectMisbehaviour(world, random, {
 			reset: share(),
 			hang: share(),
 			cut: share(),
@@ -150,45 +152,45 @@
 		})
 	},
 	'slow a server': (world, random) =>
-		misbehave(world, random, {
-			...behave(),
-			slow: drawBetween(random, 2, 12),
+		injectMisbehaviour(world, random, {
+			...noMisbehaviour(),
+			slow: randomBetween(random, 2, 12),
 		}),
 	'crash a server': (world, random) => {
-		const backend = drawOf(random, world.servers.all)
-		void crash(world, backend, drawBetween(random, ...FAULT_MS))
-		return nothing
+		const backend = randomItem(random, world.servers.all)
+		void crashAndRestart(world, backend, randomBetween(random, ...FAULT_MS))
+		return noop
 	},
 	'replace a server': (world, random) => {
 		const plain = world.servers.all.filter(one => one.rank === undefined)
-		void replace(world, drawOf(random, plain))
-		return nothing
+		void replaceServer(world, randomItem(random, plain))
+		return noop
 	},
 	'change the configuration': world => {
 		publishNext(world)
-		return nothing
+		return noop
 	},
 	'grow the configuration': world => {
 		world.growths = Math.min(world.growths + 1, MAX_GROWTHS)
 		publishNext(world)
-		return nothing
+		return noop
 	},
 	'change the configuration often': world => {
 		for (let at = 0; at < 4; at++) setTimeout(() => publishNext(world), at * 90)
-		return nothing
+		return noop
 	},
 }
 
 /** Draws faults and plays them; resolves when all have ended. */
-export async function playFaults(world: World): Promise<void> {
+export async function injectFaults(world: World): Promise<void> {
 	const { options, record } = world
 	const random = createRandom(options.seed)
 	const kinds = Object.keys(FAULT_KINDS)
-	const names = kinds.filter(name => name.includes(options.only))
+	const names = kinds.filter(name => name.includes(options.faultFilter))
 	const drawn = Array.from({ length: options.faults }, () => ({
-		at: random() * options.faultMs,
-		forMs: drawBetween(random, ...FAULT_MS),
-		name: drawOf(random, names),
+		at: random() * options.faultPhaseMs,
+		forMs: randomBetween(random, ...FAULT_MS),
+		name: randomItem(random, names),
 		random: createRandom(Math.floor(random() * 2 ** 31)),
 	}))
 	await Promise.all(
@@ -202,9 +204,9 @@
 	)
 }
 
-function freeze(world: World, managed: Managed): () => void {
+function freeze(world: World, managed: ManagedProcess): () => void {
 	const { child } = managed
-	const end = beginTrouble(world.troubles, managed.name)
+	const end = beginDisturbance(world.disturbances, managed.name)
 	child?.kill('SIGSTOP')
 	return () => {
 		child?.kill('SIGCONT')
@@ -212,48 +214,58 @@
 	}
 }
 
-function spoilServerLink(
+function disturbServerLink(
 	world: World,
 	random: Random,
-	spoil: (relay: Relay) => void,
+	disturb: (relay: Relay) => void,
 ): () => void {
-	return spoilRelay(world, drawOf(random, world.serverRelays), EVERYBODY, spoil)
+	return disturbRelay(
+		world,
+		randomItem(random, world.serverRelays),
+		ALL_VMS,
+		disturb,
+	)
 }
 
-function spoilAgentLink(
+function disturbAgentLink(
 	world: World,
 	random: Random,
-	spoil: (relay: Relay) => void,
+	disturb: (relay: Relay) => void,
 ): () => void {
-	return spoilRelay(world, drawOf(random, world.agentRelays), EVERYBODY, spoil)
+	return disturbRelay(
+		world,
+		randomItem(random, world.agentRelays),
+		ALL_VMS,
+		disturb,
+	)
 }
 
-function spoilStoreLink(
+function disturbStoreLink(
 	world: World,
 	random: Random,
-	spoil: (relay: Relay) => void,
+	disturb: (relay: Relay) => void,
 ): () => void {
 	const at = Math.floor(random() * world.storeRelays.length)
 	const { name } = [...world.entries, ...world.agents][at]!
-	return spoilRelay(world, world.storeRelays[at]!, name, spoil)
+	return disturbRelay(world, world.storeRelays[at]!, name, disturb)
 }
 
-function spoilRelay(
+function disturbRelay(
 	world: World,
 	relay: Relay,
-	who: string,
-	spoil: (relay: Relay) => void,
+	vm: string,
+	disturb: (relay: Relay) => void,
 ): () => void {
-	const end = beginTrouble(world.troubles, who)
-	spoil(relay)
+	const end = beginDisturbance(world.disturbances, vm)
+	disturb(relay)
 	return () => {
 		healRelay(relay)
 		end()
 	}
 }
 
-function spoilStore(world: World, mood: World['store']['mood']): () => void {
-	const end = beginTrouble(world.troubles, EVERYBODY)
+function disturbStore(world: World, mood: World['store']['mood']): () => void {
+	const end = beginDisturbance(world.disturbances, ALL_VMS)
 	world.store.mood = mood
 	// Watches that wait are cut, as when a store goes down.
 	world.store.server.closeAllConnections()
@@ -264,25 +276,28 @@
 	}
 }
 
-function misbehave(
+function injectMisbehaviour(
 	world: World,
 	random: Random,
 	misbehaviour: Misbehaviour,
 ): () => void {
-	const backend = drawOf(random, world.servers.all)
+	const backend = randomItem(random, world.servers.all)
 	backend.misbehaviour = misbehaviour
 	return () => {
-		backend.misbehaviour = behave()
+		backend.misbehaviour = noMisbehaviour()
 	}
 }
 
 /** Ends a server that has run a deadly request. */
-export function endUnderRequest(world: World, backend: BackendServer): void {
-	void crash(world, backend, DEADLY_DOWN_MS)
+export function crashUnderPoisonRequest(
+	world: World,
+	backend: BackendServer,
+): void {
+	void crashAndRestart(world, backend, POISON_DOWNTIME_MS)
 }
 
 /** A crash; a rank takes its group with it until it is back. */
-async function crash(
+async function crashAndRestart(
 	world: World,
 	backend: BackendServer,
 	downMs: number,
@@ -292,10 +307,10 @@
 	const { id, name } = backend
 	crashServer(backend)
 	if (backend.rank !== undefined) servers.groupOpen = false
-	await sleep(Math.min(downMs, LAPSE_MS))
+	await sleep(Math.min(downMs, RECORD_EXPIRY_MS))
 	unlistServer(world, { id, name })
-	await sleep(Math.max(0, downMs - LAPSE_MS))
-	if (world.over) return
+	await sleep(Math.max(0, downMs - RECORD_EXPIRY_MS))
+	if (world.finished) return
 	await startServer(servers, backend)
 	if (backend.rank !== undefined) reformGroup(world)
 	listServer(world, backend)
@@ -312,13 +327,16 @@
 }
 
 /** A server says that it leaves, serves on for a while, ends, and is replaced. */
-async function replace(world: World, backend: BackendServer): Promise<void> {
+async function replaceServer(
+	world: World,
+	backend: BackendServer,
+): Promise<void> {
 	if (!backend.server || backend.leaving) return
 	const { id, name } = backend
 	backend.leaving = true
 	listServer(world, backend)
-	await sleep(SERVES_ON_MS)
-	if (world.over || backend.id !== id || !backend.server) return
+	await sleep(LEAVING_SERVE_MS)
+	if (world.finished || backend.id !== id || !backend.server) return
 	crashServer(backend)
 	unlistServer(world, { id, name })
 	await startServer(world.servers, backend)
@@ -326,6 +344,6 @@
 }
 
 function publishNext(world: World): void {
-	const { version, keepsDoomed } = world.published.at(-1)!
-	publish(world, version + 1, keepsDoomed && version < 2)
+	const { version, keepsRevokedKey } = world.published.at(-1)!
+	publish(world, version + 1, keepsRevokedKey && version < 2)
 }
--- a/soak/src/held.ts
+++ b/soak/src/held.ts
@@ -6,67 +6,73 @@
 
 import { SERVICE_OF } from './config.ts'
 import type { BackendServer } from './servers.ts'
-import type { Asked } from './types.ts'
+import type { RequestRecord } from './types.ts'
 import { sleep } from './types.ts'
 import type { World } from './world.ts'
 
-const LOOK_MS = 20
+const POLL_INTERVAL_MS = 20
 /** Refusals that say so. */
-const HELD_ERRORS = new Set(['rateLimited', 'resting', 'noServer'])
+const UNAVAILABLE_ERRORS = new Set(['rateLimited', 'resting', 'noServer'])
 
 /** When no server of a service was free for an entry, ms. */
-export interface HeldMoment {
+export interface UnavailableMoment {
 	readonly at: number
 	readonly entry: number
 	readonly service: string
 }
 
 /** Looks for such moments until the soak is over. */
-export async function watchHeld(world: World): Promise<void> {
-	while (!world.over) {
+export async function watchUnavailability(world: World): Promise<void> {
+	while (!world.finished) {
 		for (const { index } of world.entries)
 			for (const service of new Set(Object.values(SERVICE_OF)))
-				noteMoment(world, index, service)
-		await sleep(LOOK_MS)
+				recordIfUnavailable(world, index, service)
+		await sleep(POLL_INTERVAL_MS)
 	}
 }
 
-function noteMoment(world: World, entry: number, service: string): void {
+function recordIfUnavailable(
+	world: World,
+	entry: number,
+	service: string,
+): void {
 	const at = performance.now()
 	const servers = world.servers.all.filter(one => one.service === service)
-	const isHeld = servers.every(server => !isFree(world, server, entry, at))
-	if (isHeld) world.heldMoments.push({ at, entry, service })
+	const isUnavailable = servers.every(
+		server => !isAvailable(world, server, entry, at),
+	)
+	if (isUnavailable) world.unavailableMoments.push({ at, entry, service })
 }
 
-function isFree(
-	{ restLog, entries }: World,
+function isAvailable(
+	{ backoffLog, entries }: World,
 	{ id, server, leaving, limit }: BackendServer,
 	entry: number,
 	at: number,
 ): boolean {
 	if (!server || leaving || limit) return false
-	const { life } = entries[entry]!
-	return !restLog.rests.some(
+	const { incarnation } = entries[entry]!
+	return !backoffLog.backoffs.some(
 		rest =>
 			rest.serverId === id &&
 			rest.entry === entry &&
-			rest.life === life &&
+			rest.incarnation === incarnation &&
 			rest.until > at,
 	)
 }
 
 /** Whether a request was refused while no server of its service was free. */
-export function isHeldRightly(
-	{ heldMoments }: Pick<World, 'heldMoments'>,
-	{ kind, entry, status, error, sentAt, answeredAt }: Asked,
+export function isRefusalJustified(
+	{ unavailableMoments }: Pick<World, 'unavailableMoments'>,
+	{ kind, entry, status, error, sentAt, answeredAt }: RequestRecord,
 ): boolean {
-	if (status !== 503 || !HELD_ERRORS.has(error)) return false
+	if (status !== 503 || !UNAVAILABLE_ERRORS.has(error)) return false
 	const until = answeredAt ?? sentAt
-	return heldMoments.some(
+	return unavailableMoments.some(
 		one =>
 			one.entry === entry &&
 			one.service === SERVICE_OF[kind] &&
-			one.at >= sentAt - LOOK_MS &&
-			one.at <= until + LOOK_MS,
+			one.at >= sentAt - POLL_INTERVAL_MS &&
+			one.at <= until + POLL_INTERVAL_MS,
 	)
 }
--- a/soak/src/judge.ts
+++ b/soak/src/judge.ts
@@ -2,12 +2,12 @@
 
 import type { IncomingMessage } from 'node:http'
 import { WIRE } from '../../platform/src/index.ts'
-import type { Asked, Record, Run } from './types.ts'
-import { breakPromise, count } from './types.ts'
+import type { RequestRecord, Run, SoakRecord } from './types.ts'
+import { count, recordViolation } from './types.ts'
 
 /** Notes a run and judges whether it may be. */
-export function judgeRun(
-	record: Record,
+export function checkRun(
+	record: SoakRecord,
 	serverId: string,
 	req: IncomingMessage,
 	body: string,
@@ -17,82 +17,95 @@
 		id,
 		serverId,
 		startedAt: performance.now(),
-		givenMs: Number(req.headers[WIRE.deadlineMs]),
+		deadlineMs: Number(req.headers[WIRE.deadlineMs]),
 		endedAt: undefined,
 	}
 	const runs = record.runs.get(id) ?? []
 	record.runs.set(id, [...runs, run])
 	count(record, 'runs')
-	const asked = record.asked.get(id)
-	if (!asked) {
-		breakPromise(record, 'UNASKED', `${serverId} runs ${id}, never sent`)
+	const request = record.requests.get(id)
+	if (!request) {
+		recordViolation(record, 'UNASKED', `${serverId} runs ${id}, never sent`)
 		return run
 	}
 	const isAsSent =
-		req.url === asked.path &&
-		body === asked.body &&
-		req.headers[WIRE.team] === asked.team &&
+		req.url === request.path &&
+		body === request.body &&
+		req.headers[WIRE.team] === request.team &&
 		req.headers.authorization === undefined
 	if (!isAsSent)
-		breakPromise(record, 'UNASKED', `${id} was changed on its way: ${req.url}`)
-	if (asked.kind === 'once' && runs.length > 0)
-		breakPromise(record, 'TWICE', `${id} runs at ${serverId} again`)
-	if (asked.promisedAt !== undefined && asked.kind === 'once')
-		breakPromise(record, 'REFUSED', `${id} runs after "not run" was said`)
+		recordViolation(
+			record,
+			'UNASKED',
+			`${id} was changed on its way: ${req.url}`,
+		)
+	if (request.kind === 'once' && runs.length > 0)
+		recordViolation(record, 'TWICE', `${id} runs at ${serverId} again`)
+	if (request.promisedNotRunAt !== undefined && request.kind === 'once')
+		recordViolation(record, 'REFUSED', `${id} runs after "not run" was said`)
 	return run
 }
 
 /** What a caller got; `status` 0 when the connection ended without an answer. */
-export interface Got {
+export interface CallerAnswer {
 	readonly status: number
 	readonly seal: string | undefined
-	readonly answeredId: string | undefined
+	readonly requestId: string | undefined
 	readonly retryAfter: string | undefined
 	readonly body: string
 	/** Whether the answer ended as its framing says. */
-	readonly whole: boolean
+	readonly complete: boolean
 }
 
 /** Statuses that promise that the request has not run and never will. */
-const PROMISES = new Set([408, 421, 429, 503])
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
 
 /** Judges an answer; those that broke off are judged by the caller. */
-export function judgeAnswer(
-	record: Record,
-	asked: Asked,
-	got: Got,
+export function checkAnswer(
+	record: SoakRecord,
+	request: RequestRecord,
+	answer: CallerAnswer,
 	expected: string,
 ): void {
-	count(record, `answers with ${got.status}`)
-	const { id } = asked
-	if (got.answeredId !== undefined && got.answeredId !== id)
-		breakPromise(record, 'MIXED', `${id} got the answer to ${got.answeredId}`)
-	if (got.status === 200 && got.whole) {
+	count(record, `answers with ${answer.status}`)
+	const { id } = request
+	if (answer.requestId !== undefined && answer.requestId !== id)
+		recordViolation(
+			record,
+			'MIXED',
+			`${id} got the answer to ${answer.requestId}`,
+		)
+	if (answer.status === 200 && answer.complete) {
 		const [run] = record.runs.get(id) ?? []
-		if (!run || !got.seal) breakPromise(record, 'MIXED', `${id} was never run`)
-		if (got.body !== expected)
-			breakPromise(
+		if (!run || !answer.seal)
+			recordViolation(record, 'MIXED', `${id} was never run`)
+		if (answer.body !== expected)
+			recordViolation(
 				record,
-				asked.kind === 'stream' ? 'ORDER' : 'MIXED',
-				`${id} got ${got.body.length} bytes, not ${expected.length}`,
+				request.kind === 'stream' ? 'ORDER' : 'MIXED',
+				`${id} got ${answer.body.length} bytes, not ${expected.length}`,
 			)
 	}
-	if (!PROMISES.has(got.status)) return
-	asked.promisedAt = performance.now()
+	if (!NOT_RUN_STATUSES.has(answer.status)) return
+	request.promisedNotRunAt = performance.now()
 	const runs = record.runs.get(id) ?? []
-	if (asked.kind === 'once' && runs.length > 0)
-		breakPromise(record, 'REFUSED', `${id} got ${got.status} but ran`)
-	if (got.status === 503 && !got.retryAfter && !got.body.includes('noConfig'))
+	if (request.kind === 'once' && runs.length > 0)
+		recordViolation(record, 'REFUSED', `${id} got ${answer.status} but ran`)
+	if (
+		answer.status === 503 &&
+		!answer.retryAfter &&
+		!answer.body.includes('noConfig')
+	)
 		count(record, 'refusals that say no time to come back')
 }
 
 /** Whether a stream that broke off has lost, doubled or mixed events. */
-export function judgePart(
-	record: Record,
-	asked: Asked,
+export function checkPartialStream(
+	record: SoakRecord,
+	request: RequestRecord,
 	body: string,
 	expected: string,
 ): void {
 	if (!expected.startsWith(body))
-		breakPromise(record, 'ORDER', `${asked.id} got other events: ${body}`)
+		recordViolation(record, 'ORDER', `${request.id} got other events: ${body}`)
 }
--- a/soak/src/leavings.ts
+++ b/soak/src/leavings.ts
@@ -1,18 +1,18 @@
 /** Servers that say in their answers that they leave, and what they are sent after that. */
 
-import type { Asked } from './types.ts'
-import { breakPromise, count } from './types.ts'
+import type { RequestRecord } from './types.ts'
+import { count, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
 /** Nothing comes from an entry that a caller asks later than this after the answer, ms. */
 const DRAIN_MS = 2_000
 
 /** An answer by which a caller heard that a server leaves. */
-export interface PassedLeaving {
+export interface RelayedLeaving {
 	readonly serverId: string
 	readonly entry: number
 	/** The entry's life. */
-	readonly life: number
+	readonly incarnation: number
 	readonly at: number
 }
 
@@ -22,30 +22,31 @@
 }
 
 /** Notes an answer that an entry has passed on. */
-export function notePassed(
+export function recordRelayedLeaving(
 	world: World,
-	{ entry, life }: Asked,
+	{ entry, incarnation }: RequestRecord,
 	serverId: string | undefined,
 ): void {
 	if (serverId === undefined) return
 	const at = performance.now()
-	world.passedLeavings.push({ serverId, entry, life, at })
+	world.relayedLeavings.push({ serverId, entry, incarnation, at })
 }
 
 /** Judges all entries, whatever befell them: only another life may not know. */
-export function judgeLeavings(world: World): void {
-	const { record, passedLeavings } = world
-	count(record, 'answers of servers that leave', passedLeavings.length)
-	for (const { serverId, entry, life, at } of passedLeavings)
-		for (const asked of record.asked.values()) {
-			if (asked.entry !== entry || asked.life !== life) continue
-			if (asked.sentAt <= at + DRAIN_MS) continue
-			const runs = record.runs.get(asked.id) ?? []
+export function checkLeaving(world: World): void {
+	const { record, relayedLeavings } = world
+	count(record, 'answers of servers that leave', relayedLeavings.length)
+	for (const { serverId, entry, incarnation, at } of relayedLeavings)
+		for (const request of record.requests.values()) {
+			if (request.entry !== entry || request.incarnation !== incarnation)
+				continue
+			if (request.sentAt <= at + DRAIN_MS) continue
+			const runs = record.runs.get(request.id) ?? []
 			if (!runs.some(run => run.serverId === serverId)) continue
-			breakPromise(
+			recordViolation(
 				record,
 				'DRAIN',
-				`${serverId} runs ${asked.id} though entry-${entry} had passed on that it leaves`,
+				`${serverId} runs ${request.id} though entry-${entry} had passed on that it leaves`,
 			)
 			return
 		}
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path'
 import { parseArgs } from 'node:util'
 import { runSoak } from './soak.ts'
-import type { Record, SoakOptions } from './types.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
 
 const { values } = parseArgs({
 	options: {
@@ -34,29 +34,29 @@
 		seed,
 		entries: Number(values.entries),
 		ranks: Number(values.ranks),
-		plain: Number(values.plain),
+		plainServers: Number(values.plain),
 		clients: Number(values.clients),
-		faultMs: Number(values.seconds) * 1_000,
+		faultPhaseMs: Number(values.seconds) * 1_000,
 		faults: Number(values.faults),
 		net: Number(values.net),
-		only: values.only,
-		deadly: !values.harmless,
-		limited: !values.unlimited,
-		rests: !values.restless,
-		rewinds: !values.steady,
-		timed: true,
+		faultFilter: values.only,
+		poisonRequest: !values.harmless,
+		rateLimits: !values.unlimited,
+		backoffs: !values.restless,
+		rollbacks: !values.steady,
+		checksTiming: true,
 		folder: join(tmpdir(), 'juniperhook-soak', `seed-${seed}`),
 	}
 }
 
-function print(options: SoakOptions, record: Record): void {
-	const { counts, broken } = record
+function print(options: SoakOptions, record: SoakRecord): void {
+	const { counts, violations: broken } = record
 	const get = (what: string) => counts.get(what) ?? 0
 	const faults = [...counts].filter(([what]) => what.startsWith('fault: '))
 	const line = [
 		`seed ${options.seed}`,
 		`${faults.reduce((sum, [, times]) => sum + times, 0)} faults`,
-		`${record.asked.size} requests`,
+		`${record.requests.size} requests`,
 		`${get('answers with 200')} served`,
 		`${get('served after recovery')} of ${get('requests after recovery')} after recovery`,
 		`${broken.length} promises broken`,
@@ -75,7 +75,7 @@
 	const options = optionsFor(seed)
 	const record = await runSoak(options)
 	print(options, record)
-	if (record.broken.length > 0) failed++
+	if (record.violations.length > 0) failed++
 }
 process.stdout.write(`${values.seeds} seeds, ${failed} with broken promises\n`)
 process.exit(failed === 0 ? 0 : 1)
--- a/soak/src/processes.ts
+++ b/soak/src/processes.ts
@@ -17,8 +17,8 @@
 	relayIp,
 } from './addresses.ts'
 import { RETRIES } from './config.ts'
-import type { Record, SoakOptions } from './types.ts'
-import { breakPromise, count } from './types.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
+import { count, recordViolation } from './types.ts'
 
 const BUNDLE = fileURLToPath(
 	new URL('../../platform/dist/main.js', import.meta.url),
@@ -28,10 +28,10 @@
 const NODE_START_MS = 1_000
 /** From SIGTERM to SIGKILL, ms. */
 export const GRACE_MS = 5_000
-const SEEDS = 2
+const SEED_NODES = 2
 
 /** One process with all its lives. */
-export interface Managed {
+export interface ManagedProcess {
 	readonly name: string
 	readonly role: 'entry' | 'agent'
 	/** Number of the entry, or rank of the agent. */
@@ -40,41 +40,41 @@
 	readonly logPath: string
 	child: ChildProcess | undefined
 	/** Starts so far. */
-	life: number
+	incarnation: number
 	/** When the present life was started, ms. */
 	startedAt: number
 	/** Whether the soak has told the present life to end. */
-	told: boolean
+	endRequested: boolean
 	/** When the present life was told to stop by SIGTERM, ms. */
-	stoppingAt: number | undefined
+	stopRequestedAt: number | undefined
 	/** When a life was last killed without warning, ms. */
 	killedAt: number
 	/** Whether it is to be started again when it ends. */
-	wanted: boolean
+	keepRunning: boolean
 }
 
 /** Makes a process's folder and settings; it is not started. */
 export function prepareProcess(
 	options: SoakOptions,
-	role: Managed['role'],
+	role: ManagedProcess['role'],
 	index: number,
-): Managed {
+): ManagedProcess {
 	const name = `${role}-${index}`
 	mkdirSync(options.folder, { recursive: true })
 	const settingsPath = join(options.folder, `${name}.conf`)
-	const managed: Managed = {
+	const managed: ManagedProcess = {
 		name,
 		role,
 		index,
 		settingsPath,
 		logPath: join(options.folder, `${name}.log`),
 		child: undefined,
-		life: 0,
+		incarnation: 0,
 		startedAt: 0,
-		told: false,
-		stoppingAt: undefined,
+		endRequested: false,
+		stopRequestedAt: undefined,
 		killedAt: 0,
-		wanted: true,
+		keepRunning: true,
 	}
 	writeSettings(options, managed, 0)
 	return managed
@@ -83,14 +83,14 @@
 /** Writes a settings file; `edition` makes it differ from the last one. */
 export function writeSettings(
 	options: SoakOptions,
-	{ role, index, name, settingsPath }: Managed,
+	{ role, index, name, settingsPath }: ManagedProcess,
 	edition: number,
 ): void {
 	const { net } = options
 	const ip = role === 'entry' ? entryIp(net, index) : agentIp(net, index)
 	const storeIp =
 		role === 'entry' ? entryStoreIp(net, index) : agentStoreIp(net, index)
-	const seeds = Array.from({ length: SEEDS }, (_, at) => entryIp(net, at))
+	const seeds = Array.from({ length: SEED_NODES }, (_, at) => entryIp(net, at))
 	const lines = [
 		`node_name=${name}`,
 		`machine_class=${role}`,
@@ -121,8 +121,8 @@
 
 /** Starts a process; it is started again whenever it ends while it is wanted. */
 export function startProcess(
-	record: Record,
-	managed: Managed,
+	record: SoakRecord,
+	managed: ManagedProcess,
 	bundle = BUNDLE,
 ): void {
 	const log = openSync(managed.logPath, 'a')
@@ -131,21 +131,21 @@
 		stdio: ['ignore', log, log],
 	})
 	managed.child = child
-	managed.life++
+	managed.incarnation++
 	managed.startedAt = performance.now()
-	managed.told = false
-	managed.stoppingAt = undefined
+	managed.endRequested = false
+	managed.stopRequestedAt = undefined
 	child.on('exit', (code, signal) => {
 		managed.child = undefined
-		if (!managed.told)
-			breakPromise(
+		if (!managed.endRequested)
+			recordViolation(
 				record,
 				'ENDED',
 				`${managed.name} ended by itself: ${code ?? signal}`,
 			)
-		if (managed.wanted)
+		if (managed.keepRunning)
 			setTimeout(() => {
-				if (managed.wanted) startProcess(record, managed, bundle)
+				if (managed.keepRunning) startProcess(record, managed, bundle)
 			}, RESTART_MS)
 	})
 }
@@ -154,26 +154,29 @@
  * Tells a process that its settings have changed. Until Node has started and
  * main.js runs, SIGHUP ends a process; none that young is told.
  */
-export function signalSettings({ child, startedAt }: Managed): void {
+export function signalSettingsChange({
+	child,
+	startedAt,
+}: ManagedProcess): void {
 	if (performance.now() - startedAt > NODE_START_MS) child?.kill('SIGHUP')
 }
 
 /** Kills a process without warning. */
-export function killProcess(record: Record, managed: Managed): void {
+export function killProcess(record: SoakRecord, managed: ManagedProcess): void {
 	if (!managed.child) return
 	count(record, `kills of ${managed.role}`)
-	managed.told = true
+	managed.endRequested = true
 	managed.killedAt = performance.now()
 	managed.child.kill('SIGKILL')
 }
 
 /** Asks a process to stop; it is killed when its time is over. */
-export function stopProcess(record: Record, managed: Managed): void {
+export function stopProcess(record: SoakRecord, managed: ManagedProcess): void {
 	const { child } = managed
-	if (!child || managed.stoppingAt !== undefined) return
+	if (!child || managed.stopRequestedAt !== undefined) return
 	count(record, `stops of ${managed.role}`)
-	managed.told = true
-	managed.stoppingAt = performance.now()
+	managed.endRequested = true
+	managed.stopRequestedAt = performance.now()
 	child.kill('SIGTERM')
 	setTimeout(() => {
 		if (managed.child !== child) return
@@ -186,9 +189,9 @@
  * Ends a process for good; resolves when it is gone. On a busy machine that takes
  * longer than until the next soak binds its addresses.
  */
-export function endProcess(managed: Managed): Promise<void> {
-	managed.wanted = false
-	managed.told = true
+export function terminateProcess(managed: ManagedProcess): Promise<void> {
+	managed.keepRunning = false
+	managed.endRequested = true
 	const { child } = managed
 	if (!child) return Promise.resolve()
 	child.kill('SIGKILL')
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -12,13 +12,13 @@
 import { addressOf } from '../../packages/groups/test/standInGroup.ts'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import { PORTS, relayIp, serverIp } from './addresses.ts'
-import { DEADLY_MS, DEADLY_PATH } from './deadly.ts'
-import { answerControl } from './engineCalls.ts'
-import { judgeRun } from './judge.ts'
-import type { NamedLimit } from './limits.ts'
-import { takeUnderLimit } from './limits.ts'
-import type { Record, Run } from './types.ts'
-import { count, drawBetween, sleep } from './types.ts'
+import { POISON_CRASH_DELAY_MS, POISON_PATH } from './deadly.ts'
+import { handleEngineCall } from './engineCalls.ts'
+import { checkRun } from './judge.ts'
+import type { ReportedLimit } from './limits.ts'
+import { recordArrival } from './limits.ts'
+import type { Run, SoakRecord } from './types.ts'
+import { count, randomBetween, sleep } from './types.ts'
 
 /** Events of a whole stream. */
 export const STREAM_EVENTS = 6
@@ -26,7 +26,7 @@
 const WORK_MS = [3, 25] as const
 /** Some work takes so long that a caller who leaves can be seen to free it, ms. */
 const LONG_WORK_MS = 1_200
-const LONG_PART = 0.06
+const LONG_WORK_RATIO = 0.06
 /** A rank of a group that broke stands still this long, then refuses, ms. */
 const STALL_MS = 300
 
@@ -47,7 +47,7 @@
 }
 
 /** A server that does as it should. */
-export function behave(): Misbehaviour {
+export function noMisbehaviour(): Misbehaviour {
 	return { reset: 0, hang: 0, cut: 0, fail: 0, extra: 0, slow: 1 }
 }
 
@@ -70,24 +70,24 @@
 	leaving: boolean
 	misbehaviour: Misbehaviour
 	/** What it names in its answers for now. */
-	limit: NamedLimit | undefined
+	limit: ReportedLimit | undefined
 	/** Whether it turns requests away and asks for rest. */
-	turnsAway: boolean
+	requestsBackoff: boolean
 }
 
 /** All backend servers. */
 export interface Servers {
 	readonly all: BackendServer[]
 	readonly group: StandInGroup
-	readonly record: Record
+	readonly record: SoakRecord
 	readonly random: Random
 	readonly net: number
 	/** Part of the group's ranks that run; it serves while all do. */
 	groupOpen: boolean
 	/** What a server does that has run a deadly request. */
-	onDeadly: (backend: BackendServer) => void
+	onPoisonRequest: (backend: BackendServer) => void
 	/** Turns a request away if the server is to; true when it has. */
-	turnAway: (
+	refuseWithBackoff: (
 		backend: BackendServer,
 		req: IncomingMessage,
 		res: ServerResponse,
@@ -108,8 +108,8 @@
 	backend.leaving = false
 	const { id, name } = backend
 	const server = createServer((req, res) => {
-		answer(servers, backend, { id, name }, req, res).catch(err => {
-			servers.record.broken.push(`SOAK: ${String(err?.stack ?? err)}`)
+		handleRequest(servers, backend, { id, name }, req, res).catch(err => {
+			servers.record.violations.push(`SOAK: ${String(err?.stack ?? err)}`)
 		})
 	})
 	server.keepAliveTimeout = 4_000
@@ -133,7 +133,7 @@
 	return `${relayIp(net, index)}:${PORTS.engine}`
 }
 
-async function answer(
+async function handleRequest(
 	servers: Servers,
 	backend: BackendServer,
 	{ id, name }: Pick<BackendServer, 'id' | 'name'>,
@@ -144,10 +144,10 @@
 	const isControl = req.url?.startsWith('/v1/') && !req.headers[WIRE.requestId]
 	if (isControl && backend.rank !== undefined) {
 		const engine = addressOf(backend.rank)
-		await answerControl(servers.group, engine, req, body, res)
+		await handleEngineCall(servers.group, engine, req, body, res)
 		return
 	}
-	for (const [name, value] of Object.entries(takeUnderLimit(backend, req)))
+	for (const [name, value] of Object.entries(recordArrival(backend, req)))
 		res.setHeader(name, value)
 	if (backend.leaving) res.setHeader(SIGNAL_HEADERS.leaving, '1')
 	const expected = req.headers[WIRE.expectServer]
@@ -160,14 +160,14 @@
 		res.writeHead(503, { [WIRE.notRun]: '1', [WIRE.atFault]: name }).end()
 		return
 	}
-	if (servers.turnAway(backend, req, res)) return
-	const run = judgeRun(servers.record, id, req, body)
+	if (servers.refuseWithBackoff(backend, req, res)) return
+	const run = checkRun(servers.record, id, req, body)
 	res.on('close', () => {
 		run.endedAt ??= performance.now()
 	})
-	if (req.url === DEADLY_PATH) {
-		await sleep(DEADLY_MS)
-		servers.onDeadly(backend)
+	if (req.url === POISON_PATH) {
+		await sleep(POISON_CRASH_DELAY_MS)
+		servers.onPoisonRequest(backend)
 		return
 	}
 	if (backend.rank === undefined) await serveWhole(servers, backend, run, res)
@@ -186,8 +186,8 @@
 	res: ServerResponse,
 ): Promise<void> {
 	const { random, record } = servers
-	const usual = drawBetween(random, ...WORK_MS) * misbehaviour.slow
-	await sleep(random() < LONG_PART ? LONG_WORK_MS : usual)
+	const usual = randomBetween(random, ...WORK_MS) * misbehaviour.slow
+	await sleep(random() < LONG_WORK_RATIO ? LONG_WORK_MS : usual)
 	run.endedAt ??= performance.now()
 	const head = { [WIRE.requestId]: run.id, [WIRE.seal]: `seal-${run.serverId}` }
 	const text = bodyOf(run.id)
@@ -213,7 +213,7 @@
 }
 
 /** Bytes of another answer where the next one is expected. */
-function sendExtra(record: Record, res: ServerResponse): void {
+function sendExtra(record: SoakRecord, res: ServerResponse): void {
 	count(record, 'answers sent twice')
 	res.socket?.write(
 		`HTTP/1.1 200 OK\r\n${WIRE.requestId}: other\r\n${WIRE.seal}: seal\r\nContent-Length: 5\r\n\r\nother`,
--- a/soak/src/soak.ts
+++ b/soak/src/soak.ts
@@ -2,17 +2,21 @@
 
 import { rmSync } from 'node:fs'
 import { runCaller } from './callers.ts'
-import { judgeDeadly, runDeadlyCaller, watchForgetting } from './deadly.ts'
-import { endUnderRequest, playFaults } from './faults.ts'
-import { watchHeld } from './held.ts'
-import { judgeLeavings } from './leavings.ts'
-import { judgeLimits, playLimits } from './limits.ts'
-import { judgeRests, playRests, turnAway } from './rests.ts'
-import { playRewinds } from './rewinds.ts'
+import {
+	checkPoisonRequest,
+	runPoisonCaller,
+	watchEntryOutages,
+} from './deadly.ts'
+import { crashUnderPoisonRequest, injectFaults } from './faults.ts'
+import { watchUnavailability } from './held.ts'
+import { checkLeaving } from './leavings.ts'
+import { checkRateLimits, injectRateLimits } from './limits.ts'
+import { checkBackoffs, injectBackoffs, refuseWithBackoff } from './rests.ts'
+import { injectRollbacks } from './rewinds.ts'
 import { watchStalls } from './stalls.ts'
-import type { Record, SoakOptions } from './types.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
 import { sleep } from './types.ts'
-import { judgeWhole } from './verdict.ts'
+import { checkRecord } from './verdict.ts'
 import { startWorld, stopWorld } from './world.ts'
 
 /** A soak that is interrupted ends the processes that it started. */
@@ -22,12 +26,12 @@
 /** After the last fault, until recovery is due, ms. */
 const RECOVERY_MS = 7_000
 /** Calm in which recovery is judged, ms. */
-const JUDGED_MS = 3_000
+const MEASURED_MS = 3_000
 /** Requests that are under way at the end, ms. */
-const LAST_ANSWERS_MS = 2_500
+const FINAL_ANSWERS_MS = 2_500
 
 /** Runs a soak; its folder is kept when a promise was broken. */
-export async function runSoak(options: SoakOptions): Promise<Record> {
+export async function runSoak(options: SoakOptions): Promise<SoakRecord> {
 	rmSync(options.folder, { recursive: true, force: true })
 	const world = await startWorld(options)
 	const interrupt = () => {
@@ -39,33 +43,35 @@
 	const callers = Array.from({ length: options.clients }, (_, number) =>
 		runCaller(world, number),
 	)
-	if (options.deadly) {
-		world.servers.onDeadly = backend => endUnderRequest(world, backend)
-		void runDeadlyCaller(world)
-		void watchForgetting(world)
+	if (options.poisonRequest) {
+		world.servers.onPoisonRequest = backend =>
+			crashUnderPoisonRequest(world, backend)
+		void runPoisonCaller(world)
+		void watchEntryOutages(world)
 	}
-	if (options.limited) void playLimits(world)
-	if (options.rests) {
-		world.servers.turnAway = (...args) => turnAway(world, ...args)
-		void playRests(world)
+	if (options.rateLimits) void injectRateLimits(world)
+	if (options.backoffs) {
+		world.servers.refuseWithBackoff = (...args) =>
+			refuseWithBackoff(world, ...args)
+		void injectBackoffs(world)
 	}
-	if (options.rewinds) void playRewinds(world)
-	await playFaults(world)
+	if (options.rollbacks) void injectRollbacks(world)
+	await injectFaults(world)
 	await sleep(RECOVERY_MS)
-	const calmSince = performance.now()
+	const recoveryDueAt = performance.now()
 	const stall = watchStalls()
-	void watchHeld(world)
-	await sleep(JUDGED_MS)
-	world.over = true
-	await Promise.race([Promise.all(callers), sleep(LAST_ANSWERS_MS)])
-	judgeWhole(world, calmSince, stall.end())
-	if (options.deadly) judgeDeadly(world)
-	if (options.timed && options.limited) judgeLimits(world)
-	if (options.timed) judgeRests(world)
-	judgeLeavings(world)
+	void watchUnavailability(world)
+	await sleep(MEASURED_MS)
+	world.finished = true
+	await Promise.race([Promise.all(callers), sleep(FINAL_ANSWERS_MS)])
+	checkRecord(world, recoveryDueAt, stall.stop())
+	if (options.poisonRequest) checkPoisonRequest(world)
+	if (options.checksTiming && options.rateLimits) checkRateLimits(world)
+	if (options.checksTiming) checkBackoffs(world)
+	checkLeaving(world)
 	await stopWorld(world)
 	for (const signal of SIGNALS) process.removeListener(signal, interrupt)
-	if (world.record.broken.length === 0)
+	if (world.record.violations.length === 0)
 		rmSync(options.folder, { recursive: true, force: true })
 	return world.record
 }
--- a/soak/src/stalls.ts
+++ b/soak/src/stalls.ts
@@ -3,12 +3,12 @@
  * clock live in one thread, so what it did not see may not be the product's doing.
  */
 
-const LOOK_MS = 20
+const SAMPLE_INTERVAL_MS = 20
 
 /** A watch under way. */
 export interface StallWatch {
 	/** Ends it; the longest time between two looks beyond what was asked, ms. */
-	end(): number
+	stop(): number
 }
 
 /** Watches this process's thread until it is told to end. */
@@ -17,12 +17,12 @@
 	let lookedAt = performance.now()
 	const look = () => {
 		const now = performance.now()
-		longest = Math.max(longest, now - lookedAt - LOOK_MS)
+		longest = Math.max(longest, now - lookedAt - SAMPLE_INTERVAL_MS)
 		lookedAt = now
 	}
-	const timer = setInterval(look, LOOK_MS)
+	const timer = setInterval(look, SAMPLE_INTERVAL_MS)
 	return {
-		end() {
+		stop() {
 			look()
 			clearInterval(timer)
 			return Math.max(0, Math.round(longest))
--- a/soak/src/trouble.ts
+++ b/soak/src/trouble.ts
@@ -6,48 +6,51 @@
 /** A VM counts as untroubled this long after a fault's end, ms. */
 export const CONTACT_MS = 3_000
 
-interface Span {
-	readonly who: string
+interface Disturbance {
+	readonly vm: string
 	readonly from: number
 	until: number
 }
 
 /** Spans of trouble; the store's and all servers' belong to everybody. */
-export interface Troubles {
-	readonly spans: Span[]
+export interface Disturbances {
+	readonly spans: Disturbance[]
 }
 
 /** Who a span of the store or of all belongs to. */
-export const EVERYBODY = '*'
+export const ALL_VMS = '*'
 
 /** Makes a log without troubles. */
-export function createTroubles(): Troubles {
+export function createDisturbances(): Disturbances {
 	return { spans: [] }
 }
 
 /** Begins a trouble; the function that is returned ends it. */
-export function beginTrouble(troubles: Troubles, who: string): () => void {
+export function beginDisturbance(
+	disturbances: Disturbances,
+	vm: string,
+): () => void {
 	const span = {
-		who,
+		vm,
 		from: performance.now(),
 		until: Number.POSITIVE_INFINITY,
 	}
-	troubles.spans.push(span)
+	disturbances.spans.push(span)
 	return () => {
 		span.until = performance.now()
 	}
 }
 
 /** Whether a VM was left alone from {@link CONTACT_MS} before `from` to `until`. */
-export function isCalm(
-	troubles: Troubles,
-	who: string,
+export function isUndisturbed(
+	disturbances: Disturbances,
+	vm: string,
 	from: number,
 	until: number,
 ): boolean {
-	return troubles.spans.every(
+	return disturbances.spans.every(
 		span =>
-			(span.who !== who && span.who !== EVERYBODY) ||
+			(span.vm !== vm && span.vm !== ALL_VMS) ||
 			span.from > until ||
 			span.until + CONTACT_MS < from,
 	)
--- a/soak/src/types.ts
+++ b/soak/src/types.ts
@@ -6,7 +6,7 @@
 export type RequestKind = 'once' | 'repeatable' | 'stream'
 
 /** What a caller sent and what came of it; times in ms of the steady clock. */
-export interface Asked {
+export interface RequestRecord {
 	readonly id: string
 	readonly kind: RequestKind
 	readonly path: string
@@ -14,17 +14,17 @@
 	readonly team: string
 	readonly entry: number
 	/** The entry's life that it was sent to. */
-	readonly life: number
+	readonly incarnation: number
 	readonly sentAt: number
 	/** When it is given up, by its deadline or its route's time-out. */
-	readonly givenUpAt: number
+	readonly timeoutAt: number
 	readonly deadlineAt: number
 	/** When the caller left, if it did. */
-	leftAt: number | undefined
+	abandonedAt: number | undefined
 	/** Whether the caller gave up after its deadline without an answer. */
-	gaveUp: boolean
+	timedOut: boolean
 	/** A promise that it has not run and never will. */
-	promisedAt: number | undefined
+	promisedNotRunAt: number | undefined
 	answeredAt: number | undefined
 	status: number
 	/** What the answer says of a refusal or failure; '' for none. */
@@ -37,41 +37,41 @@
 	readonly serverId: string
 	readonly startedAt: number
 	/** Time that the server was given, ms. */
-	readonly givenMs: number
+	readonly deadlineMs: number
 	endedAt: number | undefined
 }
 
 /** What backend servers and callers saw, and what was broken. */
-export interface Record {
-	readonly asked: Map<string, Asked>
+export interface SoakRecord {
+	readonly requests: Map<string, RequestRecord>
 	readonly runs: Map<string, Run[]>
 	/** A line for each promise that was broken. */
-	readonly broken: string[]
+	readonly violations: string[]
 	readonly counts: Map<string, number>
 }
 
 /** Makes an empty record. */
-export function createRecord(): Record {
+export function createRecord(): SoakRecord {
 	return {
-		asked: new Map(),
+		requests: new Map(),
 		runs: new Map(),
-		broken: [],
+		violations: [],
 		counts: new Map(),
 	}
 }
 
 /** Counts something. */
-export function count(record: Record, what: string, by = 1): void {
+export function count(record: SoakRecord, what: string, by = 1): void {
 	record.counts.set(what, (record.counts.get(what) ?? 0) + by)
 }
 
 /** Notes a broken promise. */
-export function breakPromise(
-	record: Record,
+export function recordViolation(
+	record: SoakRecord,
 	promise: string,
 	detail: string,
 ): void {
-	record.broken.push(`${promise}: ${detail}`)
+	record.violations.push(`${promise}: ${detail}`)
 }
 
 /** Sizes and lengths of a soak. */
@@ -79,26 +79,26 @@
 	readonly seed: number
 	readonly entries: number
 	readonly ranks: number
-	readonly plain: number
+	readonly plainServers: number
 	readonly clients: number
 	/** Time in which faults begin, ms. */
-	readonly faultMs: number
+	readonly faultPhaseMs: number
 	/** Faults in that time. */
 	readonly faults: number
 	/** Only kinds of faults whose names have this in them; all for ''. */
-	readonly only: string
+	readonly faultFilter: string
 	/** Second part of the loopback addresses, so that soaks can run side by side. */
 	readonly net: number
 	/** Whether a caller sends a request that ends servers, again and again. */
-	readonly deadly: boolean
+	readonly poisonRequest: boolean
 	/** Whether servers name limits, one after the other. */
-	readonly limited: boolean
+	readonly rateLimits: boolean
 	/** Whether servers turn requests away and ask for rest. */
-	readonly rests: boolean
+	readonly backoffs: boolean
 	/** Whether the store goes back to older copies. */
-	readonly rewinds: boolean
+	readonly rollbacks: boolean
 	/** Whether promises with a time bound are judged. */
-	readonly timed: boolean
+	readonly checksTiming: boolean
 	/** The processes' bundle; by default the one that was built here. */
 	readonly bundle?: string | undefined
 	/** Folder for settings and logs. */
@@ -106,12 +106,16 @@
 }
 
 /** A number from `low` up to `high`. */
-export function drawBetween(random: Random, low: number, high: number): number {
+export function randomBetween(
+	random: Random,
+	low: number,
+	high: number,
+): number {
 	return low + random() * (high - low)
 }
 
 /** One of several. */
-export function drawOf<T>(random: Random, items: readonly T[]): T {
+export function randomItem<T>(random: Random, items: readonly T[]): T {
 	return items[Math.floor(random() * items.length)]!
 }
 
--- a/soak/src/verdict.ts
+++ b/soak/src/verdict.ts
@@ -1,14 +1,14 @@
 /** What can only be judged when a soak is over. */
 
 import { RETRIES, SERVICE_OF } from './config.ts'
-import { isHeldRightly } from './held.ts'
-import { isCalm } from './trouble.ts'
-import type { Asked, Run } from './types.ts'
-import { breakPromise, count } from './types.ts'
+import { isRefusalJustified } from './held.ts'
+import { isUndisturbed } from './trouble.ts'
+import type { RequestRecord, Run } from './types.ts'
+import { count, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
 /** A caller that left frees the server within this time, ms. */
-const LEFT_MS = 500
+const ABANDON_MS = 500
 /** A deadline handed on may end this much after the caller's own, ms. */
 const DEADLINE_SLACK_MS = 500
 /** Added to times judged from outside, for this machine's own delays, ms. */
@@ -16,84 +16,95 @@
 /** A server that leaves gets nothing new after this time, ms. */
 const DRAIN_MS = 2_000
 /** Part of the requests that must be served once all faults are over. */
-const RECOVERED_PART = 0.95
+const MIN_SERVED_RATIO = 0.95
 /** Fewer requests than this say nothing about recovery. */
-const FEW = 30
+const MIN_REQUESTS = 30
 /** Ways of ending that a verdict tells. */
-const MOST_ENDS = 6
+const MAX_OUTCOMES = 6
 
 /**
  * Judges the whole record; `calmSince` is when recovery was due, `stalledMs` how long
  * this process stood still at most since then.
  */
-export function judgeWhole(
+export function checkRecord(
 	world: World,
-	calmSince: number,
+	recoveryDueAt: number,
 	stalledMs: number,
 ): void {
 	const { record, servers } = world
-	for (const mixed of servers.group.mixed) breakPromise(record, 'MAP', mixed)
+	for (const mixed of servers.group.mixed) recordViolation(record, 'MAP', mixed)
 	if (servers.group.held !== undefined)
-		breakPromise(record, 'MAP', `held at the end: ${servers.group.held}`)
+		recordViolation(record, 'MAP', `held at the end: ${servers.group.held}`)
 	for (const [id, runs] of record.runs) {
-		const asked = record.asked.get(id)
-		if (asked) for (const run of runs) judgeTimes(world, asked, run)
+		const request = record.requests.get(id)
+		if (request) for (const run of runs) checkTimes(world, request, run)
 	}
-	judgeRefusals(world)
-	judgeRetries(world)
-	judgeRecovery(world, calmSince, stalledMs)
+	checkRefusals(world)
+	checkRetries(world)
+	checkRecovery(world, recoveryDueAt, stalledMs)
 }
 
 /** A refusal counts for whatever ran before or after it. */
-function judgeRefusals({ record }: World): void {
-	for (const asked of record.asked.values()) {
-		const runs = record.runs.get(asked.id) ?? []
-		const isBroken = asked.promisedAt !== undefined && asked.kind === 'once'
+function checkRefusals({ record }: World): void {
+	for (const request of record.requests.values()) {
+		const runs = record.runs.get(request.id) ?? []
+		const isBroken =
+			request.promisedNotRunAt !== undefined && request.kind === 'once'
 		if (isBroken && runs.length > 0)
-			breakPromise(record, 'REFUSED', `${asked.id} ran all the same`)
+			recordViolation(record, 'REFUSED', `${request.id} ran all the same`)
 	}
 }
 
-function judgeTimes(world: World, asked: Asked, run: Run): void {
-	const { record, troubles, leftAt, options } = world
-	if (!options.timed) return
-	const entry = `entry-${asked.entry}`
-	const until = run.startedAt + run.givenMs - DEADLINE_SLACK_MS - SLACK_MS
+function checkTimes(world: World, request: RequestRecord, run: Run): void {
+	const { record, disturbances, leavingAt, options } = world
+	if (!options.checksTiming) return
+	const entry = `entry-${request.entry}`
+	const until = run.startedAt + run.deadlineMs - DEADLINE_SLACK_MS - SLACK_MS
 	if (
-		until > asked.deadlineAt &&
-		isCalm(troubles, entry, asked.sentAt, run.startedAt)
+		until > request.deadlineAt &&
+		isUndisturbed(disturbances, entry, request.sentAt, run.startedAt)
 	)
-		breakPromise(record, 'BUDGET', `${asked.id} has more time than is left`)
+		recordViolation(
+			record,
+			'BUDGET',
+			`${request.id} has more time than is left`,
+		)
 	const ended = run.endedAt ?? Number.POSITIVE_INFINITY
-	if (asked.leftAt !== undefined && ended > asked.leftAt + LEFT_MS + SLACK_MS) {
-		const until = Math.min(ended, asked.leftAt + LEFT_MS + SLACK_MS)
-		if (isCalm(troubles, entry, asked.leftAt, until))
-			breakPromise(record, 'GONE', `${run.serverId} works on ${asked.id}`)
+	if (
+		request.abandonedAt !== undefined &&
+		ended > request.abandonedAt + ABANDON_MS + SLACK_MS
+	) {
+		const until = Math.min(ended, request.abandonedAt + ABANDON_MS + SLACK_MS)
+		if (isUndisturbed(disturbances, entry, request.abandonedAt, until))
+			recordViolation(record, 'GONE', `${run.serverId} works on ${request.id}`)
 	}
-	const serverLeftAt = leftAt.get(run.serverId)
-	if (serverLeftAt === undefined) return
-	const lateBy = run.startedAt - serverLeftAt - DRAIN_MS - SLACK_MS
-	if (lateBy > 0 && isCalm(troubles, entry, serverLeftAt, run.startedAt))
-		breakPromise(
+	const leavingSince = leavingAt.get(run.serverId)
+	if (leavingSince === undefined) return
+	const lateBy = run.startedAt - leavingSince - DRAIN_MS - SLACK_MS
+	if (
+		lateBy > 0 &&
+		isUndisturbed(disturbances, entry, leavingSince, run.startedAt)
+	)
+		recordViolation(
 			record,
 			'DRAIN',
-			`${run.serverId} runs ${asked.id} ${Math.round(lateBy)} ms too late`,
+			`${run.serverId} runs ${request.id} ${Math.round(lateBy)} ms too late`,
 		)
 }
 
 /** Second runs at a service stay below its budget in every window. */
-function judgeRetries(world: World): void {
+function checkRetries(world: World): void {
 	for (const service of new Set(Object.values(SERVICE_OF)))
-		judgeService(world, service)
+		checkRetriesOfService(world, service)
 }
 
-function judgeService(world: World, service: string): void {
+function checkRetriesOfService(world: World, service: string): void {
 	const { record } = world
-	const asked = [...record.asked.values()].filter(
+	const request = [...record.requests.values()].filter(
 		one => SERVICE_OF[one.kind] === service,
 	)
-	const sent = asked.map(one => one.sentAt)
-	const again = asked.flatMap(one =>
+	const sent = request.map(one => one.sentAt)
+	const again = request.flatMap(one =>
 		(record.runs.get(one.id) ?? []).slice(1).map(run => run.startedAt),
 	)
 	count(record, `second runs at ${service}`, again.length)
@@ -102,60 +113,64 @@
 			times.filter(at => at <= end && at > end - RETRIES.windowMs).length
 		const most = RETRIES.ratio * within(sent) + RETRIES.slack
 		if (within(again) <= most) continue
-		breakPromise(record, 'BUDGET', `${within(again)} second runs at ${service}`)
+		recordViolation(
+			record,
+			'BUDGET',
+			`${within(again)} second runs at ${service}`,
+		)
 		return
 	}
 }
 
-function judgeRecovery(
+function checkRecovery(
 	world: World,
-	calmSince: number,
+	recoveryDueAt: number,
 	stalledMs: number,
 ): void {
 	const { record } = world
-	const ended = [...record.asked.values()].filter(
+	const ended = [...record.requests.values()].filter(
 		one =>
-			one.sentAt > calmSince &&
+			one.sentAt > recoveryDueAt &&
 			one.answeredAt !== undefined &&
-			one.leftAt === undefined,
+			one.abandonedAt === undefined,
 	)
-	const late = ended.filter(one => !isHeldRightly(world, one))
+	const late = ended.filter(one => !isRefusalJustified(world, one))
 	count(record, 'refused rightly after recovery', ended.length - late.length)
 	const served = late.filter(one => one.status === 200).length
 	count(record, 'requests after recovery', late.length)
 	count(record, 'served after recovery', served)
-	if (late.length < FEW)
-		breakPromise(
+	if (late.length < MIN_REQUESTS)
+		recordViolation(
 			record,
 			'RECOVER',
 			`only ${late.length} requests ended, ${countOpen(world)} open, stalled ${stalledMs} ms`,
 		)
-	else if (served < RECOVERED_PART * late.length)
-		breakPromise(
+	else if (served < MIN_SERVED_RATIO * late.length)
+		recordViolation(
 			record,
 			'RECOVER',
-			`${served} of ${late.length} served, ${listEnds(late)}, stalled ${stalledMs} ms`,
+			`${served} of ${late.length} served, ${summarizeOutcomes(late)}, stalled ${stalledMs} ms`,
 		)
 }
 
 /** How often requests ended in each way but a whole success, the most frequent first. */
-function listEnds(asked: readonly Asked[]): string {
+function summarizeOutcomes(request: readonly RequestRecord[]): string {
 	const ends = new Map<string, number>()
-	for (const { kind, entry, status, error } of asked) {
+	for (const { kind, entry, status, error } of request) {
 		if (status === 200) continue
 		const end = `${kind} at entry-${entry}: ${status} ${error}`.trimEnd()
 		ends.set(end, (ends.get(end) ?? 0) + 1)
 	}
 	return [...ends]
 		.sort(([, a], [, b]) => b - a)
-		.slice(0, MOST_ENDS)
+		.slice(0, MAX_OUTCOMES)
 		.map(([end, times]) => `${end} (${times})`)
 		.join(', ')
 }
 
 /** Requests without an end, whose callers still wait. */
 function countOpen({ record }: World): number {
-	return [...record.asked.values()].filter(
-		one => one.answeredAt === undefined && one.leftAt === undefined,
+	return [...record.requests.values()].filter(
+		one => one.answeredAt === undefined && one.abandonedAt === undefined,
 	).length
 }
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -15,18 +15,23 @@
 	serverIp,
 } from './addresses.ts'
 import { buildConfig, SERVICE_OF } from './config.ts'
-import type { HeldMoment } from './held.ts'
-import type { PassedLeaving } from './leavings.ts'
-import type { NamedLimit } from './limits.ts'
-import type { Managed } from './processes.ts'
-import { endProcess, prepareProcess, startProcess } from './processes.ts'
-import type { RestLog } from './rests.ts'
-import { createRestLog } from './rests.ts'
+import type { UnavailableMoment } from './held.ts'
+import type { RelayedLeaving } from './leavings.ts'
+import type { ReportedLimit } from './limits.ts'
+import type { ManagedProcess } from './processes.ts'
+import { prepareProcess, startProcess, terminateProcess } from './processes.ts'
+import type { BackoffLog } from './rests.ts'
+import { createBackoffLog } from './rests.ts'
 import type { BackendServer, Servers } from './servers.ts'
-import { behave, crashServer, listedAddress, startServer } from './servers.ts'
-import type { Troubles } from './trouble.ts'
-import { createTroubles } from './trouble.ts'
-import type { Record, SoakOptions } from './types.ts'
+import {
+	crashServer,
+	listedAddress,
+	noMisbehaviour,
+	startServer,
+} from './servers.ts'
+import type { Disturbances } from './trouble.ts'
+import { createDisturbances } from './trouble.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
 import { createRecord } from './types.ts'
 
 const SLOTS = 8
@@ -35,20 +40,20 @@
 export interface PublishedVersion {
 	readonly version: number
 	readonly at: number
-	readonly keepsDoomed: boolean
+	readonly keepsRevokedKey: boolean
 }
 
 /** A running soak. */
 export interface World {
 	readonly options: SoakOptions
-	readonly record: Record
-	readonly troubles: Troubles
+	readonly record: SoakRecord
+	readonly disturbances: Disturbances
 	readonly store: StandInStore
 	/** What writers last wrote, by key; they write it again when the store lacks it. */
-	readonly written: Map<string, string | undefined>
+	readonly lastWritten: Map<string, string | undefined>
 	readonly servers: Servers
-	readonly entries: Managed[]
-	readonly agents: Managed[]
+	readonly entries: ManagedProcess[]
+	readonly agents: ManagedProcess[]
 	/** Relays to backend servers, and to agents beside them. */
 	readonly serverRelays: Relay[]
 	readonly agentRelays: Relay[]
@@ -58,17 +63,17 @@
 	/** How often the configuration has grown by many routes. */
 	growths: number
 	/** When the store was told that a server leaves or is gone, by id. */
-	readonly leftAt: Map<string, number>
+	readonly leavingAt: Map<string, number>
 	/** When no entry was running, ms. */
-	readonly forgotAt: number[]
+	readonly evidenceLostAt: number[]
 	/** Limits that servers have named. */
-	readonly limits: NamedLimit[]
+	readonly limits: ReportedLimit[]
 	/** Rests that servers have asked for, and what came. */
-	readonly restLog: RestLog
-	readonly passedLeavings: PassedLeaving[]
-	readonly heldMoments: HeldMoment[]
+	readonly backoffLog: BackoffLog
+	readonly relayedLeavings: RelayedLeaving[]
+	readonly unavailableMoments: UnavailableMoment[]
 	/** Set when the soak is over. */
-	over: boolean
+	finished: boolean
 }
 
 /** Starts a world; processes are started and need a moment. */
@@ -84,16 +89,16 @@
 		random: createRandom(seed + 1),
 		net,
 		groupOpen: true,
-		onDeadly: () => {},
-		turnAway: () => false,
+		onPoisonRequest: () => {},
+		refuseWithBackoff: () => false,
 		incarnations: 0,
 	}
 	const world: World = {
 		options,
 		record,
-		troubles: createTroubles(),
+		disturbances: createDisturbances(),
 		store,
-		written: new Map(),
+		lastWritten: new Map(),
 		servers,
 		entries: [],
 		agents: [],
@@ -102,16 +107,16 @@
 		storeRelays: [],
 		published: [],
 		growths: 0,
-		leftAt: new Map(),
-		forgotAt: [],
+		leavingAt: new Map(),
+		evidenceLostAt: [],
 		limits: [],
-		restLog: createRestLog(),
-		passedLeavings: [],
-		heldMoments: [],
-		over: false,
+		backoffLog: createBackoffLog(),
+		relayedLeavings: [],
+		unavailableMoments: [],
+		finished: false,
 	}
 	publish(world, 1, true)
-	for (let at = 0; at < options.ranks + options.plain; at++)
+	for (let at = 0; at < options.ranks + options.plainServers; at++)
 		await addServer(world, at)
 	const storePort = Number(store.address.split(':')[1])
 	for (let at = 0; at < options.entries; at++)
@@ -143,9 +148,9 @@
 		bornAt: 0,
 		id: '',
 		leaving: false,
-		misbehaviour: behave(),
+		misbehaviour: noMisbehaviour(),
 		limit: undefined,
-		turnsAway: false,
+		requestsBackoff: false,
 	}
 	servers.all.push(backend)
 	await startServer(servers, backend)
@@ -161,7 +166,7 @@
 }
 
 function write(world: World, key: string, value: string | undefined): void {
-	world.written.set(key, value)
+	world.lastWritten.set(key, value)
 	world.store.put(key, value)
 }
 
@@ -185,7 +190,7 @@
 		}),
 	}
 	write(world, `servers/${name}`, JSON.stringify(entry))
-	if (leaving) world.leftAt.set(id, performance.now())
+	if (leaving) world.leavingAt.set(id, performance.now())
 }
 
 /** Takes a server's entry away. */
@@ -194,24 +199,24 @@
 	{ id, name }: Pick<BackendServer, 'id' | 'name'>,
 ): void {
 	write(world, `servers/${name}`, undefined)
-	if (!world.leftAt.has(id)) world.leftAt.set(id, performance.now())
+	if (!world.leavingAt.has(id)) world.leavingAt.set(id, performance.now())
 }
 
 /** Publishes a version of the configuration. */
 export function publish(
 	world: World,
 	version: number,
-	keepsDoomed: boolean,
+	keepsRevokedKey: boolean,
 ): void {
-	const text = buildConfig(version, keepsDoomed, world.growths)
+	const text = buildConfig(version, keepsRevokedKey, world.growths)
 	write(world, 'op/config', text)
-	world.published.push({ version, at: performance.now(), keepsDoomed })
+	world.published.push({ version, at: performance.now(), keepsRevokedKey })
 }
 
 /** Ends everything that the soak started; resolves when its processes are gone. */
 export async function stopWorld(world: World): Promise<void> {
 	const managed = [...world.entries, ...world.agents]
-	const ended = Promise.all(managed.map(endProcess))
+	const ended = Promise.all(managed.map(terminateProcess))
 	for (const relay of allRelays(world)) stopRelay(relay)
 	for (const backend of world.servers.all) crashServer(backend)
 	world.servers.group.stop()
--- a/soak/test/judge.test.ts
+++ b/soak/test/judge.test.ts
@@ -5,30 +5,30 @@
 import * as assert from 'uvu/assert'
 import { WIRE } from '../../platform/src/index.ts'
 import { SERVICE_OF } from '../src/config.ts'
-import { isHeldRightly } from '../src/held.ts'
-import type { Got } from '../src/judge.ts'
-import { judgeAnswer, judgePart, judgeRun } from '../src/judge.ts'
-import { judgeLeavings } from '../src/leavings.ts'
-import { judgeRests } from '../src/rests.ts'
-import { createTroubles } from '../src/trouble.ts'
-import type { Asked, Record } from '../src/types.ts'
+import { isRefusalJustified } from '../src/held.ts'
+import type { CallerAnswer } from '../src/judge.ts'
+import { checkAnswer, checkPartialStream, checkRun } from '../src/judge.ts'
+import { checkLeaving } from '../src/leavings.ts'
+import { checkBackoffs } from '../src/rests.ts'
+import { createDisturbances } from '../src/trouble.ts'
+import type { RequestRecord, SoakRecord } from '../src/types.ts'
 import { createRecord } from '../src/types.ts'
 import type { World } from '../src/world.ts'
 
-const ASKED: Asked = {
+const ASKED: RequestRecord = {
 	id: 'a',
 	kind: 'once',
 	path: '/o/1',
 	body: 'body',
 	team: 'rangers',
 	entry: 0,
-	life: 1,
+	incarnation: 1,
 	sentAt: 0,
-	givenUpAt: 1_000,
+	timeoutAt: 1_000,
 	deadlineAt: 1_000,
-	leftAt: undefined,
-	gaveUp: false,
-	promisedAt: undefined,
+	abandonedAt: undefined,
+	timedOut: false,
+	promisedNotRunAt: undefined,
 	answeredAt: undefined,
 	status: 0,
 	error: '',
@@ -39,24 +39,24 @@
 	[WIRE.deadlineMs]: '900',
 }
 const WHOLE = 'the whole answer'
-const GOT: Got = {
+const GOT: CallerAnswer = {
 	status: 200,
 	seal: 'seal',
-	answeredId: 'a',
+	requestId: 'a',
 	retryAfter: undefined,
 	body: WHOLE,
-	whole: true,
+	complete: true,
 }
 
-function runIt(record: Record, change: object = {}, body = 'body'): void {
+function runIt(record: SoakRecord, change: object = {}, body = 'body'): void {
 	const headers = { ...HEADERS, ...change }
 	const req = { url: '/o/1', headers } as unknown as IncomingMessage
-	judgeRun(record, 's', req, body)
+	checkRun(record, 's', req, body)
 }
 
 const CASES: {
 	name: string
-	deed: (record: Record) => void
+	deed: (record: SoakRecord) => void
 	/** Promises that are broken. */
 	broken: string[]
 }[] = [
@@ -97,14 +97,14 @@
 	{
 		name: 'a run after a refusal',
 		deed(record) {
-			judgeAnswer(record, askedIn(record), { ...GOT, status: 503 }, WHOLE)
+			checkAnswer(record, askedIn(record), { ...GOT, status: 503 }, WHOLE)
 			runIt(record)
 		},
 		broken: ['REFUSED'],
 	},
 	{
 		name: "another request's answer",
-		deed: record => answer(record, { answeredId: 'b' }),
+		deed: record => answer(record, { requestId: 'b' }),
 		broken: ['MIXED'],
 	},
 	{
@@ -114,43 +114,47 @@
 	},
 	{
 		name: 'a success without a run',
-		deed: record => judgeAnswer(record, askedIn(record), GOT, WHOLE),
+		deed: record => checkAnswer(record, askedIn(record), GOT, WHOLE),
 		broken: ['MIXED'],
 	},
 	{
 		name: 'a part of a stream in order',
-		deed: record => judgePart(record, askedIn(record), 'the', WHOLE),
+		deed: record => checkPartialStream(record, askedIn(record), 'the', WHOLE),
 		broken: [],
 	},
 	{
 		name: 'a part of a stream that is missing',
-		deed: record => judgePart(record, askedIn(record), 'whole', WHOLE),
+		deed: record => checkPartialStream(record, askedIn(record), 'whole', WHOLE),
 		broken: ['ORDER'],
 	},
 ]
 
-function askedIn(record: Record): Asked {
-	return record.asked.get('a')!
+function askedIn(record: SoakRecord): RequestRecord {
+	return record.requests.get('a')!
 }
 
-function answer(record: Record, change: Partial<Got> = {}): void {
+function answer(record: SoakRecord, change: Partial<CallerAnswer> = {}): void {
 	runIt(record)
-	judgeAnswer(record, askedIn(record), { ...GOT, ...change }, WHOLE)
+	checkAnswer(record, askedIn(record), { ...GOT, ...change }, WHOLE)
 }
 
 for (const { name, deed, broken } of CASES)
 	test(`soak judge: ${name}`, () => {
 		const record = createRecord()
-		record.asked.set('a', { ...ASKED })
+		record.requests.set('a', { ...ASKED })
 		deed(record)
-		const promises = record.broken.map(line => line.split(':')[0])
+		const promises = record.violations.map(line => line.split(':')[0])
 		assert.equal(promises, broken)
 	})
 
 /** A world as far as the judges of rests and leavings look at it. */
 function worldOf(part: object): World {
 	const record = createRecord()
-	return { record, troubles: createTroubles(), ...part } as unknown as World
+	return {
+		record,
+		disturbances: createDisturbances(),
+		...part,
+	} as unknown as World
 }
 
 interface SpokenCase {
@@ -174,22 +178,22 @@
 ]
 for (const { name, arrivals, troubled, broken } of RESTS)
 	test(`judge of rests: ${name}`, () => {
-		const who = { serverId: 's', entry: 0, life: 1 }
+		const who = { serverId: 's', entry: 0, incarnation: 1 }
 		const world = worldOf({
-			restLog: {
-				rests: [{ ...who, at: 0, until: 3_000 }],
+			backoffLog: {
+				backoffs: [{ ...who, at: 0, until: 3_000 }],
 				arrivals: arrivals.map(at => ({ ...who, at })),
 			},
 		})
 		if (troubled)
-			world.troubles.spans.push({ who: 'entry-0', from: 500, until: 600 })
-		judgeRests(world)
-		assert.is(world.record.broken.length, broken)
+			world.disturbances.spans.push({ vm: 'entry-0', from: 500, until: 600 })
+		checkBackoffs(world)
+		assert.is(world.record.violations.length, broken)
 	})
 
 /** No server of the plain service is free for entry 0 at that moment. */
 const HELD_AT = 500
-const REFUSED: Asked = {
+const REFUSED: RequestRecord = {
 	...ASKED,
 	sentAt: HELD_AT,
 	answeredAt: HELD_AT + 10,
@@ -198,66 +202,74 @@
 }
 const REFUSALS: readonly {
 	readonly name: string
-	readonly asked: Asked
+	readonly request: RequestRecord
 	readonly rightly: boolean
 }[] = [
-	{ name: 'at that moment', asked: REFUSED, rightly: true },
+	{ name: 'at that moment', request: REFUSED, rightly: true },
 	{
 		name: 'long before it',
-		asked: { ...REFUSED, sentAt: 100, answeredAt: 110 },
+		request: { ...REFUSED, sentAt: 100, answeredAt: 110 },
 		rightly: false,
 	},
 	{
 		name: 'long after it',
-		asked: { ...REFUSED, sentAt: 600, answeredAt: 610 },
+		request: { ...REFUSED, sentAt: 600, answeredAt: 610 },
 		rightly: false,
 	},
 	{
 		name: 'by another entry',
-		asked: { ...REFUSED, entry: 1 },
+		request: { ...REFUSED, entry: 1 },
 		rightly: false,
 	},
 	{
 		name: 'of another service',
-		asked: { ...REFUSED, kind: 'stream' },
+		request: { ...REFUSED, kind: 'stream' },
 		rightly: false,
 	},
 	{
 		name: 'for another reason',
-		asked: { ...REFUSED, error: 'overloaded' },
+		request: { ...REFUSED, error: 'overloaded' },
 		rightly: false,
 	},
 	{
 		name: 'after it may have run',
-		asked: { ...REFUSED, status: 502, error: 'linkLost' },
+		request: { ...REFUSED, status: 502, error: 'linkLost' },
 		rightly: false,
 	},
 ]
-for (const { name, asked, rightly } of REFUSALS)
+for (const { name, request, rightly } of REFUSALS)
 	test(`judge of recovery: refused ${name}, ${rightly ? 'rightly' : 'wrongly'}`, () => {
 		const moment = { at: HELD_AT, entry: 0, service: SERVICE_OF.once }
-		assert.is(isHeldRightly({ heldMoments: [moment] }, asked), rightly)
+		assert.is(
+			isRefusalJustified({ unavailableMoments: [moment] }, request),
+			rightly,
+		)
 	})
 
-const LEAVINGS: readonly (SpokenCase & { readonly life: number })[] = [
-	{ name: 'asked in time', arrivals: [1_900], life: 1, broken: 0 },
-	{ name: 'asked too late', arrivals: [2_100], life: 1, broken: 1 },
-	{ name: 'asked of the next life', arrivals: [2_100], life: 2, broken: 0 },
+const LEAVINGS: readonly (SpokenCase & { readonly incarnation: number })[] = [
+	{ name: 'asked in time', arrivals: [1_900], incarnation: 1, broken: 0 },
+	{ name: 'asked too late', arrivals: [2_100], incarnation: 1, broken: 1 },
+	{
+		name: 'asked of the next life',
+		arrivals: [2_100],
+		incarnation: 2,
+		broken: 0,
+	},
 ]
-for (const { name, arrivals, life, broken } of LEAVINGS)
+for (const { name, arrivals, incarnation, broken } of LEAVINGS)
 	test(`judge of leavings: ${name}`, () => {
-		const passed = { serverId: 's', entry: 0, life: 1, at: 0 }
-		const world = worldOf({ passedLeavings: [passed] })
-		const { asked, runs } = world.record
+		const passed = { serverId: 's', entry: 0, incarnation: 1, at: 0 }
+		const world = worldOf({ relayedLeavings: [passed] })
+		const { requests: request, runs } = world.record
 		for (const sentAt of arrivals) {
 			const id = String(sentAt)
-			asked.set(id, { ...ASKED, id, life, sentAt })
+			request.set(id, { ...ASKED, id, incarnation, sentAt })
 			const startedAt = sentAt + 5
-			const run = { id, serverId: 's', startedAt, givenMs: 900 }
+			const run = { id, serverId: 's', startedAt, deadlineMs: 900 }
 			runs.set(id, [{ ...run, endedAt: undefined }])
 		}
-		judgeLeavings(world)
-		assert.is(world.record.broken.length, broken)
+		checkLeaving(world)
+		assert.is(world.record.violations.length, broken)
 	})
 
 test.run()
--- a/soak/test/soak.process.test.ts
+++ b/soak/test/soak.process.test.ts
@@ -50,21 +50,21 @@
 			seed,
 			entries: 3,
 			ranks: 4,
-			plain: 3,
+			plainServers: 3,
 			clients: what.clients ?? 8,
-			faultMs: what.faultMs ?? 6_000,
+			faultPhaseMs: what.faultMs ?? 6_000,
 			faults: what.faults ?? 10,
 			net: 14,
-			only: '',
-			deadly: what.deadly ?? false,
-			limited: what.limited ?? false,
-			rests: what.rests ?? false,
-			rewinds: what.rewinds ?? false,
-			timed: false,
+			faultFilter: '',
+			poisonRequest: what.deadly ?? false,
+			rateLimits: what.limited ?? false,
+			backoffs: what.rests ?? false,
+			rollbacks: what.rewinds ?? false,
+			checksTiming: false,
 			folder: join(tmpdir(), 'juniperhook-soak', `test-${seed}`),
 		})
-		assert.equal(record.broken, [])
-		assert.ok(record.asked.size > 100, `${record.asked.size} requests`)
+		assert.equal(record.violations, [])
+		assert.ok(record.requests.size > 100, `${record.requests.size} requests`)
 	})
 
 test.after(() => {
