--- a/soak/src/addresses.ts
+++ b/soak/src/addresses.ts
@@ -1,4 +1,7 @@
-/** Loopback addresses of a soak: each VM has its own, and one behind a relay. */
+/**
+ * Loopback addresses of a soak test. Each VM has its own; relays have further ones,
+ * through which other VMs reach it.
+ */
 
 /** Ports, the same on every VM. */
 export const PORTS = {
@@ -10,21 +13,21 @@
 	store: 8223,
 } as const
 
-const FIRST = 10
+const FIRST_HOST_NUMBER = 10
 
 function ip(net: number, group: number, index: number): string {
-	return `127.${net}.${group}.${FIRST + index}`
+	return `127.${net}.${group}.${FIRST_HOST_NUMBER + index}`
 }
 
-/** An entry's VM. */
+/** IP of an entry. */
 export const entryIp = (net: number, index: number) => ip(net, 1, index)
-/** An agent's process. */
+/** IP of an agent. */
 export const agentIp = (net: number, rank: number) => ip(net, 2, rank)
-/** A backend server as its own VM reaches it. */
+/** IP of a backend server on its own VM. */
 export const serverIp = (net: number, index: number) => ip(net, 3, index)
-/** The relay that all others reach a backend server and its agent through. */
+/** IP of the relay through which other VMs reach a backend server and its agent. */
 export const relayIp = (net: number, index: number) => ip(net, 4, index)
-/** The relay that an entry reaches the store through. */
+/** IP of the relay through which an entry reaches the store. */
 export const entryStoreIp = (net: number, index: number) => ip(net, 5, index)
-/** The relay that an agent reaches the store through. */
+/** IP of the relay through which an agent reaches the store. */
 export const agentStoreIp = (net: number, rank: number) => ip(net, 6, rank)
--- a/soak/src/call.ts
+++ b/soak/src/call.ts
@@ -1,4 +1,4 @@
-/** One request of a caller over a kept connection, and what comes back. */
+/** One request of a caller over a keep-alive connection, and its answer. */
 
 import type { Agent, ClientRequest, IncomingMessage } from 'node:http'
 import { request as sendHttp } from 'node:http'
@@ -13,28 +13,29 @@
 import { count, randomBetween } from './types.ts'
 import type { World } from './world.ts'
 
-/** A connection that hangs is given up this long after the deadline, ms. */
+/** Time after the deadline at which the caller closes a connection that hangs, ms. */
 const ABORT_DELAY_MS = 1_000
+/** Range of callers' deadlines, ms. */
 const DEADLINES_MS = [900, 6_000] as const
 
-/** A caller's next request: from whom, to which entry, on which connection. */
+/** What a caller's next request needs: its entry, its connection and its id. */
 export interface CallContext {
 	readonly world: World
 	readonly entry: ManagedProcess
 	readonly agent: Agent
-	/** Belongs to this request alone. */
+	/** Unique id of the request. */
 	readonly id: string
 	readonly random: Random
 }
 
-/** A request that is ready to be sent. */
+/** A request that is ready to be sent, with the API key that it uses. */
 export interface PreparedCall {
 	readonly request: RequestRecord
 	readonly key: string
 	readonly method: string
 }
 
-/** Makes a request and notes what is asked. */
+/** Creates a request and adds its record. */
 export function prepareCall(
 	{ world, entry, id, random }: CallContext,
 	kind: RequestKind,
@@ -56,7 +57,7 @@
 		timeoutAt: now + Math.min(deadline, TIMEOUT_MS[kind]),
 		deadlineAt: now + deadline,
 		abandonedAt: undefined,
-		timedOut: false,
+		callerTimedOut: false,
 		promisedNotRunAt: undefined,
 		answeredAt: undefined,
 		status: 0,
@@ -66,13 +67,15 @@
 	return { request, key, method: body === '' ? 'GET' : 'POST' }
 }
 
-/** Sends a request; the caller leaves after a while, if that is given, ms. */
+/**
+ * Sends a request; after `abandonAfterMs`, if given, the caller closes the connection.
+ */
 export function sendCall(
 	{ world, entry, agent }: CallContext,
 	{ request, key, method }: PreparedCall,
-	leavesAfter?: number,
+	abandonAfterMs?: number,
 ): Promise<CallerAnswer> {
-	const none: CallerAnswer = {
+	const noAnswer: CallerAnswer = {
 		status: 0,
 		seal: undefined,
 		requestId: undefined,
@@ -97,14 +100,14 @@
 				),
 			},
 		})
-		const leave = () => {
+		const abandon = () => {
 			request.abandonedAt = performance.now()
-			count(world.record, 'callers that left')
+			count(world.record, 'requests abandoned by callers')
 			req.destroy()
 		}
-		if (leavesAfter !== undefined) setTimeout(leave, leavesAfter)
+		if (abandonAfterMs !== undefined) setTimeout(abandon, abandonAfterMs)
 		abortAfterDeadline(req, request)
-		req.on('error', () => resolve(none))
+		req.on('error', () => resolve(noAnswer))
 		req.on('response', res => {
 			if (res.headers[SIGNAL_HEADERS.leaving] !== undefined)
 				recordRelayedLeaving(
@@ -118,11 +121,11 @@
 	})
 }
 
-/** A caller does not wait for ever for a process that hangs. */
+/** Limits a caller's wait for a process that hangs. */
 function abortAfterDeadline(req: ClientRequest, request: RequestRecord): void {
 	const waitMs = request.deadlineAt - performance.now() + ABORT_DELAY_MS
 	const timer = setTimeout(() => {
-		request.timedOut = true
+		request.callerTimedOut = true
 		req.destroy()
 	}, waitMs)
 	req.on('close', () => clearTimeout(timer))
--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -1,7 +1,4 @@
-/**
- * Callers that keep using an entry's connection until it ends, and judge what
- * they get.
- */
+/** Callers that reuse an entry's connection until it closes, and check their answers. */
 
 import { Agent } from 'node:http'
 import { createRandom } from '@juniperhook/core'
@@ -24,41 +21,45 @@
 } from './types.ts'
 import type { World } from './world.ts'
 
-const THINK_MS = [10, 90] as const
-/** Part of the requests whose caller leaves before the answer. */
+/** Range of pauses between a caller's requests, ms. */
+const THINK_TIME_MS = [10, 90] as const
+/** Ratio of requests that their caller abandons before the answer. */
 const ABANDON_RATIO = 0.03
-/** Part of the requests that ask which configuration is in force. */
+/** Ratio of requests that test which configuration is in force. */
 const PROBE_RATIO = 0.12
-/** An answer at its route's time-out may be this late, ms. */
+/** How late an answer may come after its route's time-out, ms. */
 const TIMEOUT_TOLERANCE_MS = 500
 
-/** Runs a caller until the soak is over. */
-export async function runCaller(world: World, number: number): Promise<void> {
-	const random = createRandom(world.options.seed * 1_000 + number)
-	const agents = world.entries.map(
+/** Runs a caller until the soak ends. */
+export async function runCaller(world: World, caller: number): Promise<void> {
+	const random = createRandom(world.options.seed * 1_000 + caller)
+	const httpAgents = world.entries.map(
 		() => new Agent({ keepAlive: true, maxSockets: 1 }),
 	)
 	let entry = randomItem(random, world.entries)
-	for (let at = 0; !world.finished; at++) {
-		const agent = agents[entry.index]!
-		const turn = { world, entry, agent, id: `${number}-${at}`, random }
+	for (let number = 0; !world.finished; number++) {
+		const agent = httpAgents[entry.index]!
+		const id = `${caller}-${number}`
+		const context = { world, entry, agent, id, random }
 		const isProbe = random() < PROBE_RATIO
-		const answer = isProbe ? await probeConfig(turn) : await sendRequest(turn)
-		// The connection is kept as long as the process has it.
+		const answer = isProbe
+			? await probeConfig(context)
+			: await sendRequest(context)
+		// The caller stays at its entry, so that the connection is reused until it closes.
 		if (answer.status === 0 || random() < 0.02)
 			entry = randomItem(random, world.entries)
-		await sleep(randomBetween(random, ...THINK_MS))
+		await sleep(randomBetween(random, ...THINK_TIME_MS))
 	}
-	for (const agent of agents) agent.destroy()
+	for (const agent of httpAgents) agent.destroy()
 }
 
-async function sendRequest(turn: CallContext): Promise<CallerAnswer> {
-	const { world, entry, id, random } = turn
+async function sendRequest(context: CallContext): Promise<CallerAnswer> {
+	const { world, entry, id, random } = context
 	const kind = randomItem(random, ['once', 'repeatable', 'stream'] as const)
 	const key = randomItem(random, Object.keys(TEAM_OF_KEY))
-	const call = prepareCall(turn, kind, `${PREFIX_OF[kind]}${id}`, key)
-	const leavesAfter = random() < ABANDON_RATIO ? random() * 60 : undefined
-	const answer = await sendCall(turn, call, leavesAfter)
+	const call = prepareCall(context, kind, `${PREFIX_OF[kind]}${id}`, key)
+	const abandonAfterMs = random() < ABANDON_RATIO ? random() * 60 : undefined
+	const answer = await sendCall(context, call, abandonAfterMs)
 	const { request } = call
 	if (request.abandonedAt !== undefined) return answer
 	const expected =
@@ -70,7 +71,7 @@
 	return answer
 }
 
-/** All events of a stream. */
+/** All events of a stream, as the entry sends them. */
 function expectedEvents(id: string): string {
 	return Array.from(
 		{ length: STREAM_EVENTS },
@@ -78,13 +79,13 @@
 	).join('')
 }
 
-/** The kind of a refusal or failure; '' for an answer of a server. */
+/** Returns the error kind of an entry's refusal or failure; '' for a server's answer. */
 function errorKindOf({ status, body }: CallerAnswer): string {
 	if (status === 0 || status === 200) return ''
 	return /^\{"error":"(\w+)"/.exec(body)?.[1] ?? ''
 }
 
-/** Judges whether and when an answer came to its end. */
+/** Checks whether the request got an answer, and whether it ended in time. */
 function checkCompletion(
 	world: World,
 	entry: ManagedProcess,
@@ -98,17 +99,23 @@
 	request.error = errorKindOf(answer)
 	const wasKilled =
 		entry.incarnation !== request.incarnation || entry.killedAt > request.sentAt
-	const brokeOff = answer.status !== 0 && !answer.complete
-	if (brokeOff) count(record, 'answers that broke off')
+	const isTruncated = answer.status !== 0 && !answer.complete
+	if (isTruncated) count(record, 'truncated answers')
 	if (answer.status === 0) {
 		count(record, 'connections without an answer')
 		const wasRead = (record.runs.get(request.id) ?? []).length > 0
-		// One that was frozen while it stops runs out of its time to end.
+		// An entry that was frozen while it stopped may exceed its grace period.
 		const isStopping = entry.stopRequestedAt !== undefined
 		const isExcused =
 			isStopping &&
 			!isUndisturbed(disturbances, entry.name, request.sentAt, now)
-		if (wasRead && !wasKilled && !request.timedOut && !isExcused && entry.child)
+		if (
+			wasRead &&
+			!wasKilled &&
+			!request.callerTimedOut &&
+			!isExcused &&
+			entry.child
+		)
 			recordViolation(record, 'LOST', `${request.id} at ${entry.name}`)
 	}
 	if (!options.checksTiming || wasKilled) return
--- a/soak/src/config.ts
+++ b/soak/src/config.ts
@@ -1,17 +1,20 @@
-/** The configurations that a soak publishes, as the platform writes them. */
+/** The configurations that a soak publishes, in the platform's format. */
 
-/** Host of all routes. */
+/** Hostname of all routes. */
 export const HOST = 'soak.example'
-/** Longest time a request is held, ms. */
+/** Time-outs of routes by kind of request, ms. */
 export const TIMEOUT_MS = { once: 1_500, repeatable: 1_500, stream: 4_000 }
-/** Teams by key. */
+/** Team names by API key. */
 export const TEAM_OF_KEY: { readonly [key: string]: string } = {
 	'key-rangers': 'rangers',
 	'key-guests': 'guests',
 }
-/** A key that a later configuration takes away. */
+/** An API key that a later configuration revokes. */
 export const REVOKED_KEY = 'key-doomed'
-/** Second sends allowed: part of the requests, and besides, in a window. */
+/**
+ * Retry budget: in each window, retries may amount to `ratio` times the requests, plus
+ * `slack`.
+ */
 export const RETRIES = { ratio: 0.2, slack: 40, windowMs: 10_000 }
 
 const PLAIN = 'plain-service'
@@ -21,15 +24,18 @@
 /** Path prefixes by kind of request. */
 export const PREFIX_OF = { once: '/o/', repeatable: '/r/', stream: '/s/' }
 
-/** Path of the route that a version adds. */
+/** Returns the path of the route that a configuration version adds. */
 export function versionPath(version: number): string {
 	return `/v${version}/`
 }
 
-/** Routes that each growth of the configuration adds; nobody asks for them. */
+/** Routes that each growth of the configuration adds; no caller uses them. */
 const ROUTES_PER_GROWTH = 1_000
 
-/** A configuration's JSON text; version 1 is the first. */
+/**
+ * Builds the JSON text of a configuration. Versions start at 1; each adds a route, and
+ * each growth adds {@link ROUTES_PER_GROWTH}.
+ */
 export function buildConfig(
 	version: number,
 	keepsRevokedKey: boolean,
@@ -75,7 +81,7 @@
 	})
 }
 
-/** Fits the stand-in group's layout. */
+/** Engine settings that match the layout of the fake group. */
 const ENGINE = {
 	slots: 8,
 	stride: 1,
--- a/soak/src/deadly.ts
+++ b/soak/src/deadly.ts
@@ -1,6 +1,6 @@
 /**
- * A request under which each server ends that runs it: its caller asks again and again,
- * at whatever entry, and what reaches servers of it is judged.
+ * A poison request: each server that runs it crashes. Its caller sends it repeatedly to
+ * random entries; the check limits how often it may still reach servers.
  */
 
 import { Agent } from 'node:http'
@@ -18,54 +18,61 @@
 } from './types.ts'
 import type { World } from './world.ts'
 
-/** Path and body of the request, the same each time. */
+/** Path and body of the poison request, the same each time. */
 export const POISON_PATH = `${PREFIX_OF.once}deadly`
 const POISON_BODY = 'what no server survives'
-/** From the beginning of a run until its server ends, ms. */
+/** Time from the start of a run to the crash of its server, ms. */
 export const POISON_CRASH_DELAY_MS = 40
-/** Until a server that has ended is there again, ms. */
+/** Time until a crashed server is back, ms. */
 export const POISON_DOWNTIME_MS = 1_500
+/** Range of pauses between two sends of the poison request, ms. */
 const PAUSE_MS = [300, 1_500] as const
-/** Between looks at which entries run, ms; less than a process takes to start. */
+/** Interval of checks which entries run, ms; shorter than the start of a process. */
 const POLL_INTERVAL_MS = 20
-/** Ends under it before it must be known, and sends that are allowed after that. */
+/** Crashes after which it must be quarantined, and sends that are allowed afterwards. */
 const CRASHES_UNTIL_QUARANTINE = 3
 const MAX_LATE_SENDS = 3
 
-/** Asks until the soak is over. */
+/** Sends the poison request until the soak ends. */
 export async function runPoisonCaller(world: World): Promise<void> {
 	const random = createRandom(world.options.seed + 2)
 	const agent = new Agent({ keepAlive: false })
-	for (let at = 0; !world.finished; at++) {
+	for (let number = 0; !world.finished; number++) {
 		const entry = randomItem(random, world.entries)
-		const turn = { world, entry, agent, id: `deadly-${at}`, random }
+		const context = { world, entry, agent, id: `deadly-${number}`, random }
 		const call = prepareCall(
-			turn,
+			context,
 			'once',
 			POISON_PATH,
 			'key-guests',
 			POISON_BODY,
 		)
-		const answer = await sendCall(turn, call)
-		count(world.record, `deadly requests answered ${answer.status}`)
+		const answer = await sendCall(context, call)
+		count(world.record, `poison requests answered ${answer.status}`)
 		await sleep(randomBetween(random, ...PAUSE_MS))
 	}
 }
 
-/** Notes each time at which no entry runs, until the soak is over: nobody is left who knows. */
+/**
+ * Records each time from which no entry runs, until the soak ends: the evidence of
+ * crashes is lost then, as entries keep it in memory.
+ */
 export async function watchEntryOutages(world: World): Promise<void> {
-	let isForgotten = false
+	let isLost = false
 	while (!world.finished) {
-		const isNobody = world.entries.every(({ child }) => child === undefined)
-		if (isNobody && !isForgotten) world.evidenceLostAt.push(performance.now())
-		isForgotten = isNobody
+		const isNoneRunning = world.entries.every(
+			({ child }) => child === undefined,
+		)
+		if (isNoneRunning && !isLost) world.evidenceLostAt.push(performance.now())
+		isLost = isNoneRunning
 		await sleep(POLL_INTERVAL_MS)
 	}
 }
 
 /**
- * Judges what reached servers after the third end and the contact time. Where
- * no entry had been running none is left that knows: it begins anew.
+ * Checks how often the request reached servers later than the contact time after the
+ * third crash. Counting starts again after each time at which no entry ran, as the
+ * evidence was lost.
  */
 export function checkPoisonRequest(world: World): void {
 	const { record } = world
@@ -73,7 +80,7 @@
 		.filter(({ path }) => path === POISON_PATH)
 		.flatMap(({ id }) => record.runs.get(id) ?? [])
 		.sort((a, b) => a.startedAt - b.startedAt)
-	count(record, 'servers that ended under the deadly request', sends.length)
+	count(record, 'runs of the poison request', sends.length)
 	let since = 0
 	const evidenceLostAt = [...world.evidenceLostAt].sort((a, b) => a - b)
 	for (const until of [...evidenceLostAt, Number.POSITIVE_INFINITY]) {
--- a/soak/src/engineCalls.ts
+++ b/soak/src/engineCalls.ts
@@ -1,4 +1,4 @@
-/** The calls that an engine takes from agents, over the stand-in group. */
+/** An engine's HTTP API for agents, served by the fake group. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
@@ -6,7 +6,7 @@
 
 const STATUS_OF = { done: 200, conflict: 409, fenced: 412 } as const
 
-/** Answers a call; an order that is lost gets no answer. */
+/** Handles an agent's call; an order that the group loses gets no response. */
 export async function handleEngineCall(
 	group: StandInGroup,
 	engine: string,
@@ -27,9 +27,12 @@
 			return
 		}
 		case 'GET /v1/picked?lists=1': {
-			const told = await port.placement(engine)
-			const map = { config_version: told?.map, experts: told?.experts }
-			reply(res, told && { epoch: told.epoch, map })
+			const placement = await port.placement(engine)
+			const map = {
+				config_version: placement?.map,
+				experts: placement?.experts,
+			}
+			reply(res, placement && { epoch: placement.epoch, map })
 			return
 		}
 		case 'POST /v1/order':
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of a soak: each kind begins something and gives what ends it. They are
- * drawn from the seed, overlap, and come in series.
+ * Faults that a soak injects. Each kind starts a fault and returns the function that
+ * ends it. Kinds, times and durations are drawn from the seed; faults may overlap.
  */
 
 import type { Random } from '@juniperhook/core'
@@ -28,24 +28,28 @@
 import { listServer, publish, unlistServer } from './world.ts'
 
 /**
- * A server that has said that it leaves serves on for this long, ms: longer than
- * entries may send it anything, so that one that does is seen.
+ * Time that a leaving server goes on serving, ms. It is longer than entries may send
+ * requests to it, so that a request sent too late is detected.
  */
 const LEAVING_SERVE_MS = 4_500
-/** An entry in the list runs out this long after a crash, ms. */
+/** Time after a crash until the server's record expires, ms. */
 const RECORD_EXPIRY_MS = 900
+/** Range of durations of a fault, ms. */
 const FAULT_MS = [300, 3_500] as const
-/** The largest configuration, 0.8 MB as text, takes 0.5 to 5 s over these. */
+/**
+ * Range of throttled links; the largest configuration (0.8 MB) takes 0.5 to 5 s over
+ * them.
+ */
 const THROTTLED_BYTES_PER_MS = [200, 2_000] as const
-/** As many times a configuration grows; a published value is at most 1 MB. */
+/** Limit on growths of the configuration: a published value has at most 1 MB. */
 const MAX_GROWTHS = 3
 
-/** Begins a fault; the function that is returned ends it. */
+/** Starts a fault and returns the function that ends it. */
 type StartFault = (world: World, random: Random) => () => void
 
 const noop = () => {}
 
-/** Every kind of fault, by name. */
+/** Kinds of faults by name. */
 export const FAULT_KINDS: { readonly [name: string]: StartFault } = {
 	'kill an entry': (world, random) => {
 		killProcess(world.record, randomItem(random, world.entries))
@@ -57,8 +61,8 @@
 	},
 	'stop entries in turn': (world, random) => {
 		const gapMs = randomBetween(random, 100, 900)
-		for (const [at, entry] of world.entries.entries())
-			setTimeout(() => stopProcess(world.record, entry), at * gapMs)
+		for (const [index, entry] of world.entries.entries())
+			setTimeout(() => stopProcess(world.record, entry), index * gapMs)
 		return noop
 	},
 	'freeze an entry': (world, random) =>
@@ -119,7 +123,7 @@
 		disturbStoreLink(world, random, resetRelay),
 	'narrow the link to the store for one': (world, random) => {
 		const relay = randomItem(random, world.storeRelays)
-		// No trouble that excuses anything: peers make up for a slow link.
+		// Not recorded as a disturbance: entries pull the configuration from peers instead.
 		relay.link = createNarrowLink(
 			randomBetween(random, ...THROTTLED_BYTES_PER_MS),
 		)
@@ -141,13 +145,13 @@
 		}
 	},
 	'spoil answers': (world, random) => {
-		const share = () => (random() < 0.4 ? random() * 0.2 : 0)
+		const ratio = () => (random() < 0.4 ? random() * 0.2 : 0)
 		return injectMisbehaviour(world, random, {
-			reset: share(),
-			hang: share(),
-			cut: share(),
-			fail: share(),
-			extra: share(),
+			reset: ratio(),
+			hang: ratio(),
+			cut: ratio(),
+			fail: ratio(),
+			extra: ratio(),
 			slow: 1,
 		})
 	},
@@ -176,12 +180,12 @@
 		return noop
 	},
 	'change the configuration often': world => {
-		for (let at = 0; at < 4; at++) setTimeout(() => publishNext(world), at * 90)
+		for (let n = 0; n < 4; n++) setTimeout(() => publishNext(world), n * 90)
 		return noop
 	},
 }
 
-/** Draws faults and plays them; resolves when all have ended. */
+/** Draws faults from the seed and injects them; resolves when all have ended. */
 export async function injectFaults(world: World): Promise<void> {
 	const { options, record } = world
 	const random = createRandom(options.seed)
@@ -267,7 +271,7 @@
 function disturbStore(world: World, mood: World['store']['mood']): () => void {
 	const end = beginDisturbance(world.disturbances, ALL_VMS)
 	world.store.mood = mood
-	// Watches that wait are cut, as when a store goes down.
+	// Closes waiting watches, as a store that goes down does.
 	world.store.server.closeAllConnections()
 	return () => {
 		world.store.mood = 'serve'
@@ -288,7 +292,7 @@
 	}
 }
 
-/** Ends a server that has run a deadly request. */
+/** Crashes a server that has run the poison request. */
 export function crashUnderPoisonRequest(
 	world: World,
 	backend: BackendServer,
@@ -296,7 +300,7 @@
 	void crashAndRestart(world, backend, POISON_DOWNTIME_MS)
 }
 
-/** A crash; a rank takes its group with it until it is back. */
+/** Crashes a server and restarts it; the crash of a rank breaks its group until then. */
 async function crashAndRestart(
 	world: World,
 	backend: BackendServer,
@@ -316,7 +320,7 @@
 	listServer(world, backend)
 }
 
-/** The group opens anew once all its ranks run. */
+/** Re-forms the group with a new epoch if all its ranks run. */
 function reformGroup(world: World): void {
 	const { servers } = world
 	const ranks = servers.all.filter(one => one.rank !== undefined)
@@ -326,7 +330,7 @@
 	for (const backend of ranks) listServer(world, backend)
 }
 
-/** A server says that it leaves, serves on for a while, ends, and is replaced. */
+/** A server announces that it leaves, serves on for a while, stops, and is replaced. */
 async function replaceServer(
 	world: World,
 	backend: BackendServer,
--- a/soak/src/held.ts
+++ b/soak/src/held.ts
@@ -1,7 +1,8 @@
 /**
- * Moments at which, by what the servers themselves know, none of a service takes what an
- * entry sends freely: each is down, leaves, has a limit, or has asked the entry for rest.
- * Who is refused then is refused rightly.
+ * Moments at which no server of a service was available to an entry, by the state of
+ * the servers themselves: each was down, leaving, rate-limited, or had requested a
+ * backoff from that entry. A request that the entry refuses then is refused with good
+ * reason.
  */
 
 import { SERVICE_OF } from './config.ts'
@@ -11,17 +12,17 @@
 import type { World } from './world.ts'
 
 const POLL_INTERVAL_MS = 20
-/** Refusals that say so. */
+/** Error kinds of refusals for these reasons. */
 const UNAVAILABLE_ERRORS = new Set(['rateLimited', 'resting', 'noServer'])
 
-/** When no server of a service was free for an entry, ms. */
+/** A moment at which no server of a service was available to an entry; `at` in ms. */
 export interface UnavailableMoment {
 	readonly at: number
 	readonly entry: number
 	readonly service: string
 }
 
-/** Looks for such moments until the soak is over. */
+/** Polls the servers' state until the soak ends. */
 export async function watchUnavailability(world: World): Promise<void> {
 	while (!world.finished) {
 		for (const { index } of world.entries)
@@ -53,15 +54,15 @@
 	if (!server || leaving || limit) return false
 	const { incarnation } = entries[entry]!
 	return !backoffLog.backoffs.some(
-		rest =>
-			rest.serverId === id &&
-			rest.entry === entry &&
-			rest.incarnation === incarnation &&
-			rest.until > at,
+		backoff =>
+			backoff.serverId === id &&
+			backoff.entry === entry &&
+			backoff.incarnation === incarnation &&
+			backoff.until > at,
 	)
 }
 
-/** Whether a request was refused while no server of its service was free. */
+/** Whether a request was refused while no server of its service was available. */
 export function isRefusalJustified(
 	{ unavailableMoments }: Pick<World, 'unavailableMoments'>,
 	{ kind, entry, status, error, sentAt, answeredAt }: RequestRecord,
--- a/soak/src/judge.ts
+++ b/soak/src/judge.ts
@@ -1,11 +1,11 @@
-/** Judges what backend servers run and what callers get, as it happens. */
+/** Checks each run at a backend server and each answer to a caller as it happens. */
 
 import type { IncomingMessage } from 'node:http'
 import { WIRE } from '../../platform/src/index.ts'
 import type { RequestRecord, Run, SoakRecord } from './types.ts'
 import { count, recordViolation } from './types.ts'
 
-/** Notes a run and judges whether it may be. */
+/** Records a run and checks whether it is permitted. */
 export function checkRun(
 	record: SoakRecord,
 	serverId: string,
@@ -25,7 +25,11 @@
 	count(record, 'runs')
 	const request = record.requests.get(id)
 	if (!request) {
-		recordViolation(record, 'UNASKED', `${serverId} runs ${id}, never sent`)
+		recordViolation(
+			record,
+			'UNASKED',
+			`${serverId} runs ${id}, which no caller sent`,
+		)
 		return run
 	}
 	const isAsSent =
@@ -37,30 +41,36 @@
 		recordViolation(
 			record,
 			'UNASKED',
-			`${id} was changed on its way: ${req.url}`,
+			`${id} was changed in transit: ${req.url}`,
 		)
 	if (request.kind === 'once' && runs.length > 0)
-		recordViolation(record, 'TWICE', `${id} runs at ${serverId} again`)
+		recordViolation(record, 'TWICE', `${id} runs a second time, at ${serverId}`)
 	if (request.promisedNotRunAt !== undefined && request.kind === 'once')
-		recordViolation(record, 'REFUSED', `${id} runs after "not run" was said`)
+		recordViolation(
+			record,
+			'REFUSED',
+			`${id} runs after its caller was told that it has not run`,
+		)
 	return run
 }
 
-/** What a caller got; `status` 0 when the connection ended without an answer. */
+/**
+ * An answer as its caller received it; `status` 0 if the connection closed without one.
+ */
 export interface CallerAnswer {
 	readonly status: number
 	readonly seal: string | undefined
 	readonly requestId: string | undefined
 	readonly retryAfter: string | undefined
 	readonly body: string
-	/** Whether the answer ended as its framing says. */
+	/** Whether the body is complete by its framing. */
 	readonly complete: boolean
 }
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses by which an entry promises that the request has not run and never will. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503])
 
-/** Judges an answer; those that broke off are judged by the caller. */
+/** Checks an answer; truncated ones are checked by the caller. */
 export function checkAnswer(
 	record: SoakRecord,
 	request: RequestRecord,
@@ -73,33 +83,37 @@
 		recordViolation(
 			record,
 			'MIXED',
-			`${id} got the answer to ${answer.requestId}`,
+			`${id} received the answer to ${answer.requestId}`,
 		)
 	if (answer.status === 200 && answer.complete) {
 		const [run] = record.runs.get(id) ?? []
 		if (!run || !answer.seal)
-			recordViolation(record, 'MIXED', `${id} was never run`)
+			recordViolation(record, 'MIXED', `${id} was answered 200 without a run`)
 		if (answer.body !== expected)
 			recordViolation(
 				record,
 				request.kind === 'stream' ? 'ORDER' : 'MIXED',
-				`${id} got ${answer.body.length} bytes, not ${expected.length}`,
+				`${id} received ${answer.body.length} bytes that differ from the ${expected.length} expected`,
 			)
 	}
 	if (!NOT_RUN_STATUSES.has(answer.status)) return
 	request.promisedNotRunAt = performance.now()
 	const runs = record.runs.get(id) ?? []
 	if (request.kind === 'once' && runs.length > 0)
-		recordViolation(record, 'REFUSED', `${id} got ${answer.status} but ran`)
+		recordViolation(
+			record,
+			'REFUSED',
+			`${id} was answered ${answer.status} but ran`,
+		)
 	if (
 		answer.status === 503 &&
 		!answer.retryAfter &&
 		!answer.body.includes('noConfig')
 	)
-		count(record, 'refusals that say no time to come back')
+		count(record, 'refusals without Retry-After')
 }
 
-/** Whether a stream that broke off has lost, doubled or mixed events. */
+/** Checks that a truncated stream has no lost, duplicated or foreign events. */
 export function checkPartialStream(
 	record: SoakRecord,
 	request: RequestRecord,
@@ -107,5 +121,9 @@
 	expected: string,
 ): void {
 	if (!expected.startsWith(body))
-		recordViolation(record, 'ORDER', `${request.id} got other events: ${body}`)
+		recordViolation(
+			record,
+			'ORDER',
+			`${request.id} received other events: ${body}`,
+		)
 }
--- a/soak/src/leavings.ts
+++ b/soak/src/leavings.ts
@@ -1,27 +1,33 @@
-/** Servers that say in their answers that they leave, and what they are sent after that. */
+/**
+ * Checks that an entry sends nothing more to a server whose answer announced its
+ * leaving.
+ */
 
 import type { RequestRecord } from './types.ts'
 import { count, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
-/** Nothing comes from an entry that a caller asks later than this after the answer, ms. */
+/**
+ * Requests that an entry receives this long after such an answer must not reach the
+ * server, ms.
+ */
 const DRAIN_MS = 2_000
 
-/** An answer by which a caller heard that a server leaves. */
+/** An answer of a leaving server that an entry relayed to a caller. */
 export interface RelayedLeaving {
 	readonly serverId: string
 	readonly entry: number
-	/** The entry's life. */
+	/** The entry's incarnation. */
 	readonly incarnation: number
 	readonly at: number
 }
 
-/** The server whose seal an answer carries. */
+/** Returns the id of the server whose seal an answer has. */
 export function serverOfSeal(seal: string | undefined): string | undefined {
 	return seal?.startsWith('seal-') ? seal.slice('seal-'.length) : undefined
 }
 
-/** Notes an answer that an entry has passed on. */
+/** Records an answer of a leaving server that an entry has relayed. */
 export function recordRelayedLeaving(
 	world: World,
 	{ entry, incarnation }: RequestRecord,
@@ -32,10 +38,13 @@
 	world.relayedLeavings.push({ serverId, entry, incarnation, at })
 }
 
-/** Judges all entries, whatever befell them: only another life may not know. */
+/**
+ * Checks all entries, also disturbed ones: only a later incarnation of an entry may not
+ * know that a server is leaving.
+ */
 export function checkLeaving(world: World): void {
 	const { record, relayedLeavings } = world
-	count(record, 'answers of servers that leave', relayedLeavings.length)
+	count(record, 'answers of leaving servers', relayedLeavings.length)
 	for (const { serverId, entry, incarnation, at } of relayedLeavings)
 		for (const request of record.requests.values()) {
 			if (request.entry !== entry || request.incarnation !== incarnation)
@@ -46,7 +55,7 @@
 			recordViolation(
 				record,
 				'DRAIN',
-				`${serverId} runs ${request.id} though entry-${entry} had passed on that it leaves`,
+				`${serverId} runs ${request.id} though entry-${entry} had relayed that it is leaving`,
 			)
 			return
 		}
--- a/soak/src/limits.ts
+++ b/soak/src/limits.ts
@@ -1,6 +1,6 @@
 /**
- * Servers that for a while name a limit in their answers: so many requests a second from
- * all entries together. What comes to them meanwhile is judged.
+ * Servers that report a rate limit in their answers for a while: requests per second
+ * from all entries together. The check counts the requests that reach them meanwhile.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -17,29 +17,34 @@
 } from './types.ts'
 import type { World } from './world.ts'
 
+/** Range of limits, requests per second. */
 const PER_SECOND = [0.2, 6] as const
-/** Longer than the contact time and one span that is judged, ms. */
+/**
+ * Range of durations of a limit, ms; longer than the contact time and one checked
+ * window.
+ */
 const DURATION_MS = [7_500, 10_000] as const
+/** Range of pauses between two limits, ms. */
 const PAUSE_MS = [200, 1_500] as const
 const WINDOW_MS = 4_000
 const WINDOW_SECONDS = WINDOW_MS / 1_000
-/** What may come in a span: so many times the limit, and so many requests besides. */
+/** A window may contain this many times the limit, plus a fixed number of requests. */
 const LIMIT_FACTOR = 1.5
 const LIMIT_SLACK = 5
 
-/** A limit that a server names, and the ids of the requests that came. */
+/** A limit that a server reports, and the requests that arrived meanwhile. */
 export interface ReportedLimit {
 	readonly perSecond: number
 	/** The server's incarnation. */
 	readonly serverId: string
-	/** When an answer first named it, ms. */
+	/** When an answer first reported it, ms. */
 	reportedAt: number | undefined
-	/** When answers stopped to, ms. */
+	/** When answers stopped reporting it, ms. */
 	endedAt: number | undefined
 	readonly arrivals: { readonly id: string; readonly at: number }[]
 }
 
-/** Lets one server after the other name a limit, until the soak is over. */
+/** Lets one random server at a time report a limit, until the soak ends. */
 export async function injectRateLimits(world: World): Promise<void> {
 	const random = createRandom(world.options.seed + 3)
 	while (!world.finished) {
@@ -60,7 +65,7 @@
 	}
 }
 
-/** Notes a request that has come; gives the headers that its answer is to have. */
+/** Records a request at a limited server; returns the headers for its answer. */
 export function recordArrival(
 	{ limit, id }: BackendServer,
 	req: IncomingMessage,
@@ -72,31 +77,29 @@
 	return { [SIGNAL_HEADERS.perSecond]: limit.perSecond.toFixed(3) }
 }
 
-/** Judges what came while limits were named, by way of entries that were left alone. */
+/** Checks the requests that arrived under limits by way of undisturbed entries. */
 export function checkRateLimits(world: World): void {
-	count(world.record, 'limits named', world.limits.length)
+	count(world.record, 'limits reported', world.limits.length)
 	for (const limit of world.limits) checkRateLimit(world, limit)
 }
 
 function checkRateLimit(world: World, limit: ReportedLimit): void {
-	const {
-		reportedAt: namedAt,
-		endedAt = Number.POSITIVE_INFINITY,
-		perSecond,
-	} = limit
-	if (namedAt === undefined) return
-	const judged = limit.arrivals
-		.filter(({ at }) => at >= namedAt + CONTACT_MS && at < endedAt)
+	const { reportedAt, endedAt = Number.POSITIVE_INFINITY, perSecond } = limit
+	if (reportedAt === undefined) return
+	const checked = limit.arrivals
+		.filter(({ at }) => at >= reportedAt + CONTACT_MS && at < endedAt)
 		.filter(({ id, at }) => isFromUndisturbedEntry(world, id, at))
 	const allowed = LIMIT_FACTOR * WINDOW_SECONDS * perSecond + LIMIT_SLACK
-	count(world.record, 'requests under a limit', judged.length)
-	for (const { at: from } of judged) {
-		const span = judged.filter(({ at }) => at >= from && at < from + WINDOW_MS)
-		if (span.length <= allowed) continue
+	count(world.record, 'requests under a limit', checked.length)
+	for (const { at: from } of checked) {
+		const window = checked.filter(
+			({ at }) => at >= from && at < from + WINDOW_MS,
+		)
+		if (window.length <= allowed) continue
 		recordViolation(
 			world.record,
 			'LIMIT',
-			`${limit.serverId} got ${span.length}, allowed ${allowed.toFixed(1)}`,
+			`${limit.serverId} received ${window.length} requests in ${WINDOW_SECONDS} s, allowed ${allowed.toFixed(1)}`,
 		)
 		return
 	}
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak -- --seeds N`: soaks with seeds one after the other; prints what
- * each met and every promise that was broken.
+ * `npm run soak -- --seeds N`: runs soaks with consecutive seeds and prints the counts
+ * of each and every broken promise.
  */
 
 import { tmpdir } from 'node:os'
--- a/soak/src/probes.ts
+++ b/soak/src/probes.ts
@@ -1,4 +1,4 @@
-/** Requests that show which configuration is in force at an entry. */
+/** Requests that test which configuration is in force at an entry. */
 
 import type { CallContext } from './call.ts'
 import { prepareCall, sendCall } from './call.ts'
@@ -9,68 +9,80 @@
 import { count, randomItem, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
-/** Part of these requests with a key that is taken away. */
+/** Ratio of these requests that use a revoked key. */
 const REVOKED_KEY_RATIO = 0.33
-/** A configuration is in force within this time, ms. */
+/** Time within which a published configuration must be in force, ms. */
 const CONFIG_APPLY_MS = 2_000
-/** An older one may be seen by requests that cross a newer, ms. */
+/**
+ * Requests sent within this time after a newer version was seen may see an older one,
+ * ms.
+ */
 const REORDER_TOLERANCE_MS = 250
 
-/** Highest version that each life of an entry has shown. */
+/** Highest configuration version seen at each incarnation of an entry, and when. */
 const highestVersions = new Map<string, { version: number; at: number }>()
 
-/** Asks on the route of a version, or with a key that is taken away. */
-export async function probeConfig(turn: CallContext): Promise<CallerAnswer> {
-	const { world, entry, id, random } = turn
+/** Sends a request on the route of a recent version, or with a revoked key. */
+export async function probeConfig(context: CallContext): Promise<CallerAnswer> {
+	const { world, entry, id, random } = context
 	const { record, published } = world
-	if (random() < REVOKED_KEY_RATIO) return await probeRevokedKey(turn)
+	if (random() < REVOKED_KEY_RATIO) return await probeRevokedKey(context)
 	const target = randomItem(random, published.slice(-3))
 	const path = `${versionPath(target.version)}${id}`
 	const key = randomItem(random, Object.keys(TEAM_OF_KEY))
-	const call = prepareCall(turn, 'repeatable', path, key)
-	const answer = await sendCall(turn, call)
+	const call = prepareCall(context, 'repeatable', path, key)
+	const answer = await sendCall(context, call)
 	count(record, `probes with ${answer.status}`)
-	const incarnation = `${world.options.seed} ${entry.name} ${call.request.incarnation}`
-	const known = highestVersions.get(incarnation)
+	const incarnationKey = `${world.options.seed} ${entry.name} ${call.request.incarnation}`
+	const highest = highestVersions.get(incarnationKey)
 	const { sentAt } = call.request
-	const wasSame = entry.incarnation === call.request.incarnation
-	if (answer.status === 404 && wasSame) {
+	const isSameIncarnation = entry.incarnation === call.request.incarnation
+	if (answer.status === 404 && isSameIncarnation) {
 		if (
-			known &&
-			known.version >= target.version &&
-			known.at + REORDER_TOLERANCE_MS < sentAt
+			highest &&
+			highest.version >= target.version &&
+			highest.at + REORDER_TOLERANCE_MS < sentAt
 		)
-			recordViolation(record, 'CONFIG', `${entry.name} went back: ${path}`)
+			recordViolation(
+				record,
+				'CONFIG',
+				`${entry.name} fell back to an older configuration: ${path} not found`,
+			)
 		if (isInForce(world, entry, target.at, sentAt))
-			recordViolation(record, 'CONFIG', `${entry.name} does not know ${path}`)
+			recordViolation(
+				record,
+				'CONFIG',
+				`${entry.name} has no route for ${path}`,
+			)
 	}
-	const isNews = answer.status === 200 && target.version > (known?.version ?? 0)
-	if (isNews && wasSame)
-		highestVersions.set(incarnation, {
+	const isNewer =
+		answer.status === 200 && target.version > (highest?.version ?? 0)
+	if (isNewer && isSameIncarnation)
+		highestVersions.set(incarnationKey, {
 			version: target.version,
 			at: performance.now(),
 		})
 	return answer
 }
 
-async function probeRevokedKey(turn: CallContext): Promise<CallerAnswer> {
-	const { world, entry, id } = turn
+async function probeRevokedKey(context: CallContext): Promise<CallerAnswer> {
+	const { world, entry, id } = context
 	const path = `${PREFIX_OF.repeatable}${id}`
-	const call = prepareCall(turn, 'repeatable', path, REVOKED_KEY)
-	const answer = await sendCall(turn, call)
-	const taken = world.published.find(one => !one.keepsRevokedKey)
+	const call = prepareCall(context, 'repeatable', path, REVOKED_KEY)
+	const answer = await sendCall(context, call)
+	const revoking = world.published.find(one => !one.keepsRevokedKey)
 	const { sentAt } = call.request
-	const isOver = taken && isInForce(world, entry, taken.at, sentAt)
-	if (answer.status === 200 && isOver)
+	const isRevoked = revoking && isInForce(world, entry, revoking.at, sentAt)
+	if (answer.status === 200 && isRevoked)
 		recordViolation(
 			world.record,
 			'ROUTE',
-			`${entry.name} takes a key that is gone`,
+			`${entry.name} accepts a revoked key`,
 		)
 	return answer
 }
 
-/** Whether something published at `at` must be in force at an entry. */
+/** Whether a configuration published at `at` must be in force at an entry. */
 function isInForce(
 	world: World,
 	entry: ManagedProcess,
--- a/soak/src/processes.ts
+++ b/soak/src/processes.ts
@@ -1,6 +1,6 @@
 /**
- * The product's processes: each is started with a settings file, told by signals
- * and started again when it ends, as a platform would.
+ * The product's processes. As on the platform, each gets a settings file, is signalled
+ * when that changes, and is restarted when it exits.
  */
 
 import type { ChildProcess } from 'node:child_process'
@@ -23,14 +23,15 @@
 const BUNDLE = fileURLToPath(
 	new URL('../../platform/dist/main.js', import.meta.url),
 )
+/** Time from the exit of a process to its restart, ms. */
 const RESTART_MS = 150
-/** Far beyond what Node takes to run its first line, also on a busy machine, ms. */
+/** Ample time for Node to start and run main.js, also on a busy machine, ms. */
 const NODE_START_MS = 1_000
-/** From SIGTERM to SIGKILL, ms. */
+/** Time from SIGTERM to SIGKILL, ms. */
 export const GRACE_MS = 5_000
 const SEED_NODES = 2
 
-/** One process with all its lives. */
+/** One process of the product over all its incarnations. */
 export interface ManagedProcess {
 	readonly name: string
 	readonly role: 'entry' | 'agent'
@@ -39,21 +40,21 @@
 	readonly settingsPath: string
 	readonly logPath: string
 	child: ChildProcess | undefined
-	/** Starts so far. */
+	/** Number of the present incarnation: starts so far. */
 	incarnation: number
-	/** When the present life was started, ms. */
+	/** When the present incarnation was started, ms. */
 	startedAt: number
-	/** Whether the soak has told the present life to end. */
+	/** Whether the soak has stopped or killed the present incarnation. */
 	endRequested: boolean
-	/** When the present life was told to stop by SIGTERM, ms. */
+	/** When the present incarnation was sent SIGTERM, ms. */
 	stopRequestedAt: number | undefined
-	/** When a life was last killed without warning, ms. */
+	/** When an incarnation was last sent SIGKILL, ms. */
 	killedAt: number
-	/** Whether it is to be started again when it ends. */
+	/** Whether it is restarted when it exits. */
 	keepRunning: boolean
 }
 
-/** Makes a process's folder and settings; it is not started. */
+/** Creates a process's folder and settings file without starting it. */
 export function prepareProcess(
 	options: SoakOptions,
 	role: ManagedProcess['role'],
@@ -80,7 +81,7 @@
 	return managed
 }
 
-/** Writes a settings file; `edition` makes it differ from the last one. */
+/** Writes a settings file; `edition` makes it differ from the previous one. */
 export function writeSettings(
 	options: SoakOptions,
 	{ role, index, name, settingsPath }: ManagedProcess,
@@ -119,7 +120,7 @@
 	writeFileSync(settingsPath, `${lines.join('\n')}\n`)
 }
 
-/** Starts a process; it is started again whenever it ends while it is wanted. */
+/** Starts a process; it is restarted on each exit while `keepRunning` is set. */
 export function startProcess(
 	record: SoakRecord,
 	managed: ManagedProcess,
@@ -141,7 +142,7 @@
 			recordViolation(
 				record,
 				'ENDED',
-				`${managed.name} ended by itself: ${code ?? signal}`,
+				`${managed.name} exited by itself: ${code ?? signal}`,
 			)
 		if (managed.keepRunning)
 			setTimeout(() => {
@@ -151,8 +152,8 @@
 }
 
 /**
- * Tells a process that its settings have changed. Until Node has started and
- * main.js runs, SIGHUP ends a process; none that young is told.
+ * Signals a process that its settings have changed. SIGHUP would end a process that has
+ * not installed its handler yet, so one that has just been started is not signalled.
  */
 export function signalSettingsChange({
 	child,
@@ -161,7 +162,7 @@
 	if (performance.now() - startedAt > NODE_START_MS) child?.kill('SIGHUP')
 }
 
-/** Kills a process without warning. */
+/** Kills a process with SIGKILL. */
 export function killProcess(record: SoakRecord, managed: ManagedProcess): void {
 	if (!managed.child) return
 	count(record, `kills of ${managed.role}`)
@@ -170,7 +171,7 @@
 	managed.child.kill('SIGKILL')
 }
 
-/** Asks a process to stop; it is killed when its time is over. */
+/** Stops a process with SIGTERM; kills it after {@link GRACE_MS}. */
 export function stopProcess(record: SoakRecord, managed: ManagedProcess): void {
 	const { child } = managed
 	if (!child || managed.stopRequestedAt !== undefined) return
@@ -186,8 +187,8 @@
 }
 
 /**
- * Ends a process for good; resolves when it is gone. On a busy machine that takes
- * longer than until the next soak binds its addresses.
+ * Kills a process for good; resolves when it has exited. On a busy machine the next
+ * soak would otherwise bind its addresses before this process has released them.
  */
 export function terminateProcess(managed: ManagedProcess): Promise<void> {
 	managed.keepRunning = false
--- a/soak/src/rests.ts
+++ b/soak/src/rests.ts
@@ -1,6 +1,7 @@
 /**
- * Servers that for a while turn away what entries send them and ask each for rest. What
- * an entry sends a server meanwhile is judged.
+ * Servers that for a while refuse requests and ask the sending entry to back off. The
+ * check counts what an entry sends to a server during a backoff that the server
+ * requested.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -17,29 +18,35 @@
 } from './types.ts'
 import type { World } from './world.ts'
 
+/** Range of requested backoffs, ms. */
 const BACKOFF_MS = [200, 3_000] as const
-/** For how long a server turns requests away, ms. */
+/** Range of times during which a server refuses requests, ms. */
 const DURATION_MS = [300, 2_500] as const
+/** Range of pauses between such times, ms. */
 const PAUSE_MS = [100, 1_200] as const
-/** Part of the requests that are turned away meanwhile. */
+/** Ratio of requests that are refused during that time. */
 const REFUSED_RATIO = 0.7
-/** Part of the times at which all servers of a service do so. */
+/** Ratio of cases in which all servers of the service refuse together. */
 const WHOLE_SERVICE_RATIO = 0.15
-/** What was under way still comes, ms; with this machine's own delays. */
+/**
+ * Time for requests already in flight, ms, plus an allowance for delays of this
+ * machine.
+ */
 const IN_FLIGHT_MS = 500 + 250
+/** Limit on requests that an entry sends to a server during a backoff. */
 const MAX_DURING_BACKOFF = 2
 
-/** A rest that a server asked an entry for. */
+/** A backoff that a server requested from an entry; times in ms. */
 interface RequestedBackoff {
 	readonly serverId: string
 	readonly entry: number
-	/** The entry's life. */
+	/** The entry's incarnation. */
 	readonly incarnation: number
 	readonly at: number
 	readonly until: number
 }
 
-/** A request that reached a server. */
+/** A request that reached a server; `at` in ms. */
 interface Arrival {
 	readonly serverId: string
 	readonly entry: number
@@ -47,38 +54,42 @@
 	readonly at: number
 }
 
-/** What servers asked for, and what came. */
+/** Requested backoffs, and all requests that reached servers. */
 export interface BackoffLog {
 	readonly backoffs: RequestedBackoff[]
 	readonly arrivals: Arrival[]
 }
 
-/** Makes an empty log. */
+/** Creates an empty log. */
 export function createBackoffLog(): BackoffLog {
 	return { backoffs: [], arrivals: [] }
 }
 
-/** Lets servers ask for rest, until the soak is over; all of a service before it calms. */
+/**
+ * Lets servers request backoffs until the soak ends. All servers of a service do so
+ * together only in the fault phase, as recovery is measured afterwards.
+ */
 export async function injectBackoffs(world: World): Promise<void> {
 	const { options, servers } = world
 	const random = createRandom(options.seed + 5)
-	const calmAt = performance.now() + options.faultPhaseMs
+	const faultsEndAt = performance.now() + options.faultPhaseMs
 	while (!world.finished) {
 		await sleep(randomBetween(random, ...PAUSE_MS))
-		const one = randomItem(random, servers.all)
-		const isAll = random() < WHOLE_SERVICE_RATIO && performance.now() < calmAt
-		const some = isAll
-			? servers.all.filter(({ service }) => service === one.service)
-			: [one]
-		const ids = some.map(({ id }) => id)
-		for (const backend of some) backend.requestsBackoff = true
+		const chosen = randomItem(random, servers.all)
+		const isWholeService =
+			random() < WHOLE_SERVICE_RATIO && performance.now() < faultsEndAt
+		const refusing = isWholeService
+			? servers.all.filter(({ service }) => service === chosen.service)
+			: [chosen]
+		const ids = refusing.map(({ id }) => id)
+		for (const backend of refusing) backend.requestsBackoff = true
 		await sleep(randomBetween(random, ...DURATION_MS))
-		for (const backend of some) backend.requestsBackoff = false
-		count(world.record, 'servers that asked for rest', ids.length)
+		for (const backend of refusing) backend.requestsBackoff = false
+		count(world.record, 'servers that requested backoffs', ids.length)
 	}
 }
 
-/** Notes a request that has come; true when it has been turned away. */
+/** Records a request at a server; returns true if it was refused with a backoff. */
 export function refuseWithBackoff(
 	world: World,
 	backend: BackendServer,
@@ -109,11 +120,11 @@
 	return true
 }
 
-/** Judges what came from entries within rests that they had been asked for. */
+/** Checks what undisturbed entries sent during backoffs requested from them. */
 export function checkBackoffs(world: World): void {
-	const { backoffs: rests, arrivals } = world.backoffLog
-	count(world.record, 'rests asked for', rests.length)
-	for (const { serverId, entry, incarnation, at, until } of rests) {
+	const { backoffs, arrivals } = world.backoffLog
+	count(world.record, 'backoffs requested', backoffs.length)
+	for (const { serverId, entry, incarnation, at, until } of backoffs) {
 		const from = at + IN_FLIGHT_MS
 		if (!isUndisturbed(world.disturbances, `entry-${entry}`, at, until))
 			continue
@@ -129,7 +140,7 @@
 		recordViolation(
 			world.record,
 			'BUDGET',
-			`${serverId} asked entry-${entry} for ${Math.round(until - at)} ms of rest and got ${within.length}`,
+			`${serverId} requested a backoff of ${Math.round(until - at)} ms from entry-${entry} and received ${within.length} requests`,
 		)
 	}
 }
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -1,7 +1,6 @@
 /**
- * Backend servers of a soak: plain ones, and the ranks of one lock-step group.
- * They run in the soak's own process, misbehave as they are told, and note what
- * they run.
+ * Backend servers of a soak: plain ones, and the ranks of one lock-step group. They run
+ * in the soak's own process, misbehave as configured, and record what they run.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -20,58 +19,61 @@
 import type { Run, SoakRecord } from './types.ts'
 import { count, randomBetween, sleep } from './types.ts'
 
-/** Events of a whole stream. */
+/** Number of events of a complete stream. */
 export const STREAM_EVENTS = 6
 const EVENT_MS = 15
 const WORK_MS = [3, 25] as const
-/** Some work takes so long that a caller who leaves can be seen to free it, ms. */
+/**
+ * Duration of a small ratio of runs, ms: long enough to detect whether a server is
+ * freed when the caller abandons its request.
+ */
 const LONG_WORK_MS = 1_200
 const LONG_WORK_RATIO = 0.06
-/** A rank of a group that broke stands still this long, then refuses, ms. */
+/** Time that a rank of a broken group takes to refuse a request, ms. */
 const STALL_MS = 300
 
-/** How a server treats what it runs; parts of the requests, 0 to 1. */
+/** Misbehaviour of a server; except for `slow`, ratios of its requests, 0 to 1. */
 export interface Misbehaviour {
-	/** Runs it and resets the connection. */
+	/** Runs the request and resets the connection. */
 	reset: number
-	/** Runs it and never answers. */
+	/** Runs the request and never answers. */
 	hang: number
-	/** Answers half. */
+	/** Closes the connection in the middle of the answer. */
 	cut: number
-	/** Runs it and answers 500. */
+	/** Runs the request and answers 500. */
 	fail: number
-	/** Sends a second answer after the first. */
+	/** Sends a second, unrequested answer after the first. */
 	extra: number
-	/** Takes so many times longer. */
+	/** Factor by which all work takes longer; 1 is normal. */
 	slow: number
 }
 
-/** A server that does as it should. */
+/** Returns the behaviour of a correct server. */
 export function noMisbehaviour(): Misbehaviour {
 	return { reset: 0, hang: 0, cut: 0, fail: 0, extra: 0, slow: 1 }
 }
 
-/** One place where a backend server runs. */
+/** A backend server at one address, over all its incarnations. */
 export interface BackendServer {
 	readonly index: number
 	readonly service: string
-	/** Its rank; undefined for a plain server. */
+	/** Rank in the group; undefined for a plain server. */
 	readonly rank: number | undefined
-	/** As it is listed. */
+	/** Address in the server's record. */
 	readonly address: string
 	server: Server | undefined
-	/** What it is listed under and answers to; every second restart keeps it. */
+	/** Name of its record, which requests may expect; every second restart keeps it. */
 	name: string
 	/** Start of the present incarnation, Unix ms. */
 	bornAt: number
-	/** Of the present incarnation. */
+	/** Id of the present incarnation. */
 	id: string
-	/** Whether it has said that it leaves. */
+	/** Whether it has announced that it is leaving. */
 	leaving: boolean
 	misbehaviour: Misbehaviour
-	/** What it names in its answers for now. */
+	/** Rate limit that its answers report at present. */
 	limit: ReportedLimit | undefined
-	/** Whether it turns requests away and asks for rest. */
+	/** Whether it refuses requests and asks for a backoff. */
 	requestsBackoff: boolean
 }
 
@@ -82,16 +84,17 @@
 	readonly record: SoakRecord
 	readonly random: Random
 	readonly net: number
-	/** Part of the group's ranks that run; it serves while all do. */
+	/** Whether the group serves: it does while all its ranks run. */
 	groupOpen: boolean
-	/** What a server does that has run a deadly request. */
+	/** Called when a server has run the poison request. */
 	onPoisonRequest: (backend: BackendServer) => void
-	/** Turns a request away if the server is to; true when it has. */
+	/** Refuses a request if the server requests a backoff; returns whether it did. */
 	refuseWithBackoff: (
 		backend: BackendServer,
 		req: IncomingMessage,
 		res: ServerResponse,
 	) => boolean
+	/** Number of incarnations started so far. */
 	incarnations: number
 }
 
@@ -121,14 +124,14 @@
 	})
 }
 
-/** Ends a server at once; its connections are reset. */
+/** Stops a server at once and closes its connections. */
 export function crashServer(backend: BackendServer): void {
 	backend.server?.closeAllConnections()
 	backend.server?.close()
 	backend.server = undefined
 }
 
-/** The address that a server is listed under. */
+/** Returns the address for a server's record: that of its relay. */
 export function listedAddress(net: number, index: number): string {
 	return `${relayIp(net, index)}:${PORTS.engine}`
 }
@@ -170,16 +173,16 @@
 		servers.onPoisonRequest(backend)
 		return
 	}
-	if (backend.rank === undefined) await serveWhole(servers, backend, run, res)
+	if (backend.rank === undefined) await serveAnswer(servers, backend, run, res)
 	else await serveStream(servers, backend, run, req, res)
 }
 
-/** What a whole answer to a request is. */
+/** Returns the body of a complete answer to a request. */
 export function bodyOf(id: string): string {
 	return `the whole answer to ${id} `.repeat(8)
 }
 
-async function serveWhole(
+async function serveAnswer(
 	servers: Servers,
 	{ misbehaviour }: BackendServer,
 	run: Run,
@@ -191,28 +194,30 @@
 	run.endedAt ??= performance.now()
 	const head = { [WIRE.requestId]: run.id, [WIRE.seal]: `seal-${run.serverId}` }
 	const text = bodyOf(run.id)
-	const dice = random()
+	const draw = random()
 	const { reset, hang, cut, fail, extra } = misbehaviour
-	if (dice < reset) {
+	if (draw < reset) {
 		count(record, 'answers lost by a reset')
 		res.socket?.resetAndDestroy()
-	} else if (dice < reset + hang) {
+	} else if (draw < reset + hang) {
 		count(record, 'answers never sent')
-	} else if (dice < reset + hang + cut) {
+	} else if (draw < reset + hang + cut) {
 		count(record, 'answers cut')
 		res.writeHead(200, { ...head, 'Content-Length': text.length })
 		res.write(text.slice(0, 40))
 		setTimeout(() => res.socket?.destroy(), 5)
-	} else if (dice < reset + hang + cut + fail) {
+	} else if (draw < reset + hang + cut + fail) {
 		count(record, 'answers of 500')
 		res.writeHead(500, head).end('failed')
 	} else {
 		res.writeHead(200, head).end(text)
-		if (dice > 1 - extra) sendExtra(record, res)
+		if (draw > 1 - extra) sendExtra(record, res)
 	}
 }
 
-/** Bytes of another answer where the next one is expected. */
+/**
+ * Sends an unrequested answer, where the client expects the answer to its next request.
+ */
 function sendExtra(record: SoakRecord, res: ServerResponse): void {
 	count(record, 'answers sent twice')
 	res.socket?.write(
@@ -229,7 +234,7 @@
 ): Promise<void> {
 	const { misbehaviour } = backend
 	const from = Number(req.headers[WIRE.lastEventId] ?? 0) + 1
-	const breaksAt =
+	const cutAt =
 		servers.random() < misbehaviour.cut
 			? from + Math.floor(servers.random() * 4)
 			: 0
@@ -241,8 +246,8 @@
 	})
 	for (let event = from; event <= STREAM_EVENTS; event++) {
 		if (res.destroyed) return
-		if (event === breaksAt || !servers.groupOpen) {
-			count(servers.record, 'streams broken off')
+		if (event === cutAt || !servers.groupOpen) {
+			count(servers.record, 'streams cut')
 			res.write(`id: ${event}\ndata: ${run.id} ev`)
 			setTimeout(() => res.socket?.destroy(), 3)
 			return
--- a/soak/src/soak.ts
+++ b/soak/src/soak.ts
@@ -1,4 +1,4 @@
-/** One soak: a world under load and faults, then calm, then the verdict. */
+/** One soak: load and faults, then a time without faults, then the final checks. */
 
 import { rmSync } from 'node:fs'
 import { runCaller } from './callers.ts'
@@ -19,18 +19,18 @@
 import { checkRecord } from './verdict.ts'
 import { startWorld, stopWorld } from './world.ts'
 
-/** A soak that is interrupted ends the processes that it started. */
+/** Signals on which an interrupted soak kills the processes that it started. */
 const SIGNALS = ['SIGINT', 'SIGTERM'] as const
-/** Until all processes serve, ms. */
+/** Time for all processes to start serving, ms. */
 const START_MS = 2_500
-/** After the last fault, until recovery is due, ms. */
+/** Time from the last fault until recovery is due, ms. */
 const RECOVERY_MS = 7_000
-/** Calm in which recovery is judged, ms. */
+/** Time without faults in which recovery is measured, ms. */
 const MEASURED_MS = 3_000
-/** Requests that are under way at the end, ms. */
+/** Time for requests in flight at the end, ms. */
 const FINAL_ANSWERS_MS = 2_500
 
-/** Runs a soak; its folder is kept when a promise was broken. */
+/** Runs a soak; its folder with settings and logs is kept if a promise was broken. */
 export async function runSoak(options: SoakOptions): Promise<SoakRecord> {
 	rmSync(options.folder, { recursive: true, force: true })
 	const world = await startWorld(options)
@@ -40,8 +40,8 @@
 	}
 	for (const signal of SIGNALS) process.once(signal, interrupt)
 	await sleep(START_MS)
-	const callers = Array.from({ length: options.clients }, (_, number) =>
-		runCaller(world, number),
+	const callers = Array.from({ length: options.clients }, (_, caller) =>
+		runCaller(world, caller),
 	)
 	if (options.poisonRequest) {
 		world.servers.onPoisonRequest = backend =>
--- a/soak/src/stalls.ts
+++ b/soak/src/stalls.ts
@@ -1,31 +1,31 @@
 /**
- * How long this process itself stood still: its callers, its stand-ins and its
- * clock live in one thread, so what it did not see may not be the product's doing.
+ * Stalls of the soak's own event loop. Callers, fake servers and clock share one
+ * thread, so an apparent fault of the product may be caused by a stall of the soak.
  */
 
 const SAMPLE_INTERVAL_MS = 20
 
-/** A watch under way. */
+/** A running measurement of stalls. */
 export interface StallWatch {
-	/** Ends it; the longest time between two looks beyond what was asked, ms. */
+	/** Ends it; returns the longest delay of a sample beyond its interval, ms. */
 	stop(): number
 }
 
-/** Watches this process's thread until it is told to end. */
+/** Starts to measure stalls of the event loop. */
 export function watchStalls(): StallWatch {
-	let longest = 0
-	let lookedAt = performance.now()
-	const look = () => {
+	let longestMs = 0
+	let sampledAt = performance.now()
+	const sample = () => {
 		const now = performance.now()
-		longest = Math.max(longest, now - lookedAt - SAMPLE_INTERVAL_MS)
-		lookedAt = now
+		longestMs = Math.max(longestMs, now - sampledAt - SAMPLE_INTERVAL_MS)
+		sampledAt = now
 	}
-	const timer = setInterval(look, SAMPLE_INTERVAL_MS)
+	const timer = setInterval(sample, SAMPLE_INTERVAL_MS)
 	return {
 		stop() {
-			look()
+			sample()
 			clearInterval(timer)
-			return Math.max(0, Math.round(longest))
+			return Math.max(0, Math.round(longestMs))
 		},
 	}
 }
--- a/soak/src/trouble.ts
+++ b/soak/src/trouble.ts
@@ -1,9 +1,9 @@
 /**
- * Which VM is being troubled, so that promises with a time bound are judged only
- * for those that are not, as the platform's rules say.
+ * Which VMs are disturbed by faults, and when. By the platform's rules, promises with a
+ * time bound hold only for VMs that are not.
  */
 
-/** A VM counts as untroubled this long after a fault's end, ms. */
+/** Time after the end of a fault during which a VM still counts as disturbed, ms. */
 export const CONTACT_MS = 3_000
 
 interface Disturbance {
@@ -12,20 +12,20 @@
 	until: number
 }
 
-/** Spans of trouble; the store's and all servers' belong to everybody. */
+/** All disturbances; those of the store and of servers concern all VMs. */
 export interface Disturbances {
 	readonly spans: Disturbance[]
 }
 
-/** Who a span of the store or of all belongs to. */
+/** Stands for all VMs in {@link Disturbance.vm}. */
 export const ALL_VMS = '*'
 
-/** Makes a log without troubles. */
+/** Creates an empty log of disturbances. */
 export function createDisturbances(): Disturbances {
 	return { spans: [] }
 }
 
-/** Begins a trouble; the function that is returned ends it. */
+/** Records the start of a disturbance and returns the function that records its end. */
 export function beginDisturbance(
 	disturbances: Disturbances,
 	vm: string,
@@ -41,7 +41,7 @@
 	}
 }
 
-/** Whether a VM was left alone from {@link CONTACT_MS} before `from` to `until`. */
+/** Whether a VM was undisturbed from {@link CONTACT_MS} before `from` to `until`. */
 export function isUndisturbed(
 	disturbances: Disturbances,
 	vm: string,
--- a/soak/src/types.ts
+++ b/soak/src/types.ts
@@ -1,11 +1,14 @@
-/** What a soak knows of its requests, runs and processes. */
+/**
+ * Records and options of a soak. A promise is a guarantee of the product that the soak
+ * checks, named in capital letters; a violation is a case in which it was broken.
+ */
 
 import type { Random } from '@juniperhook/core'
 
-/** How often a request may run, and how its answer comes. */
+/** Kind of request: one that may run at most once, a repeatable one, or a stream. */
 export type RequestKind = 'once' | 'repeatable' | 'stream'
 
-/** What a caller sent and what came of it; times in ms of the steady clock. */
+/** A caller's request and its outcome; times in ms of the steady clock. */
 export interface RequestRecord {
 	readonly id: string
 	readonly kind: RequestKind
@@ -13,21 +16,21 @@
 	readonly body: string
 	readonly team: string
 	readonly entry: number
-	/** The entry's life that it was sent to. */
+	/** The entry's incarnation when the request was sent. */
 	readonly incarnation: number
 	readonly sentAt: number
-	/** When it is given up, by its deadline or its route's time-out. */
+	/** When the entry must have ended it: at its deadline or its route's time-out. */
 	readonly timeoutAt: number
 	readonly deadlineAt: number
-	/** When the caller left, if it did. */
+	/** When the caller abandoned it, if it did. */
 	abandonedAt: number | undefined
-	/** Whether the caller gave up after its deadline without an answer. */
-	timedOut: boolean
-	/** A promise that it has not run and never will. */
+	/** Whether the caller closed the connection after the deadline without an answer. */
+	callerTimedOut: boolean
+	/** When an answer promised that it has not run and never will. */
 	promisedNotRunAt: number | undefined
 	answeredAt: number | undefined
 	status: number
-	/** What the answer says of a refusal or failure; '' for none. */
+	/** Error kind of a refusal or failure; '' for none. */
 	error: string
 }
 
@@ -36,21 +39,21 @@
 	readonly id: string
 	readonly serverId: string
 	readonly startedAt: number
-	/** Time that the server was given, ms. */
+	/** Time that the entry gave the server, ms. */
 	readonly deadlineMs: number
 	endedAt: number | undefined
 }
 
-/** What backend servers and callers saw, and what was broken. */
+/** What backend servers and callers observed, and the violations found. */
 export interface SoakRecord {
 	readonly requests: Map<string, RequestRecord>
 	readonly runs: Map<string, Run[]>
-	/** A line for each promise that was broken. */
+	/** A line for each broken promise: its name and details. */
 	readonly violations: string[]
 	readonly counts: Map<string, number>
 }
 
-/** Makes an empty record. */
+/** Creates an empty record. */
 export function createRecord(): SoakRecord {
 	return {
 		requests: new Map(),
@@ -60,12 +63,12 @@
 	}
 }
 
-/** Counts something. */
+/** Adds to a counter of the record. */
 export function count(record: SoakRecord, what: string, by = 1): void {
 	record.counts.set(what, (record.counts.get(what) ?? 0) + by)
 }
 
-/** Notes a broken promise. */
+/** Records a broken promise. */
 export function recordViolation(
 	record: SoakRecord,
 	promise: string,
@@ -74,38 +77,38 @@
 	record.violations.push(`${promise}: ${detail}`)
 }
 
-/** Sizes and lengths of a soak. */
+/** Options of a soak. */
 export interface SoakOptions {
 	readonly seed: number
 	readonly entries: number
 	readonly ranks: number
 	readonly plainServers: number
 	readonly clients: number
-	/** Time in which faults begin, ms. */
+	/** Time in which faults start, ms. */
 	readonly faultPhaseMs: number
-	/** Faults in that time. */
+	/** Number of faults in that time. */
 	readonly faults: number
-	/** Only kinds of faults whose names have this in them; all for ''. */
+	/** Restricts faults to kinds whose names contain this text; '' for all. */
 	readonly faultFilter: string
-	/** Second part of the loopback addresses, so that soaks can run side by side. */
+	/** Second octet of the loopback addresses, so that soaks can run side by side. */
 	readonly net: number
-	/** Whether a caller sends a request that ends servers, again and again. */
+	/** Whether a caller repeatedly sends a request that crashes servers. */
 	readonly poisonRequest: boolean
-	/** Whether servers name limits, one after the other. */
+	/** Whether servers report rate limits, one at a time. */
 	readonly rateLimits: boolean
-	/** Whether servers turn requests away and ask for rest. */
+	/** Whether servers refuse requests and ask entries to back off. */
 	readonly backoffs: boolean
-	/** Whether the store goes back to older copies. */
+	/** Whether the store is rolled back to older copies. */
 	readonly rollbacks: boolean
-	/** Whether promises with a time bound are judged. */
+	/** Whether promises with a time bound are checked. */
 	readonly checksTiming: boolean
-	/** The processes' bundle; by default the one that was built here. */
+	/** Path of the processes' bundle; by default that of this repository. */
 	readonly bundle?: string | undefined
 	/** Folder for settings and logs. */
 	readonly folder: string
 }
 
-/** A number from `low` up to `high`. */
+/** Returns a random number from `low` (inclusive) to `high` (exclusive). */
 export function randomBetween(
 	random: Random,
 	low: number,
@@ -114,12 +117,11 @@
 	return low + random() * (high - low)
 }
 
-/** One of several. */
+/** Returns a random item. */
 export function randomItem<T>(random: Random, items: readonly T[]): T {
 	return items[Math.floor(random() * items.length)]!
 }
 
-/** Waits. */
 export function sleep(ms: number): Promise<void> {
 	return new Promise(resolve => setTimeout(resolve, ms))
 }
--- a/soak/src/verdict.ts
+++ b/soak/src/verdict.ts
@@ -1,4 +1,4 @@
-/** What can only be judged when a soak is over. */
+/** Checks that need the whole record of a soak. */
 
 import { RETRIES, SERVICE_OF } from './config.ts'
 import { isRefusalJustified } from './held.ts'
@@ -7,24 +7,24 @@
 import { count, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
-/** A caller that left frees the server within this time, ms. */
+/** Time within which a server is freed of a request that its caller abandoned, ms. */
 const ABANDON_MS = 500
-/** A deadline handed on may end this much after the caller's own, ms. */
+/** How much later than the caller's deadline the one given to a server may be, ms. */
 const DEADLINE_SLACK_MS = 500
-/** Added to times judged from outside, for this machine's own delays, ms. */
+/** Allowance for delays of this machine in times measured from outside, ms. */
 const SLACK_MS = 250
-/** A server that leaves gets nothing new after this time, ms. */
+/** Time after which a leaving server must not receive new requests, ms. */
 const DRAIN_MS = 2_000
-/** Part of the requests that must be served once all faults are over. */
+/** Ratio of requests that must be served after recovery from all faults. */
 const MIN_SERVED_RATIO = 0.95
-/** Fewer requests than this say nothing about recovery. */
+/** Minimum number of requests for a statement on recovery. */
 const MIN_REQUESTS = 30
-/** Ways of ending that a verdict tells. */
+/** Number of outcomes listed in a violation of RECOVER. */
 const MAX_OUTCOMES = 6
 
 /**
- * Judges the whole record; `calmSince` is when recovery was due, `stalledMs` how long
- * this process stood still at most since then.
+ * Checks the whole record. `recoveryDueAt` is when recovery was due; `stalledMs` is the
+ * longest stall of this process since then.
  */
 export function checkRecord(
 	world: World,
@@ -34,7 +34,11 @@
 	const { record, servers } = world
 	for (const mixed of servers.group.mixed) recordViolation(record, 'MAP', mixed)
 	if (servers.group.held !== undefined)
-		recordViolation(record, 'MAP', `held at the end: ${servers.group.held}`)
+		recordViolation(
+			record,
+			'MAP',
+			`gates still held at the end: ${servers.group.held}`,
+		)
 	for (const [id, runs] of record.runs) {
 		const request = record.requests.get(id)
 		if (request) for (const run of runs) checkTimes(world, request, run)
@@ -44,14 +48,18 @@
 	checkRecovery(world, recoveryDueAt, stalledMs)
 }
 
-/** A refusal counts for whatever ran before or after it. */
+/** Checks that what an entry refused ran neither before nor after the refusal. */
 function checkRefusals({ record }: World): void {
 	for (const request of record.requests.values()) {
 		const runs = record.runs.get(request.id) ?? []
-		const isBroken =
+		const isPromisedNotRun =
 			request.promisedNotRunAt !== undefined && request.kind === 'once'
-		if (isBroken && runs.length > 0)
-			recordViolation(record, 'REFUSED', `${request.id} ran all the same`)
+		if (isPromisedNotRun && runs.length > 0)
+			recordViolation(
+				record,
+				'REFUSED',
+				`${request.id} ran although its caller was told that it has not`,
+			)
 	}
 }
 
@@ -67,7 +75,7 @@
 		recordViolation(
 			record,
 			'BUDGET',
-			`${request.id} has more time than is left`,
+			`${request.id} was given more time than its caller's deadline leaves`,
 		)
 	const ended = run.endedAt ?? Number.POSITIVE_INFINITY
 	if (
@@ -76,7 +84,11 @@
 	) {
 		const until = Math.min(ended, request.abandonedAt + ABANDON_MS + SLACK_MS)
 		if (isUndisturbed(disturbances, entry, request.abandonedAt, until))
-			recordViolation(record, 'GONE', `${run.serverId} works on ${request.id}`)
+			recordViolation(
+				record,
+				'GONE',
+				`${run.serverId} still works on ${request.id}, which its caller abandoned`,
+			)
 	}
 	const leavingSince = leavingAt.get(run.serverId)
 	if (leavingSince === undefined) return
@@ -92,7 +104,7 @@
 		)
 }
 
-/** Second runs at a service stay below its budget in every window. */
+/** Checks that retries at each service stay within their budget in every window. */
 function checkRetries(world: World): void {
 	for (const service of new Set(Object.values(SERVICE_OF)))
 		checkRetriesOfService(world, service)
@@ -100,23 +112,23 @@
 
 function checkRetriesOfService(world: World, service: string): void {
 	const { record } = world
-	const request = [...record.requests.values()].filter(
+	const requests = [...record.requests.values()].filter(
 		one => SERVICE_OF[one.kind] === service,
 	)
-	const sent = request.map(one => one.sentAt)
-	const again = request.flatMap(one =>
+	const sent = requests.map(one => one.sentAt)
+	const retries = requests.flatMap(one =>
 		(record.runs.get(one.id) ?? []).slice(1).map(run => run.startedAt),
 	)
-	count(record, `second runs at ${service}`, again.length)
-	for (const end of again) {
+	count(record, `retries at ${service}`, retries.length)
+	for (const end of retries) {
 		const within = (times: readonly number[]) =>
 			times.filter(at => at <= end && at > end - RETRIES.windowMs).length
-		const most = RETRIES.ratio * within(sent) + RETRIES.slack
-		if (within(again) <= most) continue
+		const budget = RETRIES.ratio * within(sent) + RETRIES.slack
+		if (within(retries) <= budget) continue
 		recordViolation(
 			record,
 			'BUDGET',
-			`${within(again)} second runs at ${service}`,
+			`${within(retries)} retries at ${service}`,
 		)
 		return
 	}
@@ -134,41 +146,45 @@
 			one.answeredAt !== undefined &&
 			one.abandonedAt === undefined,
 	)
-	const late = ended.filter(one => !isRefusalJustified(world, one))
-	count(record, 'refused rightly after recovery', ended.length - late.length)
-	const served = late.filter(one => one.status === 200).length
-	count(record, 'requests after recovery', late.length)
+	const counted = ended.filter(one => !isRefusalJustified(world, one))
+	count(
+		record,
+		'justified refusals after recovery',
+		ended.length - counted.length,
+	)
+	const served = counted.filter(one => one.status === 200).length
+	count(record, 'requests after recovery', counted.length)
 	count(record, 'served after recovery', served)
-	if (late.length < MIN_REQUESTS)
+	if (counted.length < MIN_REQUESTS)
 		recordViolation(
 			record,
 			'RECOVER',
-			`only ${late.length} requests ended, ${countOpen(world)} open, stalled ${stalledMs} ms`,
+			`only ${counted.length} requests ended, ${countOpen(world)} open, stalled ${stalledMs} ms`,
 		)
-	else if (served < MIN_SERVED_RATIO * late.length)
+	else if (served < MIN_SERVED_RATIO * counted.length)
 		recordViolation(
 			record,
 			'RECOVER',
-			`${served} of ${late.length} served, ${summarizeOutcomes(late)}, stalled ${stalledMs} ms`,
+			`${served} of ${counted.length} served, ${summarizeOutcomes(counted)}, stalled ${stalledMs} ms`,
 		)
 }
 
-/** How often requests ended in each way but a whole success, the most frequent first. */
-function summarizeOutcomes(request: readonly RequestRecord[]): string {
-	const ends = new Map<string, number>()
-	for (const { kind, entry, status, error } of request) {
+/** Summarizes outcomes other than success with their counts, the most frequent first. */
+function summarizeOutcomes(requests: readonly RequestRecord[]): string {
+	const outcomes = new Map<string, number>()
+	for (const { kind, entry, status, error } of requests) {
 		if (status === 200) continue
-		const end = `${kind} at entry-${entry}: ${status} ${error}`.trimEnd()
-		ends.set(end, (ends.get(end) ?? 0) + 1)
+		const outcome = `${kind} at entry-${entry}: ${status} ${error}`.trimEnd()
+		outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)
 	}
-	return [...ends]
+	return [...outcomes]
 		.sort(([, a], [, b]) => b - a)
 		.slice(0, MAX_OUTCOMES)
-		.map(([end, times]) => `${end} (${times})`)
+		.map(([outcome, times]) => `${outcome} (${times})`)
 		.join(', ')
 }
 
-/** Requests without an end, whose callers still wait. */
+/** Counts requests without an outcome whose callers still wait. */
 function countOpen({ record }: World): number {
 	return [...record.requests.values()].filter(
 		one => one.answeredAt === undefined && one.abandonedAt === undefined,
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -1,4 +1,4 @@
-/** Everything a soak runs: store, relays, backend servers and processes. */
+/** Everything that a soak runs: store, relays, backend servers and processes. */
 
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
@@ -36,7 +36,7 @@
 
 const SLOTS = 8
 
-/** A version of the configuration, and when the store took it. */
+/** A version of the configuration, and when it was written to the store. */
 export interface PublishedVersion {
 	readonly version: number
 	readonly at: number
@@ -49,34 +49,34 @@
 	readonly record: SoakRecord
 	readonly disturbances: Disturbances
 	readonly store: StandInStore
-	/** What writers last wrote, by key; they write it again when the store lacks it. */
+	/** Last value written by key; written again when a rollback has lost it. */
 	readonly lastWritten: Map<string, string | undefined>
 	readonly servers: Servers
 	readonly entries: ManagedProcess[]
 	readonly agents: ManagedProcess[]
-	/** Relays to backend servers, and to agents beside them. */
+	/** Relays to backend servers, and to the agents of ranks. */
 	readonly serverRelays: Relay[]
 	readonly agentRelays: Relay[]
-	/** Relays to the store, entries' first. */
+	/** Relays to the store: those of entries, then those of agents. */
 	readonly storeRelays: Relay[]
 	readonly published: PublishedVersion[]
-	/** How often the configuration has grown by many routes. */
+	/** How often the configuration has grown; see {@link buildConfig}. */
 	growths: number
-	/** When the store was told that a server leaves or is gone, by id. */
+	/** When the store recorded that a server is leaving or gone, by server id. */
 	readonly leavingAt: Map<string, number>
-	/** When no entry was running, ms. */
+	/** Times at which no entry was running, so that crash evidence was lost, ms. */
 	readonly evidenceLostAt: number[]
-	/** Limits that servers have named. */
+	/** Rate limits that servers have reported. */
 	readonly limits: ReportedLimit[]
-	/** Rests that servers have asked for, and what came. */
+	/** Backoffs that servers have requested, and the requests that reached them. */
 	readonly backoffLog: BackoffLog
 	readonly relayedLeavings: RelayedLeaving[]
 	readonly unavailableMoments: UnavailableMoment[]
-	/** Set when the soak is over. */
+	/** Set when the soak ends. */
 	finished: boolean
 }
 
-/** Starts a world; processes are started and need a moment. */
+/** Starts everything; the processes need a moment until they serve. */
 export async function startWorld(options: SoakOptions): Promise<World> {
 	const { net, seed } = options
 	const record = createRecord()
@@ -116,13 +116,13 @@
 		finished: false,
 	}
 	publish(world, 1, true)
-	for (let at = 0; at < options.ranks + options.plainServers; at++)
-		await addServer(world, at)
+	for (let n = 0; n < options.ranks + options.plainServers; n++)
+		await addServer(world, n)
 	const storePort = Number(store.address.split(':')[1])
-	for (let at = 0; at < options.entries; at++)
-		world.entries.push(prepareProcess(options, 'entry', at))
-	for (let at = 0; at < options.ranks; at++)
-		world.agents.push(prepareProcess(options, 'agent', at))
+	for (let n = 0; n < options.entries; n++)
+		world.entries.push(prepareProcess(options, 'entry', n))
+	for (let n = 0; n < options.ranks; n++)
+		world.agents.push(prepareProcess(options, 'agent', n))
 	for (const { role, index } of [...world.entries, ...world.agents]) {
 		const ip = role === 'entry' ? entryStoreIp : agentStoreIp
 		world.storeRelays.push(
@@ -170,12 +170,12 @@
 	world.store.put(key, value)
 }
 
-/** Writes a server's entry. */
+/** Writes a server's record to the store. */
 export function listServer(world: World, backend: BackendServer): void {
 	const { id, name, service, address, rank, leaving, index } = backend
 	const { epoch } = world.servers.group
 	const phase = world.servers.groupOpen ? 'open' : 'broken'
-	const entry = {
+	const serverRecord = {
 		service,
 		address,
 		zone: `zone-${index % 2}`,
@@ -189,11 +189,11 @@
 			group: { name: 'g', rank, epoch, phase },
 		}),
 	}
-	write(world, `servers/${name}`, JSON.stringify(entry))
+	write(world, `servers/${name}`, JSON.stringify(serverRecord))
 	if (leaving) world.leavingAt.set(id, performance.now())
 }
 
-/** Takes a server's entry away. */
+/** Removes a server's record from the store. */
 export function unlistServer(
 	world: World,
 	{ id, name }: Pick<BackendServer, 'id' | 'name'>,
@@ -213,7 +213,7 @@
 	world.published.push({ version, at: performance.now(), keepsRevokedKey })
 }
 
-/** Ends everything that the soak started; resolves when its processes are gone. */
+/** Stops everything that the soak started; resolves when its processes have exited. */
 export async function stopWorld(world: World): Promise<void> {
 	const managed = [...world.entries, ...world.agents]
 	const ended = Promise.all(managed.map(terminateProcess))
@@ -225,7 +225,7 @@
 	await ended
 }
 
-/** Every relay. */
+/** Returns all relays. */
 export function allRelays(world: World): Relay[] {
 	return [...world.serverRelays, ...world.agentRelays, ...world.storeRelays]
 }
--- a/soak/test/judge.test.ts
+++ b/soak/test/judge.test.ts
@@ -1,4 +1,4 @@
-/** The soak's judges: each promise that is broken is seen. */
+/** The soak's checks detect each kind of broken promise, and only those. */
 
 import type { IncomingMessage } from 'node:http'
 import { test } from 'uvu'
@@ -15,7 +15,7 @@
 import { createRecord } from '../src/types.ts'
 import type { World } from '../src/world.ts'
 
-const ASKED: RequestRecord = {
+const REQUEST: RequestRecord = {
 	id: 'a',
 	kind: 'once',
 	path: '/o/1',
@@ -27,7 +27,7 @@
 	timeoutAt: 1_000,
 	deadlineAt: 1_000,
 	abandonedAt: undefined,
-	timedOut: false,
+	callerTimedOut: false,
 	promisedNotRunAt: undefined,
 	answeredAt: undefined,
 	status: 0,
@@ -38,17 +38,17 @@
 	[WIRE.team]: 'rangers',
 	[WIRE.deadlineMs]: '900',
 }
-const WHOLE = 'the whole answer'
-const GOT: CallerAnswer = {
+const COMPLETE_BODY = 'the whole answer'
+const ANSWER: CallerAnswer = {
 	status: 200,
 	seal: 'seal',
 	requestId: 'a',
 	retryAfter: undefined,
-	body: WHOLE,
+	body: COMPLETE_BODY,
 	complete: true,
 }
 
-function runIt(record: SoakRecord, change: object = {}, body = 'body'): void {
+function run(record: SoakRecord, change: object = {}, body = 'body'): void {
 	const headers = { ...HEADERS, ...change }
 	const req = { url: '/o/1', headers } as unknown as IncomingMessage
 	checkRun(record, 's', req, body)
@@ -56,99 +56,112 @@
 
 const CASES: {
 	name: string
-	deed: (record: SoakRecord) => void
-	/** Promises that are broken. */
+	act: (record: SoakRecord) => void
+	/** Names of the promises reported as broken. */
 	broken: string[]
 }[] = [
-	{ name: 'a run and its answer', deed: record => answer(record), broken: [] },
+	{ name: 'a run and its answer', act: record => answer(record), broken: [] },
 	{
 		name: 'a run of a request never sent',
-		deed: record => runIt(record, { [WIRE.requestId]: 'b' }),
+		act: record => run(record, { [WIRE.requestId]: 'b' }),
 		broken: ['UNASKED'],
 	},
 	{
 		name: 'a changed body',
-		deed: record => runIt(record, {}, 'other'),
+		act: record => run(record, {}, 'other'),
 		broken: ['UNASKED'],
 	},
 	{
 		name: 'another team',
-		deed: record => runIt(record, { [WIRE.team]: 'guests' }),
+		act: record => run(record, { [WIRE.team]: 'guests' }),
 		broken: ['UNASKED'],
 	},
 	{
-		name: 'a key shown to the server',
-		deed: record => runIt(record, { authorization: 'Token k' }),
+		name: 'an API key passed on to the server',
+		act: record => run(record, { authorization: 'Token k' }),
 		broken: ['UNASKED'],
 	},
 	{
-		name: 'two runs of what may run once',
-		deed(record) {
-			runIt(record)
-			runIt(record)
+		name: 'two runs of a request that may run once',
+		act(record) {
+			run(record)
+			run(record)
 		},
 		broken: ['TWICE'],
 	},
 	{
-		name: 'a refusal of what has run',
-		deed: record => answer(record, { status: 503, body: '' }),
+		name: 'a refusal of a request that has run',
+		act: record => answer(record, { status: 503, body: '' }),
 		broken: ['REFUSED'],
 	},
 	{
 		name: 'a run after a refusal',
-		deed(record) {
-			checkAnswer(record, askedIn(record), { ...GOT, status: 503 }, WHOLE)
-			runIt(record)
+		act(record) {
+			checkAnswer(
+				record,
+				requestIn(record),
+				{ ...ANSWER, status: 503 },
+				COMPLETE_BODY,
+			)
+			run(record)
 		},
 		broken: ['REFUSED'],
 	},
 	{
 		name: "another request's answer",
-		deed: record => answer(record, { requestId: 'b' }),
+		act: record => answer(record, { requestId: 'b' }),
 		broken: ['MIXED'],
 	},
 	{
-		name: 'half an answer that looks whole',
-		deed: record => answer(record, { body: 'the whole' }),
+		name: 'a short answer that ends by its framing',
+		act: record => answer(record, { body: 'the whole' }),
 		broken: ['MIXED'],
 	},
 	{
 		name: 'a success without a run',
-		deed: record => checkAnswer(record, askedIn(record), GOT, WHOLE),
+		act: record =>
+			checkAnswer(record, requestIn(record), ANSWER, COMPLETE_BODY),
 		broken: ['MIXED'],
 	},
 	{
-		name: 'a part of a stream in order',
-		deed: record => checkPartialStream(record, askedIn(record), 'the', WHOLE),
+		name: 'a truncated stream in order',
+		act: record =>
+			checkPartialStream(record, requestIn(record), 'the', COMPLETE_BODY),
 		broken: [],
 	},
 	{
-		name: 'a part of a stream that is missing',
-		deed: record => checkPartialStream(record, askedIn(record), 'whole', WHOLE),
+		name: 'a truncated stream without its beginning',
+		act: record =>
+			checkPartialStream(record, requestIn(record), 'whole', COMPLETE_BODY),
 		broken: ['ORDER'],
 	},
 ]
 
-function askedIn(record: SoakRecord): RequestRecord {
+function requestIn(record: SoakRecord): RequestRecord {
 	return record.requests.get('a')!
 }
 
 function answer(record: SoakRecord, change: Partial<CallerAnswer> = {}): void {
-	runIt(record)
-	checkAnswer(record, askedIn(record), { ...GOT, ...change }, WHOLE)
+	run(record)
+	checkAnswer(
+		record,
+		requestIn(record),
+		{ ...ANSWER, ...change },
+		COMPLETE_BODY,
+	)
 }
 
-for (const { name, deed, broken } of CASES)
-	test(`soak judge: ${name}`, () => {
+for (const { name, act, broken } of CASES)
+	test(`soak checks: ${name}`, () => {
 		const record = createRecord()
-		record.requests.set('a', { ...ASKED })
-		deed(record)
+		record.requests.set('a', { ...REQUEST })
+		act(record)
 		const promises = record.violations.map(line => line.split(':')[0])
 		assert.equal(promises, broken)
 	})
 
-/** A world as far as the judges of rests and leavings look at it. */
-function worldOf(part: object): World {
+/** Creates a world with only what the checks of backoffs and leaving read. */
+function createWorld(part: object): World {
 	const record = createRecord()
 	return {
 		record,
@@ -157,113 +170,123 @@
 	} as unknown as World
 }
 
-interface SpokenCase {
+interface ArrivalCase {
 	readonly name: string
-	/** When requests came to the server, ms. */
+	/** When requests were sent or arrived at the server, ms. */
 	readonly arrivals: readonly number[]
-	/** Whether the entry was in trouble meanwhile. */
-	readonly troubled?: boolean
+	/** Whether the entry was disturbed meanwhile. */
+	readonly disturbed?: boolean
 	readonly broken: number
 }
-const RESTS: readonly SpokenCase[] = [
-	{ name: 'two late requests', arrivals: [100, 200, 900, 950], broken: 0 },
-	{ name: 'three late requests', arrivals: [900, 950, 1_000], broken: 1 },
+const BACKOFF_CASES: readonly ArrivalCase[] = [
+	{
+		name: 'two requests after those in flight',
+		arrivals: [100, 200, 900, 950],
+		broken: 0,
+	},
+	{
+		name: 'three requests after those in flight',
+		arrivals: [900, 950, 1_000],
+		broken: 1,
+	},
 	{ name: 'requests after it', arrivals: [3_001, 3_002, 3_003], broken: 0 },
 	{
-		name: 'an entry in trouble',
+		name: 'three requests of a disturbed entry',
 		arrivals: [900, 950, 1_000],
-		troubled: true,
+		disturbed: true,
 		broken: 0,
 	},
 ]
-for (const { name, arrivals, troubled, broken } of RESTS)
-	test(`judge of rests: ${name}`, () => {
-		const who = { serverId: 's', entry: 0, incarnation: 1 }
-		const world = worldOf({
+for (const { name, arrivals, disturbed, broken } of BACKOFF_CASES)
+	test(`check of backoffs: ${name}`, () => {
+		const sender = { serverId: 's', entry: 0, incarnation: 1 }
+		const world = createWorld({
 			backoffLog: {
-				backoffs: [{ ...who, at: 0, until: 3_000 }],
-				arrivals: arrivals.map(at => ({ ...who, at })),
+				backoffs: [{ ...sender, at: 0, until: 3_000 }],
+				arrivals: arrivals.map(at => ({ ...sender, at })),
 			},
 		})
-		if (troubled)
+		if (disturbed)
 			world.disturbances.spans.push({ vm: 'entry-0', from: 500, until: 600 })
 		checkBackoffs(world)
 		assert.is(world.record.violations.length, broken)
 	})
 
-/** No server of the plain service is free for entry 0 at that moment. */
-const HELD_AT = 500
+/** Moment at which no server of the plain service is available to entry 0. */
+const UNAVAILABLE_AT = 500
 const REFUSED: RequestRecord = {
-	...ASKED,
-	sentAt: HELD_AT,
-	answeredAt: HELD_AT + 10,
+	...REQUEST,
+	sentAt: UNAVAILABLE_AT,
+	answeredAt: UNAVAILABLE_AT + 10,
 	status: 503,
 	error: 'resting',
 }
-const REFUSALS: readonly {
+const REFUSAL_CASES: readonly {
 	readonly name: string
 	readonly request: RequestRecord
-	readonly rightly: boolean
+	readonly justified: boolean
 }[] = [
-	{ name: 'at that moment', request: REFUSED, rightly: true },
+	{ name: 'at that moment', request: REFUSED, justified: true },
 	{
 		name: 'long before it',
 		request: { ...REFUSED, sentAt: 100, answeredAt: 110 },
-		rightly: false,
+		justified: false,
 	},
 	{
 		name: 'long after it',
 		request: { ...REFUSED, sentAt: 600, answeredAt: 610 },
-		rightly: false,
+		justified: false,
 	},
 	{
 		name: 'by another entry',
 		request: { ...REFUSED, entry: 1 },
-		rightly: false,
+		justified: false,
 	},
 	{
 		name: 'of another service',
 		request: { ...REFUSED, kind: 'stream' },
-		rightly: false,
+		justified: false,
 	},
 	{
 		name: 'for another reason',
 		request: { ...REFUSED, error: 'overloaded' },
-		rightly: false,
+		justified: false,
 	},
 	{
 		name: 'after it may have run',
 		request: { ...REFUSED, status: 502, error: 'linkLost' },
-		rightly: false,
+		justified: false,
 	},
 ]
-for (const { name, request, rightly } of REFUSALS)
-	test(`judge of recovery: refused ${name}, ${rightly ? 'rightly' : 'wrongly'}`, () => {
-		const moment = { at: HELD_AT, entry: 0, service: SERVICE_OF.once }
+for (const { name, request, justified } of REFUSAL_CASES)
+	test(`check of recovery: refused ${name}, ${justified ? 'justified' : 'not justified'}`, () => {
+		const moment = { at: UNAVAILABLE_AT, entry: 0, service: SERVICE_OF.once }
 		assert.is(
 			isRefusalJustified({ unavailableMoments: [moment] }, request),
-			rightly,
+			justified,
 		)
 	})
 
-const LEAVINGS: readonly (SpokenCase & { readonly incarnation: number })[] = [
-	{ name: 'asked in time', arrivals: [1_900], incarnation: 1, broken: 0 },
-	{ name: 'asked too late', arrivals: [2_100], incarnation: 1, broken: 1 },
+const LEAVING_CASES: readonly (ArrivalCase & {
+	readonly incarnation: number
+})[] = [
+	{ name: 'sent in time', arrivals: [1_900], incarnation: 1, broken: 0 },
+	{ name: 'sent too late', arrivals: [2_100], incarnation: 1, broken: 1 },
 	{
-		name: 'asked of the next life',
+		name: 'sent to the next incarnation',
 		arrivals: [2_100],
 		incarnation: 2,
 		broken: 0,
 	},
 ]
-for (const { name, arrivals, incarnation, broken } of LEAVINGS)
-	test(`judge of leavings: ${name}`, () => {
-		const passed = { serverId: 's', entry: 0, incarnation: 1, at: 0 }
-		const world = worldOf({ relayedLeavings: [passed] })
-		const { requests: request, runs } = world.record
+for (const { name, arrivals, incarnation, broken } of LEAVING_CASES)
+	test(`check of leaving: ${name}`, () => {
+		const relayed = { serverId: 's', entry: 0, incarnation: 1, at: 0 }
+		const world = createWorld({ relayedLeavings: [relayed] })
+		const { requests, runs } = world.record
 		for (const sentAt of arrivals) {
 			const id = String(sentAt)
-			request.set(id, { ...ASKED, id, incarnation, sentAt })
+			requests.set(id, { ...REQUEST, id, incarnation, sentAt })
 			const startedAt = sentAt + 5
 			const run = { id, serverId: 's', startedAt, deadlineMs: 900 }
 			runs.set(id, [{ ...run, endedAt: undefined }])
