--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -39,8 +39,7 @@
 	let entry = randomItem(random, world.entries)
 	for (let number = 0; !world.finished; number++) {
 		const agent = httpAgents[entry.index]!
-		const id = `${caller}-${number}`
-		const context = { world, entry, agent, id, random }
+		const context = { world, entry, agent, id: `${caller}-${number}`, random }
 		const isProbe = random() < PROBE_RATIO
 		const answer = isProbe
 			? await probeConfig(context)
--- a/soak/src/limits.ts
+++ b/soak/src/limits.ts
@@ -99,7 +99,7 @@
 		recordViolation(
 			world.record,
 			'LIMIT',
-			`${limit.serverId} received ${window.length} requests in ${WINDOW_SECONDS} s, allowed ${allowed.toFixed(1)}`,
+			`${limit.serverId} received ${window.length} requests in a window, allowed ${allowed.toFixed(1)}`,
 		)
 		return
 	}
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -50,23 +50,23 @@
 }
 
 function print(options: SoakOptions, record: SoakRecord): void {
-	const { counts, violations: broken } = record
-	const get = (what: string) => counts.get(what) ?? 0
-	const faults = [...counts].filter(([what]) => what.startsWith('fault: '))
+	const { counts, violations } = record
+	const get = (label: string) => counts.get(label) ?? 0
+	const faults = [...counts].filter(([label]) => label.startsWith('fault: '))
 	const line = [
 		`seed ${options.seed}`,
 		`${faults.reduce((sum, [, times]) => sum + times, 0)} faults`,
 		`${record.requests.size} requests`,
 		`${get('answers with 200')} served`,
 		`${get('served after recovery')} of ${get('requests after recovery')} after recovery`,
-		`${broken.length} promises broken`,
+		`${violations.length} promises broken`,
 	]
 	process.stdout.write(`${line.join(', ')}\n`)
-	for (const one of broken.slice(0, 12)) process.stdout.write(`  ${one}\n`)
-	if (broken.length > 0) process.stdout.write(`  logs: ${options.folder}\n`)
-	if (!values.verbose && broken.length === 0) return
-	for (const [what, times] of [...counts].sort())
-		process.stdout.write(`    ${what}: ${times}\n`)
+	for (const one of violations.slice(0, 12)) process.stdout.write(`  ${one}\n`)
+	if (violations.length > 0) process.stdout.write(`  logs: ${options.folder}\n`)
+	if (!values.verbose && violations.length === 0) return
+	for (const [label, times] of [...counts].sort())
+		process.stdout.write(`    ${label}: ${times}\n`)
 }
 
 const first = Number(values.seed)
--- a/soak/src/rests.ts
+++ b/soak/src/rests.ts
@@ -140,7 +140,7 @@
 		recordViolation(
 			world.record,
 			'BUDGET',
-			`${serverId} requested a backoff of ${Math.round(until - at)} ms from entry-${entry} and received ${within.length} requests`,
+			`${serverId} asked entry-${entry} for ${Math.round(until - at)} ms of backoff and received ${within.length} requests`,
 		)
 	}
 }
