--- a/bench/bareForwarder.ts
+++ b/bench/bareForwarder.ts
@@ -1,6 +1,6 @@
 /**
- * A bare forwarder with the daemons' HTTP libraries and nothing else: what of a
- * daemon's memory is not juniperhook's own.
+ * A minimal forwarder with the daemons' HTTP libraries only. Its memory is the part of
+ * a daemon's memory that does not belong to juniperhook.
  */
 
 import { createServer } from 'node:http'
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,7 +1,7 @@
 /**
- * Slopes behind docs/CAPACITY.md: what a role costs against the number of
- * processes, servers, teams and bytes, at three sizes each. Fits are straight
- * lines through the measured points.
+ * Measures the cost of each role against the number of processes, servers, teams and
+ * bytes, at three sizes each, for docs/CAPACITY.md. Costs are fitted with straight
+ * lines.
  */
 
 import { readFileSync } from 'node:fs'
@@ -38,7 +38,7 @@
 const MEMBERS = [50, 500, 4_230]
 const TABLE_ROWS = [16, 64, 256]
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	measureDocument()
 	measureMembers()
@@ -47,6 +47,7 @@
 	await measureFleets()
 }
 
+/** Returns the mean time of a call after one warm-up call, ms. */
 function timeOf(work: () => void, times: number): number {
 	work()
 	const start = performance.now()
@@ -70,13 +71,13 @@
 }
 
 function measureDocument(): void {
-	print('configuration document: judged whole on every node')
+	print('configuration document: validated completely on every node')
 	const points: Point[] = []
 	const rows = DOCUMENT_SERVERS.map(servers => {
 		const text = writeDocument(servers)
 		const ms = timeOf(() => readConfig(text), 3)
 		const before = heapKb()
-		const verdict = readConfig(text)
+		const result = readConfig(text)
 		const heap = heapKb() - before
 		points.push({ x: servers, y: ms })
 		return [
@@ -84,7 +85,7 @@
 			(text.length / KILOBYTE).toFixed(0),
 			ms.toFixed(1),
 			heap.toFixed(0),
-			String(verdict.valid),
+			String(result.valid),
 		]
 	})
 	printTable(['servers', 'KB', 'ms to judge', 'heap KB', 'valid'], rows)
@@ -146,8 +147,8 @@
 		const cold = timeOf(() => planLayer(layer, share, 0, terms), 3)
 		const settled = planLayer(layer, share, 0, terms).placement
 		const warm = timeOf(() => planLayer(settled, share, 0, terms), 3)
-		const met = cold <= 50 ? 'met' : 'MISSED'
-		return [String(ranks), cold.toFixed(1), warm.toFixed(1), met]
+		const status = cold <= 50 ? 'met' : 'MISSED'
+		return [String(ranks), cold.toFixed(1), warm.toFixed(1), status]
 	})
 	printTable(
 		['ranks', 'ms a layer, cold', 'ms a layer, settled', 'aim 50 ms a slice'],
@@ -157,7 +158,7 @@
 
 async function measureFleets(): Promise<void> {
 	const seconds = isQuick() ? 10 : 60
-	print(`\ncontrol of idle processes over ${seconds} s`)
+	print(`\ncontrol traffic and resources of idle processes over ${seconds} s`)
 	const rows: string[][] = []
 	for (const { entries, services } of FLEETS) {
 		const fleet = await startFleet({
@@ -254,7 +255,10 @@
 	readonly y: number
 }
 
-/** Least squares through the points, with how well it fits. */
+/**
+ * Prints the least-squares line through the points and its coefficient of
+ * determination.
+ */
 function printFit(points: readonly Point[], unit: string): void {
 	const count = points.length
 	const meanX = points.reduce((sum, { x }) => sum + x, 0) / count
@@ -268,10 +272,10 @@
 		yy += (y - meanY) ** 2
 	}
 	const slope = xy / xx
-	const fit = yy > 0 ? xy ** 2 / (xx * yy) : 1
-	const base = meanY - slope * meanX
+	const rSquared = yy > 0 ? xy ** 2 / (xx * yy) : 1
+	const intercept = meanY - slope * meanX
 	print(
-		`  fit: ${base.toFixed(3)} + ${slope.toPrecision(3)} ${unit}, r2 ${fit.toFixed(3)}`,
+		`  fit: ${intercept.toFixed(3)} + ${slope.toPrecision(3)} ${unit}, r2 ${rSquared.toFixed(3)}`,
 	)
 }
 
--- a/bench/config.ts
+++ b/bench/config.ts
@@ -1,7 +1,7 @@
 /**
- * Time until a revision is in force everywhere, calls to the service and
- * control traffic, at three sizes: the spread protocol over a network in
- * memory. Baseline: every process watches the service itself.
+ * Measures the gossip protocol over an in-memory network at three sizes: time until a
+ * revision is in force everywhere, calls to the platform's service, and control
+ * traffic. Baseline: every process watches the service itself.
  */
 
 import type { GossipNet } from '../packages/core/test/models/gossipNet.ts'
@@ -22,8 +22,11 @@
 const QUIET_MS = 60_000
 const LIMIT_MS = 60_000
 const TARGET_MS = 5_000
+/** Baseline: calls of one process that watches the service. */
 const WATCHES_PER_MINUTE = 2
+/** Rate of changes at 2,500 a day. */
 const CHANGES_PER_SECOND = 2_500 / 86_400
+/** Size of one server's part of the document. */
 const SERVER_BYTES = 150
 
 const FAILURES: { name: string; loss: number; fail(net: GossipNet): void }[] = [
@@ -51,37 +54,39 @@
 	},
 ]
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const sizes = isQuick() ? SIZES.slice(0, 2) : SIZES
 	const rows: string[][] = []
-	const calm: string[][] = []
+	const quietRows: string[][] = []
 	for (const size of sizes) {
 		const document = 'key = value of a server\n'.repeat(
 			Math.ceil((size * SERVER_BYTES) / 24),
 		)
-		let like: GossipNet | undefined
+		let template: GossipNet | undefined
 		for (const { name, loss, fail } of FAILURES) {
 			const options = { size, regions: REGIONS, seed: 1, loss, document }
-			const net = createNet(options, false, like)
-			like ??= createNet(options, false, net)
+			const net = createNet(options, false, template)
+			template ??= createNet(options, false, net)
 			runNet(net, SETTLE_MS)
 			fail(net)
 			publishChange(net, 2)
-			const took = measureSpread(net, 2, LIMIT_MS).sort((a, b) => a - b)
-			const at = (part: number) =>
-				took[Math.min(took.length - 1, Math.floor(took.length * part))] ?? 0
+			const delaysMs = measureSpread(net, 2, LIMIT_MS).sort((a, b) => a - b)
+			const quantile = (part: number) =>
+				delaysMs[
+					Math.min(delaysMs.length - 1, Math.floor(delaysMs.length * part))
+				] ?? 0
 			print(`  measured ${size} nodes, failure: ${name}`)
-			const missing = took.filter(ms => ms < 0).length
+			const missing = delaysMs.filter(ms => ms < 0).length
 			rows.push([
 				`${size} / ${name}`,
-				String(at(0.5)),
-				String(at(0.99)),
-				String(at(1)),
+				String(quantile(0.5)),
+				String(quantile(0.99)),
+				String(quantile(1)),
 				String(missing),
-				at(0.99) <= TARGET_MS && missing === 0 ? 'met' : 'MISSED',
+				quantile(0.99) <= TARGET_MS && missing === 0 ? 'met' : 'MISSED',
 			])
-			if (name === 'none') calm.push(measureQuiet(net))
+			if (name === 'none') quietRows.push(measureQuiet(net))
 		}
 	}
 	print('time until a revision is in force, ms')
@@ -89,7 +94,7 @@
 		['nodes / failure', 'p50', 'p99', 'worst', 'never', 'aim p99 5 s'],
 		rows,
 	)
-	print('\na calm minute, and a change a node')
+	print('\na minute without changes, and one change, per node')
 	printTable(
 		[
 			'nodes',
@@ -100,7 +105,7 @@
 			'bytes a change a node',
 			'bytes/s at 2,500 changes a day',
 		],
-		calm,
+		quietRows,
 	)
 }
 
--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -1,7 +1,7 @@
 /**
- * What callers are told under failure: random orders of the fate model, whose
- * functions are those of the daemons. Baseline: every try that met a failure is
- * called unknown.
+ * Outcomes that callers receive under failures: random event orders in the model of the
+ * request lifecycle, which uses the daemons' functions. Baseline: each request that met
+ * a failure is reported as unknown.
  */
 
 import { createRandom, randomIndex } from '@juniperhook/core'
@@ -16,8 +16,8 @@
 const QUICK_REQUESTS = 2_000
 const MAX_EVENTS = 80
 const TARGET_RATIO = 0.1
-/** A failure is this much rarer than any other next event. */
-const FAILURE_WEIGHT = 0.25
+/** Probability that the next event is a failure, where other events are possible. */
+const FAILURE_PROBABILITY = 0.25
 const FAILURES = ['linkLost', 'silent', 'restart', 'pause', 'leave']
 
 const BASE: LifecycleBounds = {
@@ -62,7 +62,7 @@
 	unsettled: number
 }
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const count = isQuick() ? QUICK_REQUESTS : REQUESTS
 	const rows: string[][] = []
@@ -97,7 +97,7 @@
 		],
 		rows,
 	)
-	print(`doubled runs and false "not run" in ${total} requests: ${broken}`)
+	print(`duplicate runs and false "not run" in ${total} requests: ${broken}`)
 }
 
 function runCase(bounds: LifecycleBounds, count: number, seed: number): Tally {
@@ -123,8 +123,8 @@
 			state = model.apply(state, event)
 		}
 		if (model.findFault(state) !== undefined) tally.broken++
-		const fate = state.lifecycles[0]!.state
-		if (fate.at === 'settled') tally[fate.outcome.outcome]++
+		const final = state.lifecycles[0]!.state
+		if (final.at === 'settled') tally[final.outcome.outcome]++
 		else tally.unsettled++
 		if (failed) tally.baseline++
 	}
@@ -137,7 +137,7 @@
 ): LifecycleModelEvent | undefined {
 	const usual = events.filter(event => !FAILURES.includes(event.do))
 	const failures = events.filter(event => FAILURES.includes(event.do))
-	const fails = failures.length > 0 && random() < FAILURE_WEIGHT
+	const fails = failures.length > 0 && random() < FAILURE_PROBABILITY
 	const from = fails || usual.length === 0 ? failures : usual
 	return from[randomIndex(random, from.length)]
 }
--- a/bench/gateway.ts
+++ b/bench/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * What a request through the gateway costs its entry, in processor time; with
- * `--against FILE`, another build's `main.js`, in pairs with that one.
+ * Measures the CPU time that a request through the gateway costs its entry. With
+ * `--against FILE` (the `main.js` of another build), both builds are measured in pairs.
  */
 
 import { readFileSync } from 'node:fs'
@@ -21,14 +21,16 @@
 const REQUESTS = 6_000
 const PAIRS = 7
 const QUICK_PAIRS = 2
-/** Linux counts processor time in these, ms. */
+/** Unit of CPU times in `/proc`, ms. */
 const TICK_MS = 10
-/** Places of user and system time in `/proc/PID/stat` after the name. */
+/**
+ * Indices of user and system time in `/proc/PID/stat`, counted after the process name.
+ */
 const CPU_TIME_FIELDS = [11, 12] as const
 const READY_TIMEOUT_MS = 20_000
 const POLL_INTERVAL_MS = 100
 
-/** Prints the cost of a request, and of pairs. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const against = process.argv[process.argv.indexOf('--against') + 1]
 	const isPaired = process.argv.includes('--against')
@@ -45,13 +47,13 @@
 		}
 		rows.push(row)
 	}
-	print(`a request through the gateway, processor time of its entry, us`)
+	print(`CPU time of an entry for a request through the gateway, us`)
 	const head = ['pair', 'this build']
 	printTable(isPaired ? [...head, 'the other', 'ratio'] : head, rows)
 	if (isPaired) print(`median ratio: ${medianOf(ratios).toFixed(3)}`)
 }
 
-/** Processor time of an entry for each request, us. */
+/** Returns the CPU time of an entry per request, us. */
 async function measure(bundle: string | undefined): Promise<number> {
 	const options: SoakOptions = {
 		seed: 1,
@@ -90,7 +92,7 @@
 		if ((await sendRequest(agent, 0).catch(() => 0)) === 200) return
 		await sleep(POLL_INTERVAL_MS)
 	}
-	throw new Error('the entry does not serve')
+	throw new Error('the entry did not start to serve in time')
 }
 
 async function sendRequests(agent: Agent, count: number): Promise<void> {
@@ -98,7 +100,8 @@
 	const caller = async () => {
 		while (next <= count) {
 			const status = await sendRequest(agent, next++)
-			if (status !== 200) throw new Error(`status ${status}`)
+			if (status !== 200)
+				throw new Error(`the entry answered with status ${status}`)
 		}
 	}
 	await Promise.all(Array.from({ length: CALLERS }, caller))
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- NAME [--quick]`: runs one of the measurements. */
+/** `npm run bench -- NAME [--quick]`: runs one benchmark. */
 
 const BENCHES: Record<string, () => Promise<{ run(): Promise<void> }>> = {
 	path: () => import('./path.ts'),
@@ -19,7 +19,9 @@
 const load = BENCHES[name]
 if (!load) {
 	const names = Object.keys(BENCHES).join(', ')
-	process.stderr.write(`name one of: ${names}\n`)
+	process.stderr.write(
+		`usage: npm run bench -- NAME [--quick]; NAME is one of: ${names}\n`,
+	)
 	process.exit(2)
 }
 const bench = await load()
--- a/bench/map.ts
+++ b/bench/map.ts
@@ -1,6 +1,6 @@
 /**
- * How long gates hold a group of 16 real ranks while maps change under load:
- * without failure, and with a coordinator that is frozen or killed at moments
+ * Measures how long gates hold a group of 16 rank processes while its map changes under
+ * load: without failures, and with a coordinator that is frozen or killed at moments
  * spread over the planning period.
  */
 
@@ -55,7 +55,7 @@
 	},
 ]
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const fleet = await startFleet({
 		entries: 1,
@@ -123,8 +123,8 @@
 	for (let at = 0; at < trials; at++) {
 		const start = await readLoad(fleet)
 		await trial(at)
-		const held = (await readLoad(fleet)).gateMs - start.gateMs
-		longest = Math.max(longest, held)
+		const gateMs = (await readLoad(fleet)).gateMs - start.gateMs
+		longest = Math.max(longest, gateMs)
 	}
 	const after = await readLoad(fleet)
 	const changes = (after.switches - before.switches) / RANKS
@@ -145,7 +145,7 @@
 	return (await (await request(url)).body.json()) as GroupLoad
 }
 
-/** One caller that asks again and again until the fleet is stopped. */
+/** Runs a caller that sends one request after the other until the fleet is stopped. */
 async function runCaller(fleet: Fleet): Promise<void> {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.data}/v1/completions`
 	while (fleet.processes.size > 0) {
--- a/bench/model.ts
+++ b/bench/model.ts
@@ -1,7 +1,7 @@
 /**
- * Larger explorations of the map protocol than the tests make, with states,
- * depth and time. Each checks one map per step, no map that comes back, and that
- * from every state one coordinator with all answers opens every gate.
+ * Larger explorations of the map protocol than those of the tests, with their numbers
+ * of states, depth and time. Each checks that a step uses one map, that no map returns,
+ * and that from every state one coordinator that receives all answers opens every gate.
  */
 
 import { explore } from '../packages/core/test/models/explore.ts'
@@ -58,10 +58,10 @@
 		const started = performance.now()
 		const found = explore(createMapModel(bounds), limit)
 		const seconds = ((performance.now() - started) / 1_000).toFixed(1)
-		const end = found.complete ? 'all states' : 'PARTIAL'
-		const verdict = found.fault ?? 'no fault'
+		const extent = found.complete ? 'all states' : 'PARTIAL'
+		const result = found.fault ?? 'no fault'
 		print(
-			`${name}: ${found.states} states, ${found.transitions} transitions, depth ${found.depth}, ${seconds} s, ${end}: ${verdict}`,
+			`${name}: ${found.states} states, ${found.transitions} transitions, depth ${found.depth}, ${seconds} s, ${extent}: ${result}`,
 		)
 		if (found.fault !== undefined) process.exitCode = 1
 	}
--- a/bench/output.ts
+++ b/bench/output.ts
@@ -1,6 +1,6 @@
-/** Printing of benches. */
+/** Output of the benchmarks. */
 
-/** Whether the bench was asked for in its short form. */
+/** Whether the short form of a benchmark was requested. */
 export function isQuick(): boolean {
 	return process.argv.includes('--quick')
 }
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,7 +1,7 @@
 /**
- * Twice the load that the backend servers carry, one of them stalled. A
- * discrete-event run over the daemons' own routing and admission; baselines are
- * round robin and least connections with plain queues and no shedding.
+ * Overload at twice the capacity of the backend servers, one of them stalled: a
+ * discrete-event simulation with the daemons' routing and admission. Baselines are
+ * round robin and least connections with plain queues and no load shedding.
  */
 
 import { isQuick, print, printTable } from './output.ts'
@@ -15,15 +15,16 @@
 } from './overloadWorld.ts'
 import { measureTeamLimits } from './teamLimits.ts'
 
-/** Work that came too late is worth nothing. */
+/** Least goodput as a ratio of the capacity; late answers do not count. */
 const GOODPUT_TARGET = 0.95
+/** Highest p99 of rosters relative to that without overload. */
 const ROSTER_TARGET = 1.5
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const seconds = isQuick() ? 10 : 60
 	const capacity = ((SERVERS - 1) * SLOTS * 1_000) / SERVICE_MS
-	const calm = simulate('juniperhook', 0.5, seconds, false)
+	const unloaded = simulate('juniperhook', 0.5, seconds, false)
 	const rows: string[][] = []
 	const results = new Map<Strategy, Result>()
 	for (const strategy of [
@@ -45,7 +46,7 @@
 	print(
 		`twice the load for ${seconds} s, ${SERVERS} servers of ${SLOTS} slots, one ${STALL_FACTOR} times slower`,
 	)
-	print(`unloaded p99 of rosters: ${calm.rosterP99.toFixed(0)} ms`)
+	print(`unloaded p99 of rosters: ${unloaded.rosterP99.toFixed(0)} ms`)
 	printTable(
 		[
 			'strategy',
@@ -64,7 +65,7 @@
 		GOODPUT_TARGET,
 		true,
 	)
-	const ratio = ours.rosterP99 / calm.rosterP99
+	const ratio = ours.rosterP99 / unloaded.rosterP99
 	checkTarget('roster p99 over unloaded', ratio, ROSTER_TARGET, false)
 	measureTeamLimits()
 }
@@ -72,11 +73,11 @@
 function checkTarget(
 	what: string,
 	value: number,
-	aim: number,
+	target: number,
 	atLeast: boolean,
 ): void {
-	const met = atLeast ? value >= aim : value <= aim
+	const met = atLeast ? value >= target : value <= target
 	const sense = atLeast ? 'at least' : 'at most'
-	const verdict = met ? 'met' : 'MISSED'
-	print(`  ${what}: ${value.toFixed(3)} (aim ${sense} ${aim}): ${verdict}`)
+	const status = met ? 'met' : 'MISSED'
+	print(`  ${what}: ${value.toFixed(3)} (aim ${sense} ${target}): ${status}`)
 }
--- a/bench/overloadWorld.ts
+++ b/bench/overloadWorld.ts
@@ -1,6 +1,6 @@
 /**
- * A discrete-event run of backend servers under load: the daemons' own routing and
- * admission, or plain queues with a baseline's choice.
+ * Discrete-event simulation of backend servers under load, with the daemons' routing and
+ * admission or with a baseline's choice and plain queues.
  */
 
 import type { AdmissionState, Moment, ServerTable } from '@juniperhook/core'
@@ -17,7 +17,7 @@
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
 
-/** Backend servers, and requests that each runs at once. */
+/** Number of backend servers, and of requests that each runs at once. */
 export const SERVERS = 8
 export const SLOTS = 8
 /** Mean time of a request, ms. */
@@ -25,13 +25,13 @@
 const ROSTER_SHARE = 0.1
 const DEADLINE_MS = 1_000
 const REPORT_MS = 500
-/** How much slower the stalled server is. */
+/** Factor by which the stalled server is slower. */
 export const STALL_FACTOR = 50
 const STEP_MS = 1
-/** Tries of a request that was refused elsewhere. */
+/** Limit on attempts of a request that servers refuse. */
 const MAX_ATTEMPTS = 3
 
-/** How requests are placed. */
+/** Strategy by which requests are assigned to servers. */
 export type Strategy = 'juniperhook' | 'round robin' | 'least connections'
 
 interface Job {
@@ -42,7 +42,7 @@
 	row: number
 }
 
-/** What a run came to. */
+/** Result of a simulation. */
 export interface Result {
 	readonly goodput: number
 	readonly rosterP99: number
@@ -68,7 +68,7 @@
 	next: number
 }
 
-/** Runs a load for some seconds after a warm-up. */
+/** Simulates a load for some seconds after a warm-up. */
 export function simulate(
 	strategy: Strategy,
 	loadFactor: number,
@@ -76,7 +76,7 @@
 	stalled: boolean,
 ): Result {
 	const at = (now: number): Moment => ({ now, wall: now })
-	const world: Simulation = {
+	const sim: Simulation = {
 		strategy,
 		random: createRandom(1),
 		table: createServerTable(
@@ -96,58 +96,58 @@
 		refused: 0,
 		next: 0,
 	}
-	world.table.open.fill(1)
-	world.table.slots.fill(SLOTS)
+	sim.table.open.fill(1)
+	sim.table.slots.fill(SLOTS)
 	const perMs = (loadFactor * SERVERS * SLOTS) / SERVICE_MS
 	const warmUp = 5_000
 	const end = warmUp + seconds * 1_000
 	let due = 0
 	for (let now = 1; now <= end; now += STEP_MS) {
-		if (now === warmUp) resetTallies(world)
-		for (const { row, id } of world.finishesAt.get(now) ?? [])
-			finish(world, row, id, now)
-		world.finishesAt.delete(now)
+		if (now === warmUp) resetTallies(sim)
+		for (const { row, id } of sim.finishesAt.get(now) ?? [])
+			finish(sim, row, id, now)
+		sim.finishesAt.delete(now)
 		if (now % 100 === 0 && strategy === 'juniperhook')
-			for (const row of world.agents.keys())
-				stepAgent(world, row, { type: 'tick' }, now)
-		if (now % REPORT_MS === 0) report(world, now)
+			for (const row of sim.agents.keys())
+				stepAgent(sim, row, { type: 'tick' }, now)
+		if (now % REPORT_MS === 0) report(sim, now)
 		for (due += perMs * STEP_MS; due >= 1; due--) {
-			const roster = world.random() < ROSTER_SHARE
-			const id = world.next++
-			place(world, { id, roster, arrivedAt: now, attempts: 0, row: -1 }, now)
+			const roster = sim.random() < ROSTER_SHARE
+			const id = sim.next++
+			dispatch(sim, { id, roster, arrivedAt: now, attempts: 0, row: -1 }, now)
 		}
 	}
 	return {
-		goodput: world.good / seconds,
-		rosterP99: world.latency.getValueAtPercentile(99),
-		refused: world.refused,
-		late: world.late,
+		goodput: sim.good / seconds,
+		rosterP99: sim.latency.getValueAtPercentile(99),
+		refused: sim.refused,
+		late: sim.late,
 	}
 }
 
-function resetTallies(world: Simulation): void {
-	world.good = 0
-	world.late = 0
-	world.refused = 0
-	world.latency.reset()
+function resetTallies(sim: Simulation): void {
+	sim.good = 0
+	sim.late = 0
+	sim.refused = 0
+	sim.latency.reset()
 }
 
-function place(world: Simulation, job: Job, now: number): void {
+function dispatch(sim: Simulation, job: Job, now: number): void {
 	job.attempts++
-	const row = choose(world, job, now)
+	const row = choose(sim, job, now)
 	if (row < 0) {
-		world.refused++
+		sim.refused++
 		return
 	}
 	job.row = row
-	if (world.strategy !== 'juniperhook') {
-		world.queues[row]!.push(job)
-		startPlain(world, row, now)
+	if (sim.strategy !== 'juniperhook') {
+		sim.queues[row]!.push(job)
+		startPlain(sim, row, now)
 		return
 	}
-	recordSent(world.table, row, 1)
+	recordSent(sim.table, row, 1)
 	const reqId = String(job.id)
-	world.jobs.set(`${reqId}/${job.attempts}`, job)
+	sim.jobs.set(`${reqId}/${job.attempts}`, job)
 	const offer = {
 		reqId,
 		attempt: job.attempts,
@@ -157,100 +157,94 @@
 		startBudgetMs: DEADLINE_MS - (now - job.arrivedAt) - SERVICE_MS * 2,
 		mayWait: true,
 	}
-	stepAgent(world, row, { type: 'offer', offer }, now)
+	stepAgent(sim, row, { type: 'offer', offer }, now)
 }
 
-function choose(world: Simulation, job: Job, now: number): number {
-	const rows = [...world.agents.keys()]
-	switch (world.strategy) {
+function choose(sim: Simulation, job: Job, now: number): number {
+	const rows = [...sim.agents.keys()]
+	switch (sim.strategy) {
 		case 'juniperhook': {
 			const query = { rows, avoid: job.row, cachedRow: -1, credit: 0 }
-			return chooseServer(world.table, query, now, world.random)
+			return chooseServer(sim.table, query, now, sim.random)
 		}
 		case 'round robin':
 			return job.id % SERVERS
 		case 'least connections': {
-			const held = rows.map(
-				row => world.running[row]! + world.queues[row]!.length,
+			const inFlight = rows.map(
+				row => sim.running[row]! + sim.queues[row]!.length,
 			)
-			return held.indexOf(Math.min(...held))
+			return inFlight.indexOf(Math.min(...inFlight))
 		}
 		default:
-			return world.strategy satisfies never
+			return sim.strategy satisfies never
 	}
 }
 
 function stepAgent(
-	world: Simulation,
+	sim: Simulation,
 	row: number,
 	event: Parameters<typeof stepAdmission>[1],
 	now: number,
 ): void {
-	const effects = stepAdmission(world.agents[row]!, event, { now, wall: now })
+	const effects = stepAdmission(sim.agents[row]!, event, { now, wall: now })
 	for (const effect of effects) {
 		const id = attemptKey(effect.name)
-		const job = world.jobs.get(id)
+		const job = sim.jobs.get(id)
 		if (!job) continue
-		if (effect.do === 'start') schedule(world, row, id, now)
+		if (effect.do === 'start') schedule(sim, row, id, now)
 		if (effect.do !== 'refuse') continue
-		world.jobs.delete(id)
-		recordSent(world.table, row, -1)
-		if (job.attempts < MAX_ATTEMPTS) place(world, job, now)
-		else world.refused++
+		sim.jobs.delete(id)
+		recordSent(sim.table, row, -1)
+		if (job.attempts < MAX_ATTEMPTS) dispatch(sim, job, now)
+		else sim.refused++
 	}
 }
 
-function schedule(
-	world: Simulation,
-	row: number,
-	id: string,
-	now: number,
-): void {
-	const factor = row === world.stalledRow ? STALL_FACTOR : 1
-	const spread = 0.5 + world.random()
+function schedule(sim: Simulation, row: number, id: string, now: number): void {
+	const factor = row === sim.stalledRow ? STALL_FACTOR : 1
+	const spread = 0.5 + sim.random()
 	const end = Math.ceil(now + SERVICE_MS * spread * factor)
-	const ends = world.finishesAt.get(end) ?? []
+	const ends = sim.finishesAt.get(end) ?? []
 	ends.push({ row, id })
-	world.finishesAt.set(end, ends)
+	sim.finishesAt.set(end, ends)
 }
 
-function startPlain(world: Simulation, row: number, now: number): void {
-	while (world.running[row]! < SLOTS) {
-		const job = world.queues[row]!.shift()
+function startPlain(sim: Simulation, row: number, now: number): void {
+	while (sim.running[row]! < SLOTS) {
+		const job = sim.queues[row]!.shift()
 		if (!job) return
-		world.running[row]!++
+		sim.running[row]!++
 		const id = `${job.id}/1`
-		world.jobs.set(id, job)
-		schedule(world, row, id, now)
+		sim.jobs.set(id, job)
+		schedule(sim, row, id, now)
 	}
 }
 
-function finish(world: Simulation, row: number, id: string, now: number): void {
-	const job = world.jobs.get(id)
-	world.jobs.delete(id)
+function finish(sim: Simulation, row: number, id: string, now: number): void {
+	const job = sim.jobs.get(id)
+	sim.jobs.delete(id)
 	if (job) {
 		const took = now - job.arrivedAt
-		if (took <= DEADLINE_MS) world.good++
-		else world.late++
-		if (job.roster) world.latency.recordValue(took)
+		if (took <= DEADLINE_MS) sim.good++
+		else sim.late++
+		if (job.roster) sim.latency.recordValue(took)
 	}
-	if (world.strategy !== 'juniperhook') {
-		world.running[row]!--
-		startPlain(world, row, now)
+	if (sim.strategy !== 'juniperhook') {
+		sim.running[row]!--
+		startPlain(sim, row, now)
 		return
 	}
-	recordSent(world.table, row, -1)
-	if (job)
-		recordResult(world.table, row, now - job.arrivedAt <= DEADLINE_MS, now)
+	recordSent(sim.table, row, -1)
+	if (job) recordResult(sim.table, row, now - job.arrivedAt <= DEADLINE_MS, now)
 	const [reqId = '', attempt] = id.split('/')
 	const name = { reqId, attempt: Number(attempt) }
-	stepAgent(world, row, { type: 'finish', name, how: 'whole' }, now)
+	stepAgent(sim, row, { type: 'finish', name, how: 'whole' }, now)
 }
 
-function report(world: Simulation, now: number): void {
-	for (const [row, agent] of world.agents.entries()) {
+function report(sim: Simulation, now: number): void {
+	for (const [row, agent] of sim.agents.entries()) {
 		const load = agent.running + agent.queue.waiting.length
 		const { serviceMs } = agent
-		applyReport(world.table, row, { load, serviceMs, stepShare: 1 }, now)
+		applyReport(sim.table, row, { load, serviceMs, stepShare: 1 }, now)
 	}
 }
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,6 +1,6 @@
 /**
- * Cost of the path: added latency against calling the backend directly, CPU of
- * the entry a streamed chunk, memory of both daemons.
+ * Cost of the request path: latency added to that of a direct call of the backend, CPU
+ * time of the entry per streamed chunk, and memory of both daemons.
  */
 
 import { readFileSync } from 'node:fs'
@@ -20,12 +20,12 @@
 
 const RATE = 200
 const MS = 1_000
-const MICRO = 1_000
+const MICROS_PER_MS = 1_000
 const CLOCK_TICKS = 100
 const WARM_UP_SECONDS = 3
 const dispatcher = new Agent({ connections: 256, pipelining: 1 })
 
-/** Runs the bench and prints what is missed. */
+/** Runs the benchmark; prints which targets are met. */
 export async function run(): Promise<void> {
 	const seconds = isQuick() ? 5 : 30
 	const fleet = await startFleet({
@@ -51,7 +51,7 @@
 	await driveBoth(via, direct, WARM_UP_SECONDS)
 	const [added, base] = await driveBoth(via, direct, seconds)
 	const at = (histogram: Histogram, part: number) =>
-		histogram.getValueAtPercentile(part) / MICRO
+		histogram.getValueAtPercentile(part) / MICROS_PER_MS
 	print(`added latency, ${RATE} requests/s for ${seconds} s`)
 	const row = (name: string, histogram: Histogram) => [
 		name,
@@ -81,7 +81,7 @@
 		const due = start + (n * MS) / RATE
 		while (performance.now() < due)
 			await new Promise(resolve => setTimeout(resolve, 1))
-		// The two ways take turns, so that both meet the same machine.
+		// Calls alternate between the two paths, so that both run under the same conditions.
 		pending.push(timeCall(`${via}/rosters/pine`, results[0]))
 		await new Promise(resolve => setTimeout(resolve, MS / RATE / 2))
 		pending.push(timeCall(`${direct}/rosters/pine`, results[1]))
@@ -97,8 +97,9 @@
 		dispatcher,
 	})
 	await res.body.text()
-	if (res.statusCode !== 200) throw new Error(`answered ${res.statusCode}`)
-	into.recordValue(Math.round((performance.now() - started) * MICRO))
+	if (res.statusCode !== 200)
+		throw new Error(`request answered with status ${res.statusCode}`)
+	into.recordValue(Math.round((performance.now() - started) * MICROS_PER_MS))
 }
 
 async function measureStreams(fleet: Fleet, seconds: number): Promise<void> {
@@ -116,12 +117,12 @@
 		}
 	}
 	await Promise.all(Array.from({ length: streams }, worker))
-	const took = (performance.now() - started) / MS
+	const elapsed = (performance.now() - started) / MS
 	const cpu = readCpuMs(entryPid) - before
-	print(`\n${streams} streams at once for ${took.toFixed(1)} s`)
-	checkTarget('chunks a second', chunks / took, 20_000, 'at least')
-	checkTarget('entry CPU a chunk (µs)', (cpu * MICRO) / chunks, 50)
-	print(`  entry CPU: ${((cpu / took / MS) * 100).toFixed(0)}% of a core`)
+	print(`\n${streams} streams at once for ${elapsed.toFixed(1)} s`)
+	checkTarget('chunks a second', chunks / elapsed, 20_000, 'at least')
+	checkTarget('entry CPU a chunk (µs)', (cpu * MICROS_PER_MS) / chunks, 50)
+	print(`  entry CPU: ${((cpu / elapsed / MS) * 100).toFixed(0)}% of a core`)
 	const agents = [0, 1].map(
 		n => fleet.processes.get(`rank-${n}`)?.child.pid ?? 0,
 	)
@@ -141,7 +142,8 @@
 		dispatcher,
 	})
 	const text = await res.body.text()
-	if (!text.includes('[DONE]')) throw new Error(`cut: ${text.slice(-200)}`)
+	if (!text.includes('[DONE]'))
+		throw new Error(`stream truncated, ends with: ${text.slice(-200)}`)
 	return text.split('\n\n').length - 1
 }
 
@@ -159,12 +161,12 @@
 function checkTarget(
 	what: string,
 	value: number,
-	aim: number,
+	target: number,
 	sense: 'at most' | 'at least' = 'at most',
 ): void {
-	const met = sense === 'at most' ? value <= aim : value >= aim
-	const verdict = met ? 'met' : 'MISSED'
-	print(`  ${what}: ${value.toFixed(2)} (aim ${sense} ${aim}): ${verdict}`)
+	const met = sense === 'at most' ? value <= target : value >= target
+	const status = met ? 'met' : 'MISSED'
+	print(`  ${what}: ${value.toFixed(2)} (aim ${sense} ${target}): ${status}`)
 }
 
 /** User and system CPU time of a process so far, ms. */
--- a/bench/picture.ts
+++ b/bench/picture.ts
@@ -1,4 +1,4 @@
-/** The frontier of skew against cost as a plain SVG picture. */
+/** SVG plot of skew against cost for all policies. */
 
 import type { PolicyResult } from './rebalance.ts'
 
@@ -7,26 +7,26 @@
 const MARGIN = 60
 const COLOURS = ['#1b6ca8', '#c0392b', '#1e8449', '#8e44ad', '#b9770e']
 
-/** Draws one dot a policy and trace; the axis of cost is logarithmic. */
+/** Plots a dot for each policy and trace; the axis of cost is logarithmic. */
 export function plotFrontier(rows: readonly PolicyResult[]): string {
 	const traces = [...new Set(rows.map(row => row.trace))]
-	const most = Math.max(...rows.map(row => row.lostSeconds), 1)
-	const worst = Math.min(3, Math.max(...rows.map(row => row.meanSkew)))
+	const maxLost = Math.max(...rows.map(row => row.lostSeconds), 1)
+	const maxSkew = Math.min(3, Math.max(...rows.map(row => row.meanSkew)))
 	const x = (lost: number) =>
-		MARGIN + (Math.log1p(lost) / Math.log1p(most)) * (WIDTH - 2 * MARGIN)
+		MARGIN + (Math.log1p(lost) / Math.log1p(maxLost)) * (WIDTH - 2 * MARGIN)
 	const y = (skew: number) =>
-		HEIGHT - MARGIN - ((skew - 1) / (worst - 1)) * (HEIGHT - 2 * MARGIN)
+		HEIGHT - MARGIN - ((skew - 1) / (maxSkew - 1)) * (HEIGHT - 2 * MARGIN)
 	const dots = rows.map(row => {
 		const colour = COLOURS[traces.indexOf(row.trace)] ?? '#333'
 		const at = `${x(row.lostSeconds).toFixed(0)}" cy="${y(row.meanSkew).toFixed(0)}`
-		const shape = row.policy.startsWith('ours') ? 5 : 3
-		return `<circle cx="${at}" r="${shape}" fill="${colour}"><title>${row.trace}, ${row.policy}: skew ${row.meanSkew.toFixed(3)}, ${row.lostSeconds.toFixed(1)} s lost</title></circle>`
+		const radius = row.policy.startsWith('ours') ? 5 : 3
+		return `<circle cx="${at}" r="${radius}" fill="${colour}"><title>${row.trace}, ${row.policy}: skew ${row.meanSkew.toFixed(3)}, ${row.lostSeconds.toFixed(1)} s lost</title></circle>`
 	})
 	const legend = traces.map(
 		(trace, at) =>
 			`<text x="${WIDTH - MARGIN - 90}" y="${MARGIN + at * 18}" fill="${COLOURS[at]}">${trace}</text>`,
 	)
-	const ticks = [1, 1.5, 2, 2.5, 3].filter(skew => skew <= worst)
+	const ticks = [1, 1.5, 2, 2.5, 3].filter(skew => skew <= maxSkew)
 	const labels = ticks.map(
 		skew =>
 			`<text x="${MARGIN - 34}" y="${y(skew) + 4}">${skew.toFixed(1)}</text>`,
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -1,4 +1,4 @@
-/** The policies compared: three baselines and ours at several weights. */
+/** The compared policies: three baselines, and the agents' planner at several weights. */
 
 import type { LayerPlacement } from '@juniperhook/core'
 import {
@@ -18,16 +18,16 @@
 /** A policy under test. */
 export interface Policy {
 	readonly name: string
-	/** Sees a window while an earlier plan is still loading. */
+	/** Observes a window while an earlier plan is still being loaded. */
 	observe(tokens: Float64Array): undefined
-	/** Sees a window and may give a new placement of every layer. */
+	/** Observes a window; may return a new placement of every layer. */
 	plan(
 		current: readonly LayerPlacement[],
 		tokens: Float64Array,
 	): LayerPlacement[] | undefined
 }
 
-/** Fresh policies for one run. */
+/** Creates the policies for one run. */
 export function createPolicies(
 	layers: number,
 	experts: number,
@@ -63,7 +63,15 @@
 		},
 	}
 	const ours = (name: string, skewWeight: number, moveWeight: number) =>
-		createOurs(name, skewWeight, moveWeight, layers, experts, windowMs, loadMs)
+		createPlannerPolicy(
+			name,
+			skewWeight,
+			moveWeight,
+			layers,
+			experts,
+			windowMs,
+			loadMs,
+		)
 	return [
 		never,
 		full,
@@ -75,7 +83,7 @@
 	]
 }
 
-function createOurs(
+function createPlannerPolicy(
 	name: string,
 	skewWeight: number,
 	moveWeight: number,
@@ -109,7 +117,11 @@
 	}
 }
 
-/** Full greedy re-placement: replicas for the hottest, then longest first. */
+/**
+ * Places all experts anew: spare slots go to copies of the experts with the highest
+ * load per copy; copies are then placed in the order of falling load, each on the least
+ * loaded rank.
+ */
 function replaceAll(
 	current: readonly LayerPlacement[],
 	tokens: Float64Array,
@@ -139,11 +151,11 @@
 	const placed = new Uint16Array(experts)
 	const loads = new Float64Array(ranks)
 	const used = new Uint16Array(ranks)
-	const pieces = [...copies.keys()].flatMap(expert =>
+	const unplaced = [...copies.keys()].flatMap(expert =>
 		Array.from({ length: copies[expert]! }, () => expert),
 	)
-	pieces.sort((a, b) => share[b]! / copies[b]! - share[a]! / copies[a]!)
-	for (const expert of pieces) {
+	unplaced.sort((a, b) => share[b]! / copies[b]! - share[a]! / copies[a]!)
+	for (const expert of unplaced) {
 		let target = -1
 		for (let rank = 0; rank < ranks; rank++) {
 			if (used[rank]! >= width) continue
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -1,7 +1,8 @@
 /**
- * Cost of keeping requests that end servers from all servers: time a request, by what
- * is remembered and by the length of its body, and memory when all is full. How many
- * servers a request ends, and how many that ran beside it are barred by chance.
+ * Cost of the quarantine of poison requests: time per request by retained evidence and
+ * body length, and memory when the evidence is full. Also simulates how many servers a
+ * poison request crashes, and how many requests that ran beside it are quarantined by
+ * mistake.
  */
 
 import {
@@ -20,19 +21,19 @@
 
 const CRASHES = 256
 const REQUESTS_PER_CRASH = 16
-/** Between ends, ms; more than ends that come together. */
+/** Time between crashes, ms; long enough that they do not count as simultaneous. */
 const CRASH_INTERVAL_MS = 1_000
 const MICRO = 1_000
 const KIB = 1_024
 
 const TRIALS = 3_000
-/** Requests that run beside the deadly one for the first time, at each end. */
+/** Requests that run beside the poison request for the first time, at each crash. */
 const NEW_CONCURRENT_REQUESTS = 5
 const MAX_ROUNDS = 8
-/** Between two tries of the deadly request, ms: a group forms in between. */
+/** Time between attempts of the poison request, ms: the group re-forms in between. */
 const ATTEMPT_INTERVAL_MS = 4_000
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const rounds = isQuick() ? 200 : 2_000
 	const full = fillGate(1_000)
@@ -67,19 +68,22 @@
 	)
 }
 
-/** Requests beside a deadly one, all of which come again once a server ended. */
+/**
+ * Simulates requests that run beside a poison request; all of them are sent again after
+ * each crash.
+ */
 function measureConcurrent(servers: number): string[] {
 	const random = createRandom(5)
-	let [ends, beside, barred, stillBarred] = [0, 0, 0, 0]
+	let [crashes, concurrent, quarantinedOnce, stillQuarantined] = [0, 0, 0, 0]
 	for (let trial = 0; trial < TRIALS; trial++) {
 		const quarantine = createQuarantine()
 		const hit = new Set<string>()
-		let again: string[] = []
+		let resent: string[] = []
 		for (let round = 0; round < MAX_ROUNDS; round++) {
 			if (listQuarantined(quarantine).includes('deadly')) break
 			const at = round * ATTEMPT_INTERVAL_MS
-			const here = again.filter(() => randomIndex(random, servers) === 0)
-			const answered = again.filter(one => !here.includes(one))
+			const here = resent.filter(() => randomIndex(random, servers) === 0)
+			const answered = resent.filter(one => !here.includes(one))
 			const fresh = Array.from(
 				{ length: NEW_CONCURRENT_REQUESTS },
 				(_, one) => `${round}-${one}`,
@@ -93,18 +97,22 @@
 				if (one !== 'deadly') hit.add(one)
 			const served = answered.map(fingerprint => ({ fingerprint, at: at + 10 }))
 			mergeCrashEvidence(quarantine, { ends: [], served }, at + 20)
-			ends++
-			beside += fresh.length
-			again = running
+			crashes++
+			concurrent += fresh.length
+			resent = running
 		}
-		barred += hit.size
-		stillBarred += listQuarantined(quarantine).filter(
+		quarantinedOnce += hit.size
+		stillQuarantined += listQuarantined(quarantine).filter(
 			one => one !== 'deadly',
 		).length
 	}
-	return [servers, (ends / TRIALS).toFixed(2), beside, barred, stillBarred].map(
-		String,
-	)
+	return [
+		servers,
+		(crashes / TRIALS).toFixed(2),
+		concurrent,
+		quarantinedOnce,
+		stillQuarantined,
+	].map(String)
 }
 
 function fillGate(bodyLength: number): QuarantineGate {
@@ -162,8 +170,8 @@
 function measureMemory(): string {
 	globalThis.gc?.()
 	const before = process.memoryUsage().heapUsed
-	const kept = Array.from({ length: 10 }, (_, at) => fillGate(at))
+	const gates = Array.from({ length: 10 }, (_, at) => fillGate(at))
 	globalThis.gc?.()
 	const bytes = process.memoryUsage().heapUsed - before
-	return (bytes / kept.length / KIB).toFixed(0)
+	return (bytes / gates.length / KIB).toFixed(0)
 }
--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -1,8 +1,8 @@
 /**
- * Rebalancing policies on the same traces: step-time skew against the cost of
- * moves. Every policy pays for its loads alike: each expert takes its time at
- * the weight store, the group loses a share of its capacity meanwhile, and a
- * plan comes into force only when its last expert is loaded.
+ * Compares rebalancing policies on the same traces: step-time skew against the cost of
+ * moves. Loading costs the same under each policy: every expert takes its transfer time
+ * from the weight store, the group loses a share of its capacity meanwhile, and a plan
+ * takes effect only when its last expert is loaded.
  */
 
 import { writeFileSync } from 'node:fs'
@@ -25,7 +25,7 @@
 import { createTraces } from './traces.ts'
 
 const EXPERTS = 128
-/** Layers simulated; each stands for {@link LAYERS_EACH} of a model of 60. */
+/** Simulated layers; each represents {@link LAYERS_EACH} of a model's 60. */
 const LAYERS = 4
 const LAYERS_EACH = 15
 const WINDOW_MS = 60_000
@@ -40,7 +40,7 @@
 const STORM_GRACE_WINDOWS = 10
 const CHART = 'docs/rebalance-frontier.svg'
 
-/** Sizes of one comparison. */
+/** Parameters of one comparison. */
 interface Setting {
 	readonly ranks: number
 	readonly spare: number
@@ -48,7 +48,7 @@
 	readonly seed: number
 }
 
-/** What one policy did on one trace. */
+/** Result of one policy on one trace. */
 export interface PolicyResult {
 	readonly policy: string
 	readonly trace: string
@@ -62,7 +62,7 @@
 	readonly bytes: number
 	/** Seconds of the whole group's capacity lost to loading. */
 	readonly lostSeconds: number
-	/** Against a group without skew or loads, in percent. */
+	/** Token throughput relative to a group without skew or loading, in percent. */
 	readonly tokens: number
 	readonly planMs: number
 }
@@ -166,7 +166,7 @@
 	}
 }
 
-/** Ranks wait for each other in every layer. */
+/** Returns the mean skew over layers, as ranks wait for each other in every layer. */
 function measureSkew(
 	layers: readonly LayerPlacement[],
 	share: Float64Array,
@@ -177,7 +177,7 @@
 	return meanOf(skews)
 }
 
-/** Token counts of a window, with the noise of a finite sample. */
+/** Returns token counts of a window with the noise of a finite sample. */
 function sampleTokens(share: Float64Array, random: () => number): Float64Array {
 	return share.map(part => {
 		const mean = part * TOKENS_PER_WINDOW
@@ -277,11 +277,11 @@
 		)
 		const swing = find('oscillating', ours)
 		const never = find('oscillating', 'never')
-		const worth = (row: PolicyResult) => 100 / row.tokens
+		const relativeCost = (row: PolicyResult) => 100 / row.tokens
 		check(
 			'oscillating: at most 5% above the cost of never moving',
-			worth(swing) <= worth(never) * 1.05,
-			`${worth(swing).toFixed(3)} against ${worth(never).toFixed(3)}`,
+			relativeCost(swing) <= relativeCost(never) * 1.05,
+			`${relativeCost(swing).toFixed(3)} against ${relativeCost(never).toFixed(3)}`,
 		)
 	}
 }
--- a/bench/rewind.ts
+++ b/bench/rewind.ts
@@ -1,6 +1,6 @@
 /**
- * What a store that comes back from an older copy costs: 36 entries and the agents that
- * may coordinate read it in one process; calls and bytes until all entries are right.
+ * Cost of a rollback of the store: 36 entries and the agents that may coordinate read
+ * it, all in one process. Measures calls and bytes until all entries are up to date.
  */
 
 import type { GatewayContext } from '@juniperhook/gateway'
@@ -20,13 +20,13 @@
 const ENTRIES = 36
 const RANKS = 192
 const PLAIN = 5
-/** Candidates for coordinator of two groups. */
+/** Agents that may coordinate one of two groups. */
 const READERS = 8
 const READ_MS = 1_000
 const OUTAGES_MS = [0, 1_000, 3_000] as const
-/** Changes that the copy lacks: servers that started again. */
+/** Changes that the older copy lacks: servers that restarted. */
 const LOST_CHANGES = 24
-/** Until writers write again what the copy lacks, ms. */
+/** Time within which writers write again what the copy lacks, ms. */
 const REWRITE_MS = 1_800
 const FIRST_PORT = 29_000
 const PORTS_EACH = 4
@@ -43,12 +43,12 @@
 	nextIncarnation: number
 }
 
-/** Prints calls, bytes and time for each time that the store is away. */
+/** Runs the benchmark: prints calls, bytes and time for each outage of the store. */
 export async function run(): Promise<void> {
 	const fleet = await startFleet()
 	const rows: string[][] = []
-	for (const awayMs of isQuick() ? OUTAGES_MS.slice(0, 1) : OUTAGES_MS)
-		rows.push(await measureRollback(fleet, awayMs))
+	for (const outageMs of isQuick() ? OUTAGES_MS.slice(0, 1) : OUTAGES_MS)
+		rows.push(await measureRollback(fleet, outageMs))
 	print(
 		`${ENTRIES} entries, ${READERS} agents that read, ${RANKS + PLAIN} servers, ${LOST_CHANGES} changes lost`,
 	)
@@ -89,7 +89,7 @@
 	return createStoreClient(store.address, () => {})
 }
 
-/** Lists the next life of a server. */
+/** Writes the record of a server's next incarnation. */
 function startIncarnation(fleet: Fleet, at: number): void {
 	fleet.incarnations.set(`i-${at}`, fleet.nextIncarnation++)
 	write(fleet, at)
@@ -98,7 +98,7 @@
 function write({ store, incarnations: lives }: Fleet, at: number): void {
 	const isRank = at < RANKS
 	const name = `i-${at}`
-	const entry = {
+	const serverRecord = {
 		service: isRank ? SERVICE_OF.stream : SERVICE_OF.once,
 		address: `127.78.${at >> 7}.${at & 127}:9000`,
 		zone: `zone-${at % 3}`,
@@ -112,7 +112,7 @@
 			group: { name: `g${at % 2}`, rank: at >> 1, epoch: 1, phase: 'open' },
 		}),
 	}
-	const text = JSON.stringify(entry)
+	const text = JSON.stringify(serverRecord)
 	const key = `servers/${name}`
 	if (store.items.get(key)?.value !== text) store.put(key, text)
 }
@@ -150,28 +150,28 @@
 
 async function measureRollback(
 	fleet: Fleet,
-	awayMs: number,
+	outageMs: number,
 ): Promise<string[]> {
 	const { store, sent } = fleet
 	for (let at = 0; at < LOST_CHANGES; at++) startIncarnation(fleet, at * 8)
 	await sleep(SETTLE_MS)
 	const before = { ...sent }
-	const begunAt = performance.now()
+	const startedAt = performance.now()
 	store.mood = 'reset'
 	store.rewind(store.revision - LOST_CHANGES)
-	await sleep(awayMs)
+	await sleep(outageMs)
 	store.mood = 'serve'
 	for (let at = 0; at < LOST_CHANGES; at++)
 		setTimeout(() => write(fleet, at * 8), (REWRITE_MS * at) / LOST_CHANGES)
-	// Right is all that was so before, and is so again when all is written.
+	// Entries look up to date until they read the older copy, so all is rewritten first.
 	await sleep(REWRITE_MS)
-	while (!isUpToDate(fleet) && performance.now() - begunAt < MAX_WAIT_MS)
+	while (!isUpToDate(fleet) && performance.now() - startedAt < MAX_WAIT_MS)
 		await sleep(POLL_INTERVAL_MS)
-	const tookMs = performance.now() - begunAt - awayMs
+	const tookMs = performance.now() - startedAt - outageMs
 	const calls = sent.calls - before.calls
 	const kb = (sent.bytes - before.bytes) / 1_000
 	return [
-		`${awayMs} ms`,
+		`${outageMs} ms`,
 		String(calls),
 		kb.toFixed(0),
 		(kb / (ENTRIES + READERS)).toFixed(1),
@@ -179,12 +179,12 @@
 	]
 }
 
-/** Whether all entries send to the lives that are, and to all of them. */
+/** Whether all entries know exactly the present incarnations of all servers. */
 function isUpToDate({ entries, incarnations: lives }: Fleet): boolean {
 	return entries.every(({ fleet, list }) => {
 		const isKnown = [...lives].every(
-			([name, life]) =>
-				list.records.get(name)?.server?.id === `${name}@${life}`,
+			([name, incarnation]) =>
+				list.records.get(name)?.server?.id === `${name}@${incarnation}`,
 		)
 		return isKnown && fleet.servers.length === lives.size
 	})
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -1,6 +1,6 @@
 /**
- * Policies for the expert map of a lock-step group whose demand shifts every few
- * seconds, side by side on the same arrivals in virtual time.
+ * Compares policies for the expert map of a lock-step group whose demand shifts every
+ * few seconds, on the same arrivals in virtual time.
  */
 
 import { writeFileSync } from 'node:fs'
@@ -22,7 +22,7 @@
 } from '@juniperhook/groups'
 import { isQuick, print, printTable } from './output.ts'
 
-/** Figures as the users' configuration tells them. */
+/** Figures of the users' configuration. */
 const WORKLOAD: ExpertDay = {
 	ranks: 16,
 	layout: {
@@ -67,25 +67,25 @@
 	},
 ]
 
-/** Between readings of counts, ms; the agents' own figure. */
+/** Interval of reading counts, ms; the same as the agents'. */
 const COUNT_INTERVAL_MS = 200
-/** From the end of copying to a map in use, ms. */
+/** Time from the end of copying until the map is in use, ms. */
 const ARM_MS = 150
-/** Choices of a pass, to turn demand into counts. */
+/** Expert choices per pass, by which demand is converted to counts. */
 const CHOICES_PER_PASS = 100_000
 const MAX_PAUSE_MS = 120
 
 type Policy =
 	| 'never'
-	/** Towards balance whenever there is anything to gain. */
+	/** Rebalances whenever the map can be improved. */
 	| 'always'
-	/** All experts placed anew for the demand of the moment. */
+	/** Places all experts anew for the present demand. */
 	| 'full'
-	/** When the most loaded rank passes 1.5 times the mean. */
+	/** Rebalances when the load of the most loaded rank exceeds 1.5 times the mean. */
 	| 'threshold'
-	/** What the agents do. */
+	/** The agents' policy. */
 	| 'present'
-	/** Balance for the demand of this very pass, at once and free. */
+	/** Lower bound: balances for the demand of each pass, at once and without cost. */
 	| 'bound'
 
 const POLICIES: Policy[] = [
@@ -104,40 +104,44 @@
 	readonly mean: number
 	readonly p50: number
 	readonly p99: number
-	/** Part of passes longer than the longest pause in time. */
+	/** Share of the time spent in passes longer than {@link MAX_PAUSE_MS}. */
 	readonly late: number
 	readonly copies: number
 	readonly changes: number
 }
 
-function simulate(name: string, day: ExpertDay, policy: Policy): PolicyResult {
-	const group = createExpertGroup(day)
-	const { sets, experts } = day.layout
+function simulate(
+	name: string,
+	workload: ExpertDay,
+	policy: Policy,
+): PolicyResult {
+	const group = createExpertGroup(workload)
+	const { sets, experts } = workload.layout
 	const demand = createDemand(sets, experts)
 	const counts = new Array<number>(sets * experts).fill(0)
 	let countedAt = 0
-	let coming: { map: GroupMap; at: number } | undefined
-	while (group.nowMs < day.lengthMs) {
+	let pending: { map: GroupMap; at: number } | undefined
+	while (group.nowMs < workload.lengthMs) {
 		if (policy === 'bound') group.map = planAll(group, demandOf(group), 1)
 		const now = demandOf(group)
 		playPass(group)
 		for (const [at, share] of now.entries())
 			counts[at]! += Math.round(share * CHOICES_PER_PASS)
-		if (coming && group.nowMs >= coming.at) {
-			group.map = coming.map
+		if (pending && group.nowMs >= pending.at) {
+			group.map = pending.map
 			group.changes++
-			coming = undefined
+			pending = undefined
 		}
 		if (group.nowMs - countedAt < COUNT_INTERVAL_MS) continue
 		countedAt = group.nowMs
 		takeChoices(demand, counts)
 		refreshDemand(demand, group.nowMs)
 		counts.fill(0)
-		if (coming || demand.seen === 0) continue
+		if (pending || demand.seen === 0) continue
 		const map = decide(group, demand, policy)
 		if (!map) continue
 		const copyMs = startCopies(group, map)
-		coming = { map, at: group.nowMs + copyMs + ARM_MS }
+		pending = { map, at: group.nowMs + copyMs + ARM_MS }
 	}
 	return summarize(name, policy, group)
 }
@@ -169,13 +173,13 @@
 				? planAll(group, flat, 1)
 				: undefined
 		case 'present': {
-			const paces = new Array<number>(group.day.ranks).fill(1)
+			const slowdowns = new Array<number>(group.day.ranks).fill(1)
 			const cost = {
 				copyMs: (layout.expertMb * 8_000) / group.day.linkMbps,
 				overheadMs: ARM_MS,
 				steadyMs: group.day.shiftEveryMs,
 			}
-			const basis = { map: group.map, shares, layout, paces, cost }
+			const basis = { map: group.map, shares, layout, paces: slowdowns, cost }
 			return runToEnd(planMap(basis))?.placements
 		}
 		default:
@@ -190,7 +194,7 @@
 	}
 }
 
-/** Plans all sets; `anew` from the map that a group forms with. */
+/** Plans all sets; with `anew`, starting from the map with which a group forms. */
 function planAll(
 	group: ExpertGroup,
 	shares: Float64Array,
@@ -224,7 +228,7 @@
 ): PolicyResult {
 	const passes = [...group.passes].sort((a, b) => a - b)
 	const at = (share: number) => passes[Math.floor(share * (passes.length - 1))]!
-	// By time, not by number: long passes are what streams stand in.
+	// Weighted by time instead of number, as streams spend more time in long passes.
 	const total = passes.reduce((sum, pass) => sum + pass, 0)
 	const late = passes.filter(pass => pass > MAX_PAUSE_MS)
 	return {
@@ -239,7 +243,7 @@
 	}
 }
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const days = isQuick() ? WORKLOADS.slice(0, 1) : WORKLOADS
 	const rows: PolicyResult[] = []
@@ -268,12 +272,12 @@
 const ROW = 20
 const MARGIN = 150
 
-/** Bars of mean pass time, with the copies beside them. */
+/** Draws bars of the mean pass time, labelled with the number of copies. */
 function draw(rows: readonly PolicyResult[]): string {
-	const most = Math.max(...rows.map(row => row.mean))
+	const maxMean = Math.max(...rows.map(row => row.mean))
 	const bars = rows.map((row, at) => {
 		const y = 30 + at * ROW
-		const width = ((WIDTH - MARGIN - 120) * row.mean) / most
+		const width = ((WIDTH - MARGIN - 120) * row.mean) / maxMean
 		const colour = row.policy === 'present' ? '#1b6ca8' : '#999'
 		return [
 			`<text x="${MARGIN - 6}" y="${y + 12}" text-anchor="end">${row.day}, ${row.policy}</text>`,
--- a/bench/teamLimits.ts
+++ b/bench/teamLimits.ts
@@ -1,6 +1,7 @@
 /**
- * Limits of a team, kept by all entries together: overshoot and waste at two numbers of
- * entries, with even and uneven demand, healed and cut. Questions take no time here.
+ * A team's limits, enforced by all entries together: overshoot and waste at two numbers
+ * of entries, with even and uneven demand, with and without a network partition. Calls
+ * between entries take no time here.
  */
 
 import type { TeamConfig } from '@juniperhook/core'
@@ -15,7 +16,7 @@
 } from '@juniperhook/core'
 import { print, printTable } from './output.ts'
 
-/** What a team may exceed, what it cannot use. */
+/** Measures by how much a team exceeds its limit, and how much of it stays unused. */
 export function measureTeamLimits(): void {
 	const rate = 330
 	const config = readConfig(
@@ -29,11 +30,11 @@
 			['even', false],
 			['one entry gets half', true],
 		] as const)
-			for (const seen of [entries, Math.ceil(entries / 2)]) {
-				const admitted = runLimit(limit, entries, seen, uneven)
+			for (const reachable of [entries, Math.ceil(entries / 2)]) {
+				const admitted = runLimit(limit, entries, reachable, uneven)
 				const share = admitted / rate
 				rows.push([
-					`${entries} entries, ${demand}, ${seen === entries ? 'healed' : 'cut in halves'}`,
+					`${entries} entries, ${demand}, ${reachable === entries ? 'healed' : 'cut in halves'}`,
 					`${(100 * Math.max(0, share - 1)).toFixed(1)}%`,
 					`${(100 * Math.max(0, 1 - share)).toFixed(1)}%`,
 				])
@@ -42,16 +43,16 @@
 	printTable(['entries, demand, network', 'overshoot', 'waste'], rows)
 }
 
-/** Requests a second admitted over all entries, after the first burst. */
+/** Returns the requests per second that all entries admit after the first burst. */
 function runLimit(
 	limit: TeamConfig,
 	entries: number,
-	seen: number,
+	reachable: number,
 	uneven: boolean,
 ): number {
 	const random = createRandom(5)
 	const tables = Array.from({ length: entries }, createLimits)
-	const isTogether = isEnforcedAtTeamHome(limit, seen)
+	const isAtTeamHome = isEnforcedAtTeamHome(limit, reachable)
 	const demand = limit.ratePerSecond * 1.5
 	const seconds = 60
 	const burst = 5
@@ -60,21 +61,21 @@
 		const now = (n / demand) * 1_000
 		const first = uneven && random() < 0.5
 		const at = first ? 0 : Math.floor(random() * entries)
-		// The first entry of each part is the team's home there.
-		const keeper = isTogether ? tables[at - (at % seen)]! : tables[at]!
-		const place = at % seen
-		const refused = isTogether
-			? admitAtTeamHome(keeper, 't', limit, 0, now)
+		// The first entry of each side of the partition is the team home there.
+		const limits = isAtTeamHome ? tables[at - (at % reachable)]! : tables[at]!
+		const shareIndex = at % reachable
+		const refused = isAtTeamHome
+			? admitAtTeamHome(limits, 't', limit, 0, now)
 			: admitWithinShare(
-					keeper,
+					limits,
 					't',
 					limit,
 					0,
-					{ count: seen, index: place },
+					{ count: reachable, index: shareIndex },
 					now,
 				)
 		if (refused) continue
-		releaseTeam(keeper, 't')
+		releaseTeam(limits, 't')
 		if (now >= burst * 1_000) admitted++
 	}
 	return admitted / seconds
--- a/bench/traces.ts
+++ b/bench/traces.ts
@@ -1,4 +1,4 @@
-/** Traces of expert popularity, one share vector a window of a minute. */
+/** Traces of expert popularity: one vector of shares per window of a minute. */
 
 import { createRandom } from '@juniperhook/core'
 import { createPopularity, drift, shiftDemand } from '@juniperhook/fakes'
@@ -6,7 +6,7 @@
 const HOURS = 4
 const WINDOWS_PER_HOUR = 60
 const WARM_UP = 30
-/** Neighbours that change places a layer a minute. */
+/** Swaps of neighbours in the order of popularity, per layer and minute. */
 const DRIFT_SWAPS = 4
 const STORM_AT = 90
 const STORM_WINDOWS = 20
@@ -16,15 +16,15 @@
 /** A trace of popularity. */
 export interface Trace {
 	readonly name: string
-	/** `layer * experts + expert`, a window each. */
+	/** Shares of each window, indexed by `layer * experts + expert`. */
 	readonly windows: readonly Float64Array[]
-	/** Windows until a policy should have settled. */
+	/** Number of windows until a policy should have settled. */
 	readonly warmUp: number
-	/** Whether a window is later than `grace` after a change. */
+	/** Whether a window is at least `grace` windows after any earlier change. */
 	isSettled(window: number, grace: number): boolean
 }
 
-/** All traces for one seed. */
+/** Creates all traces for one seed. */
 export function createTraces(
 	experts: number,
 	layers: number,
@@ -34,7 +34,7 @@
 	const length = HOURS * WINDOWS_PER_HOUR
 	const start = () =>
 		createPopularity(layers, experts, exponent, createRandom(seed))
-	const flat = (popularity: ReturnType<typeof start>) => {
+	const flatten = (popularity: ReturnType<typeof start>) => {
 		const all = new Float64Array(layers * experts)
 		for (const [layer, share] of popularity.share.entries())
 			all.set(share, layer * experts)
@@ -48,7 +48,7 @@
 		const popularity = start()
 		const windows = Array.from({ length }, (_, window) => {
 			change(popularity, window)
-			return flat(popularity)
+			return flatten(popularity)
 		})
 		return {
 			name,
@@ -65,16 +65,16 @@
 		make(
 			'storm',
 			(popularity, window) => {
-				const stormy = window >= STORM_AT && window < STORM_AT + STORM_WINDOWS
-				if (stormy) shiftDemand(popularity, perWindow)
+				const isStorm = window >= STORM_AT && window < STORM_AT + STORM_WINDOWS
+				if (isStorm) shiftDemand(popularity, perWindow)
 			},
 			[0, ...Array.from({ length: STORM_WINDOWS }, (_, n) => STORM_AT + n)],
 		),
 		make(
 			'swings',
 			(popularity, window) => {
-				const turn = window > 0 && window % SEASON_WINDOWS === 0
-				if (turn) shiftDemand(popularity, EXPERTS_OF_A_SEASON)
+				const isShift = window > 0 && window % SEASON_WINDOWS === 0
+				if (isShift) shiftDemand(popularity, EXPERTS_OF_A_SEASON)
 			},
 			Array.from(
 				{ length: length / SEASON_WINDOWS },
@@ -82,7 +82,7 @@
 			),
 		),
 		make('oscillating', (popularity, window) => {
-			// To and fro each window: the period at which the policy plans.
+			// Changes back and forth in each window, the interval at which policies plan.
 			const back = EXPERTS_OF_A_SEASON
 			for (const order of popularity.order) {
 				if (window === 0) break
