--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -1,13 +1,16 @@
 /**
- * Switches mechanisms off, one at a time, in a copy of the sources:
- * `node --import tsx scripts/ablation.ts NAME FOLDER`. What each is worth is
- * measured by playing that copy; see docs/ABLATION.md.
+ * Disables one mechanism in a copy of the sources: `node --import tsx
+ * scripts/ablation.ts NAME FOLDER`. Its effect is measured by running that copy; see
+ * docs/ABLATION.md.
  */
 
 import { readFileSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 
-/** One line of the sources, and what it is without the mechanism. */
+/**
+ * A line of the sources with a mechanism (`on`), and its replacement without it
+ * (`off`).
+ */
 export interface Switch {
 	readonly name: string
 	readonly file: string
@@ -27,7 +30,7 @@
 const ENTRY_DEMAND = 'packages/gateway/src/entryDemand.ts'
 const DEMAND_WATCH = 'packages/groups/src/demandWatch.ts'
 
-/** All mechanisms that can be switched off. */
+/** All mechanisms that can be disabled. */
 export const SWITCHES: readonly Switch[] = [
 	{
 		name: 'maps',
@@ -289,20 +292,24 @@
 	},
 ]
 
-/** A source with a mechanism switched off; throws when its line is not there. */
+/**
+ * Returns a source with a mechanism disabled; throws unless its line occurs exactly once.
+ */
 export function switchOff(source: string, { name, on, off }: Switch): string {
 	const [before, after, ...more] = source.split(on)
 	if (before === undefined || after === undefined || more.length > 0)
-		throw new Error(`${name}: its line must stand in the source once`)
+		throw new Error(`${name}: its line must occur exactly once in the source`)
 	return `${before}${off}${after}`
 }
 
-const [wanted, folder] = process.argv.slice(2)
-if (wanted && folder) {
-	const found = SWITCHES.find(one => one.name === wanted)
+const [requested, folder] = process.argv.slice(2)
+if (requested && folder) {
+	const found = SWITCHES.find(one => one.name === requested)
 	if (!found) {
 		const names = SWITCHES.map(one => one.name).join(', ')
-		process.stderr.write(`name one of: ${names}\n`)
+		process.stderr.write(
+			`usage: ablation.ts NAME FOLDER; NAME is one of: ${names}\n`,
+		)
 		process.exit(2)
 	}
 	const path = join(folder, found.file)
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,7 @@
-/** Bundles the daemons of both modes and the stand-ins; commands stay in own chunks. */
+/**
+ * Bundles the daemons, the fakes and the platform's program; commands get chunks of
+ * their own.
+ */
 
 import { rmSync } from 'node:fs'
 import { build } from 'esbuild'
--- a/scripts/buildPlatform.mjs
+++ b/scripts/buildPlatform.mjs
@@ -1,4 +1,4 @@
-/** Bundles the platform's two processes into `target/`. */
+/** Bundles the platform's program, for both of its processes, into `target/`. */
 
 import { rmSync } from 'node:fs'
 import { build } from 'esbuild'
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-/** Options that all bundles of the daemons share. */
+/** Common esbuild options of all bundles. */
 
 import { fileURLToPath } from 'node:url'
 
@@ -7,7 +7,7 @@
 	'const require = createRequireForCjs(import.meta.url)',
 ].join('\n')
 
-/** The daemons' bundles take the small part of undici that they use. */
+/** Resolves undici to the small part of it that the daemons use. */
 const SLIM_UNDICI = {
 	name: 'slim-undici',
 	setup(bundle) {
@@ -16,7 +16,7 @@
 	},
 }
 
-/** Options for esbuild. */
+/** Options of all bundles. */
 export const SHARED = {
 	bundle: true,
 	splitting: true,
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,4 +1,4 @@
-/** `npm run demo`: the whole path on one machine, with load and a report. */
+/** `npm run demo`: a complete deployment on one machine, with load and a report. */
 
 import { parseArgs } from 'node:util'
 import type { Fleet } from '@juniperhook/fakes'
@@ -26,14 +26,17 @@
 const ENTRIES = 3
 const SERVICES = 3
 const RANKS = 4
-/** Keys older than an agent by less than the clock bound are not run. */
-const CLOCK_BOUND_WAIT_MS = 5_500
+/**
+ * An agent does not run keys created before its start, or within the maximum clock
+ * skew after it, as they may have run before; the demo waits for that time.
+ */
+const CLOCK_SKEW_WAIT_MS = 5_500
 
 function print(text: string): void {
 	process.stdout.write(`${text}\n`)
 }
 
-/** A command line that the reader can try. */
+/** Returns a command line that sends a request to the demo. */
 function curlLine(fleet: Fleet): string {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.data}/v1/chat/completions`
 	const body = JSON.stringify({
@@ -60,14 +63,16 @@
 	serviceSlots: 16,
 	ranks: RANKS,
 	group: {
-		stormAfterSeconds: (CLOCK_BOUND_WAIT_MS + 3_000) / 1_000 + seconds / 3,
+		stormAfterSeconds: (CLOCK_SKEW_WAIT_MS + 3_000) / 1_000 + seconds / 3,
 		driftPerSecond: 1,
 	},
 	groupConfig: 'planSeconds = 2\nspareSlots = 2',
 })
-print('ready; waiting out the clock bound, so that bookings can be run …')
-await new Promise(resolve => setTimeout(resolve, CLOCK_BOUND_WAIT_MS))
-print(`load for ${seconds} s, a storm after ${Math.round(seconds / 3)} s`)
+print('ready; waiting for the maximum clock skew, after which bookings run …')
+await new Promise(resolve => setTimeout(resolve, CLOCK_SKEW_WAIT_MS))
+print(
+	`load for ${seconds} s, a demand shift after ${Math.round(seconds / 3)} s`,
+)
 const report = await runLoad({
 	entries: Array.from({ length: ENTRIES }, (_, n) => entryIp(fleet, n)),
 	directService: serviceIp(fleet, 0),
@@ -83,7 +88,7 @@
 print('')
 print(curlLine(fleet))
 if (values.keep) {
-	print('still running; Ctrl-C ends it')
+	print('still running; Ctrl-C stops it')
 	process.once('SIGINT', () => {
 		stopFleet(fleet)
 		process.exit(0)
--- a/scripts/files.ts
+++ b/scripts/files.ts
@@ -1,11 +1,11 @@
-/** File look-ups that Node 20 lacks. */
+/** File searches that Node 20 lacks. */
 
 import { readdirSync } from 'node:fs'
 import { join } from 'node:path'
 
 export { existsSync, readFileSync } from 'node:fs'
 
-/** Files below `folder` that match `pattern`, installed packages left out. */
+/** Lists files below `folder` whose paths match `pattern`, without installed packages. */
 export function globSync(folder: string, pattern: RegExp): string[] {
 	const names = readdirSync(folder, { recursive: true }).map(String)
 	return names
--- a/scripts/load.ts
+++ b/scripts/load.ts
@@ -1,4 +1,4 @@
-/** A bounded mixed load: streamed chat, rosters, bookings. */
+/** Mixed load for a limited time: streamed chat, rosters and bookings. */
 
 import { randomBytes } from 'node:crypto'
 import { createRandom, makeKey, randomIndex } from '@juniperhook/core'
@@ -13,11 +13,11 @@
 const MAX_TOKENS = 24
 const dispatcher = new Agent({ connections: 64, pipelining: 1 })
 
-/** What to send, where. */
+/** Rates and targets of the load. */
 export interface LoadOptions {
-	/** Entries' IPs. */
+	/** IPs of the entries. */
 	readonly entries: readonly string[]
-	/** A backend server to call directly, for comparison. */
+	/** IP of a backend server that is also called directly, for comparison. */
 	readonly directService: string
 	readonly seconds: number
 	readonly seed: number
@@ -28,12 +28,12 @@
 	readonly readGroup: () => Promise<Record<string, number>>
 }
 
-/** Kinds of request, one report row each. */
+/** Kinds of requests; the report has a row for each. */
 export const LOAD_KINDS = ['chat', 'roster', 'booking', 'direct'] as const
-/** See {@link LOAD_KINDS}. */
+/** One of {@link LOAD_KINDS}. */
 export type LoadKind = (typeof LOAD_KINDS)[number]
 
-/** Counts of one kind of request; latency in microseconds. */
+/** Counts of one kind of request; latencies in microseconds. */
 export interface LoadRow {
 	sent: number
 	answered: number
@@ -42,13 +42,13 @@
 	readonly latency: Histogram
 }
 
-/** What the load found. */
+/** Result of the load. */
 export interface LoadReport {
 	readonly rows: Record<LoadKind, LoadRow>
 	readonly skewBefore: number
 	readonly skewAfterStorm: number
 	readonly skewEnd: number
-	/** Map changes that the group made. */
+	/** Number of map changes in the group. */
 	readonly changes: number
 	readonly violations: number
 	unaccounted: number
@@ -58,7 +58,7 @@
 	return { sent: 0, answered: 0, notRun: 0, unknown: 0, latency: build() }
 }
 
-/** Sends the load and waits for every answer. */
+/** Sends the load and waits for all answers. */
 export async function runLoad(options: LoadOptions): Promise<LoadReport> {
 	const rows: Record<LoadKind, LoadRow> = {
 		chat: createRow(),
@@ -104,16 +104,16 @@
 		['booking', options.bookingsPerSecond],
 		['direct', options.rostersPerSecond],
 	]
-	const due = rates.map(() => 0)
+	const sentByRow = rates.map(() => 0)
 	const skews: number[] = []
 	const start = performance.now()
 	let reported = 0
 	for (;;) {
 		const elapsed = performance.now() - start
 		if (elapsed >= options.seconds * MS) return skews
-		for (const [at, [kind, rate]] of rates.entries())
-			while (due[at]! < (elapsed / MS) * rate) {
-				due[at]!++
+		for (const [row, [kind, rate]] of rates.entries())
+			while (sentByRow[row]! < (elapsed / MS) * rate) {
+				sentByRow[row]!++
 				launch(kind)
 			}
 		if (elapsed / MS >= reported + 2) {
@@ -154,9 +154,9 @@
 			Math.round((performance.now() - started) * MICROS_PER_MS),
 		)
 		const outcome = res.headers['x-request-outcome']
-		const whole = kind !== 'chat' || text.includes('[DONE]')
+		const complete = kind !== 'chat' || text.includes('[DONE]')
 		if (outcome === 'notRun') row.notRun++
-		else if (outcome === 'unknown' || !whole) row.unknown++
+		else if (outcome === 'unknown' || !complete) row.unknown++
 		else row.answered++
 	} catch {
 		row.unknown++
--- a/scripts/prepare.mjs
+++ b/scripts/prepare.mjs
@@ -1,13 +1,16 @@
-/** Installs when the lockfile is newer than the install, then builds. */
+/** Installs dependencies if the lockfile is newer than the installation, then builds. */
 
 import { execFileSync } from 'node:child_process'
 import { existsSync, statSync } from 'node:fs'
 
-const MARK = 'node_modules/.package-lock.json'
+const INSTALLED_LOCKFILE = 'node_modules/.package-lock.json'
 
 function isInstalled() {
-	if (!existsSync(MARK)) return false
-	return statSync(MARK).mtimeMs >= statSync('package-lock.json').mtimeMs
+	if (!existsSync(INSTALLED_LOCKFILE)) return false
+	return (
+		statSync(INSTALLED_LOCKFILE).mtimeMs >=
+		statSync('package-lock.json').mtimeMs
+	)
 }
 
 const run = (command, args) => execFileSync(command, args, { stdio: 'inherit' })
--- a/scripts/report.ts
+++ b/scripts/report.ts
@@ -1,9 +1,9 @@
-/** The demo's table. */
+/** The demo's report. */
 
 import type { LoadReport } from './load.ts'
 import { LOAD_KINDS } from './load.ts'
 
-const MICRO = 1_000
+const MICROS_PER_MS = 1_000
 const COLUMNS = [
 	'kind',
 	'sent',
@@ -16,14 +16,15 @@
 	'added p99',
 ]
 
-/** Writes the report for a terminal. */
+/** Formats the report for a terminal. */
 export function formatReport(report: LoadReport): string {
 	const direct = report.rows.direct.latency
 	const rows = LOAD_KINDS.map(kind => {
 		const row = report.rows[kind]
-		const at = (part: number) => row.latency.getValueAtPercentile(part) / MICRO
+		const at = (part: number) =>
+			row.latency.getValueAtPercentile(part) / MICROS_PER_MS
 		const added = (part: number) =>
-			at(part) - direct.getValueAtPercentile(part) / MICRO
+			at(part) - direct.getValueAtPercentile(part) / MICROS_PER_MS
 		const comparable = kind === 'roster' || kind === 'booking'
 		return [
 			kind,
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -1,12 +1,12 @@
 /**
- * Runs every test file in a process of its own and adds up uvu's real counts.
- * Tests listed in KNOWN-RED.txt may fail; all others may not.
+ * Runs each test file in its own process and sums the counts that uvu prints. Only
+ * tests listed in KNOWN-RED.txt may fail.
  */
 
 import { spawn } from 'node:child_process'
 import { existsSync, globSync, readFileSync } from './files.ts'
 
-const FILE_LIMIT_MS = 600_000
+const FILE_TIMEOUT_MS = 600_000
 const PARALLEL = 4
 const KNOWN_RED = 'KNOWN-RED.txt'
 const MAX_KNOWN_RED = 3
@@ -17,8 +17,8 @@
 	readonly passed: number
 	/** Names of failed tests. */
 	readonly failed: readonly string[]
-	/** Whether the process ended as its counts say. */
-	readonly sound: boolean
+	/** Whether the counts were printed and agree with the exit code. */
+	readonly consistent: boolean
 	readonly output: string
 }
 
@@ -26,7 +26,7 @@
 	return new Promise(resolve => {
 		const child = spawn(process.execPath, ['--import', 'tsx', file], {
 			stdio: ['ignore', 'pipe', 'pipe'],
-			timeout: FILE_LIMIT_MS,
+			timeout: FILE_TIMEOUT_MS,
 			killSignal: 'SIGKILL',
 		})
 		let output = ''
@@ -51,8 +51,8 @@
 	const failed = [...plain.matchAll(/FAIL\s+.*?"(.*)"/g)].map(
 		match => match[1] ?? '',
 	)
-	const sound = total > 0 && (code === 0) === (failed.length === 0)
-	return { file, total, passed, failed, sound, output }
+	const consistent = total > 0 && (code === 0) === (failed.length === 0)
+	return { file, total, passed, failed, consistent, output }
 }
 
 function readKnownRed(): Set<string> {
@@ -66,24 +66,24 @@
 
 async function runAll(files: readonly string[]): Promise<FileResult[]> {
 	const results: FileResult[] = []
-	// Process tests start fleets; one at a time, so that none is starved.
-	const alone = files.filter(file => file.includes('.process.'))
+	// Process tests start fleets; they run one at a time, so that none lacks CPU time.
+	const sequential = files.filter(file => file.includes('.process.'))
 	const queue = files.filter(file => !file.includes('.process.'))
 	const work = async () => {
 		for (let file = queue.shift(); file; file = queue.shift())
 			results.push(show(await runFile(file)))
 	}
 	await Promise.all(Array.from({ length: PARALLEL }, work))
-	for (const file of alone) results.push(show(await runFile(file)))
+	for (const file of sequential) results.push(show(await runFile(file)))
 	return results
 }
 
 function show(result: FileResult): FileResult {
-	const good = result.sound && result.failed.length === 0
-	const mark = good ? 'ok  ' : 'FAIL'
+	const isPassed = result.consistent && result.failed.length === 0
+	const mark = isPassed ? 'ok  ' : 'FAIL'
 	const counts = `${result.passed}/${result.total}`
 	process.stdout.write(`${mark} ${result.file} ${counts}\n`)
-	if (!good) process.stdout.write(result.output)
+	if (!isPassed) process.stdout.write(result.output)
 	return result
 }
 
@@ -94,12 +94,14 @@
 const results = await runAll(files)
 const known = readKnownRed()
 const failed = results.flatMap(result => result.failed)
-const broken = results.filter(result => !result.sound)
+const broken = results.filter(result => !result.consistent)
 const red = failed.filter(name => known.has(name))
 const unexpected = failed.length - red.length + broken.length
 for (const name of red) process.stdout.write(`known red: ${name}\n`)
 for (const { file } of broken)
-	process.stdout.write(`did not end well: ${file}\n`)
+	process.stdout.write(
+		`counts missing or contradicting the exit code: ${file}\n`,
+	)
 const passed = results.reduce((sum, result) => sum + result.passed, 0)
 process.stdout.write(
 	`${passed} passed, ${failed.length + broken.length} failed\n`,
