--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -131,7 +131,7 @@
 function measurePlan(): void {
 	print('\nplan of one layer, 128 experts, Zipf 0.8, from even blocks')
 	const share = new Float64Array(128).map((_, at) => (at + 1) ** -0.8)
-	const total = share.reduce((sum, part) => sum + part, 0)
+	const total = share.reduce((sum, value) => sum + value, 0)
 	for (const at of share.keys()) share[at]! /= total
 	const terms = {
 		skewWeight: 1,
--- a/bench/config.ts
+++ b/bench/config.ts
@@ -72,9 +72,9 @@
 			fail(net)
 			publishChange(net, 2)
 			const delaysMs = measureSpread(net, 2, LIMIT_MS).sort((a, b) => a - b)
-			const quantile = (part: number) =>
+			const quantile = (fraction: number) =>
 				delaysMs[
-					Math.min(delaysMs.length - 1, Math.floor(delaysMs.length * part))
+					Math.min(delaysMs.length - 1, Math.floor(delaysMs.length * fraction))
 				] ?? 0
 			print(`  measured ${size} nodes, failure: ${name}`)
 			const missing = delaysMs.filter(ms => ms < 0).length
--- a/bench/fate.ts
+++ b/bench/fate.ts
@@ -68,12 +68,13 @@
 	const rows: string[][] = []
 	let total = 0
 	let broken = 0
-	for (const [at, { name, bounds }] of CASES.entries()) {
-		const tally = runCase(bounds, count, at + 1)
+	for (const [index, { name, bounds }] of CASES.entries()) {
+		const tally = runCase(bounds, count, index + 1)
 		total += count
 		broken += tally.broken
 		const share = tally.unknown / Math.max(1, tally.baseline)
-		const percent = (part: number) => `${((100 * part) / count).toFixed(1)}%`
+		const percent = (requests: number) =>
+			`${((100 * requests) / count).toFixed(1)}%`
 		rows.push([
 			name,
 			percent(tally.answered),
--- a/bench/map.ts
+++ b/bench/map.ts
@@ -86,8 +86,8 @@
 				await measure(
 					fleet,
 					name,
-					async at => {
-						await wait(moments[at] ?? 0)
+					async index => {
+						await wait(moments[index] ?? 0)
 						await fail(fleet)
 						await wait(SETTLE_MS)
 					},
@@ -115,14 +115,14 @@
 async function measure(
 	fleet: Fleet,
 	name: string,
-	trial: (at: number) => Promise<unknown>,
+	trial: (index: number) => Promise<unknown>,
 	trials: number,
 ): Promise<string[]> {
 	const before = await readLoad(fleet)
 	let longest = 0
-	for (let at = 0; at < trials; at++) {
+	for (let index = 0; index < trials; index++) {
 		const start = await readLoad(fleet)
-		await trial(at)
+		await trial(index)
 		const gateMs = (await readLoad(fleet)).gateMs - start.gateMs
 		longest = Math.max(longest, gateMs)
 	}
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -50,17 +50,17 @@
 	const direct = `http://${serviceIp(fleet, 0)}:${PORTS.backend}`
 	await driveBoth(via, direct, WARM_UP_SECONDS)
 	const [added, base] = await driveBoth(via, direct, seconds)
-	const at = (histogram: Histogram, part: number) =>
-		histogram.getValueAtPercentile(part) / MICROS_PER_MS
+	const latencyMs = (histogram: Histogram, percentile: number) =>
+		histogram.getValueAtPercentile(percentile) / MICROS_PER_MS
 	print(`added latency, ${RATE} requests/s for ${seconds} s`)
 	const row = (name: string, histogram: Histogram) => [
 		name,
-		at(histogram, 50).toFixed(2),
-		at(histogram, 99).toFixed(2),
+		latencyMs(histogram, 50).toFixed(2),
+		latencyMs(histogram, 99).toFixed(2),
 		String(histogram.totalCount),
 	]
-	const p50 = at(added, 50) - at(base, 50)
-	const p99 = at(added, 99) - at(base, 99)
+	const p50 = latencyMs(added, 50) - latencyMs(base, 50)
+	const p99 = latencyMs(added, 99) - latencyMs(base, 99)
 	printTable(
 		['way', 'p50 ms', 'p99 ms', 'count'],
 		[row('direct', base), row('juniperhook', added)],
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -179,10 +179,10 @@
 ): Float64Array {
 	const shares = new Float64Array(tokens.length)
 	for (let layer = 0; layer < layers; layer++) {
-		const part = tokens.subarray(layer * experts, (layer + 1) * experts)
-		const total = part.reduce((sum, count) => sum + count, 0)
-		for (const [at, count] of part.entries())
-			shares[layer * experts + at] = count / (total || 1)
+		const layerTokens = tokens.subarray(layer * experts, (layer + 1) * experts)
+		const total = layerTokens.reduce((sum, count) => sum + count, 0)
+		for (const [expert, count] of layerTokens.entries())
+			shares[layer * experts + expert] = count / (total || 1)
 	}
 	return shares
 }
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -80,7 +80,7 @@
 		const hit = new Set<string>()
 		let resent: string[] = []
 		for (let round = 0; round < MAX_ROUNDS; round++) {
-			if (listQuarantined(quarantine).includes('deadly')) break
+			if (listQuarantined(quarantine).includes('poison')) break
 			const at = round * ATTEMPT_INTERVAL_MS
 			const here = resent.filter(() => randomIndex(random, servers) === 0)
 			const answered = resent.filter(one => !here.includes(one))
@@ -90,11 +90,11 @@
 			)
 			const running = [...here, ...fresh]
 			const ran = new Map(running.map(one => [one, 100 + random() * 1_500]))
-			ran.set('deadly', 40 + random() * 1_900)
+			ran.set('poison', 40 + random() * 1_900)
 			const end = { server: `server-${round}`, at, ran }
 			mergeCrashEvidence(quarantine, { ends: [end], served: [] }, at)
 			for (const one of listQuarantined(quarantine))
-				if (one !== 'deadly') hit.add(one)
+				if (one !== 'poison') hit.add(one)
 			const served = answered.map(fingerprint => ({ fingerprint, at: at + 10 }))
 			mergeCrashEvidence(quarantine, { ends: [], served }, at + 20)
 			crashes++
@@ -103,7 +103,7 @@
 		}
 		quarantinedOnce += hit.size
 		stillQuarantined += listQuarantined(quarantine).filter(
-			one => one !== 'deadly',
+			one => one !== 'poison',
 		).length
 	}
 	return [
@@ -123,7 +123,7 @@
 		ran: new Map(
 			Array.from({ length: REQUESTS_PER_CRASH }, (_, one) => [
 				one === 0
-					? `${bodyLength.toString(36)}.deadly`
+					? `${bodyLength.toString(36)}.poison`
 					: `${bodyLength.toString(36)}.${at}-${one}`,
 				50,
 			]),
--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -179,8 +179,8 @@
 
 /** Returns token counts of a window with the noise of a finite sample. */
 function sampleTokens(share: Float64Array, random: () => number): Float64Array {
-	return share.map(part => {
-		const mean = part * TOKENS_PER_WINDOW
+	return share.map(fraction => {
+		const mean = fraction * TOKENS_PER_WINDOW
 		const normal = random() + random() + random() + random() - 2
 		return Math.max(0, mean + normal * Math.sqrt(3 * mean))
 	})
--- a/bench/rewind.ts
+++ b/bench/rewind.ts
@@ -76,10 +76,11 @@
 		}) as typeof res.end
 	})
 	store.put('op/config', buildConfig(1, false, 0))
-	for (let at = 0; at < RANKS + PLAIN; at++) startIncarnation(fleet, at)
-	for (let at = 0; at < ENTRIES; at++)
-		fleet.entries.push(await startEntry(fleet, at))
-	for (let at = 0; at < READERS; at++)
+	for (let index = 0; index < RANKS + PLAIN; index++)
+		startIncarnation(fleet, index)
+	for (let index = 0; index < ENTRIES; index++)
+		fleet.entries.push(await startEntry(fleet, index))
+	for (let index = 0; index < READERS; index++)
 		void readGroups(createGroupSource(createClient(fleet)))
 	await sleep(SETTLE_MS)
 	return fleet
@@ -90,26 +91,31 @@
 }
 
 /** Writes the record of a server's next incarnation. */
-function startIncarnation(fleet: Fleet, at: number): void {
-	fleet.incarnations.set(`i-${at}`, fleet.nextIncarnation++)
-	write(fleet, at)
+function startIncarnation(fleet: Fleet, index: number): void {
+	fleet.incarnations.set(`i-${index}`, fleet.nextIncarnation++)
+	write(fleet, index)
 }
 
-function write({ store, incarnations: lives }: Fleet, at: number): void {
-	const isRank = at < RANKS
-	const name = `i-${at}`
+function write({ store, incarnations }: Fleet, index: number): void {
+	const isRank = index < RANKS
+	const name = `i-${index}`
 	const serverRecord = {
 		service: isRank ? SERVICE_OF.stream : SERVICE_OF.once,
-		address: `127.78.${at >> 7}.${at & 127}:9000`,
-		zone: `zone-${at % 3}`,
+		address: `127.78.${index >> 7}.${index & 127}:9000`,
+		zone: `zone-${index % 3}`,
 		config_version: 'v1',
 		slots: 8,
 		cold_remaining_ms: 0,
 		sequence: 1,
-		born: lives.get(name),
+		born: incarnations.get(name),
 		phase: 'ready',
 		...(isRank && {
-			group: { name: `g${at % 2}`, rank: at >> 1, epoch: 1, phase: 'open' },
+			group: {
+				name: `g${index % 2}`,
+				rank: index >> 1,
+				epoch: 1,
+				phase: 'open',
+			},
 		}),
 	}
 	const text = JSON.stringify(serverRecord)
@@ -117,13 +123,16 @@
 	if (store.items.get(key)?.value !== text) store.put(key, text)
 }
 
-async function startEntry(fleet: Fleet, at: number): Promise<GatewayContext> {
-	const ip = `127.0.${at >> 4}.${(at & 15) + 1}`
+async function startEntry(
+	fleet: Fleet,
+	index: number,
+): Promise<GatewayContext> {
+	const ip = `127.0.${index >> 4}.${(index & 15) + 1}`
 	const address = (offset: number) => `${ip}:${FIRST_PORT + offset}`
 	const settings = {
-		name: `entry-${at}`,
+		name: `entry-${index}`,
 		ip,
-		dataCentre: `zone-${at % 3}`,
+		dataCentre: `zone-${index % 3}`,
 		callers: address(0),
 		readiness: address(1),
 		control: address(2),
@@ -153,7 +162,8 @@
 	outageMs: number,
 ): Promise<string[]> {
 	const { store, sent } = fleet
-	for (let at = 0; at < LOST_CHANGES; at++) startIncarnation(fleet, at * 8)
+	for (let index = 0; index < LOST_CHANGES; index++)
+		startIncarnation(fleet, index * 8)
 	await sleep(SETTLE_MS)
 	const before = { ...sent }
 	const startedAt = performance.now()
@@ -161,8 +171,11 @@
 	store.rewind(store.revision - LOST_CHANGES)
 	await sleep(outageMs)
 	store.mood = 'serve'
-	for (let at = 0; at < LOST_CHANGES; at++)
-		setTimeout(() => write(fleet, at * 8), (REWRITE_MS * at) / LOST_CHANGES)
+	for (let index = 0; index < LOST_CHANGES; index++)
+		setTimeout(
+			() => write(fleet, index * 8),
+			(REWRITE_MS * index) / LOST_CHANGES,
+		)
 	// Entries look up to date until they read the older copy, so all is rewritten first.
 	await sleep(REWRITE_MS)
 	while (!isUpToDate(fleet) && performance.now() - startedAt < MAX_WAIT_MS)
@@ -180,12 +193,12 @@
 }
 
 /** Whether all entries know exactly the present incarnations of all servers. */
-function isUpToDate({ entries, incarnations: lives }: Fleet): boolean {
+function isUpToDate({ entries, incarnations }: Fleet): boolean {
 	return entries.every(({ fleet, list }) => {
-		const isKnown = [...lives].every(
+		const isKnown = [...incarnations].every(
 			([name, incarnation]) =>
 				list.records.get(name)?.server?.id === `${name}@${incarnation}`,
 		)
-		return isKnown && fleet.servers.length === lives.size
+		return isKnown && fleet.servers.length === incarnations.size
 	})
 }
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -125,8 +125,8 @@
 		if (policy === 'bound') group.map = planAll(group, demandOf(group), 1)
 		const now = demandOf(group)
 		playPass(group)
-		for (const [at, share] of now.entries())
-			counts[at]! += Math.round(share * CHOICES_PER_PASS)
+		for (const [expert, share] of now.entries())
+			counts[expert]! += Math.round(share * CHOICES_PER_PASS)
 		if (pending && group.nowMs >= pending.at) {
 			group.map = pending.map
 			group.changes++
@@ -194,12 +194,12 @@
 	}
 }
 
-/** Plans all sets; with `anew`, starting from the map with which a group forms. */
+/** Plans all sets; with `fromScratch`, starting from the map with which a group forms. */
 function planAll(
 	group: ExpertGroup,
 	shares: Float64Array,
 	target: number,
-	anew = false,
+	fromScratch = false,
 ): GroupMap {
 	const { layout, ranks } = group.day
 	const free = { ...layout, maxNew: layout.places }
@@ -208,8 +208,16 @@
 			set * layout.experts,
 			(set + 1) * layout.experts,
 		)
-		const from = anew ? assignRoundRobin(ranks, layout.experts) : placement
-		const plan: SetPlan = planSet(from, share, anew ? free : layout, [], target)
+		const from = fromScratch
+			? assignRoundRobin(ranks, layout.experts)
+			: placement
+		const plan: SetPlan = planSet(
+			from,
+			share,
+			fromScratch ? free : layout,
+			[],
+			target,
+		)
 		return plan.placement
 	})
 }
@@ -227,7 +235,8 @@
 	group: ExpertGroup,
 ): PolicyResult {
 	const passes = [...group.passes].sort((a, b) => a - b)
-	const at = (share: number) => passes[Math.floor(share * (passes.length - 1))]!
+	const quantile = (share: number) =>
+		passes[Math.floor(share * (passes.length - 1))]!
 	// Weighted by time instead of number, as streams spend more time in long passes.
 	const total = passes.reduce((sum, pass) => sum + pass, 0)
 	const late = passes.filter(pass => pass > MAX_PAUSE_MS)
@@ -235,8 +244,8 @@
 		day,
 		policy,
 		mean: total / passes.length,
-		p50: at(0.5),
-		p99: at(0.99),
+		p50: quantile(0.5),
+		p99: quantile(0.99),
 		late: late.reduce((sum, pass) => sum + pass, 0) / total,
 		copies: group.copies,
 		changes: group.changes,
--- a/bench/teamLimits.ts
+++ b/bench/teamLimits.ts
@@ -39,7 +39,7 @@
 					`${(100 * Math.max(0, 1 - share)).toFixed(1)}%`,
 				])
 			}
-	print('\na team asks for 1.5 times its limit of 330 a second for 60 s')
+	print('\ndemand of 1.5 times a team limit of 330 requests/s for 60 s')
 	printTable(['entries, demand, network', 'overshoot', 'waste'], rows)
 }
 
--- a/scripts/report.ts
+++ b/scripts/report.ts
@@ -21,10 +21,11 @@
 	const direct = report.rows.direct.latency
 	const rows = LOAD_KINDS.map(kind => {
 		const row = report.rows[kind]
-		const at = (part: number) =>
-			row.latency.getValueAtPercentile(part) / MICROS_PER_MS
-		const added = (part: number) =>
-			at(part) - direct.getValueAtPercentile(part) / MICROS_PER_MS
+		const latencyMs = (percentile: number) =>
+			row.latency.getValueAtPercentile(percentile) / MICROS_PER_MS
+		const addedMs = (percentile: number) =>
+			latencyMs(percentile) -
+			direct.getValueAtPercentile(percentile) / MICROS_PER_MS
 		const comparable = kind === 'roster' || kind === 'booking'
 		return [
 			kind,
@@ -32,14 +33,14 @@
 			String(row.answered),
 			String(row.notRun),
 			String(row.unknown),
-			at(50).toFixed(2),
-			at(99).toFixed(2),
-			comparable ? added(50).toFixed(2) : '-',
-			comparable ? added(99).toFixed(2) : '-',
+			latencyMs(50).toFixed(2),
+			latencyMs(99).toFixed(2),
+			comparable ? addedMs(50).toFixed(2) : '-',
+			comparable ? addedMs(99).toFixed(2) : '-',
 		]
 	})
 	const lines = [COLUMNS, ...rows].map(cells =>
-		cells.map((cell, at) => cell.padStart(at === 0 ? 0 : 10)).join(''),
+		cells.map((cell, column) => cell.padStart(column === 0 ? 0 : 10)).join(''),
 	)
 	return [
 		'',
--- a/soak/src/call.ts
+++ b/soak/src/call.ts
@@ -135,8 +135,8 @@
 	return new Promise(resolve => {
 		let body = ''
 		res.setEncoding('utf8')
-		res.on('data', part => {
-			body += part
+		res.on('data', chunk => {
+			body += chunk
 		})
 		res.on('error', () => {})
 		res.on('close', () =>
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -268,9 +268,9 @@
 	}
 }
 
-function disturbStore(world: World, mood: World['store']['mood']): () => void {
+function disturbStore(world: World, mode: World['store']['mood']): () => void {
 	const end = beginDisturbance(world.disturbances, ALL_VMS)
-	world.store.mood = mood
+	world.store.mood = mode
 	// Closes waiting watches, as a store that goes down does.
 	world.store.server.closeAllConnections()
 	return () => {
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -263,8 +263,8 @@
 	return new Promise(resolve => {
 		let text = ''
 		req.setEncoding('utf8')
-		req.on('data', part => {
-			text += part
+		req.on('data', chunk => {
+			text += chunk
 		})
 		req.on('end', () => resolve(text))
 		req.on('error', () => resolve(text))
--- a/soak/test/judge.test.ts
+++ b/soak/test/judge.test.ts
@@ -161,12 +161,12 @@
 	})
 
 /** Creates a world with only what the checks of backoffs and leaving read. */
-function createWorld(part: object): World {
+function createWorld(state: object): World {
 	const record = createRecord()
 	return {
 		record,
 		disturbances: createDisturbances(),
-		...part,
+		...state,
 	} as unknown as World
 }
 
