--- a/bench/main.ts
+++ b/bench/main.ts
@@ -4,14 +4,14 @@
 	path: () => import('./path.ts'),
 	capacity: () => import('./capacity.ts'),
 	config: () => import('./config.ts'),
-	fate: () => import('./fate.ts'),
+	fate: () => import('./lifecycle.ts'),
 	gateway: () => import('./gateway.ts'),
 	map: () => import('./map.ts'),
 	model: () => import('./model.ts'),
 	quarantine: () => import('./quarantine.ts'),
 	overload: () => import('./overload.ts'),
 	rebalance: () => import('./rebalance.ts'),
-	rewind: () => import('./rewind.ts'),
+	rewind: () => import('./rollback.ts'),
 	schedule: () => import('./schedule.ts'),
 }
 
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -5,14 +5,14 @@
  */
 
 import { isQuick, print, printTable } from './output.ts'
-import type { Result, Strategy } from './overloadWorld.ts'
+import type { Result, Strategy } from './overloadSimulation.ts'
 import {
 	SERVERS,
 	SERVICE_MS,
 	SLOTS,
 	STALL_FACTOR,
 	simulate,
-} from './overloadWorld.ts'
+} from './overloadSimulation.ts'
 import { measureTeamLimits } from './teamLimits.ts'
 
 /** Least goodput as a ratio of the capacity; late answers do not count. */
--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -17,8 +17,8 @@
 	listExpertLoads,
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
+import { plotFrontier } from './frontierPlot.ts'
 import { isQuick, print, printTable } from './output.ts'
-import { plotFrontier } from './picture.ts'
 import type { Policy } from './policies.ts'
 import { createPolicies } from './policies.ts'
 import type { Trace } from './traces.ts'
--- a/soak/src/rests.ts
+++ b/soak/src/backoffs.ts
@@ -7,8 +7,8 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { createRandom } from '@juniperhook/core'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
+import { isUndisturbed } from './disturbances.ts'
 import type { BackendServer } from './servers.ts'
-import { isUndisturbed } from './trouble.ts'
 import {
 	count,
 	randomBetween,
--- a/soak/src/probes.ts
+++ b/soak/src/configProbes.ts
@@ -2,10 +2,10 @@
 
 import type { CallContext } from './call.ts'
 import { prepareCall, sendCall } from './call.ts'
+import type { CallerAnswer } from './checks.ts'
 import { PREFIX_OF, REVOKED_KEY, TEAM_OF_KEY, versionPath } from './config.ts'
-import type { CallerAnswer } from './judge.ts'
+import { isUndisturbed } from './disturbances.ts'
 import type { ManagedProcess } from './processes.ts'
-import { isUndisturbed } from './trouble.ts'
 import { count, randomItem, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -12,7 +12,8 @@
 	healRelay,
 	resetRelay,
 } from '@juniperhook/fakes'
-import { POISON_DOWNTIME_MS } from './deadly.ts'
+import { ALL_VMS, beginDisturbance } from './disturbances.ts'
+import { POISON_DOWNTIME_MS } from './poisonRequest.ts'
 import type { ManagedProcess } from './processes.ts'
 import {
 	killProcess,
@@ -22,7 +23,6 @@
 } from './processes.ts'
 import type { BackendServer, Misbehaviour } from './servers.ts'
 import { crashServer, noMisbehaviour, startServer } from './servers.ts'
-import { ALL_VMS, beginDisturbance } from './trouble.ts'
 import { count, randomBetween, randomItem, sleep } from './types.ts'
 import type { World } from './world.ts'
 import { listServer, publish, unlistServer } from './world.ts'
--- a/soak/src/verdict.ts
+++ b/soak/src/finalChecks.ts
@@ -1,10 +1,10 @@
 /** Checks that need the whole record of a soak. */
 
 import { RETRIES, SERVICE_OF } from './config.ts'
-import { isRefusalJustified } from './held.ts'
-import { isUndisturbed } from './trouble.ts'
+import { isUndisturbed } from './disturbances.ts'
 import type { RequestRecord, Run } from './types.ts'
 import { count, recordViolation } from './types.ts'
+import { isRefusalJustified } from './unavailability.ts'
 import type { World } from './world.ts'
 
 /** Time within which a server is freed of a request that its caller abandoned, ms. */
--- a/soak/src/deadly.ts
+++ b/soak/src/poisonRequest.ts
@@ -7,7 +7,7 @@
 import { createRandom } from '@juniperhook/core'
 import { prepareCall, sendCall } from './call.ts'
 import { PREFIX_OF } from './config.ts'
-import { CONTACT_MS } from './trouble.ts'
+import { CONTACT_MS } from './disturbances.ts'
 import type { Run } from './types.ts'
 import {
 	count,
--- a/soak/src/limits.ts
+++ b/soak/src/rateLimits.ts
@@ -6,8 +6,8 @@
 import type { IncomingMessage } from 'node:http'
 import { createRandom } from '@juniperhook/core'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
+import { CONTACT_MS, isUndisturbed } from './disturbances.ts'
 import type { BackendServer } from './servers.ts'
-import { CONTACT_MS, isUndisturbed } from './trouble.ts'
 import {
 	count,
 	randomBetween,
--- a/soak/src/rewinds.ts
+++ b/soak/src/rollbacks.ts
@@ -4,7 +4,7 @@
  */
 
 import { createRandom } from '@juniperhook/core'
-import { ALL_VMS, beginDisturbance } from './trouble.ts'
+import { ALL_VMS, beginDisturbance } from './disturbances.ts'
 import { count, randomBetween, sleep } from './types.ts'
 import type { World } from './world.ts'
 
--- a/soak/src/soak.ts
+++ b/soak/src/soak.ts
@@ -1,22 +1,22 @@
 /** One soak: load and faults, then a time without faults, then the final checks. */
 
 import { rmSync } from 'node:fs'
+import { checkBackoffs, injectBackoffs, refuseWithBackoff } from './backoffs.ts'
 import { runCaller } from './callers.ts'
+import { crashUnderPoisonRequest, injectFaults } from './faults.ts'
+import { checkRecord } from './finalChecks.ts'
+import { checkLeaving } from './leaving.ts'
 import {
 	checkPoisonRequest,
 	runPoisonCaller,
 	watchEntryOutages,
-} from './deadly.ts'
-import { crashUnderPoisonRequest, injectFaults } from './faults.ts'
-import { watchUnavailability } from './held.ts'
-import { checkLeaving } from './leavings.ts'
-import { checkRateLimits, injectRateLimits } from './limits.ts'
-import { checkBackoffs, injectBackoffs, refuseWithBackoff } from './rests.ts'
-import { injectRollbacks } from './rewinds.ts'
+} from './poisonRequest.ts'
+import { checkRateLimits, injectRateLimits } from './rateLimits.ts'
+import { injectRollbacks } from './rollbacks.ts'
 import { watchStalls } from './stalls.ts'
 import type { SoakOptions, SoakRecord } from './types.ts'
 import { sleep } from './types.ts'
-import { checkRecord } from './verdict.ts'
+import { watchUnavailability } from './unavailability.ts'
 import { startWorld, stopWorld } from './world.ts'
 
 /** Signals on which an interrupted soak kills the processes that it started. */
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -14,14 +14,15 @@
 	relayIp,
 	serverIp,
 } from './addresses.ts'
+import type { BackoffLog } from './backoffs.ts'
+import { createBackoffLog } from './backoffs.ts'
 import { buildConfig, SERVICE_OF } from './config.ts'
-import type { UnavailableMoment } from './held.ts'
-import type { RelayedLeaving } from './leavings.ts'
-import type { ReportedLimit } from './limits.ts'
+import type { Disturbances } from './disturbances.ts'
+import { createDisturbances } from './disturbances.ts'
+import type { RelayedLeaving } from './leaving.ts'
 import type { ManagedProcess } from './processes.ts'
 import { prepareProcess, startProcess, terminateProcess } from './processes.ts'
-import type { BackoffLog } from './rests.ts'
-import { createBackoffLog } from './rests.ts'
+import type { ReportedLimit } from './rateLimits.ts'
 import type { BackendServer, Servers } from './servers.ts'
 import {
 	crashServer,
@@ -29,10 +30,9 @@
 	noMisbehaviour,
 	startServer,
 } from './servers.ts'
-import type { Disturbances } from './trouble.ts'
-import { createDisturbances } from './trouble.ts'
 import type { SoakOptions, SoakRecord } from './types.ts'
 import { createRecord } from './types.ts'
+import type { UnavailableMoment } from './unavailability.ts'
 
 const SLOTS = 8
 
