--- a/bench/map.ts
+++ b/bench/map.ts
@@ -10,8 +10,8 @@
 	entryIp,
 	PORTS,
 	rankIp,
-	restart,
-	signal,
+	restartProcess,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	TEAM_KEY,
@@ -40,17 +40,17 @@
 	{
 		name: `coordinator frozen for ${FREEZE_MS / 1_000} s`,
 		async fail(fleet) {
-			signal(fleet, 'rank-0', 'SIGSTOP')
+			signalProcess(fleet, 'rank-0', 'SIGSTOP')
 			await wait(FREEZE_MS)
-			signal(fleet, 'rank-0', 'SIGCONT')
+			signalProcess(fleet, 'rank-0', 'SIGCONT')
 		},
 	},
 	{
 		name: 'coordinator killed',
 		async fail(fleet) {
-			signal(fleet, 'rank-0', 'SIGKILL')
+			signalProcess(fleet, 'rank-0', 'SIGKILL')
 			await wait(DOWNTIME_MS)
-			await restart(fleet, 'rank-0')
+			await restartProcess(fleet, 'rank-0')
 		},
 	},
 ]
--- a/bench/rollback.ts
+++ b/bench/rollback.ts
@@ -11,8 +11,8 @@
 import { createStoreSource } from '../platform/src/source.ts'
 import { createStoreClient } from '../platform/src/store.ts'
 import { SERVER_WIRE } from '../platform/src/wire.ts'
-import type { StandInStore } from '../platform/test/standInStore.ts'
-import { startStore } from '../platform/test/standInStore.ts'
+import type { FakeStore } from '../platform/test/fakeStore.ts'
+import { startFakeStore } from '../platform/test/fakeStore.ts'
 import { buildConfig, SERVICE_OF } from '../soak/src/config.ts'
 import { sleep } from '../soak/src/types.ts'
 import { isQuick, print, printTable } from './output.ts'
@@ -36,7 +36,7 @@
 const CONTACT_MS = 3_000
 
 interface Fleet {
-	readonly store: StandInStore
+	readonly store: FakeStore
 	readonly entries: GatewayContext[]
 	readonly incarnations: Map<string, number>
 	readonly sent: { calls: number; bytes: number }
@@ -59,7 +59,7 @@
 }
 
 async function startFleet(): Promise<Fleet> {
-	const store = await startStore()
+	const store = await startFakeStore()
 	const fleet: Fleet = {
 		store,
 		entries: [],
@@ -167,10 +167,10 @@
 	await sleep(SETTLE_MS)
 	const before = { ...sent }
 	const startedAt = performance.now()
-	store.mood = 'reset'
-	store.rewind(store.revision - LOST_CHANGES)
+	store.mode = 'reset'
+	store.rollBack(store.revision - LOST_CHANGES)
 	await sleep(outageMs)
-	store.mood = 'serve'
+	store.mode = 'serve'
 	for (let index = 0; index < LOST_CHANGES; index++)
 		setTimeout(
 			() => write(fleet, index * 8),
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -6,24 +6,24 @@
 import { writeFileSync } from 'node:fs'
 import type { GroupMap, SetPlan } from '@juniperhook/core'
 import { computeSetSkew, passFactor, planMap, planSet } from '@juniperhook/core'
-import type { ExpertDay, ExpertGroup } from '@juniperhook/fakes'
+import type { ExpertWorkload, ExpertGroup } from '@juniperhook/fakes'
 import {
 	createExpertGroup,
 	demandOf,
-	playPass,
+	simulatePass,
 	startCopies,
 } from '@juniperhook/fakes'
 import type { Demand } from '@juniperhook/groups'
 import {
 	createDemand,
 	refreshDemand,
-	shareOfSet,
-	takeChoices,
+	computeExpertShares,
+	addChoices,
 } from '@juniperhook/groups'
 import { isQuick, print, printTable } from './output.ts'
 
 /** Figures of the users' configuration. */
-const WORKLOAD: ExpertDay = {
+const WORKLOAD: ExpertWorkload = {
 	ranks: 16,
 	layout: {
 		sets: 4,
@@ -47,7 +47,7 @@
 	lengthMs: 34_000,
 	seed: 20261202,
 }
-const WORKLOADS: { name: string; change: Partial<ExpertDay> }[] = [
+const WORKLOADS: { name: string; change: Partial<ExpertWorkload> }[] = [
 	{ name: 'quiet', change: {} },
 	{ name: 'peak', change: { arrivalsPerSecond: 72 } },
 	{
@@ -112,7 +112,7 @@
 
 function simulate(
 	name: string,
-	workload: ExpertDay,
+	workload: ExpertWorkload,
 	policy: Policy,
 ): PolicyResult {
 	const group = createExpertGroup(workload)
@@ -124,7 +124,7 @@
 	while (group.nowMs < workload.lengthMs) {
 		if (policy === 'bound') group.map = planAll(group, demandOf(group), 1)
 		const now = demandOf(group)
-		playPass(group)
+		simulatePass(group)
 		for (const [expert, share] of now.entries())
 			counts[expert]! += Math.round(share * CHOICES_PER_PASS)
 		if (pending && group.nowMs >= pending.at) {
@@ -134,10 +134,10 @@
 		}
 		if (group.nowMs - countedAt < COUNT_INTERVAL_MS) continue
 		countedAt = group.nowMs
-		takeChoices(demand, counts)
+		addChoices(demand, counts)
 		refreshDemand(demand, group.nowMs)
 		counts.fill(0)
-		if (pending || demand.seen === 0) continue
+		if (pending || demand.totalChoices === 0) continue
 		const map = decide(group, demand, policy)
 		if (!map) continue
 		const copyMs = startCopies(group, map)
@@ -151,8 +151,8 @@
 	demand: Demand,
 	policy: Policy,
 ): GroupMap | undefined {
-	const { layout } = group.day
-	const shares = group.map.map((_, set) => shareOfSet(demand, set))
+	const { layout } = group.workload
+	const shares = group.map.map((_, set) => computeExpertShares(demand, set))
 	const flat = new Float64Array(layout.sets * layout.experts)
 	for (const [set, share] of shares.entries())
 		flat.set(share, set * layout.experts)
@@ -173,11 +173,11 @@
 				? planAll(group, flat, 1)
 				: undefined
 		case 'present': {
-			const slowdowns = new Array<number>(group.day.ranks).fill(1)
+			const slowdowns = new Array<number>(group.workload.ranks).fill(1)
 			const cost = {
-				copyMs: (layout.expertMb * 8_000) / group.day.linkMbps,
+				copyMs: (layout.expertMb * 8_000) / group.workload.linkMbps,
 				overheadMs: ARM_MS,
-				steadyMs: group.day.shiftEveryMs,
+				steadyMs: group.workload.shiftEveryMs,
 			}
 			const basis = { map: group.map, shares, layout, paces: slowdowns, cost }
 			return runToEnd(planMap(basis))?.placements
@@ -201,7 +201,7 @@
 	target: number,
 	fromScratch = false,
 ): GroupMap {
-	const { layout, ranks } = group.day
+	const { layout, ranks } = group.workload
 	const free = { ...layout, maxNew: layout.places }
 	return group.map.map((placement, set) => {
 		const share = shares.subarray(
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -18,9 +18,9 @@
 	HelloSchema,
 	listen,
 	listenOperators,
-	noteContact,
+	handlePeerConnected,
 	notify,
-	revisionOf,
+	activeRevision,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
@@ -34,11 +34,11 @@
 } from './io/group.ts'
 import type { GroupMember } from './io/groupMember.ts'
 import { createOfferApp } from './io/offers.ts'
-import { beatRequests, isIdle, tickRequests } from './io/openAnswers.ts'
+import { beatRequests, isIdle, tickRequests } from './io/openRequests.ts'
 import { cancelAttempt, stepTable, voidAttempt } from './io/requests.ts'
 import type { RequestTable } from './io/requestTable.ts'
 import { createRequestTable } from './io/requestTable.ts'
-import { LIFE_LOOK_MS, lookForNextLife } from './io/serverLife.ts'
+import { LIFE_LOOK_MS, lookForNextLife } from './io/backendWatch.ts'
 import { describeServer } from './io/serverSignals.ts'
 import { pushReport, pushReports, reportChanges, stateOf } from './reports.ts'
 
@@ -60,8 +60,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => adopt(agent, held),
-			onVms: vms => leaveIfListed(agent, vms),
+			onConfigActivated: held => adopt(agent, held),
+			onVmList: vms => leaveIfListed(agent, vms),
 		},
 		seed,
 	)
@@ -147,13 +147,13 @@
 		...createGroupMethods(() => agent.group ?? fail('notFound', 'no group')),
 		hello(params: unknown, link: RpcLink): Hello {
 			link.remoteName = v.parse(HelloSchema, params).name
-			noteContact(agent.follower, link.remoteName, link)
+			handlePeerConnected(agent.follower, link.remoteName, link)
 			queueMicrotask(() => pushReport(agent, link))
 			return {
 				name: agent.settings.process.name,
 				kind: 'agent',
 				incarnation: agent.incarnation,
-				revision: revisionOf(agent.follower),
+				revision: activeRevision(agent.follower),
 			}
 		},
 		voidAttempt: (params: unknown) =>
--- a/packages/agent/src/io/backend.ts
+++ b/packages/agent/src/io/backend.ts
@@ -8,7 +8,7 @@
 import {
 	messageOf,
 	neverConnected,
-	splitHopHeaders,
+	removeHopByHopHeaders,
 } from '@juniperhook/runtime'
 import { createParser } from 'eventsource-parser'
 import { Agent, type Dispatcher, request } from 'undici'
@@ -64,7 +64,7 @@
 	sink: AnswerSink,
 ): Promise<RunEnd> {
 	return await runOnce(run, async res => {
-		sink.head(res.statusCode, splitHopHeaders(res.headers))
+		sink.head(res.statusCode, removeHopByHopHeaders(res.headers))
 		for await (const data of res.body) await sink.chunk(data)
 		return { how: 'whole' }
 	})
@@ -76,7 +76,7 @@
 	sink: AnswerSink,
 ): Promise<RunEnd> {
 	return await runOnce(run, async res => {
-		sink.head(res.statusCode, splitHopHeaders(res.headers))
+		sink.head(res.statusCode, removeHopByHopHeaders(res.headers))
 		if (!isEventStream(res.headers)) {
 			for await (const data of res.body) await sink.chunk(data)
 			return { how: 'whole' }
--- a/packages/agent/src/io/serverLife.ts
+++ b/packages/agent/src/io/backendWatch.ts
@@ -5,11 +5,11 @@
 
 import { connect } from 'node:net'
 import { splitAddress } from '@juniperhook/core'
-import type { ServerEndNotice } from '@juniperhook/runtime'
+import type { ServerCrashNotice } from '@juniperhook/runtime'
 import { createLog, readMoment } from '@juniperhook/runtime'
 import { stepTable } from './requests.ts'
 import type { RequestTable } from './requestTable.ts'
-import { describeEnd } from './serverEnd.ts'
+import { describeEnd } from './crashReport.ts'
 import { describeServer } from './serverSignals.ts'
 
 /** Between two looks, ms; less than a process takes to listen again. */
@@ -28,7 +28,7 @@
  */
 export async function lookForNextLife(
 	table: RequestTable,
-	onEnd: (notice: ServerEndNotice) => void,
+	onEnd: (notice: ServerCrashNotice) => void,
 ): Promise<void> {
 	keepLifeline(table)
 	if (table.life === 'up') return
@@ -71,7 +71,7 @@
 
 function endLife(
 	table: RequestTable,
-	onEnd: (notice: ServerEndNotice) => void,
+	onEnd: (notice: ServerCrashNotice) => void,
 ): void {
 	const { life, broken } = table
 	table.life = 'gone'
--- a/packages/agent/src/io/serverEnd.ts
+++ b/packages/agent/src/io/crashReport.ts
@@ -2,7 +2,7 @@
 
 import { MAX_REQUESTS_PER_CRASH } from '@juniperhook/core'
 import { computeFingerprint } from '@juniperhook/gateway'
-import type { ServerEndNotice } from '@juniperhook/runtime'
+import type { ServerCrashNotice } from '@juniperhook/runtime'
 import { readMoment } from '@juniperhook/runtime'
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 
@@ -33,7 +33,7 @@
 export function describeEnd(
 	{ serverName, incarnation, lives }: RequestTable,
 	{ at, requests }: BrokenRuns,
-): ServerEndNotice {
+): ServerCrashNotice {
 	const ran: Record<string, number> = {}
 	for (const { meta, body, startedAt } of requests) {
 		const team = { name: meta.team }
--- a/packages/agent/src/io/requestTable.ts
+++ b/packages/agent/src/io/requestTable.ts
@@ -11,7 +11,7 @@
 import type { LoadFields, Metrics } from '@juniperhook/runtime'
 import { readMoment } from '@juniperhook/runtime'
 import type { RunRequest } from './runs.ts'
-import type { BrokenRuns } from './serverEnd.ts'
+import type { BrokenRuns } from './crashReport.ts'
 import type { ServerLife } from './serverSignals.ts'
 
 /** One request that was admitted here. */
--- a/packages/agent/src/io/requests.ts
+++ b/packages/agent/src/io/requests.ts
@@ -33,7 +33,7 @@
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 import { readLoad } from './requestTable.ts'
 import { runOnBackend } from './runs.ts'
-import { noteBrokenRun } from './serverEnd.ts'
+import { noteBrokenRun } from './crashReport.ts'
 import { describeServer, readServerSignals } from './serverSignals.ts'
 
 const MS = 1_000
--- a/packages/agent/src/reports.ts
+++ b/packages/agent/src/reports.ts
@@ -1,7 +1,7 @@
 /** Reports of a server's load to entries that no answer has told of it. */
 
 import type { Report, RpcLink } from '@juniperhook/runtime'
-import { notify, revisionOf } from '@juniperhook/runtime'
+import { notify, activeRevision } from '@juniperhook/runtime'
 import type { AgentProcess } from './agentState.ts'
 import type { RequestTable } from './io/requestTable.ts'
 import { readLoad } from './io/requestTable.ts'
@@ -43,7 +43,7 @@
 		incarnation: agent.incarnation,
 		state: stateOf(table) ?? 'leaving',
 		slots: table.admission.slots,
-		revision: revisionOf(agent.follower),
+		revision: activeRevision(agent.follower),
 		...readLoad(table),
 	}
 	notify(link, 'report', report)
--- a/packages/agent/test/map.process.test.ts
+++ b/packages/agent/test/map.process.test.ts
@@ -6,8 +6,8 @@
 	entryIp,
 	PORTS,
 	rankIp,
-	restart,
-	signal,
+	restartProcess,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	TEAM_KEY,
@@ -47,17 +47,17 @@
 	{
 		name: 'the coordinator is frozen for 3 s and wakes',
 		async fail(fleet) {
-			signal(fleet, 'rank-0', 'SIGSTOP')
+			signalProcess(fleet, 'rank-0', 'SIGSTOP')
 			await wait(3_000)
-			signal(fleet, 'rank-0', 'SIGCONT')
+			signalProcess(fleet, 'rank-0', 'SIGCONT')
 		},
 	},
 	{
 		name: 'the coordinator is killed and comes back',
 		async fail(fleet) {
-			signal(fleet, 'rank-0', 'SIGKILL')
+			signalProcess(fleet, 'rank-0', 'SIGKILL')
 			await wait(500)
-			await restart(fleet, 'rank-0')
+			await restartProcess(fleet, 'rank-0')
 		},
 	},
 	{
--- a/packages/agent/test/serverSignals.test.ts
+++ b/packages/agent/test/serverSignals.test.ts
@@ -12,7 +12,7 @@
 import { stepTable } from '../src/io/requests.ts'
 import { createRequestTable } from '../src/io/requestTable.ts'
 import { runOnBackend } from '../src/io/runs.ts'
-import { lookForNextLife } from '../src/io/serverLife.ts'
+import { lookForNextLife } from '../src/io/backendWatch.ts'
 import { readServerSignals } from '../src/io/serverSignals.ts'
 import { stateOf } from '../src/reports.ts'
 
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -25,20 +25,20 @@
 	handleNode,
 	listen,
 	listenOperators,
-	noteRevision,
-	revisionOf,
+	handlePeerRevision,
+	activeRevision,
 	serveRpc,
 	startFollower,
 } from '@juniperhook/runtime'
 import { H3 } from 'h3'
 import { createCallerAnswer, failAnswer } from './io/caller.ts'
 import type { EntryContext } from './io/entryContext.ts'
-import { EXCHANGE_TICK_MS, tickExchanges } from './io/exchangeSilence.ts'
+import { EXCHANGE_TICK_MS, tickExchanges } from './io/exchangeTimeouts.ts'
 import {
 	indexTeams,
 	readModelRequest,
 	readServiceRequest,
-} from './io/intake.ts'
+} from './io/callerRequest.ts'
 import {
 	askForEnds,
 	createQuarantineBook,
@@ -81,7 +81,7 @@
 		name: settings.process.name,
 		kind: 'entry',
 		incarnation,
-		revision: revisionOf(follower),
+		revision: activeRevision(follower),
 	})
 	const { port } = splitAddress(settings.listen.control)
 	const ownMethods = {
@@ -95,7 +95,7 @@
 		servers: createServerView(
 			introduce,
 			port,
-			(server, revision) => noteRevision(follower, server, revision),
+			(server, revision) => handlePeerRevision(follower, server, revision),
 			{ ...createFollowerMethods(() => follower), ...ownMethods },
 		),
 		limits: createLimits(),
@@ -116,8 +116,8 @@
 		settings,
 		metrics,
 		{
-			onAdopt: held => adopt(entry, held),
-			onVms: vms => noteVms(ctx, vms),
+			onConfigActivated: held => adopt(entry, held),
+			onVmList: vms => noteVms(ctx, vms),
 		},
 		seed,
 		ownMethods,
--- a/packages/entry/src/io/intake.ts
+++ b/packages/entry/src/io/callerRequest.ts
@@ -4,7 +4,7 @@
 import type { IncomingMessage } from 'node:http'
 import type { Config, TeamConfig } from '@juniperhook/core'
 import { hashPrefix, makeKey, readKeyTime } from '@juniperhook/core'
-import { fail, readBody, splitHopHeaders } from '@juniperhook/runtime'
+import { fail, readBody, removeHopByHopHeaders } from '@juniperhook/runtime'
 import * as v from 'valibot'
 
 /** Largest body taken from a caller, in bytes. */
@@ -279,7 +279,7 @@
 
 function forwardHeaders(req: IncomingMessage): Record<string, string> {
 	const headers: Record<string, string> = {}
-	for (const [name, value] of Object.entries(splitHopHeaders(req.headers))) {
+	for (const [name, value] of Object.entries(removeHopByHopHeaders(req.headers))) {
 		if (OWN_HEADERS.has(name)) continue
 		headers[name] = Array.isArray(value) ? value.join(', ') : value
 	}
--- a/packages/entry/src/io/entryContext.ts
+++ b/packages/entry/src/io/entryContext.ts
@@ -18,7 +18,7 @@
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { AttemptHandle } from './attempt.ts'
 import type { CallerAnswer } from './caller.ts'
-import type { Intake, TeamIndex } from './intake.ts'
+import type { Intake, TeamIndex } from './callerRequest.ts'
 import type { QuarantineBook } from './quarantine.ts'
 import type { AgentPeer, ServerView } from './servers.ts'
 import type { TeamKeepers } from './teamLimits.ts'
--- a/packages/entry/src/io/exchange.ts
+++ b/packages/entry/src/io/exchange.ts
@@ -24,7 +24,7 @@
 	readElapsed,
 	readNow,
 } from '@juniperhook/runtime'
-import { sendCancel, sendVoid } from './agentOrders.ts'
+import { sendCancel, sendVoid } from './attemptMessages.ts'
 import { offerAttempt, resumeAttempt } from './attempt.ts'
 import {
 	endAnswer,
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -13,19 +13,19 @@
 	topByRendezvous,
 } from '@juniperhook/core'
 import { bodyLengthOf, computeFingerprint } from '@juniperhook/gateway'
-import type { EndNewsNotice, Methods } from '@juniperhook/runtime'
+import type { CrashUpdatesNotice, Methods } from '@juniperhook/runtime'
 import {
 	call,
 	createLog,
-	EndNewsSchema,
+	CrashUpdatesSchema,
 	openMemberLink,
 	readElapsed,
-	ServerEndSchema,
+	ServerCrashSchema,
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { EntryContext } from './entryContext.ts'
-import type { Intake } from './intake.ts'
-import { tellEntry } from './otherEntries.ts'
+import type { Intake } from './callerRequest.ts'
+import { tellEntry } from './entryNotifications.ts'
 
 /**
  * For which each entry has the turn to try a request again, ms: longer than a server takes
@@ -81,13 +81,13 @@
 export function createQuarantineMethods(find: () => EntryContext): Methods {
 	return {
 		serverEnd(params: unknown): void {
-			const end = v.parse(ServerEndSchema, params)
+			const end = v.parse(ServerCrashSchema, params)
 			takeNews(find(), fromNotice({ ends: [end], served: [] }), 'agent')
 		},
 		endNews(params: unknown): void {
-			takeNews(find(), fromNotice(v.parse(EndNewsSchema, params)), 'entry')
+			takeNews(find(), fromNotice(v.parse(CrashUpdatesSchema, params)), 'entry')
 		},
-		listEnds: (): EndNewsNotice =>
+		listEnds: (): CrashUpdatesNotice =>
 			toNotice(listCrashEvidence(find().quarantined.quarantine)),
 	}
 }
@@ -105,7 +105,7 @@
 	try {
 		const link = await openMemberLink(ctx.follower(), name)
 		if (!link) return
-		const reply = v.parse(EndNewsSchema, await call(link, 'listEnds', {}))
+		const reply = v.parse(CrashUpdatesSchema, await call(link, 'listEnds', {}))
 		takeNews(ctx, fromNotice(reply), 'entry')
 	} catch {
 		// Others are asked as well.
@@ -132,7 +132,7 @@
 	if (from !== 'entry') tellAll(ctx, toNotice(fresh))
 }
 
-function tellAll(ctx: EntryContext, notice: EndNewsNotice): void {
+function tellAll(ctx: EntryContext, notice: CrashUpdatesNotice): void {
 	for (const name of ctx.keepers.names)
 		if (name !== ctx.name) void tellEntry(ctx, name, 'endNews', notice)
 }
@@ -141,7 +141,7 @@
 	return computeFingerprint({ method, path, team: { name: teamName }, body })
 }
 
-function toNotice({ ends, served }: CrashEvidence): EndNewsNotice {
+function toNotice({ ends, served }: CrashEvidence): CrashUpdatesNotice {
 	const now = readElapsed()
 	const agoMs = (at: number) => Math.max(0, Math.round(now - at))
 	return {
@@ -157,7 +157,7 @@
 	}
 }
 
-function fromNotice({ ends, served }: EndNewsNotice): CrashEvidence {
+function fromNotice({ ends, served }: CrashUpdatesNotice): CrashEvidence {
 	const now = readElapsed()
 	return {
 		ends: ends.map(({ server, agoMs, ran }) => ({
--- a/packages/entry/src/io/refusals.ts
+++ b/packages/entry/src/io/refusals.ts
@@ -6,7 +6,7 @@
 import { failAnswer } from './caller.ts'
 import type { EntryContext } from './entryContext.ts'
 import { isCallerKey } from './entryContext.ts'
-import type { Intake } from './intake.ts'
+import type { Intake } from './callerRequest.ts'
 
 /**
  * Refuses a request that could not be read or taken. One that its caller should
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -30,8 +30,8 @@
 } from '@juniperhook/runtime'
 import * as v from 'valibot'
 import type { EntryContext } from './entryContext.ts'
-import type { Intake } from './intake.ts'
-import { tellEntry } from './otherEntries.ts'
+import type { Intake } from './callerRequest.ts'
+import { tellEntry } from './entryNotifications.ts'
 import type { TeamReply } from './teamMessages.ts'
 import {
 	TeamAskSchema,
--- a/packages/entry/test/config.process.test.ts
+++ b/packages/entry/test/config.process.test.ts
@@ -7,9 +7,9 @@
 	entryIp,
 	PORTS,
 	readStatus,
-	restart,
+	restartProcess,
 	serviceIp,
-	signal,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	waitUntil,
@@ -115,8 +115,8 @@
 			one => one.refusedRevision === 11 && one.revision === 10,
 		)
 	}, 'the same verdict everywhere')
-	signal(fleet, 'service-1', 'SIGKILL')
-	await restart(fleet, 'service-1')
+	signalProcess(fleet, 'service-1', 'SIGKILL')
+	await restartProcess(fleet, 'service-1')
 	await waitForRestarted(10)
 	const roster = await askRoster(fleet, 0)
 	assert.is(roster.seen, 'answered')
@@ -127,8 +127,8 @@
 	await waitForAll(20, IN_FORCE_MS)
 	await publish(12, team('twelve'))
 	for (const name of ['entry-2', 'service-2']) {
-		signal(fleet, name, 'SIGKILL')
-		await restart(fleet, name)
+		signalProcess(fleet, name, 'SIGKILL')
+		await restartProcess(fleet, name)
 	}
 	await waitForRestarted(20)
 	await wait(2_000)
@@ -137,8 +137,8 @@
 
 test('a process that starts while the service is down is told by its peers', async () => {
 	await callPlatform(fleet, 'up', 'no')
-	signal(fleet, 'service-3', 'SIGKILL')
-	await restart(fleet, 'service-3')
+	signalProcess(fleet, 'service-3', 'SIGKILL')
+	await restartProcess(fleet, 'service-3')
 	// The settings of the tests name no peers; entries reach the agent.
 	await waitForRestarted(20)
 	await callPlatform(fleet, 'up', 'yes')
--- a/packages/entry/test/failures.process.test.ts
+++ b/packages/entry/test/failures.process.test.ts
@@ -9,9 +9,9 @@
 	healRelay,
 	PORTS,
 	relayIp,
-	restart,
+	restartProcess,
 	serviceIp,
-	signal,
+	signalProcess,
 	startFleet,
 	startRelay,
 	stopFleet,
@@ -118,11 +118,11 @@
 function killed(process: string, ms: number): Failure {
 	return {
 		async fail() {
-			signal(fleet, process, 'SIGKILL')
+			signalProcess(fleet, process, 'SIGKILL')
 			await wait(ms)
 		},
 		async heal() {
-			await restart(fleet, process)
+			await restartProcess(fleet, process)
 		},
 	}
 }
@@ -130,11 +130,11 @@
 function frozen(process: string, ms: number): Failure {
 	return {
 		async fail() {
-			signal(fleet, process, 'SIGSTOP')
+			signalProcess(fleet, process, 'SIGSTOP')
 			await wait(ms)
 		},
 		async heal() {
-			signal(fleet, process, 'SIGCONT')
+			signalProcess(fleet, process, 'SIGCONT')
 		},
 	}
 }
@@ -178,13 +178,13 @@
 	{
 		name: 'an agent is killed while another is frozen',
 		async fail() {
-			signal(fleet, 'service-0', 'SIGSTOP')
-			signal(fleet, 'service-1', 'SIGKILL')
+			signalProcess(fleet, 'service-0', 'SIGSTOP')
+			signalProcess(fleet, 'service-1', 'SIGKILL')
 			await wait(3_000)
 		},
 		async heal() {
-			signal(fleet, 'service-0', 'SIGCONT')
-			await restart(fleet, 'service-1')
+			signalProcess(fleet, 'service-0', 'SIGCONT')
+			await restartProcess(fleet, 'service-1')
 		},
 		answered: 0.1,
 	},
@@ -226,8 +226,8 @@
 	const before = await book(fleet, 0, 'forgotten', key)
 	assert.is(before.seen, 'answered')
 	for (let n = 0; n < SERVICES; n++) {
-		signal(fleet, `service-${n}`, 'SIGKILL')
-		await restart(fleet, `service-${n}`)
+		signalProcess(fleet, `service-${n}`, 'SIGKILL')
+		await restartProcess(fleet, `service-${n}`)
 	}
 	await allOpen()
 	const again = await book(fleet, 1, 'forgotten', key)
@@ -243,10 +243,10 @@
 
 test('rosters are answered while an agent is frozen', async () => {
 	await allOpen()
-	signal(fleet, 'service-0', 'SIGSTOP')
+	signalProcess(fleet, 'service-0', 'SIGSTOP')
 	const calls = Array.from({ length: 20 }, (_, n) => askRoster(fleet, n % 2))
 	const rosters = await Promise.all(calls)
-	signal(fleet, 'service-0', 'SIGCONT')
+	signalProcess(fleet, 'service-0', 'SIGCONT')
 	const good = rosters.filter(one => one.seen === 'answered')
 	assert.is(good.length, rosters.length)
 	await allOpen()
@@ -255,9 +255,9 @@
 test('a stream is whole or says that it is not when its agent dies', async () => {
 	const streams = Array.from({ length: 8 }, () => streamChat(fleet, 0, 150))
 	await wait(400)
-	signal(fleet, 'rank-1', 'SIGKILL')
+	signalProcess(fleet, 'rank-1', 'SIGKILL')
 	await wait(300)
-	await restart(fleet, 'rank-1')
+	await restartProcess(fleet, 'rank-1')
 	for (const text of await Promise.all(streams)) {
 		const tokens = tokensOf(text)
 		assert.equal(
@@ -276,8 +276,8 @@
 		streamChat(fleet, n % 2, 300),
 	)
 	await wait(500)
-	signal(fleet, 'rank-0', 'SIGTERM')
-	signal(fleet, 'entry-1', 'SIGTERM')
+	signalProcess(fleet, 'rank-0', 'SIGTERM')
+	signalProcess(fleet, 'entry-1', 'SIGTERM')
 	for (const text of await Promise.all(before)) {
 		assert.match(text, /\[DONE\]/)
 		assert.is(tokensOf(text).length, 300)
@@ -290,13 +290,13 @@
 		() => fleet.processes.get('rank-0')?.child.exitCode === 0,
 		'the end of the agent',
 	)
-	await restart(fleet, 'rank-0')
-	await restart(fleet, 'entry-1')
+	await restartProcess(fleet, 'rank-0')
+	await restartProcess(fleet, 'entry-1')
 	await allOpen()
 })
 
 test('a stopping entry says "not run" only of what it can know', async () => {
-	signal(fleet, 'entry-1', 'SIGTERM')
+	signalProcess(fleet, 'entry-1', 'SIGTERM')
 	await wait(200)
 	const mayHaveRun = await book(fleet, 1, 'stopping-key', newKey())
 	const cannotHaveRun = await book(fleet, 1, 'stopping')
@@ -306,19 +306,19 @@
 		() => fleet.processes.get('entry-1')?.child.exitCode === 0,
 		'the end of the entry',
 	)
-	await restart(fleet, 'entry-1')
+	await restartProcess(fleet, 'entry-1')
 	await allOpen()
 })
 
 test('a leaving server gets no new work, though the list lags', async () => {
-	signal(fleet, 'service-2', 'SIGTERM')
+	signalProcess(fleet, 'service-2', 'SIGTERM')
 	await wait(500)
 	const before = await countServiceRequests(2)
 	const rosters = Array.from({ length: 30 }, () => askRoster(fleet, 0))
 	const seen = await Promise.all(rosters)
 	assert.ok(seen.every(one => one.seen === 'answered'))
 	assert.is(await countServiceRequests(2), before)
-	await restart(fleet, 'service-2')
+	await restartProcess(fleet, 'service-2')
 	await allOpen()
 })
 
--- a/packages/entry/test/quarantine.process.test.ts
+++ b/packages/entry/test/quarantine.process.test.ts
@@ -6,8 +6,8 @@
 	entryIp,
 	PORTS,
 	readStatus,
-	restart,
-	signal,
+	restartProcess,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	TEAM_KEY,
@@ -55,7 +55,7 @@
 			if (fleet.processes.get(name)?.child.exitCode !== 1) continue
 			ends++
 			await wait(BACK_MS)
-			await restart(fleet, name)
+			await restartProcess(fleet, name)
 		}
 		await wait(20)
 	}
@@ -103,8 +103,8 @@
 
 test('an entry that starts again learns it from the others', async () => {
 	const before = ends
-	signal(fleet, 'entry-0', 'SIGKILL')
-	await restart(fleet, 'entry-0')
+	signalProcess(fleet, 'entry-0', 'SIGKILL')
+	await restartProcess(fleet, 'entry-0')
 	await waitUntil(async () => {
 		const ip = entryIp(fleet, 0)
 		const { entries } = await readStatus<{ entries: number }>(ip)
--- a/packages/entry/test/quarantine.test.ts
+++ b/packages/entry/test/quarantine.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { EntryContext } from '../src/io/entryContext.ts'
-import type { Intake } from '../src/io/intake.ts'
+import type { Intake } from '../src/io/callerRequest.ts'
 import {
 	createQuarantineBook,
 	createQuarantineMethods,
--- a/packages/entry/test/serverSignals.process.test.ts
+++ b/packages/entry/test/serverSignals.process.test.ts
@@ -5,9 +5,9 @@
 import {
 	PORTS,
 	readStatus,
-	restart,
+	restartProcess,
 	serviceIp,
-	signal,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	waitUntil,
@@ -122,9 +122,9 @@
 	assert.ok(seconds > 0 && seconds <= short, `${seconds} s`)
 	await wait(seconds * 1_000)
 	assert.is((await askRoster(fleet, 0)).status, 200)
-	signal(fleet, 'backend-0', 'SIGKILL')
+	signalProcess(fleet, 'backend-0', 'SIGKILL')
 	await wait(UNDER_WAY_MS)
-	await restart(fleet, 'backend-0')
+	await restartProcess(fleet, 'backend-0')
 	await waitUntil(async () => (await countRequests(0)) === 0, 'its next life')
 })
 
@@ -150,9 +150,9 @@
 	const { bookings, arrived } = await askFor(SPAN_MS / 2)
 	assert.is(arrived, 0)
 	assert.equal(failures(bookings), [])
-	signal(fleet, 'backend-0', 'SIGKILL')
+	signalProcess(fleet, 'backend-0', 'SIGKILL')
 	await wait(UNDER_WAY_MS)
-	await restart(fleet, 'backend-0')
+	await restartProcess(fleet, 'backend-0')
 	await waitUntil(async () => (await countRequests(0)) === 0, 'its next life')
 	await askUntilHeard(0)
 })
--- a/packages/entry/test/teams.process.test.ts
+++ b/packages/entry/test/teams.process.test.ts
@@ -6,7 +6,7 @@
 	entryIp,
 	PORTS,
 	readStatus,
-	signal,
+	signalProcess,
 	startFleet,
 	stopFleet,
 	waitUntil,
@@ -81,12 +81,12 @@
 	// Whoever keeps the limit: each is silent once.
 	for (const silent of ALL) {
 		const name = `entry-${silent}`
-		signal(fleet, name, 'SIGSTOP')
+		signalProcess(fleet, name, 'SIGSTOP')
 		const others = ALL.filter(n => n !== silent)
 		const statuses = await Promise.all(
 			others.flatMap(n => Array.from({ length: CONCURRENCY }, () => ask(n))),
 		)
-		signal(fleet, name, 'SIGCONT')
+		signalProcess(fleet, name, 'SIGCONT')
 		const served = countOf(statuses, 200)
 		assert.ok(served <= CONCURRENCY, `${served} without ${name}`)
 		assert.ok(
--- a/packages/fakes/src/expertGroup.ts
+++ b/packages/fakes/src/expertGroup.ts
@@ -14,7 +14,7 @@
 } from '@juniperhook/core'
 
 /** What is emulated. */
-export interface ExpertDay {
+export interface ExpertWorkload {
 	readonly ranks: number
 	readonly layout: ExpertLayout
 	readonly slots: number
@@ -42,7 +42,7 @@
 
 /** A group being emulated. */
 export interface ExpertGroup {
-	readonly day: ExpertDay
+	readonly workload: ExpertWorkload
 	readonly random: Random
 	/** Demand of each subject: set by set, expert by expert. */
 	readonly likes: Float64Array[]
@@ -69,11 +69,11 @@
 const BITS = 8
 
 /** Begins a day under the map that a group forms with. */
-export function createExpertGroup(day: ExpertDay): ExpertGroup {
+export function createExpertGroup(day: ExpertWorkload): ExpertGroup {
 	const random = createRandom(day.seed)
 	const dealt = distributeRoundRobin(day.ranks, day.layout)
 	return {
-		day,
+		workload: day,
 		random,
 		likes: Array.from({ length: day.subjects }, () => drawLikes(day, random)),
 		streams: [],
@@ -91,7 +91,7 @@
 
 /** Demand now: set by set, each set's parts add up to 1. */
 export function demandOf(group: ExpertGroup): Float64Array {
-	const { sets, experts } = group.day.layout
+	const { sets, experts } = group.workload.layout
 	const demand = new Float64Array(sets * experts).fill(1e-6)
 	for (const { subject } of group.streams) {
 		const likes = group.likes[subject]!
@@ -106,8 +106,8 @@
 }
 
 /** Plays one pass and gives its length, ms. */
-export function playPass(group: ExpertGroup): number {
-	const { day } = group
+export function simulatePass(group: ExpertGroup): number {
+	const { workload: day } = group
 	takeArrivals(group)
 	const demand = demandOf(group)
 	const { experts, expertShare } = day.layout
@@ -134,7 +134,7 @@
 /** Begins to copy what a new map needs; gives the time it takes, ms. */
 export function startCopies(group: ExpertGroup, map: GroupMap): number {
 	let most = 0
-	for (let rank = 0; rank < group.day.ranks; rank++) {
+	for (let rank = 0; rank < group.workload.ranks; rank++) {
 		let fresh = 0
 		for (const [set, placement] of map.entries())
 			for (const expert of placement[rank]!)
@@ -142,14 +142,14 @@
 		group.copies += fresh
 		most = Math.max(most, fresh)
 	}
-	const { layout, linkMbps } = group.day
+	const { layout, linkMbps } = group.workload
 	const copyMs = (most * layout.expertMb * BITS) / (linkMbps / 1_000)
 	group.copyingUntil = group.nowMs + copyMs
 	return copyMs
 }
 
 function takeArrivals(group: ExpertGroup): void {
-	const { day, random, streams } = group
+	const { workload: day, random, streams } = group
 	while (group.nextArrival <= group.nowMs) {
 		group.nextArrival +=
 			(-Math.log(1 - random()) * 1_000) / day.arrivalsPerSecond
@@ -165,7 +165,7 @@
 	}
 }
 
-function drawSubject(day: ExpertDay, random: Random): number {
+function drawSubject(day: ExpertWorkload, random: Random): number {
 	const weights = Array.from(
 		{ length: day.subjects },
 		(_, at) => (at + 1) ** -SUBJECT_SKEW,
@@ -179,7 +179,7 @@
 	return 0
 }
 
-function drawLikes(day: ExpertDay, random: Random): Float64Array {
+function drawLikes(day: ExpertWorkload, random: Random): Float64Array {
 	const { sets, experts } = day.layout
 	return new Float64Array(sets * experts).map(
 		() => random() ** LIKE_POWER + 0.02,
@@ -187,7 +187,7 @@
 }
 
 function shift(group: ExpertGroup): void {
-	const { day, random, likes } = group
+	const { workload: day, random, likes } = group
 	group.nextShift += day.shiftEveryMs
 	for (const like of likes)
 		for (let at = 0; at < like.length; at++)
--- a/packages/fakes/src/fleet.ts
+++ b/packages/fakes/src/fleet.ts
@@ -124,7 +124,7 @@
 }
 
 /** Sends a signal to one process by its name. */
-export function signal(fleet: Fleet, name: string, sig: NodeJS.Signals): void {
+export function signalProcess(fleet: Fleet, name: string, sig: NodeJS.Signals): void {
 	fleet.processes.get(name)?.child.kill(sig)
 }
 
@@ -132,7 +132,7 @@
  * Starts a process again once it has ended: until then it holds its ports.
  * Resolves when the new one has been started; it may not listen yet.
  */
-export async function restart(fleet: Fleet, name: string): Promise<void> {
+export async function restartProcess(fleet: Fleet, name: string): Promise<void> {
 	const old = fleet.processes.get(name)
 	if (!old) return
 	const { child, ip, args } = old
--- a/packages/fakes/src/relay.ts
+++ b/packages/fakes/src/relay.ts
@@ -2,14 +2,14 @@
 
 import type { Server, Socket } from 'node:net'
 import { connect, createServer } from 'node:net'
-import type { NarrowLink } from './narrowLink.ts'
-import { passLink } from './narrowLink.ts'
+import type { ThrottledLink } from './throttledLink.ts'
+import { passLink } from './throttledLink.ts'
 
 /** Bytes of a connection that pass a narrow link in one turn. */
 const TURN_BYTES = 8_192
 
 /** What a relay does with what passes it. */
-export type RelayMood =
+export type RelayMode =
 	| 'pass'
 	/** Nothing passes: open links hang, new ones are not answered. */
 	| 'silent'
@@ -22,11 +22,11 @@
 export interface Relay {
 	readonly server: Server
 	readonly sockets: Set<Socket>
-	mood: RelayMood
+	mode: RelayMode
 	/** Added to the way in each direction, ms. */
 	delayMs: number
 	/** What openers are sent passes it; relays of one VM share it. */
-	link: NarrowLink | undefined
+	link: ThrottledLink | undefined
 }
 
 /** Listens on `ip:port` and passes everything on to `targetIp:targetPort`. */
@@ -35,12 +35,12 @@
 	targetIp: string,
 	port: number,
 	targetPort = port,
-	link?: NarrowLink,
+	link?: ThrottledLink,
 ): Promise<Relay> {
 	const relay: Relay = {
 		server: createServer(near => openLink(relay, near, targetIp, targetPort)),
 		sockets: new Set(),
-		mood: 'pass',
+		mode: 'pass',
 		delayMs: 0,
 		link,
 	}
@@ -68,13 +68,13 @@
 	relay: Relay,
 	from: Socket,
 	to: Socket,
-	lost: readonly RelayMood[],
-	findLink: () => NarrowLink | undefined = () => undefined,
+	lost: readonly RelayMode[],
+	findLink: () => ThrottledLink | undefined = () => undefined,
 ): void {
 	relay.sockets.add(from)
 	const later = createDelay(relay)
 	from.on('data', data => {
-		if (lost.includes(relay.mood)) return
+		if (lost.includes(relay.mode)) return
 		const link = findLink()
 		if (!link) {
 			later(() => {
@@ -97,7 +97,7 @@
 }
 
 async function passInTurn(
-	link: NarrowLink,
+	link: ThrottledLink,
 	data: Buffer,
 	to: Socket,
 ): Promise<void> {
@@ -123,12 +123,12 @@
 
 /** Cuts the link; what was on its way is lost. */
 export function cutRelay(relay: Relay): void {
-	relay.mood = 'silent'
+	relay.mode = 'silent'
 }
 
 /** Heals the link; connections of the cut are closed. */
 export function healRelay(relay: Relay): void {
-	relay.mood = 'pass'
+	relay.mode = 'pass'
 	relay.delayMs = 0
 	for (const socket of relay.sockets) socket.destroy()
 }
--- a/packages/fakes/src/narrowLink.ts
+++ b/packages/fakes/src/throttledLink.ts
@@ -1,23 +1,23 @@
 /** The link of a VM that carries only so many bytes a second. */
 
 /** What shares a link; bytes pass it one piece after the other. */
-export interface NarrowLink {
+export interface ThrottledLink {
 	readonly bytesPerMs: number
 	/** When what has been given to the link will have passed it, ms. */
 	freeAt: number
 	/** Bytes that have been given to the link. */
-	carried: number
+	bytesSent: number
 }
 
 /** Makes an idle link. */
-export function createNarrowLink(bytesPerMs: number): NarrowLink {
-	return { bytesPerMs, freeAt: 0, carried: 0 }
+export function createThrottledLink(bytesPerMs: number): ThrottledLink {
+	return { bytesPerMs, freeAt: 0, bytesSent: 0 }
 }
 
 /** Gives bytes to a link; resolves when they have passed it. */
-export function passLink(link: NarrowLink, bytes: number): Promise<void> {
+export function passLink(link: ThrottledLink, bytes: number): Promise<void> {
 	const now = performance.now()
 	link.freeAt = Math.max(now, link.freeAt) + bytes / link.bytesPerMs
-	link.carried += bytes
+	link.bytesSent += bytes
 	return new Promise(resolve => setTimeout(resolve, link.freeAt - now))
 }
--- a/packages/groups/src/coordinator.ts
+++ b/packages/groups/src/coordinator.ts
@@ -7,8 +7,8 @@
 import { isMapNeeded } from '@juniperhook/core'
 import type { Coordinator } from './coordinatorState.ts'
 import { pause, readAnchor } from './coordinatorState.ts'
-import { followDemand, MIN_SEEN } from './demandWatch.ts'
-import { factorNow, planNext, readMap } from './mapWork.ts'
+import { followDemand, MIN_SEEN } from './demandMonitor.ts'
+import { factorNow, planNext, readMap } from './mapPlanning.ts'
 import { closeRankClient } from './rankClient.ts'
 import { runRound } from './roundRunner.ts'
 
@@ -59,7 +59,7 @@
 	}
 	if (report.armed !== undefined) return
 	const map = await readMap(co, report)
-	if (!map || co.demand.seen < MIN_SEEN) return
+	if (!map || co.demand.totalChoices < MIN_SEEN) return
 	if (!needsMap(co, map)) return
 	const better = await planNext(co, map)
 	if (better) await runRound(co, report, better)
--- a/packages/groups/src/coordinatorState.ts
+++ b/packages/groups/src/coordinatorState.ts
@@ -25,8 +25,8 @@
 	reportRank,
 } from './rankClient.ts'
 import type { BaseMapRequest } from './rankMessages.ts'
-import type { PassWatch } from './timedPasses.ts'
-import { createPassWatch } from './timedPasses.ts'
+import type { PassWatch } from './passTiming.ts'
+import { createPassWatch } from './passTiming.ts'
 
 /** Fences are a counter and this many random low bits, so that none is doubled. */
 export const FENCE_BITS = 12
--- a/packages/groups/src/demand.ts
+++ b/packages/groups/src/demand.ts
@@ -35,7 +35,7 @@
 	readonly fresh: Float64Array
 	decayedAt: number
 	/** Choices seen since the start. */
-	seen: number
+	totalChoices: number
 }
 
 /** Makes a demand of which nothing is known. */
@@ -46,16 +46,16 @@
 		weights: new Float64Array(sets * experts),
 		fresh: new Float64Array(sets * experts),
 		decayedAt: 0,
-		seen: 0,
+		totalChoices: 0,
 	}
 }
 
 /** Takes what a rank's requests chose, set by set, one number an expert. */
-export function takeChoices(demand: Demand, chosen: readonly number[]): void {
+export function addChoices(demand: Demand, chosen: readonly number[]): void {
 	if (chosen.length !== demand.fresh.length) return
 	for (const [at, count] of chosen.entries()) {
 		demand.fresh[at]! += count
-		demand.seen += count
+		demand.totalChoices += count
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 /** Each expert's part of its set's demand. */
-export function shareOfSet(demand: Demand, set: number): Float64Array {
+export function computeExpertShares(demand: Demand, set: number): Float64Array {
 	const { experts, weights } = demand
 	const share = new Float64Array(experts)
 	let total = 0
--- a/packages/groups/src/demandWatch.ts
+++ b/packages/groups/src/demandMonitor.ts
@@ -5,12 +5,12 @@
 
 import { isRankTooSlow, maxInFlightPerRank } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
-import { sampleBytes } from './choices.ts'
+import { sampleBytes } from './rankSample.ts'
 import type { Coordinator } from './coordinatorState.ts'
 import { noteStatus, pause } from './coordinatorState.ts'
-import { AGREES_NOT, isShifting, refreshDemand, takeChoices } from './demand.ts'
-import { factorNow } from './mapWork.ts'
-import { watchPasses } from './passWatch.ts'
+import { AGREES_NOT, isShifting, refreshDemand, addChoices } from './demand.ts'
+import { factorNow } from './mapPlanning.ts'
+import { watchPasses } from './passMonitor.ts'
 import type { RankBusy } from './ports.ts'
 import type { RankClient } from './rankClient.ts'
 import { busyOfRank, reportRank, sampleRank } from './rankClient.ts'
@@ -77,7 +77,7 @@
 		if (report) watchPasses(co, report)
 		const sample = await sampleRank(home, expertsOf(co), report)
 		if (!sample) continue
-		takeChoices(co.demand, sample.chosen)
+		addChoices(co.demand, sample.chosen)
 		if (isShifting(co.demand)) return
 	}
 }
@@ -96,7 +96,7 @@
 		...counted.map(async client => {
 			const sample = await sampleRank(client, expertsOf(co))
 			if (!sample) return
-			takeChoices(co.demand, sample.chosen)
+			addChoices(co.demand, sample.chosen)
 			note(client, sample)
 		}),
 		...others.map(async client => {
@@ -158,7 +158,7 @@
 /** What demand alone makes of passes, slow ranks left out. */
 function factorOfDemand(co: Coordinator): number | undefined {
 	const { group, map, demand } = co
-	if (!group || !map || demand.seen < MIN_SEEN) return undefined
+	if (!group || !map || demand.totalChoices < MIN_SEEN) return undefined
 	return factorNow(co, group, map, [])
 }
 
--- a/packages/groups/src/mapChanges.ts
+++ b/packages/groups/src/mapDelta.ts
@@ -7,7 +7,7 @@
 import { crc32 } from 'node:zlib'
 import type { GroupMap } from '@juniperhook/core'
 import { distributeRoundRobin } from '@juniperhook/core'
-import { packNumbers, unpackNumbers } from './packedNumbers.ts'
+import { packNumbers, unpackNumbers } from './varints.ts'
 
 /** Maps that an agent remembers: the one in use, and one in the making. */
 const REMEMBERED = 3
--- a/packages/groups/src/mapWork.ts
+++ b/packages/groups/src/mapPlanning.ts
@@ -14,8 +14,8 @@
 } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { shareOfSet } from './demand.ts'
-import type { MapBase } from './mapChanges.ts'
+import { computeExpertShares } from './demand.ts'
+import type { MapBase } from './mapDelta.ts'
 import type { PublishedGroup } from './ports.ts'
 import { placementOfRank } from './rankClient.ts'
 
@@ -85,7 +85,7 @@
 	const { group, demand } = co
 	if (!group) return undefined
 	const startedAt = readNow()
-	const shares = map.map((_, set) => shareOfSet(demand, set))
+	const shares = map.map((_, set) => computeExpertShares(demand, set))
 	const paces = pacesOf(co, map)
 	const cost = costOfRound(co, group)
 	const { layout } = group
@@ -118,7 +118,7 @@
 	paces: readonly number[] = pacesOf(co, map),
 ): number {
 	const skews = map.map((placement, set) =>
-		computeSetSkew(placement, shareOfSet(co.demand, set), layout, paces),
+		computeSetSkew(placement, computeExpertShares(co.demand, set), layout, paces),
 	)
 	return passFactor(skews, layout.expertShare)
 }
--- a/packages/groups/src/orderMessage.ts
+++ b/packages/groups/src/orderMessage.ts
@@ -5,9 +5,9 @@
  */
 
 import type { EngineOrder, GroupMap } from '@juniperhook/core'
-import type { KnownMaps, MapBase, MapChanges } from './mapChanges.ts'
-import { applyChanges, findChanges } from './mapChanges.ts'
-import { packNumbers, unpackNumbers } from './packedNumbers.ts'
+import type { KnownMaps, MapBase, MapChanges } from './mapDelta.ts'
+import { applyChanges, findChanges } from './mapDelta.ts'
+import { packNumbers, unpackNumbers } from './varints.ts'
 
 type PrepareOrder = Extract<EngineOrder, { type: 'prepare' }>
 
--- a/packages/groups/src/orderGiver.ts
+++ b/packages/groups/src/orderSender.ts
@@ -11,7 +11,7 @@
 } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { baseOf, copyMsOf } from './mapWork.ts'
+import { baseOf, copyMsOf } from './mapPlanning.ts'
 import type { OrderMessage } from './orderMessage.ts'
 import { sizeOfMessage, toOrderMessage } from './orderMessage.ts'
 import type { TreeLoad } from './orderTree.ts'
--- a/packages/groups/src/passWatch.ts
+++ b/packages/groups/src/passMonitor.ts
@@ -8,7 +8,7 @@
 import { addPassSample, predictPassMs } from '@juniperhook/core'
 import { countClockJumps, readNow, rpcCounts } from '@juniperhook/runtime'
 import type { Coordinator } from './coordinatorState.ts'
-import { factorNow } from './mapWork.ts'
+import { factorNow } from './mapPlanning.ts'
 import type { PublishedGroup } from './ports.ts'
 
 /** Passes that are timed together: looks are as far apart as passes take. */
--- a/packages/groups/src/rankMessages.ts
+++ b/packages/groups/src/rankMessages.ts
@@ -1,7 +1,7 @@
 /** What agents ask each other, and what they answer. */
 
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
-import type { SampleMessage } from './choices.ts'
+import type { SampleMessage } from './rankSample.ts'
 import type { RankBusy, RankPlacement } from './ports.ts'
 
 /** An order that an agent gives to the engine of another VM. */
--- a/packages/groups/src/roundRunner.ts
+++ b/packages/groups/src/roundRunner.ts
@@ -17,9 +17,9 @@
 import { leadMsOf, noteArmed, noteMissed, probeLimitMs } from './armingTime.ts'
 import type { Coordinator } from './coordinatorState.ts'
 import { FENCE_BITS, pause, readAnchor } from './coordinatorState.ts'
-import { setMap } from './mapWork.ts'
-import type { Run } from './orderGiver.ts'
-import { copyingMsOf, giveAll, tripMs } from './orderGiver.ts'
+import { setMap } from './mapPlanning.ts'
+import type { Run } from './orderSender.ts'
+import { copyingMsOf, giveAll, tripMs } from './orderSender.ts'
 
 /** Between steps of a round that waits for a report, ms. */
 const LOOK_MS = 20
--- a/packages/groups/test/agents.test.ts
+++ b/packages/groups/test/agents.test.ts
@@ -7,8 +7,8 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { startAgent } from '../src/index.ts'
-import type { StandInGroup } from './standInGroup.ts'
-import { addressOf, RANKS, startGroup } from './standInGroup.ts'
+import type { FakeGroup } from './fakeGroup.ts'
+import { addressOf, RANKS, startFakeGroup } from './fakeGroup.ts'
 
 const AGENT_PORT = 22_640
 const SEED = 20261202
@@ -16,7 +16,7 @@
 const LONG_MS = 20_000
 
 const log = { ...createEventLog('test'), write: () => {}, flush: () => {} }
-const group = startGroup(SEED)
+const group = startFakeGroup(SEED)
 
 for (let rank = 0; rank < RANKS; rank++) {
 	const engine = addressOf(rank)
@@ -44,7 +44,7 @@
 	assert.ok(condition(), describe(group))
 }
 
-function describe({ engines, held, step, epoch }: StandInGroup): string {
+function describe({ engines, held, step, epoch }: FakeGroup): string {
 	return JSON.stringify({
 		held,
 		step,
--- a/packages/groups/test/demand.test.ts
+++ b/packages/groups/test/demand.test.ts
@@ -6,8 +6,8 @@
 	createDemand,
 	isShifting,
 	refreshDemand,
-	shareOfSet,
-	takeChoices,
+	computeExpertShares,
+	addChoices,
 } from '../src/index.ts'
 
 const SETS = 2
@@ -23,7 +23,7 @@
 function learn(liked: number) {
 	const demand = createDemand(SETS, EXPERTS)
 	for (let now = 0; now <= 2_000; now += 200) {
-		takeChoices(demand, choicesOf(liked))
+		addChoices(demand, choicesOf(liked))
 		refreshDemand(demand, now)
 	}
 	return demand
@@ -38,20 +38,20 @@
 for (const { name, liked, factor, shifted, share } of READINGS)
 	test(`demand: a reading ${name}`, () => {
 		const demand = learn(1)
-		takeChoices(
+		addChoices(
 			demand,
 			choicesOf(liked).map(count => count * factor),
 		)
 		assert.is(isShifting(demand), shifted)
 		assert.is(refreshDemand(demand, 2_200) < 0.8, shifted)
-		assert.is(Number(shareOfSet(demand, 0)[1]!.toFixed(2)), share)
+		assert.is(Number(computeExpertShares(demand, 0)[1]!.toFixed(2)), share)
 	})
 
 test('demand: choices of another layout are not taken', () => {
 	const demand = learn(1)
-	takeChoices(demand, [1, 2, 3])
+	addChoices(demand, [1, 2, 3])
 	assert.is(isShifting(demand), false)
-	assert.is(demand.seen, 11 * SETS * 10_000)
+	assert.is(demand.totalChoices, 11 * SETS * 10_000)
 })
 
 test.run()
--- a/packages/groups/test/standInGroup.ts
+++ b/packages/groups/test/fakeGroup.ts
@@ -27,7 +27,7 @@
 }
 
 /** The group's state. */
-export interface StandInGroup {
+export interface FakeGroup {
 	readonly port: EnginePort
 	readonly group: PublishedGroup
 	readonly engines: Engine[]
@@ -53,7 +53,7 @@
 }
 
 /** Starts a group whose passes run by themselves. */
-export function startGroup(seed: number, ranks = RANKS): StandInGroup {
+export function startFakeGroup(seed: number, ranks = RANKS): FakeGroup {
 	const random = createRandom(seed)
 	const layout = {
 		sets: SETS,
@@ -80,7 +80,7 @@
 		if (group.cutOff.has(address)) return undefined
 		return group.engines[rankOf(address)]
 	}
-	const group: StandInGroup = {
+	const group: FakeGroup = {
 		engines: Array.from({ length: ranks }, (_, rank) => createEngine(rank)),
 		paces: new Array<number>(ranks).fill(1),
 		step: 0,
@@ -136,7 +136,7 @@
 	return group
 }
 
-function pass(group: StandInGroup, random: () => number): void {
+function pass(group: FakeGroup, random: () => number): void {
 	if (group.held === group.step + 1) return
 	group.step++
 	for (const engine of group.engines) {
@@ -155,7 +155,7 @@
 }
 
 function take(
-	group: StandInGroup,
+	group: FakeGroup,
 	engine: Engine,
 	order: EngineOrder,
 ): OrderAnswer {
@@ -168,7 +168,7 @@
 }
 
 function carryOut(
-	group: StandInGroup,
+	group: FakeGroup,
 	engine: Engine,
 	order: Exclude<EngineOrder, { type: 'probe' }>,
 ): OrderAnswer {
@@ -208,7 +208,7 @@
 }
 
 function reportOf(
-	group: StandInGroup,
+	group: FakeGroup,
 	engine: Engine,
 	rank: number,
 ): RankReport {
--- a/packages/groups/test/largeGroup.test.ts
+++ b/packages/groups/test/largeGroup.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createOrderRelay, relayOrder, startAgent } from '../src/index.ts'
-import { addressOf, startGroup } from './standInGroup.ts'
+import { addressOf, startFakeGroup } from './fakeGroup.ts'
 
 const AGENT_PORT = 22_641
 const ENTRY = '127.0.0.19:22642'
@@ -17,7 +17,7 @@
 const LONG_MS = 20_000
 
 const log = { ...createEventLog('test'), write: () => {}, flush: () => {} }
-const group = startGroup(SEED, RANKS)
+const group = startFakeGroup(SEED, RANKS)
 const told: Record<string, number>[] = []
 
 async function startAll(): Promise<void> {
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -40,7 +40,7 @@
 import type { Vm } from './platform.ts'
 import { readPublished, VmListSchema } from './platform.ts'
 import type { Methods, RpcLink } from './rpc.ts'
-import { SpreadParamsSchema } from './spreadMessages.ts'
+import { SpreadParamsSchema } from './gossipMessages.ts'
 
 const TICK_MS = 1_000
 /** A failed watch is tried again after this, with jitter, ms. */
@@ -53,8 +53,8 @@
 
 /** What a daemon wants to hear. */
 export interface FollowerEvents {
-	onAdopt(held: ActiveConfig): void
-	onVms(vms: readonly Vm[]): void
+	onConfigActivated(held: ActiveConfig): void
+	onVmList(vms: readonly Vm[]): void
 }
 
 /** A process's following of the platform. */
@@ -124,7 +124,7 @@
 }
 
 /** Another process spoke of the revision that it holds: any contact heals. */
-export function noteRevision(
+export function handlePeerRevision(
 	follower: Follower,
 	from: string,
 	revision: number,
@@ -134,7 +134,7 @@
 }
 
 /** Another process has connected: compare with it what both hold. */
-export function noteContact(
+export function handlePeerConnected(
 	follower: Follower,
 	name: string,
 	link: RpcLink,
@@ -144,7 +144,7 @@
 }
 
 /** Revision of the configuration in force; 0 before the first. */
-export function revisionOf(follower: Follower): number {
+export function activeRevision(follower: Follower): number {
 	return follower.state.held?.revision ?? 0
 }
 
@@ -152,7 +152,7 @@
 export function describeFollower(follower: Follower): object {
 	const { node, state } = follower
 	return {
-		revision: revisionOf(follower),
+		revision: activeRevision(follower),
 		refusedRevision: state.refused?.revision ?? 0,
 		members: node.members.length,
 		neighbours: node.neighbours,
@@ -297,7 +297,7 @@
 		case 'adopted':
 			metrics.revision.set(revision)
 			setLastValid(node, 'config', undefined)
-			if (held) follower.events.onAdopt(held)
+			if (held) follower.events.onConfigActivated(held)
 			setMembersFrom(follower)
 			break
 		case 'invalid':
@@ -326,7 +326,7 @@
 		return
 	}
 	setMembersFrom(follower)
-	follower.events.onVms(follower.vms)
+	follower.events.onVmList(follower.vms)
 }
 
 function setMembersFrom(follower: Follower): void {
--- a/packages/runtime/src/io/messages.ts
+++ b/packages/runtime/src/io/messages.ts
@@ -73,7 +73,7 @@
 const agoMs = v.pipe(v.number(), v.minValue(0))
 
 /** A backend server's end, as its agent and entries tell it. */
-export const ServerEndSchema = v.object({
+export const ServerCrashSchema = v.object({
 	/** Names its life. */
 	server: v.string(),
 	agoMs,
@@ -81,17 +81,17 @@
 	ran: v.record(v.string(), v.number()),
 })
 
-/** See {@link ServerEndSchema}. */
-export type ServerEndNotice = v.InferOutput<typeof ServerEndSchema>
+/** See {@link ServerCrashSchema}. */
+export type ServerCrashNotice = v.InferOutput<typeof ServerCrashSchema>
 
 /** What entries tell each other of requests under which backend servers ended. */
-export const EndNewsSchema = v.object({
-	ends: v.array(ServerEndSchema),
+export const CrashUpdatesSchema = v.object({
+	ends: v.array(ServerCrashSchema),
 	served: v.array(v.object({ fingerprint: v.string(), agoMs })),
 })
 
-/** See {@link EndNewsSchema}. */
-export type EndNewsNotice = v.InferOutput<typeof EndNewsSchema>
+/** See {@link CrashUpdatesSchema}. */
+export type CrashUpdatesNotice = v.InferOutput<typeof CrashUpdatesSchema>
 
 /** Names a try at an incarnation of an agent. */
 export const AttemptRefSchema = v.object({
--- a/packages/runtime/src/utils/headers.ts
+++ b/packages/runtime/src/utils/headers.ts
@@ -18,7 +18,7 @@
 ])
 
 /** The end-to-end headers of a message. */
-export function splitHopHeaders(
+export function removeHopByHopHeaders(
 	headers: IncomingHttpHeaders,
 ): Record<string, string | string[]> {
 	const kept: Record<string, string | string[]> = {}
--- a/soak/src/engineApi.ts
+++ b/soak/src/engineApi.ts
@@ -2,13 +2,13 @@
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
-import type { StandInGroup } from '../../packages/groups/test/standInGroup.ts'
+import type { FakeGroup } from '../../packages/groups/test/fakeGroup.ts'
 
 const STATUS_OF = { done: 200, conflict: 409, fenced: 412 } as const
 
 /** Handles an agent's call; an order that the group loses gets no response. */
 export async function handleEngineCall(
-	group: StandInGroup,
+	group: FakeGroup,
 	engine: string,
 	req: IncomingMessage,
 	body: string,
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -7,7 +7,7 @@
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
 import {
-	createNarrowLink,
+	createThrottledLink,
 	cutRelay,
 	healRelay,
 	resetRelay,
@@ -93,11 +93,11 @@
 		disturbServerLink(world, random, relay => cutRelay(relay)),
 	'lose what a server is sent': (world, random) =>
 		disturbServerLink(world, random, relay => {
-			relay.mood = 'deaf'
+			relay.mode = 'deaf'
 		}),
 	'lose what a server sends': (world, random) =>
 		disturbServerLink(world, random, relay => {
-			relay.mood = 'mute'
+			relay.mode = 'mute'
 		}),
 	'delay a server': (world, random) =>
 		disturbServerLink(world, random, relay => {
@@ -124,7 +124,7 @@
 	'narrow the link to the store for one': (world, random) => {
 		const relay = randomItem(random, world.storeRelays)
 		// Not recorded as a disturbance: entries pull the configuration from peers instead.
-		relay.link = createNarrowLink(
+		relay.link = createThrottledLink(
 			randomBetween(random, ...THROTTLED_BYTES_PER_MS),
 		)
 		return () => {
@@ -268,13 +268,13 @@
 	}
 }
 
-function disturbStore(world: World, mode: World['store']['mood']): () => void {
+function disturbStore(world: World, mode: World['store']['mode']): () => void {
 	const end = beginDisturbance(world.disturbances, ALL_VMS)
-	world.store.mood = mode
+	world.store.mode = mode
 	// Closes waiting watches, as a store that goes down does.
 	world.store.server.closeAllConnections()
 	return () => {
-		world.store.mood = 'serve'
+		world.store.mode = 'serve'
 		world.store.server.closeAllConnections()
 		end()
 	}
--- a/soak/src/rollbacks.ts
+++ b/soak/src/rollbacks.ts
@@ -22,16 +22,16 @@
 	const random = createRandom(options.seed + 4)
 	while (!world.finished) {
 		await sleep(randomBetween(random, ...PAUSE_MS))
-		if (world.finished || store.mood !== 'serve') continue
+		if (world.finished || store.mode !== 'serve') continue
 		count(record, 'store rollbacks')
 		const lostChanges = Math.ceil(random() * MAX_LOST_CHANGES)
 		const end = beginDisturbance(disturbances, ALL_VMS)
 		const before = [...store.items.keys()]
-		store.mood = 'reset'
-		store.rewind(Math.max(1, store.revision - lostChanges))
+		store.mode = 'reset'
+		store.rollBack(Math.max(1, store.revision - lostChanges))
 		const keys = new Set([...before, ...store.items.keys()])
 		await sleep(randomBetween(random, ...OUTAGE_MS))
-		store.mood = 'serve'
+		store.mode = 'serve'
 		end()
 		for (const key of keys)
 			setTimeout(
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -7,8 +7,8 @@
 import { createServer } from 'node:http'
 import type { Random } from '@juniperhook/core'
 import { incarnationId } from '@juniperhook/core'
-import type { StandInGroup } from '../../packages/groups/test/standInGroup.ts'
-import { addressOf } from '../../packages/groups/test/standInGroup.ts'
+import type { FakeGroup } from '../../packages/groups/test/fakeGroup.ts'
+import { addressOf } from '../../packages/groups/test/fakeGroup.ts'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import { PORTS, relayIp, serverIp } from './addresses.ts'
 import { checkRun } from './checks.ts'
@@ -80,7 +80,7 @@
 /** All backend servers. */
 export interface Servers {
 	readonly all: BackendServer[]
-	readonly group: StandInGroup
+	readonly group: FakeGroup
 	readonly record: SoakRecord
 	readonly random: Random
 	readonly net: number
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -3,9 +3,9 @@
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
 import { startRelay, stopRelay } from '@juniperhook/fakes'
-import { startGroup } from '../../packages/groups/test/standInGroup.ts'
-import type { StandInStore } from '../../platform/test/standInStore.ts'
-import { startStore } from '../../platform/test/standInStore.ts'
+import { startFakeGroup } from '../../packages/groups/test/fakeGroup.ts'
+import type { FakeStore } from '../../platform/test/fakeStore.ts'
+import { startFakeStore } from '../../platform/test/fakeStore.ts'
 import {
 	agentIp,
 	agentStoreIp,
@@ -48,7 +48,7 @@
 	readonly options: SoakOptions
 	readonly record: SoakRecord
 	readonly disturbances: Disturbances
-	readonly store: StandInStore
+	readonly store: FakeStore
 	/** Last value written by key; written again when a rollback has lost it. */
 	readonly lastWritten: Map<string, string | undefined>
 	readonly servers: Servers
@@ -80,8 +80,8 @@
 export async function startWorld(options: SoakOptions): Promise<World> {
 	const { net, seed } = options
 	const record = createRecord()
-	const store = await startStore()
-	const group = startGroup(seed, options.ranks)
+	const store = await startFakeStore()
+	const group = startFakeGroup(seed, options.ranks)
 	const servers: Servers = {
 		all: [],
 		group,
