--- a/bench/gateway.ts
+++ b/bench/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * What a request through the gateway costs its entry, in processor time; with
- * `--against FILE`, another build's `main.js`, in pairs with that one.
+ * Measures the CPU time that a request through the gateway costs its entry. With
+ * `--against FILE` (the `main.js` of another build), both builds are measured in pairs.
  */
 
 import { readFileSync } from 'node:fs'
@@ -21,14 +21,16 @@
 const REQUESTS = 6_000
 const PAIRS = 7
 const QUICK_PAIRS = 2
-/** Linux counts processor time in these, ms. */
+/** Unit of CPU times in `/proc`, ms. */
 const TICK_MS = 10
-/** Places of user and system time in `/proc/PID/stat` after the name. */
-const TIMES_AT = [11, 12] as const
-const READY_MS = 20_000
-const LOOK_MS = 100
+/**
+ * Indices of user and system time in `/proc/PID/stat`, counted after the process name.
+ */
+const CPU_TIME_FIELDS = [11, 12] as const
+const READY_TIMEOUT_MS = 20_000
+const POLL_INTERVAL_MS = 100
 
-/** Prints the cost of a request, and of pairs. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const against = process.argv[process.argv.indexOf('--against') + 1]
 	const isPaired = process.argv.includes('--against')
@@ -45,39 +47,39 @@
 		}
 		rows.push(row)
 	}
-	print(`a request through the gateway, processor time of its entry, us`)
+	print(`CPU time of an entry for a request through the gateway, us`)
 	const head = ['pair', 'this build']
 	printTable(isPaired ? [...head, 'the other', 'ratio'] : head, rows)
 	if (isPaired) print(`median ratio: ${medianOf(ratios).toFixed(3)}`)
 }
 
-/** Processor time of an entry for each request, us. */
+/** Returns the CPU time of an entry per request, us. */
 async function measure(bundle: string | undefined): Promise<number> {
 	const options: SoakOptions = {
 		seed: 1,
 		entries: 1,
 		ranks: 1,
-		plain: 3,
+		plainServers: 3,
 		clients: CALLERS,
-		faultMs: 0,
+		faultPhaseMs: 0,
 		faults: 0,
 		net: NET,
-		only: '',
-		deadly: false,
-		limited: false,
-		rests: false,
-		rewinds: false,
-		timed: false,
+		faultFilter: '',
+		poisonRequest: false,
+		rateLimits: false,
+		backoffs: false,
+		rollbacks: false,
+		checksTiming: false,
 		bundle,
 		folder: join(tmpdir(), 'juniperhook-bench-gateway'),
 	}
 	const world = await startWorld(options)
 	const agent = new Agent({ keepAlive: true, maxSockets: CALLERS })
 	await awaitReady(agent)
-	await askMany(agent, WARM_UP)
+	await sendRequests(agent, WARM_UP)
 	const pid = world.entries[0]!.child!.pid!
 	const before = readTicks(pid)
-	await askMany(agent, REQUESTS)
+	await sendRequests(agent, REQUESTS)
 	const spentMs = (readTicks(pid) - before) * TICK_MS
 	agent.destroy()
 	await stopWorld(world)
@@ -85,20 +87,21 @@
 }
 
 async function awaitReady(agent: Agent): Promise<void> {
-	const end = performance.now() + READY_MS
+	const end = performance.now() + READY_TIMEOUT_MS
 	while (performance.now() < end) {
-		if ((await ask(agent, 0).catch(() => 0)) === 200) return
-		await sleep(LOOK_MS)
+		if ((await sendRequest(agent, 0).catch(() => 0)) === 200) return
+		await sleep(POLL_INTERVAL_MS)
 	}
-	throw new Error('the entry does not serve')
+	throw new Error('the entry did not start to serve in time')
 }
 
-async function askMany(agent: Agent, count: number): Promise<void> {
+async function sendRequests(agent: Agent, count: number): Promise<void> {
 	let next = 1
 	const caller = async () => {
 		while (next <= count) {
-			const status = await ask(agent, next++)
-			if (status !== 200) throw new Error(`status ${status}`)
+			const status = await sendRequest(agent, next++)
+			if (status !== 200)
+				throw new Error(`the entry answered with status ${status}`)
 		}
 	}
 	await Promise.all(Array.from({ length: CALLERS }, caller))
@@ -106,7 +109,7 @@
 
 let lastId = 0
 
-function ask(agent: Agent, number: number): Promise<number> {
+function sendRequest(agent: Agent, number: number): Promise<number> {
 	return new Promise((resolve, reject) => {
 		const req = request({
 			host: entryIp(NET, 0),
@@ -131,7 +134,7 @@
 function readTicks(pid: number): number {
 	const text = readFileSync(`/proc/${pid}/stat`, 'utf8')
 	const fields = text.slice(text.lastIndexOf(')') + 2).split(' ')
-	return TIMES_AT.reduce((sum, at) => sum + Number(fields[at]), 0)
+	return CPU_TIME_FIELDS.reduce((sum, at) => sum + Number(fields[at]), 0)
 }
 
 function medianOf(values: readonly number[]): number {
--- a/bench/map.ts
+++ b/bench/map.ts
@@ -1,6 +1,6 @@
 /**
- * How long gates hold a group of 16 real ranks while maps change under load:
- * without failure, and with a coordinator that is frozen or killed at moments
+ * Measures how long gates hold a group of 16 rank processes while its map changes under
+ * load: without failures, and with a coordinator that is frozen or killed at moments
  * spread over the planning period.
  */
 
@@ -23,9 +23,9 @@
 const RANKS = 16
 const CALLERS = 24
 const FREEZE_MS = 3_000
-const DEAD_MS = 500
+const DOWNTIME_MS = 500
 const SETTLE_MS = 8_000
-const CALM_MS = 15_000
+const QUIET_MS = 15_000
 const MOMENTS_MS = [0, 150, 300, 450, 600, 750, 900]
 
 interface GroupLoad {
@@ -49,13 +49,13 @@
 		name: 'coordinator killed',
 		async fail(fleet) {
 			signalProcess(fleet, 'rank-0', 'SIGKILL')
-			await wait(DEAD_MS)
+			await wait(DOWNTIME_MS)
 			await restartProcess(fleet, 'rank-0')
 		},
 	},
 ]
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const fleet = await startFleet({
 		entries: 1,
@@ -74,20 +74,20 @@
 	})
 	const rows: string[][] = []
 	try {
-		for (let n = 0; n < CALLERS; n++) void keepBusy(fleet)
+		for (let n = 0; n < CALLERS; n++) void runCaller(fleet)
 		await waitUntil(
 			async () => (await readLoad(fleet)).switches >= RANKS,
 			'a first change',
 		)
-		rows.push(await measure(fleet, 'none', () => wait(CALM_MS), 1))
+		rows.push(await measure(fleet, 'none', () => wait(QUIET_MS), 1))
 		const moments = isQuick() ? MOMENTS_MS.slice(0, 2) : MOMENTS_MS
 		for (const { name, fail } of FAULTS)
 			rows.push(
 				await measure(
 					fleet,
 					name,
-					async at => {
-						await wait(moments[at] ?? 0)
+					async index => {
+						await wait(moments[index] ?? 0)
 						await fail(fleet)
 						await wait(SETTLE_MS)
 					},
@@ -115,16 +115,16 @@
 async function measure(
 	fleet: Fleet,
 	name: string,
-	trial: (at: number) => Promise<unknown>,
+	trial: (index: number) => Promise<unknown>,
 	trials: number,
 ): Promise<string[]> {
 	const before = await readLoad(fleet)
 	let longest = 0
-	for (let at = 0; at < trials; at++) {
+	for (let index = 0; index < trials; index++) {
 		const start = await readLoad(fleet)
-		await trial(at)
-		const held = (await readLoad(fleet)).gateMs - start.gateMs
-		longest = Math.max(longest, held)
+		await trial(index)
+		const gateMs = (await readLoad(fleet)).gateMs - start.gateMs
+		longest = Math.max(longest, gateMs)
 	}
 	const after = await readLoad(fleet)
 	const changes = (after.switches - before.switches) / RANKS
@@ -145,8 +145,8 @@
 	return (await (await request(url)).body.json()) as GroupLoad
 }
 
-/** One caller that asks again and again until the fleet is stopped. */
-async function keepBusy(fleet: Fleet): Promise<void> {
+/** Runs a caller that sends one request after the other until the fleet is stopped. */
+async function runCaller(fleet: Fleet): Promise<void> {
 	const url = `http://${entryIp(fleet, 0)}:${PORTS.data}/v1/completions`
 	while (fleet.processes.size > 0) {
 		const body = JSON.stringify({
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -1,7 +1,8 @@
 /**
- * Cost of keeping requests that end servers from all servers: time a request, by what
- * is remembered and by the length of its body, and memory when all is full. How many
- * servers a request ends, and how many that ran beside it are barred by chance.
+ * Cost of the quarantine of poison requests: time per request by retained evidence and
+ * body length, and memory when the evidence is full. Also simulates how many servers a
+ * poison request crashes, and how many requests that ran beside it are quarantined by
+ * mistake.
  */
 
 import {
@@ -18,21 +19,21 @@
 import { createQuarantineGate } from '../packages/gateway/src/quarantineState.ts'
 import { isQuick, printTable } from './output.ts'
 
-const ENDS = 256
-const NAMED = 16
-/** Between ends, ms; more than ends that come together. */
-const APART_MS = 1_000
+const CRASHES = 256
+const REQUESTS_PER_CRASH = 16
+/** Time between crashes, ms; long enough that they do not count as simultaneous. */
+const CRASH_INTERVAL_MS = 1_000
 const MICRO = 1_000
 const KIB = 1_024
 
 const TRIALS = 3_000
-/** Requests that run beside the deadly one for the first time, at each end. */
-const NEW_BESIDE = 5
-const MOST_ROUNDS = 8
-/** Between two tries of the deadly request, ms: a group forms in between. */
-const TRY_MS = 4_000
+/** Requests that run beside the poison request for the first time, at each crash. */
+const NEW_CONCURRENT_REQUESTS = 5
+const MAX_ROUNDS = 8
+/** Time between attempts of the poison request, ms: the group re-forms in between. */
+const ATTEMPT_INTERVAL_MS = 4_000
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
 	const rounds = isQuick() ? 200 : 2_000
 	const full = fillGate(1_000)
@@ -40,88 +41,99 @@
 		[
 			String(bytes),
 			'nothing remembered',
-			timeOne(createQuarantineGate(), bytes, rounds),
+			timeRequest(createQuarantineGate(), bytes, rounds),
 		],
 		[
 			String(bytes),
 			'full, no body of that length',
-			timeOne(full, bytes + 1, rounds),
+			timeRequest(full, bytes + 1, rounds),
 		],
 		[
 			String(bytes),
 			'full, bodies of that length',
-			timeOne(fillGate(bytes), bytes, rounds),
+			timeRequest(fillGate(bytes), bytes, rounds),
 		],
 	])
 	printTable(['body bytes', 'remembered', 'µs a request'], rows)
 	printTable(
 		['servers', 'ends', 'ran beside it', 'barred for a time', 'still barred'],
-		[3, 16, 64].map(measureBeside),
+		[3, 16, 64].map(measureConcurrent),
 	)
 	printTable(
 		['full', 'value'],
 		[
-			['one more end judged, ms', timeEnd()],
+			['one more end judged, ms', timeCrash()],
 			['memory, KiB', measureMemory()],
 		],
 	)
 }
 
-/** Requests beside a deadly one, all of which come again once a server ended. */
-function measureBeside(servers: number): string[] {
+/**
+ * Simulates requests that run beside a poison request; all of them are sent again after
+ * each crash.
+ */
+function measureConcurrent(servers: number): string[] {
 	const random = createRandom(5)
-	let [ends, beside, barred, stillBarred] = [0, 0, 0, 0]
+	let [crashes, concurrent, quarantinedOnce, stillQuarantined] = [0, 0, 0, 0]
 	for (let trial = 0; trial < TRIALS; trial++) {
 		const quarantine = createQuarantine()
 		const hit = new Set<string>()
-		let again: string[] = []
-		for (let round = 0; round < MOST_ROUNDS; round++) {
-			if (listQuarantined(quarantine).includes('deadly')) break
-			const at = round * TRY_MS
-			const here = again.filter(() => randomIndex(random, servers) === 0)
-			const answered = again.filter(one => !here.includes(one))
+		let resent: string[] = []
+		for (let round = 0; round < MAX_ROUNDS; round++) {
+			if (listQuarantined(quarantine).includes('poison')) break
+			const at = round * ATTEMPT_INTERVAL_MS
+			const here = resent.filter(() => randomIndex(random, servers) === 0)
+			const answered = resent.filter(one => !here.includes(one))
 			const fresh = Array.from(
-				{ length: NEW_BESIDE },
+				{ length: NEW_CONCURRENT_REQUESTS },
 				(_, one) => `${round}-${one}`,
 			)
 			const running = [...here, ...fresh]
 			const ran = new Map(running.map(one => [one, 100 + random() * 1_500]))
-			ran.set('deadly', 40 + random() * 1_900)
+			ran.set('poison', 40 + random() * 1_900)
 			const end = { server: `server-${round}`, at, ran }
 			mergeCrashEvidence(quarantine, { ends: [end], served: [] }, at)
 			for (const one of listQuarantined(quarantine))
-				if (one !== 'deadly') hit.add(one)
+				if (one !== 'poison') hit.add(one)
 			const served = answered.map(fingerprint => ({ fingerprint, at: at + 10 }))
 			mergeCrashEvidence(quarantine, { ends: [], served }, at + 20)
-			ends++
-			beside += fresh.length
-			again = running
+			crashes++
+			concurrent += fresh.length
+			resent = running
 		}
-		barred += hit.size
-		stillBarred += listQuarantined(quarantine).filter(
-			one => one !== 'deadly',
+		quarantinedOnce += hit.size
+		stillQuarantined += listQuarantined(quarantine).filter(
+			one => one !== 'poison',
 		).length
 	}
-	return [servers, (ends / TRIALS).toFixed(2), beside, barred, stillBarred].map(
-		String,
-	)
+	return [
+		servers,
+		(crashes / TRIALS).toFixed(2),
+		concurrent,
+		quarantinedOnce,
+		stillQuarantined,
+	].map(String)
 }
 
 function fillGate(bodyLength: number): QuarantineGate {
 	const gate = createQuarantineGate()
-	const ends = Array.from({ length: ENDS }, (_, at) => ({
+	const ends = Array.from({ length: CRASHES }, (_, at) => ({
 		server: `server-${at}`,
-		at: at * APART_MS,
+		at: at * CRASH_INTERVAL_MS,
 		ran: new Map(
-			Array.from({ length: NAMED }, (_, one) => [
+			Array.from({ length: REQUESTS_PER_CRASH }, (_, one) => [
 				one === 0
-					? `${bodyLength.toString(36)}.deadly`
+					? `${bodyLength.toString(36)}.poison`
 					: `${bodyLength.toString(36)}.${at}-${one}`,
 				50,
 			]),
 		),
 	}))
-	mergeCrashEvidence(gate.quarantine, { ends, served: [] }, ENDS * APART_MS)
+	mergeCrashEvidence(
+		gate.quarantine,
+		{ ends, served: [] },
+		CRASHES * CRASH_INTERVAL_MS,
+	)
 	gate.bodyLengths = new Set(
 		[...gate.quarantine.suspects.keys()].map(bodyLengthOf),
 	)
@@ -129,24 +141,25 @@
 	return gate
 }
 
-function timeOne(gate: QuarantineGate, bytes: number, rounds: number): string {
+function timeRequest(
+	gate: QuarantineGate,
+	bytes: number,
+	rounds: number,
+): string {
 	const body = Buffer.alloc(bytes)
 	const request = { method: 'POST', path: '/x', team: undefined, body }
 	const startedAt = performance.now()
 	for (let round = 0; round < rounds; round++)
-		isQuarantined(
-			{ quarantineGate: gate } as never,
-			{ ...request } as CallerRequest,
-		)
+		isQuarantined({ gate } as never, { ...request } as CallerRequest)
 	return (((performance.now() - startedAt) * MICRO) / rounds).toFixed(2)
 }
 
-function timeEnd(): string {
+function timeCrash(): string {
 	const { quarantine } = fillGate(1_000)
 	const startedAt = performance.now()
 	const rounds = 50
 	for (let round = 0; round < rounds; round++) {
-		const at = (ENDS + round) * APART_MS
+		const at = (CRASHES + round) * CRASH_INTERVAL_MS
 		const ran = new Map([[`x.${round}`, 50]])
 		const ends = [{ server: `more-${round}`, at, ran }]
 		mergeCrashEvidence(quarantine, { ends, served: [] }, at)
@@ -157,8 +170,8 @@
 function measureMemory(): string {
 	globalThis.gc?.()
 	const before = process.memoryUsage().heapUsed
-	const kept = Array.from({ length: 10 }, (_, at) => fillGate(at))
+	const gates = Array.from({ length: 10 }, (_, at) => fillGate(at))
 	globalThis.gc?.()
 	const bytes = process.memoryUsage().heapUsed - before
-	return (bytes / kept.length / KIB).toFixed(0)
+	return (bytes / gates.length / KIB).toFixed(0)
 }
--- a/bench/rollback.ts
+++ b/bench/rollback.ts
@@ -1,6 +1,6 @@
 /**
- * What a store that comes back from an older copy costs: 36 entries and the agents that
- * may coordinate read it in one process; calls and bytes until all entries are right.
+ * Cost of a rollback of the store: 36 entries and the agents that may coordinate read
+ * it, all in one process. Measures calls and bytes until all entries are up to date.
  */
 
 import type { GatewayContext } from '@juniperhook/gateway'
@@ -20,37 +20,37 @@
 const ENTRIES = 36
 const RANKS = 192
 const PLAIN = 5
-/** Candidates for coordinator of two groups. */
+/** Agents that may coordinate one of two groups. */
 const READERS = 8
 const READ_MS = 1_000
-const AWAY_MS = [0, 1_000, 3_000] as const
-/** Changes that the copy lacks: servers that started again. */
-const LACKS = 24
-/** Until writers write again what the copy lacks, ms. */
+const OUTAGES_MS = [0, 1_000, 3_000] as const
+/** Changes that the older copy lacks: servers that restarted. */
+const LOST_CHANGES = 24
+/** Time within which writers write again what the copy lacks, ms. */
 const REWRITE_MS = 1_800
 const FIRST_PORT = 29_000
 const PORTS_EACH = 4
-const LOOK_MS = 20
-const MOST_MS = 20_000
+const POLL_INTERVAL_MS = 20
+const MAX_WAIT_MS = 20_000
 const SETTLE_MS = 6_000
 const CONTACT_MS = 3_000
 
 interface Fleet {
 	readonly store: FakeStore
 	readonly entries: GatewayContext[]
-	readonly lives: Map<string, number>
+	readonly incarnations: Map<string, number>
 	readonly sent: { calls: number; bytes: number }
-	nextLife: number
+	nextIncarnation: number
 }
 
-/** Prints calls, bytes and time for each time that the store is away. */
+/** Runs the benchmark: prints calls, bytes and time for each outage of the store. */
 export async function run(): Promise<void> {
 	const fleet = await startFleet()
 	const rows: string[][] = []
-	for (const awayMs of isQuick() ? AWAY_MS.slice(0, 1) : AWAY_MS)
-		rows.push(await playRewind(fleet, awayMs))
+	for (const outageMs of isQuick() ? OUTAGES_MS.slice(0, 1) : OUTAGES_MS)
+		rows.push(await measureRollback(fleet, outageMs))
 	print(
-		`${ENTRIES} entries, ${READERS} agents that read, ${RANKS + PLAIN} servers, ${LACKS} changes lost`,
+		`${ENTRIES} entries, ${READERS} agents that read, ${RANKS + PLAIN} servers, ${LOST_CHANGES} changes lost`,
 	)
 	printTable(
 		['store away', 'calls', 'KB', 'KB an entry', 'right after (ms)'],
@@ -63,9 +63,9 @@
 	const fleet: Fleet = {
 		store,
 		entries: [],
-		lives: new Map(),
+		incarnations: new Map(),
 		sent: { calls: 0, bytes: 0 },
-		nextLife: 1,
+		nextIncarnation: 1,
 	}
 	store.server.prependListener('request', (_req, res) => {
 		fleet.sent.calls++
@@ -76,10 +76,11 @@
 		}) as typeof res.end
 	})
 	store.put('op/config', buildConfig(1, false, 0))
-	for (let at = 0; at < RANKS + PLAIN; at++) startLife(fleet, at)
-	for (let at = 0; at < ENTRIES; at++)
-		fleet.entries.push(await startEntry(fleet, at))
-	for (let at = 0; at < READERS; at++)
+	for (let index = 0; index < RANKS + PLAIN; index++)
+		startIncarnation(fleet, index)
+	for (let index = 0; index < ENTRIES; index++)
+		fleet.entries.push(await startEntry(fleet, index))
+	for (let index = 0; index < READERS; index++)
 		void readGroups(createGroupSource(createClient(fleet)))
 	await sleep(SETTLE_MS)
 	return fleet
@@ -89,41 +90,49 @@
 	return createStoreClient(store.address, () => {})
 }
 
-/** Lists the next life of a server. */
-function startLife(fleet: Fleet, at: number): void {
-	fleet.lives.set(`i-${at}`, fleet.nextLife++)
-	write(fleet, at)
+/** Writes the record of a server's next incarnation. */
+function startIncarnation(fleet: Fleet, index: number): void {
+	fleet.incarnations.set(`i-${index}`, fleet.nextIncarnation++)
+	write(fleet, index)
 }
 
-function write({ store, lives }: Fleet, at: number): void {
-	const isRank = at < RANKS
-	const name = `i-${at}`
-	const entry = {
+function write({ store, incarnations }: Fleet, index: number): void {
+	const isRank = index < RANKS
+	const name = `i-${index}`
+	const serverRecord = {
 		service: isRank ? SERVICE_OF.stream : SERVICE_OF.once,
-		address: `127.78.${at >> 7}.${at & 127}:9000`,
-		zone: `zone-${at % 3}`,
+		address: `127.78.${index >> 7}.${index & 127}:9000`,
+		zone: `zone-${index % 3}`,
 		config_version: 'v1',
 		slots: 8,
 		cold_remaining_ms: 0,
 		sequence: 1,
-		born: lives.get(name),
+		born: incarnations.get(name),
 		phase: 'ready',
 		...(isRank && {
-			group: { name: `g${at % 2}`, rank: at >> 1, epoch: 1, phase: 'open' },
+			group: {
+				name: `g${index % 2}`,
+				rank: index >> 1,
+				epoch: 1,
+				phase: 'open',
+			},
 		}),
 	}
-	const text = JSON.stringify(entry)
+	const text = JSON.stringify(serverRecord)
 	const key = `servers/${name}`
 	if (store.items.get(key)?.value !== text) store.put(key, text)
 }
 
-async function startEntry(fleet: Fleet, at: number): Promise<GatewayContext> {
-	const ip = `127.0.${at >> 4}.${(at & 15) + 1}`
+async function startEntry(
+	fleet: Fleet,
+	index: number,
+): Promise<GatewayContext> {
+	const ip = `127.0.${index >> 4}.${(index & 15) + 1}`
 	const address = (offset: number) => `${ip}:${FIRST_PORT + offset}`
 	const settings = {
-		name: `entry-${at}`,
+		name: `entry-${index}`,
 		ip,
-		dataCentre: `zone-${at % 3}`,
+		dataCentre: `zone-${index % 3}`,
 		callers: address(0),
 		readiness: address(1),
 		control: address(2),
@@ -148,27 +157,34 @@
 	}
 }
 
-async function playRewind(fleet: Fleet, awayMs: number): Promise<string[]> {
+async function measureRollback(
+	fleet: Fleet,
+	outageMs: number,
+): Promise<string[]> {
 	const { store, sent } = fleet
-	for (let at = 0; at < LACKS; at++) startLife(fleet, at * 8)
+	for (let index = 0; index < LOST_CHANGES; index++)
+		startIncarnation(fleet, index * 8)
 	await sleep(SETTLE_MS)
 	const before = { ...sent }
-	const begunAt = performance.now()
+	const startedAt = performance.now()
 	store.mode = 'reset'
-	store.rollBack(store.revision - LACKS)
-	await sleep(awayMs)
+	store.rollBack(store.revision - LOST_CHANGES)
+	await sleep(outageMs)
 	store.mode = 'serve'
-	for (let at = 0; at < LACKS; at++)
-		setTimeout(() => write(fleet, at * 8), (REWRITE_MS * at) / LACKS)
-	// Right is all that was so before, and is so again when all is written.
+	for (let index = 0; index < LOST_CHANGES; index++)
+		setTimeout(
+			() => write(fleet, index * 8),
+			(REWRITE_MS * index) / LOST_CHANGES,
+		)
+	// Entries look up to date until they read the older copy, so all is rewritten first.
 	await sleep(REWRITE_MS)
-	while (!isRight(fleet) && performance.now() - begunAt < MOST_MS)
-		await sleep(LOOK_MS)
-	const tookMs = performance.now() - begunAt - awayMs
+	while (!isUpToDate(fleet) && performance.now() - startedAt < MAX_WAIT_MS)
+		await sleep(POLL_INTERVAL_MS)
+	const tookMs = performance.now() - startedAt - outageMs
 	const calls = sent.calls - before.calls
 	const kb = (sent.bytes - before.bytes) / 1_000
 	return [
-		`${awayMs} ms`,
+		`${outageMs} ms`,
 		String(calls),
 		kb.toFixed(0),
 		(kb / (ENTRIES + READERS)).toFixed(1),
@@ -176,13 +192,13 @@
 	]
 }
 
-/** Whether all entries send to the lives that are, and to all of them. */
-function isRight({ entries, lives }: Fleet): boolean {
+/** Whether all entries know exactly the present incarnations of all servers. */
+function isUpToDate({ entries, incarnations }: Fleet): boolean {
 	return entries.every(({ fleet, list }) => {
-		const isKnown = [...lives].every(
-			([name, life]) =>
-				list.records.get(name)?.server?.id === `${name}@${life}`,
+		const isKnown = [...incarnations].every(
+			([name, incarnation]) =>
+				list.records.get(name)?.server?.id === `${name}@${incarnation}`,
 		)
-		return isKnown && fleet.servers.length === lives.size
+		return isKnown && fleet.servers.length === incarnations.size
 	})
 }
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -1,12 +1,12 @@
 /**
- * Policies for the expert map of a lock-step group whose demand shifts every few
- * seconds, side by side on the same arrivals in virtual time.
+ * Compares policies for the expert map of a lock-step group whose demand shifts every
+ * few seconds, on the same arrivals in virtual time.
  */
 
 import { writeFileSync } from 'node:fs'
 import type { GroupMap, SetPlan } from '@juniperhook/core'
 import { computeSetSkew, passFactor, planMap, planSet } from '@juniperhook/core'
-import type { ExpertGroup, ExpertWorkload } from '@juniperhook/fakes'
+import type { ExpertWorkload, ExpertGroup } from '@juniperhook/fakes'
 import {
 	createExpertGroup,
 	demandOf,
@@ -15,15 +15,15 @@
 } from '@juniperhook/fakes'
 import type { Demand } from '@juniperhook/groups'
 import {
-	addChoices,
-	computeExpertShares,
 	createDemand,
 	refreshDemand,
+	computeExpertShares,
+	addChoices,
 } from '@juniperhook/groups'
 import { isQuick, print, printTable } from './output.ts'
 
-/** Figures as the users' configuration tells them. */
-const DAY: ExpertWorkload = {
+/** Figures of the users' configuration. */
+const WORKLOAD: ExpertWorkload = {
 	ranks: 16,
 	layout: {
 		sets: 4,
@@ -47,7 +47,7 @@
 	lengthMs: 34_000,
 	seed: 20261202,
 }
-const DAYS: { name: string; change: Partial<ExpertWorkload> }[] = [
+const WORKLOADS: { name: string; change: Partial<ExpertWorkload> }[] = [
 	{ name: 'quiet', change: {} },
 	{ name: 'peak', change: { arrivalsPerSecond: 72 } },
 	{
@@ -56,30 +56,36 @@
 			ranks: 72,
 			slots: 7,
 			arrivalsPerSecond: 188,
-			layout: { ...DAY.layout, sets: 12, experts: 144, places: 3, maxNew: 1 },
+			layout: {
+				...WORKLOAD.layout,
+				sets: 12,
+				experts: 144,
+				places: 3,
+				maxNew: 1,
+			},
 		},
 	},
 ]
 
-/** Between readings of counts, ms; the agents' own figure. */
-const COUNTS_MS = 200
-/** From the end of copying to a map in use, ms. */
+/** Interval of reading counts, ms; the same as the agents'. */
+const COUNT_INTERVAL_MS = 200
+/** Time from the end of copying until the map is in use, ms. */
 const ARM_MS = 150
-/** Choices of a pass, to turn demand into counts. */
-const CHOICES = 100_000
+/** Expert choices per pass, by which demand is converted to counts. */
+const CHOICES_PER_PASS = 100_000
 const MAX_PAUSE_MS = 120
 
 type Policy =
 	| 'never'
-	/** Towards balance whenever there is anything to gain. */
+	/** Rebalances whenever the map can be improved. */
 	| 'always'
-	/** All experts placed anew for the demand of the moment. */
+	/** Places all experts anew for the present demand. */
 	| 'full'
-	/** When the most loaded rank passes 1.5 times the mean. */
+	/** Rebalances when the load of the most loaded rank exceeds 1.5 times the mean. */
 	| 'threshold'
-	/** What the agents do. */
+	/** The agents' policy. */
 	| 'present'
-	/** Balance for the demand of this very pass, at once and free. */
+	/** Lower bound: balances for the demand of each pass, at once and without cost. */
 	| 'bound'
 
 const POLICIES: Policy[] = [
@@ -92,46 +98,50 @@
 ]
 const THRESHOLD = 1.5
 
-interface Played {
+interface PolicyResult {
 	readonly day: string
 	readonly policy: Policy
 	readonly mean: number
 	readonly p50: number
 	readonly p99: number
-	/** Part of passes longer than the longest pause in time. */
+	/** Share of the time spent in passes longer than {@link MAX_PAUSE_MS}. */
 	readonly late: number
 	readonly copies: number
 	readonly changes: number
 }
 
-function play(name: string, day: ExpertWorkload, policy: Policy): Played {
-	const group = createExpertGroup(day)
-	const { sets, experts } = day.layout
+function simulate(
+	name: string,
+	workload: ExpertWorkload,
+	policy: Policy,
+): PolicyResult {
+	const group = createExpertGroup(workload)
+	const { sets, experts } = workload.layout
 	const demand = createDemand(sets, experts)
 	const counts = new Array<number>(sets * experts).fill(0)
 	let countedAt = 0
-	let coming: { map: GroupMap; at: number } | undefined
-	while (group.nowMs < day.lengthMs) {
+	let pending: { map: GroupMap; at: number } | undefined
+	while (group.nowMs < workload.lengthMs) {
 		if (policy === 'bound') group.map = planAll(group, demandOf(group), 1)
 		const now = demandOf(group)
 		simulatePass(group)
-		for (const [at, share] of now.entries())
-			counts[at]! += Math.round(share * CHOICES)
-		if (coming && group.nowMs >= coming.at) {
-			group.map = coming.map
+		for (const [expert, share] of now.entries())
+			counts[expert]! += Math.round(share * CHOICES_PER_PASS)
+		if (pending && group.nowMs >= pending.at) {
+			group.map = pending.map
 			group.changes++
-			coming = undefined
+			pending = undefined
 		}
-		if (group.nowMs - countedAt < COUNTS_MS) continue
+		if (group.nowMs - countedAt < COUNT_INTERVAL_MS) continue
 		countedAt = group.nowMs
 		addChoices(demand, counts)
 		refreshDemand(demand, group.nowMs)
 		counts.fill(0)
-		if (coming || demand.totalChoices === 0) continue
+		if (pending || demand.totalChoices === 0) continue
 		const map = decide(group, demand, policy)
 		if (!map) continue
 		const copyMs = startCopies(group, map)
-		coming = { map, at: group.nowMs + copyMs + ARM_MS }
+		pending = { map, at: group.nowMs + copyMs + ARM_MS }
 	}
 	return summarize(name, policy, group)
 }
@@ -163,33 +173,33 @@
 				? planAll(group, flat, 1)
 				: undefined
 		case 'present': {
-			const paces = new Array<number>(group.workload.ranks).fill(1)
+			const slowdowns = new Array<number>(group.workload.ranks).fill(1)
 			const cost = {
 				copyMs: (layout.expertMb * 8_000) / group.workload.linkMbps,
 				overheadMs: ARM_MS,
 				steadyMs: group.workload.shiftEveryMs,
 			}
-			const basis = { map: group.map, shares, layout, paces, cost }
-			return finish(planMap(basis))?.placements
+			const basis = { map: group.map, shares, layout, paces: slowdowns, cost }
+			return runToEnd(planMap(basis))?.placements
 		}
 		default:
 			return policy satisfies never
 	}
 }
 
-function finish<T>(steps: Generator<void, T>): T {
+function runToEnd<T>(steps: Generator<void, T>): T {
 	for (;;) {
 		const step = steps.next()
 		if (step.done) return step.value
 	}
 }
 
-/** Plans all sets; `anew` from the map that a group forms with. */
+/** Plans all sets; with `fromScratch`, starting from the map with which a group forms. */
 function planAll(
 	group: ExpertGroup,
 	shares: Float64Array,
 	target: number,
-	anew = false,
+	fromScratch = false,
 ): GroupMap {
 	const { layout, ranks } = group.workload
 	const free = { ...layout, maxNew: layout.places }
@@ -198,44 +208,57 @@
 			set * layout.experts,
 			(set + 1) * layout.experts,
 		)
-		const from = anew ? dealt(ranks, layout.experts) : placement
-		const plan: SetPlan = planSet(from, share, anew ? free : layout, [], target)
+		const from = fromScratch
+			? assignRoundRobin(ranks, layout.experts)
+			: placement
+		const plan: SetPlan = planSet(
+			from,
+			share,
+			fromScratch ? free : layout,
+			[],
+			target,
+		)
 		return plan.placement
 	})
 }
 
-function dealt(ranks: number, experts: number): number[][] {
+function assignRoundRobin(ranks: number, experts: number): number[][] {
 	const byRank: number[][] = Array.from({ length: ranks }, () => [])
 	for (let expert = 0; expert < experts; expert++)
 		byRank[expert % ranks]!.push(expert)
 	return byRank
 }
 
-function summarize(day: string, policy: Policy, group: ExpertGroup): Played {
+function summarize(
+	day: string,
+	policy: Policy,
+	group: ExpertGroup,
+): PolicyResult {
 	const passes = [...group.passes].sort((a, b) => a - b)
-	const at = (share: number) => passes[Math.floor(share * (passes.length - 1))]!
-	// By time, not by number: long passes are what streams stand in.
+	const quantile = (share: number) =>
+		passes[Math.floor(share * (passes.length - 1))]!
+	// Weighted by time instead of number, as streams spend more time in long passes.
 	const total = passes.reduce((sum, pass) => sum + pass, 0)
 	const late = passes.filter(pass => pass > MAX_PAUSE_MS)
 	return {
 		day,
 		policy,
 		mean: total / passes.length,
-		p50: at(0.5),
-		p99: at(0.99),
+		p50: quantile(0.5),
+		p99: quantile(0.99),
 		late: late.reduce((sum, pass) => sum + pass, 0) / total,
 		copies: group.copies,
 		changes: group.changes,
 	}
 }
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function run(): Promise<void> {
-	const days = isQuick() ? DAYS.slice(0, 1) : DAYS
-	const rows: Played[] = []
+	const days = isQuick() ? WORKLOADS.slice(0, 1) : WORKLOADS
+	const rows: PolicyResult[] = []
 	for (const { name, change } of days)
 		for (const policy of POLICIES)
-			rows.push(play(name, { ...DAY, ...change }, policy))
+			rows.push(simulate(name, { ...WORKLOAD, ...change }, policy))
 	printTable(
 		['day', 'policy', 'mean ms', 'p50', 'p99', 'late', 'copies', 'changes'],
 		rows.map(row => [
@@ -258,12 +281,12 @@
 const ROW = 20
 const MARGIN = 150
 
-/** Bars of mean pass time, with the copies beside them. */
-function draw(rows: readonly Played[]): string {
-	const most = Math.max(...rows.map(row => row.mean))
+/** Draws bars of the mean pass time, labelled with the number of copies. */
+function draw(rows: readonly PolicyResult[]): string {
+	const maxMean = Math.max(...rows.map(row => row.mean))
 	const bars = rows.map((row, at) => {
 		const y = 30 + at * ROW
-		const width = ((WIDTH - MARGIN - 120) * row.mean) / most
+		const width = ((WIDTH - MARGIN - 120) * row.mean) / maxMean
 		const colour = row.policy === 'present' ? '#1b6ca8' : '#999'
 		return [
 			`<text x="${MARGIN - 6}" y="${y + 12}" text-anchor="end">${row.day}, ${row.policy}</text>`,
--- a/soak/src/backoffs.ts
+++ b/soak/src/backoffs.ts
@@ -1,94 +1,117 @@
 /**
- * Servers that for a while turn away what entries send them and ask each for rest. What
- * an entry sends a server meanwhile is judged.
+ * Servers that for a while refuse requests and ask the sending entry to back off. The
+ * check counts what an entry sends to a server during a backoff that the server
+ * requested.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { createRandom } from '@juniperhook/core'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
+import { isUndisturbed } from './disturbances.ts'
 import type { BackendServer } from './servers.ts'
-import { isCalm } from './disturbances.ts'
-import { breakPromise, count, drawBetween, drawOf, sleep } from './types.ts'
+import {
+	count,
+	randomBetween,
+	randomItem,
+	recordViolation,
+	sleep,
+} from './types.ts'
 import type { World } from './world.ts'
 
-const REST_MS = [200, 3_000] as const
-/** For how long a server turns requests away, ms. */
-const LASTS_MS = [300, 2_500] as const
+/** Range of requested backoffs, ms. */
+const BACKOFF_MS = [200, 3_000] as const
+/** Range of times during which a server refuses requests, ms. */
+const DURATION_MS = [300, 2_500] as const
+/** Range of pauses between such times, ms. */
 const PAUSE_MS = [100, 1_200] as const
-/** Part of the requests that are turned away meanwhile. */
-const TURNED_AWAY = 0.7
-/** Part of the times at which all servers of a service do so. */
-const ALL_TOGETHER = 0.15
-/** What was under way still comes, ms; with this machine's own delays. */
-const UNDER_WAY_MS = 500 + 250
-const MOST_IN_REST = 2
+/** Ratio of requests that are refused during that time. */
+const REFUSED_RATIO = 0.7
+/** Ratio of cases in which all servers of the service refuse together. */
+const WHOLE_SERVICE_RATIO = 0.15
+/**
+ * Time for requests already in flight, ms, plus an allowance for delays of this
+ * machine.
+ */
+const IN_FLIGHT_MS = 500 + 250
+/** Limit on requests that an entry sends to a server during a backoff. */
+const MAX_DURING_BACKOFF = 2
 
-/** A rest that a server asked an entry for. */
-interface AskedRest {
+/** A backoff that a server requested from an entry; times in ms. */
+interface RequestedBackoff {
 	readonly serverId: string
 	readonly entry: number
-	/** The entry's life. */
-	readonly life: number
+	/** The entry's incarnation. */
+	readonly incarnation: number
 	readonly at: number
 	readonly until: number
 }
 
-/** A request that reached a server. */
+/** A request that reached a server; `at` in ms. */
 interface Arrival {
 	readonly serverId: string
 	readonly entry: number
-	readonly life: number
+	readonly incarnation: number
 	readonly at: number
 }
 
-/** What servers asked for, and what came. */
-export interface RestLog {
-	readonly rests: AskedRest[]
+/** Requested backoffs, and all requests that reached servers. */
+export interface BackoffLog {
+	readonly backoffs: RequestedBackoff[]
 	readonly arrivals: Arrival[]
 }
 
-/** Makes an empty log. */
-export function createRestLog(): RestLog {
-	return { rests: [], arrivals: [] }
+/** Creates an empty log. */
+export function createBackoffLog(): BackoffLog {
+	return { backoffs: [], arrivals: [] }
 }
 
-/** Lets servers ask for rest, until the soak is over; all of a service before it calms. */
-export async function playRests(world: World): Promise<void> {
+/**
+ * Lets servers request backoffs until the soak ends. All servers of a service do so
+ * together only in the fault phase, as recovery is measured afterwards.
+ */
+export async function injectBackoffs(world: World): Promise<void> {
 	const { options, servers } = world
 	const random = createRandom(options.seed + 5)
-	const calmAt = performance.now() + options.faultMs
-	while (!world.over) {
-		await sleep(drawBetween(random, ...PAUSE_MS))
-		const one = drawOf(random, servers.all)
-		const isAll = random() < ALL_TOGETHER && performance.now() < calmAt
-		const some = isAll
-			? servers.all.filter(({ service }) => service === one.service)
-			: [one]
-		const ids = some.map(({ id }) => id)
-		for (const backend of some) backend.turnsAway = true
-		await sleep(drawBetween(random, ...LASTS_MS))
-		for (const backend of some) backend.turnsAway = false
-		count(world.record, 'servers that asked for rest', ids.length)
+	const faultsEndAt = performance.now() + options.faultPhaseMs
+	while (!world.finished) {
+		await sleep(randomBetween(random, ...PAUSE_MS))
+		const chosen = randomItem(random, servers.all)
+		const isWholeService =
+			random() < WHOLE_SERVICE_RATIO && performance.now() < faultsEndAt
+		const refusing = isWholeService
+			? servers.all.filter(({ service }) => service === chosen.service)
+			: [chosen]
+		const ids = refusing.map(({ id }) => id)
+		for (const backend of refusing) backend.requestsBackoff = true
+		await sleep(randomBetween(random, ...DURATION_MS))
+		for (const backend of refusing) backend.requestsBackoff = false
+		count(world.record, 'servers that requested backoffs', ids.length)
 	}
 }
 
-/** Notes a request that has come; true when it has been turned away. */
-export function turnAway(
+/** Records a request at a server; returns true if it was refused with a backoff. */
+export function refuseWithBackoff(
 	world: World,
 	backend: BackendServer,
 	req: IncomingMessage,
 	res: ServerResponse,
 ): boolean {
-	const asked = world.record.asked.get(String(req.headers[WIRE.requestId]))
-	if (!asked) return false
+	const request = world.record.requests.get(String(req.headers[WIRE.requestId]))
+	if (!request) return false
 	const { id: serverId } = backend
-	const { entry, life } = asked
+	const { entry, incarnation } = request
 	const at = performance.now()
-	world.restLog.arrivals.push({ serverId, entry, life, at })
+	world.backoffLog.arrivals.push({ serverId, entry, incarnation, at })
 	const { random } = world.servers
-	if (!backend.turnsAway || random() >= TURNED_AWAY) return false
-	const forMs = drawBetween(random, ...REST_MS)
-	world.restLog.rests.push({ serverId, entry, life, at, until: at + forMs })
+	if (!backend.requestsBackoff || random() >= REFUSED_RATIO) return false
+	const forMs = randomBetween(random, ...BACKOFF_MS)
+	world.backoffLog.backoffs.push({
+		serverId,
+		entry,
+		incarnation,
+		at,
+		until: at + forMs,
+	})
 	const head = {
 		[WIRE.notRun]: '1',
 		[SIGNAL_HEADERS.restMs]: (forMs / 1_000).toFixed(3),
@@ -97,26 +120,27 @@
 	return true
 }
 
-/** Judges what came from entries within rests that they had been asked for. */
-export function judgeRests(world: World): void {
-	const { rests, arrivals } = world.restLog
-	count(world.record, 'rests asked for', rests.length)
-	for (const { serverId, entry, life, at, until } of rests) {
-		const from = at + UNDER_WAY_MS
-		if (!isCalm(world.troubles, `entry-${entry}`, at, until)) continue
+/** Checks what undisturbed entries sent during backoffs requested from them. */
+export function checkBackoffs(world: World): void {
+	const { backoffs, arrivals } = world.backoffLog
+	count(world.record, 'backoffs requested', backoffs.length)
+	for (const { serverId, entry, incarnation, at, until } of backoffs) {
+		const from = at + IN_FLIGHT_MS
+		if (!isUndisturbed(world.disturbances, `entry-${entry}`, at, until))
+			continue
 		const within = arrivals.filter(
 			one =>
 				one.serverId === serverId &&
 				one.entry === entry &&
-				one.life === life &&
+				one.incarnation === incarnation &&
 				one.at >= from &&
 				one.at < until,
 		)
-		if (within.length <= MOST_IN_REST) continue
-		breakPromise(
+		if (within.length <= MAX_DURING_BACKOFF) continue
+		recordViolation(
 			world.record,
 			'BUDGET',
-			`${serverId} asked entry-${entry} for ${Math.round(until - at)} ms of rest and got ${within.length}`,
+			`${serverId} asked entry-${entry} for ${Math.round(until - at)} ms of backoff and received ${within.length} requests`,
 		)
 	}
 }
--- a/soak/src/engineApi.ts
+++ b/soak/src/engineApi.ts
@@ -1,4 +1,4 @@
-/** The calls that an engine takes from agents, over the stand-in group. */
+/** An engine's HTTP API for agents, served by the fake group. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { EngineOrder, OrderAnswer, RankReport } from '@juniperhook/core'
@@ -6,8 +6,8 @@
 
 const STATUS_OF = { done: 200, conflict: 409, fenced: 412 } as const
 
-/** Answers a call; an order that is lost gets no answer. */
-export async function answerControl(
+/** Handles an agent's call; an order that the group loses gets no response. */
+export async function handleEngineCall(
 	group: FakeGroup,
 	engine: string,
 	req: IncomingMessage,
@@ -27,20 +27,23 @@
 			return
 		}
 		case 'GET /v1/picked?lists=1': {
-			const told = await port.placement(engine)
-			const map = { config_version: told?.map, experts: told?.experts }
-			reply(res, told && { epoch: told.epoch, map })
+			const placement = await port.placement(engine)
+			const map = {
+				config_version: placement?.map,
+				experts: placement?.experts,
+			}
+			reply(res, placement && { epoch: placement.epoch, map })
 			return
 		}
 		case 'POST /v1/order':
-			answerOrder(res, await port.order(engine, toOrder(JSON.parse(body))))
+			replyToOrder(res, await port.order(engine, parseOrder(JSON.parse(body))))
 			return
 		default:
 			res.writeHead(404).end()
 	}
 }
 
-function answerOrder(res: ServerResponse, answer: OrderAnswer): void {
+function replyToOrder(res: ServerResponse, answer: OrderAnswer): void {
 	if (answer === 'silent') return
 	res.writeHead(STATUS_OF[answer]).end()
 }
@@ -84,7 +87,7 @@
 	readonly map: number[][][]
 }
 
-function toOrder(wire: WireOrder): EngineOrder {
+function parseOrder(wire: WireOrder): EngineOrder {
 	const { operation: type, epoch, step, map } = wire
 	const fence = wire.fencing_token
 	const version = wire.config_version
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,13 +1,13 @@
 /**
- * `npm run soak -- --seeds N`: soaks with seeds one after the other; prints what
- * each met and every promise that was broken.
+ * `npm run soak -- --seeds N`: runs soaks with consecutive seeds and prints the counts
+ * of each and every broken promise.
  */
 
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { parseArgs } from 'node:util'
 import { runSoak } from './soak.ts'
-import type { Record, SoakOptions } from './types.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
 
 const { values } = parseArgs({
 	options: {
@@ -34,39 +34,39 @@
 		seed,
 		entries: Number(values.entries),
 		ranks: Number(values.ranks),
-		plain: Number(values.plain),
+		plainServers: Number(values.plain),
 		clients: Number(values.clients),
-		faultMs: Number(values.seconds) * 1_000,
+		faultPhaseMs: Number(values.seconds) * 1_000,
 		faults: Number(values.faults),
 		net: Number(values.net),
-		only: values.only,
-		deadly: !values.harmless,
-		limited: !values.unlimited,
-		rests: !values.restless,
-		rewinds: !values.steady,
-		timed: true,
+		faultFilter: values.only,
+		poisonRequest: !values.harmless,
+		rateLimits: !values.unlimited,
+		backoffs: !values.restless,
+		rollbacks: !values.steady,
+		checksTiming: true,
 		folder: join(tmpdir(), 'juniperhook-soak', `seed-${seed}`),
 	}
 }
 
-function print(options: SoakOptions, record: Record): void {
-	const { counts, broken } = record
-	const get = (what: string) => counts.get(what) ?? 0
-	const faults = [...counts].filter(([what]) => what.startsWith('fault: '))
+function print(options: SoakOptions, record: SoakRecord): void {
+	const { counts, violations } = record
+	const get = (label: string) => counts.get(label) ?? 0
+	const faults = [...counts].filter(([label]) => label.startsWith('fault: '))
 	const line = [
 		`seed ${options.seed}`,
 		`${faults.reduce((sum, [, times]) => sum + times, 0)} faults`,
-		`${record.asked.size} requests`,
+		`${record.requests.size} requests`,
 		`${get('answers with 200')} served`,
 		`${get('served after recovery')} of ${get('requests after recovery')} after recovery`,
-		`${broken.length} promises broken`,
+		`${violations.length} promises broken`,
 	]
 	process.stdout.write(`${line.join(', ')}\n`)
-	for (const one of broken.slice(0, 12)) process.stdout.write(`  ${one}\n`)
-	if (broken.length > 0) process.stdout.write(`  logs: ${options.folder}\n`)
-	if (!values.verbose && broken.length === 0) return
-	for (const [what, times] of [...counts].sort())
-		process.stdout.write(`    ${what}: ${times}\n`)
+	for (const one of violations.slice(0, 12)) process.stdout.write(`  ${one}\n`)
+	if (violations.length > 0) process.stdout.write(`  logs: ${options.folder}\n`)
+	if (!values.verbose && violations.length === 0) return
+	for (const [label, times] of [...counts].sort())
+		process.stdout.write(`    ${label}: ${times}\n`)
 }
 
 const first = Number(values.seed)
@@ -75,7 +75,7 @@
 	const options = optionsFor(seed)
 	const record = await runSoak(options)
 	print(options, record)
-	if (record.broken.length > 0) failed++
+	if (record.violations.length > 0) failed++
 }
 process.stdout.write(`${values.seeds} seeds, ${failed} with broken promises\n`)
 process.exit(failed === 0 ? 0 : 1)
--- a/soak/src/processes.ts
+++ b/soak/src/processes.ts
@@ -1,6 +1,6 @@
 /**
- * The product's processes: each is started with a settings file, told by signals
- * and started again when it ends, as a platform would.
+ * The product's processes. As on the platform, each gets a settings file, is signalled
+ * when that changes, and is restarted when it exits.
  */
 
 import type { ChildProcess } from 'node:child_process'
@@ -17,21 +17,22 @@
 	relayIp,
 } from './addresses.ts'
 import { RETRIES } from './config.ts'
-import type { Record, SoakOptions } from './types.ts'
-import { breakPromise, count } from './types.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
+import { count, recordViolation } from './types.ts'
 
 const BUNDLE = fileURLToPath(
 	new URL('../../platform/dist/main.js', import.meta.url),
 )
+/** Time from the exit of a process to its restart, ms. */
 const RESTART_MS = 150
-/** Far beyond what Node takes to run its first line, also on a busy machine, ms. */
+/** Ample time for Node to start and run main.js, also on a busy machine, ms. */
 const NODE_START_MS = 1_000
-/** From SIGTERM to SIGKILL, ms. */
+/** Time from SIGTERM to SIGKILL, ms. */
 export const GRACE_MS = 5_000
-const SEEDS = 2
+const SEED_NODES = 2
 
-/** One process with all its lives. */
-export interface Managed {
+/** One process of the product over all its incarnations. */
+export interface ManagedProcess {
 	readonly name: string
 	readonly role: 'entry' | 'agent'
 	/** Number of the entry, or rank of the agent. */
@@ -39,58 +40,58 @@
 	readonly settingsPath: string
 	readonly logPath: string
 	child: ChildProcess | undefined
-	/** Starts so far. */
-	life: number
-	/** When the present life was started, ms. */
+	/** Number of the present incarnation: starts so far. */
+	incarnation: number
+	/** When the present incarnation was started, ms. */
 	startedAt: number
-	/** Whether the soak has told the present life to end. */
-	told: boolean
-	/** When the present life was told to stop by SIGTERM, ms. */
-	stoppingAt: number | undefined
-	/** When a life was last killed without warning, ms. */
+	/** Whether the soak has stopped or killed the present incarnation. */
+	endRequested: boolean
+	/** When the present incarnation was sent SIGTERM, ms. */
+	stopRequestedAt: number | undefined
+	/** When an incarnation was last sent SIGKILL, ms. */
 	killedAt: number
-	/** Whether it is to be started again when it ends. */
-	wanted: boolean
+	/** Whether it is restarted when it exits. */
+	keepRunning: boolean
 }
 
-/** Makes a process's folder and settings; it is not started. */
+/** Creates a process's folder and settings file without starting it. */
 export function prepareProcess(
 	options: SoakOptions,
-	role: Managed['role'],
+	role: ManagedProcess['role'],
 	index: number,
-): Managed {
+): ManagedProcess {
 	const name = `${role}-${index}`
 	mkdirSync(options.folder, { recursive: true })
 	const settingsPath = join(options.folder, `${name}.conf`)
-	const managed: Managed = {
+	const managed: ManagedProcess = {
 		name,
 		role,
 		index,
 		settingsPath,
 		logPath: join(options.folder, `${name}.log`),
 		child: undefined,
-		life: 0,
+		incarnation: 0,
 		startedAt: 0,
-		told: false,
-		stoppingAt: undefined,
+		endRequested: false,
+		stopRequestedAt: undefined,
 		killedAt: 0,
-		wanted: true,
+		keepRunning: true,
 	}
 	writeSettings(options, managed, 0)
 	return managed
 }
 
-/** Writes a settings file; `edition` makes it differ from the last one. */
+/** Writes a settings file; `edition` makes it differ from the previous one. */
 export function writeSettings(
 	options: SoakOptions,
-	{ role, index, name, settingsPath }: Managed,
+	{ role, index, name, settingsPath }: ManagedProcess,
 	edition: number,
 ): void {
 	const { net } = options
 	const ip = role === 'entry' ? entryIp(net, index) : agentIp(net, index)
 	const storeIp =
 		role === 'entry' ? entryStoreIp(net, index) : agentStoreIp(net, index)
-	const seeds = Array.from({ length: SEEDS }, (_, at) => entryIp(net, at))
+	const seeds = Array.from({ length: SEED_NODES }, (_, at) => entryIp(net, at))
 	const lines = [
 		`node_name=${name}`,
 		`machine_class=${role}`,
@@ -119,10 +120,10 @@
 	writeFileSync(settingsPath, `${lines.join('\n')}\n`)
 }
 
-/** Starts a process; it is started again whenever it ends while it is wanted. */
+/** Starts a process; it is restarted on each exit while `keepRunning` is set. */
 export function startProcess(
-	record: Record,
-	managed: Managed,
+	record: SoakRecord,
+	managed: ManagedProcess,
 	bundle = BUNDLE,
 ): void {
 	const log = openSync(managed.logPath, 'a')
@@ -131,49 +132,52 @@
 		stdio: ['ignore', log, log],
 	})
 	managed.child = child
-	managed.life++
+	managed.incarnation++
 	managed.startedAt = performance.now()
-	managed.told = false
-	managed.stoppingAt = undefined
+	managed.endRequested = false
+	managed.stopRequestedAt = undefined
 	child.on('exit', (code, signal) => {
 		managed.child = undefined
-		if (!managed.told)
-			breakPromise(
+		if (!managed.endRequested)
+			recordViolation(
 				record,
 				'ENDED',
-				`${managed.name} ended by itself: ${code ?? signal}`,
+				`${managed.name} exited by itself: ${code ?? signal}`,
 			)
-		if (managed.wanted)
+		if (managed.keepRunning)
 			setTimeout(() => {
-				if (managed.wanted) startProcess(record, managed, bundle)
+				if (managed.keepRunning) startProcess(record, managed, bundle)
 			}, RESTART_MS)
 	})
 }
 
 /**
- * Tells a process that its settings have changed. Until Node has started and
- * main.js runs, SIGHUP ends a process; none that young is told.
+ * Signals a process that its settings have changed. SIGHUP would end a process that has
+ * not installed its handler yet, so one that has just been started is not signalled.
  */
-export function signalSettings({ child, startedAt }: Managed): void {
+export function signalSettingsChange({
+	child,
+	startedAt,
+}: ManagedProcess): void {
 	if (performance.now() - startedAt > NODE_START_MS) child?.kill('SIGHUP')
 }
 
-/** Kills a process without warning. */
-export function killProcess(record: Record, managed: Managed): void {
+/** Kills a process with SIGKILL. */
+export function killProcess(record: SoakRecord, managed: ManagedProcess): void {
 	if (!managed.child) return
 	count(record, `kills of ${managed.role}`)
-	managed.told = true
+	managed.endRequested = true
 	managed.killedAt = performance.now()
 	managed.child.kill('SIGKILL')
 }
 
-/** Asks a process to stop; it is killed when its time is over. */
-export function stopProcess(record: Record, managed: Managed): void {
+/** Stops a process with SIGTERM; kills it after {@link GRACE_MS}. */
+export function stopProcess(record: SoakRecord, managed: ManagedProcess): void {
 	const { child } = managed
-	if (!child || managed.stoppingAt !== undefined) return
+	if (!child || managed.stopRequestedAt !== undefined) return
 	count(record, `stops of ${managed.role}`)
-	managed.told = true
-	managed.stoppingAt = performance.now()
+	managed.endRequested = true
+	managed.stopRequestedAt = performance.now()
 	child.kill('SIGTERM')
 	setTimeout(() => {
 		if (managed.child !== child) return
@@ -183,12 +187,12 @@
 }
 
 /**
- * Ends a process for good; resolves when it is gone. On a busy machine that takes
- * longer than until the next soak binds its addresses.
+ * Kills a process for good; resolves when it has exited. On a busy machine the next
+ * soak would otherwise bind its addresses before this process has released them.
  */
-export function endProcess(managed: Managed): Promise<void> {
-	managed.wanted = false
-	managed.told = true
+export function terminateProcess(managed: ManagedProcess): Promise<void> {
+	managed.keepRunning = false
+	managed.endRequested = true
 	const { child } = managed
 	if (!child) return Promise.resolve()
 	child.kill('SIGKILL')
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -1,7 +1,6 @@
 /**
- * Backend servers of a soak: plain ones, and the ranks of one lock-step group.
- * They run in the soak's own process, misbehave as they are told, and note what
- * they run.
+ * Backend servers of a soak: plain ones, and the ranks of one lock-step group. They run
+ * in the soak's own process, misbehave as configured, and record what they run.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -12,86 +11,90 @@
 import { addressOf } from '../../packages/groups/test/fakeGroup.ts'
 import { SIGNAL_HEADERS, WIRE } from '../../platform/src/index.ts'
 import { PORTS, relayIp, serverIp } from './addresses.ts'
-import { DEADLY_MS, DEADLY_PATH } from './poisonRequest.ts'
-import { answerControl } from './engineApi.ts'
-import { judgeRun } from './checks.ts'
-import type { NamedLimit } from './rateLimits.ts'
-import { takeUnderLimit } from './rateLimits.ts'
-import type { Record, Run } from './types.ts'
-import { count, drawBetween, sleep } from './types.ts'
+import { checkRun } from './checks.ts'
+import { handleEngineCall } from './engineApi.ts'
+import { POISON_CRASH_DELAY_MS, POISON_PATH } from './poisonRequest.ts'
+import type { ReportedLimit } from './rateLimits.ts'
+import { recordArrival } from './rateLimits.ts'
+import type { Run, SoakRecord } from './types.ts'
+import { count, randomBetween, sleep } from './types.ts'
 
-/** Events of a whole stream. */
+/** Number of events of a complete stream. */
 export const STREAM_EVENTS = 6
 const EVENT_MS = 15
 const WORK_MS = [3, 25] as const
-/** Some work takes so long that a caller who leaves can be seen to free it, ms. */
+/**
+ * Duration of a small ratio of runs, ms: long enough to detect whether a server is
+ * freed when the caller abandons its request.
+ */
 const LONG_WORK_MS = 1_200
-const LONG_PART = 0.06
-/** A rank of a group that broke stands still this long, then refuses, ms. */
+const LONG_WORK_RATIO = 0.06
+/** Time that a rank of a broken group takes to refuse a request, ms. */
 const STALL_MS = 300
 
-/** How a server treats what it runs; parts of the requests, 0 to 1. */
+/** Misbehaviour of a server; except for `slow`, ratios of its requests, 0 to 1. */
 export interface Misbehaviour {
-	/** Runs it and resets the connection. */
+	/** Runs the request and resets the connection. */
 	reset: number
-	/** Runs it and never answers. */
+	/** Runs the request and never answers. */
 	hang: number
-	/** Answers half. */
+	/** Closes the connection in the middle of the answer. */
 	cut: number
-	/** Runs it and answers 500. */
+	/** Runs the request and answers 500. */
 	fail: number
-	/** Sends a second answer after the first. */
+	/** Sends a second, unrequested answer after the first. */
 	extra: number
-	/** Takes so many times longer. */
+	/** Factor by which all work takes longer; 1 is normal. */
 	slow: number
 }
 
-/** A server that does as it should. */
-export function behave(): Misbehaviour {
+/** Returns the behaviour of a correct server. */
+export function noMisbehaviour(): Misbehaviour {
 	return { reset: 0, hang: 0, cut: 0, fail: 0, extra: 0, slow: 1 }
 }
 
-/** One place where a backend server runs. */
+/** A backend server at one address, over all its incarnations. */
 export interface BackendServer {
 	readonly index: number
 	readonly service: string
-	/** Its rank; undefined for a plain server. */
+	/** Rank in the group; undefined for a plain server. */
 	readonly rank: number | undefined
-	/** As it is listed. */
+	/** Address in the server's record. */
 	readonly address: string
 	server: Server | undefined
-	/** What it is listed under and answers to; every second restart keeps it. */
+	/** Name of its record, which requests may expect; every second restart keeps it. */
 	name: string
 	/** Start of the present incarnation, Unix ms. */
 	bornAt: number
-	/** Of the present incarnation. */
+	/** Id of the present incarnation. */
 	id: string
-	/** Whether it has said that it leaves. */
+	/** Whether it has announced that it is leaving. */
 	leaving: boolean
 	misbehaviour: Misbehaviour
-	/** What it names in its answers for now. */
-	limit: NamedLimit | undefined
-	/** Whether it turns requests away and asks for rest. */
-	turnsAway: boolean
+	/** Rate limit that its answers report at present. */
+	limit: ReportedLimit | undefined
+	/** Whether it refuses requests and asks for a backoff. */
+	requestsBackoff: boolean
 }
 
 /** All backend servers. */
 export interface Servers {
 	readonly all: BackendServer[]
 	readonly group: FakeGroup
-	readonly record: Record
+	readonly record: SoakRecord
 	readonly random: Random
 	readonly net: number
-	/** Part of the group's ranks that run; it serves while all do. */
+	/** Whether the group serves: it does while all its ranks run. */
 	groupOpen: boolean
-	/** What a server does that has run a deadly request. */
-	onDeadly: (backend: BackendServer) => void
-	/** Turns a request away if the server is to; true when it has. */
-	turnAway: (
+	/** Called when a server has run the poison request. */
+	onPoisonRequest: (backend: BackendServer) => void
+	/** Refuses a request if the server requests a backoff; returns whether it did. */
+	refuseWithBackoff: (
 		backend: BackendServer,
 		req: IncomingMessage,
 		res: ServerResponse,
 	) => boolean
+	/** Number of incarnations started so far. */
 	incarnations: number
 }
 
@@ -108,8 +111,8 @@
 	backend.leaving = false
 	const { id, name } = backend
 	const server = createServer((req, res) => {
-		answer(servers, backend, { id, name }, req, res).catch(err => {
-			servers.record.broken.push(`SOAK: ${String(err?.stack ?? err)}`)
+		handleRequest(servers, backend, { id, name }, req, res).catch(err => {
+			servers.record.violations.push(`SOAK: ${String(err?.stack ?? err)}`)
 		})
 	})
 	server.keepAliveTimeout = 4_000
@@ -121,19 +124,19 @@
 	})
 }
 
-/** Ends a server at once; its connections are reset. */
+/** Stops a server at once and closes its connections. */
 export function crashServer(backend: BackendServer): void {
 	backend.server?.closeAllConnections()
 	backend.server?.close()
 	backend.server = undefined
 }
 
-/** The address that a server is listed under. */
+/** Returns the address for a server's record: that of its relay. */
 export function listedAddress(net: number, index: number): string {
 	return `${relayIp(net, index)}:${PORTS.engine}`
 }
 
-async function answer(
+async function handleRequest(
 	servers: Servers,
 	backend: BackendServer,
 	{ id, name }: Pick<BackendServer, 'id' | 'name'>,
@@ -144,10 +147,10 @@
 	const isControl = req.url?.startsWith('/v1/') && !req.headers[WIRE.requestId]
 	if (isControl && backend.rank !== undefined) {
 		const engine = addressOf(backend.rank)
-		await answerControl(servers.group, engine, req, body, res)
+		await handleEngineCall(servers.group, engine, req, body, res)
 		return
 	}
-	for (const [name, value] of Object.entries(takeUnderLimit(backend, req)))
+	for (const [name, value] of Object.entries(recordArrival(backend, req)))
 		res.setHeader(name, value)
 	if (backend.leaving) res.setHeader(SIGNAL_HEADERS.leaving, '1')
 	const expected = req.headers[WIRE.expectServer]
@@ -160,60 +163,62 @@
 		res.writeHead(503, { [WIRE.notRun]: '1', [WIRE.atFault]: name }).end()
 		return
 	}
-	if (servers.turnAway(backend, req, res)) return
-	const run = judgeRun(servers.record, id, req, body)
+	if (servers.refuseWithBackoff(backend, req, res)) return
+	const run = checkRun(servers.record, id, req, body)
 	res.on('close', () => {
 		run.endedAt ??= performance.now()
 	})
-	if (req.url === DEADLY_PATH) {
-		await sleep(DEADLY_MS)
-		servers.onDeadly(backend)
+	if (req.url === POISON_PATH) {
+		await sleep(POISON_CRASH_DELAY_MS)
+		servers.onPoisonRequest(backend)
 		return
 	}
-	if (backend.rank === undefined) await serveWhole(servers, backend, run, res)
+	if (backend.rank === undefined) await serveAnswer(servers, backend, run, res)
 	else await serveStream(servers, backend, run, req, res)
 }
 
-/** What a whole answer to a request is. */
+/** Returns the body of a complete answer to a request. */
 export function bodyOf(id: string): string {
 	return `the whole answer to ${id} `.repeat(8)
 }
 
-async function serveWhole(
+async function serveAnswer(
 	servers: Servers,
 	{ misbehaviour }: BackendServer,
 	run: Run,
 	res: ServerResponse,
 ): Promise<void> {
 	const { random, record } = servers
-	const usual = drawBetween(random, ...WORK_MS) * misbehaviour.slow
-	await sleep(random() < LONG_PART ? LONG_WORK_MS : usual)
+	const usual = randomBetween(random, ...WORK_MS) * misbehaviour.slow
+	await sleep(random() < LONG_WORK_RATIO ? LONG_WORK_MS : usual)
 	run.endedAt ??= performance.now()
 	const head = { [WIRE.requestId]: run.id, [WIRE.seal]: `seal-${run.serverId}` }
 	const text = bodyOf(run.id)
-	const dice = random()
+	const draw = random()
 	const { reset, hang, cut, fail, extra } = misbehaviour
-	if (dice < reset) {
+	if (draw < reset) {
 		count(record, 'answers lost by a reset')
 		res.socket?.resetAndDestroy()
-	} else if (dice < reset + hang) {
+	} else if (draw < reset + hang) {
 		count(record, 'answers never sent')
-	} else if (dice < reset + hang + cut) {
+	} else if (draw < reset + hang + cut) {
 		count(record, 'answers cut')
 		res.writeHead(200, { ...head, 'Content-Length': text.length })
 		res.write(text.slice(0, 40))
 		setTimeout(() => res.socket?.destroy(), 5)
-	} else if (dice < reset + hang + cut + fail) {
+	} else if (draw < reset + hang + cut + fail) {
 		count(record, 'answers of 500')
 		res.writeHead(500, head).end('failed')
 	} else {
 		res.writeHead(200, head).end(text)
-		if (dice > 1 - extra) sendExtra(record, res)
+		if (draw > 1 - extra) sendExtra(record, res)
 	}
 }
 
-/** Bytes of another answer where the next one is expected. */
-function sendExtra(record: Record, res: ServerResponse): void {
+/**
+ * Sends an unrequested answer, where the client expects the answer to its next request.
+ */
+function sendExtra(record: SoakRecord, res: ServerResponse): void {
 	count(record, 'answers sent twice')
 	res.socket?.write(
 		`HTTP/1.1 200 OK\r\n${WIRE.requestId}: other\r\n${WIRE.seal}: seal\r\nContent-Length: 5\r\n\r\nother`,
@@ -229,7 +234,7 @@
 ): Promise<void> {
 	const { misbehaviour } = backend
 	const from = Number(req.headers[WIRE.lastEventId] ?? 0) + 1
-	const breaksAt =
+	const cutAt =
 		servers.random() < misbehaviour.cut
 			? from + Math.floor(servers.random() * 4)
 			: 0
@@ -241,8 +246,8 @@
 	})
 	for (let event = from; event <= STREAM_EVENTS; event++) {
 		if (res.destroyed) return
-		if (event === breaksAt || !servers.groupOpen) {
-			count(servers.record, 'streams broken off')
+		if (event === cutAt || !servers.groupOpen) {
+			count(servers.record, 'streams cut')
 			res.write(`id: ${event}\ndata: ${run.id} ev`)
 			setTimeout(() => res.socket?.destroy(), 3)
 			return
@@ -258,8 +263,8 @@
 	return new Promise(resolve => {
 		let text = ''
 		req.setEncoding('utf8')
-		req.on('data', part => {
-			text += part
+		req.on('data', chunk => {
+			text += chunk
 		})
 		req.on('end', () => resolve(text))
 		req.on('error', () => resolve(text))
--- a/soak/src/soak.ts
+++ b/soak/src/soak.ts
@@ -1,33 +1,37 @@
-/** One soak: a world under load and faults, then calm, then the verdict. */
+/** One soak: load and faults, then a time without faults, then the final checks. */
 
 import { rmSync } from 'node:fs'
+import { checkBackoffs, injectBackoffs, refuseWithBackoff } from './backoffs.ts'
 import { runCaller } from './callers.ts'
-import { judgeDeadly, runDeadlyCaller, watchForgetting } from './poisonRequest.ts'
-import { endUnderRequest, playFaults } from './faults.ts'
-import { watchHeld } from './unavailability.ts'
-import { judgeLeavings } from './leaving.ts'
-import { judgeLimits, playLimits } from './rateLimits.ts'
-import { judgeRests, playRests, turnAway } from './backoffs.ts'
-import { playRewinds } from './rollbacks.ts'
+import { crashUnderPoisonRequest, injectFaults } from './faults.ts'
+import { checkRecord } from './finalChecks.ts'
+import { checkLeaving } from './leaving.ts'
+import {
+	checkPoisonRequest,
+	runPoisonCaller,
+	watchEntryOutages,
+} from './poisonRequest.ts'
+import { checkRateLimits, injectRateLimits } from './rateLimits.ts'
+import { injectRollbacks } from './rollbacks.ts'
 import { watchStalls } from './stalls.ts'
-import type { Record, SoakOptions } from './types.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
 import { sleep } from './types.ts'
-import { judgeWhole } from './finalChecks.ts'
+import { watchUnavailability } from './unavailability.ts'
 import { startWorld, stopWorld } from './world.ts'
 
-/** A soak that is interrupted ends the processes that it started. */
+/** Signals on which an interrupted soak kills the processes that it started. */
 const SIGNALS = ['SIGINT', 'SIGTERM'] as const
-/** Until all processes serve, ms. */
+/** Time for all processes to start serving, ms. */
 const START_MS = 2_500
-/** After the last fault, until recovery is due, ms. */
+/** Time from the last fault until recovery is due, ms. */
 const RECOVERY_MS = 7_000
-/** Calm in which recovery is judged, ms. */
-const JUDGED_MS = 3_000
-/** Requests that are under way at the end, ms. */
-const LAST_ANSWERS_MS = 2_500
+/** Time without faults in which recovery is measured, ms. */
+const MEASURED_MS = 3_000
+/** Time for requests in flight at the end, ms. */
+const FINAL_ANSWERS_MS = 2_500
 
-/** Runs a soak; its folder is kept when a promise was broken. */
-export async function runSoak(options: SoakOptions): Promise<Record> {
+/** Runs a soak; its folder with settings and logs is kept if a promise was broken. */
+export async function runSoak(options: SoakOptions): Promise<SoakRecord> {
 	rmSync(options.folder, { recursive: true, force: true })
 	const world = await startWorld(options)
 	const interrupt = () => {
@@ -36,36 +40,38 @@
 	}
 	for (const signal of SIGNALS) process.once(signal, interrupt)
 	await sleep(START_MS)
-	const callers = Array.from({ length: options.clients }, (_, number) =>
-		runCaller(world, number),
+	const callers = Array.from({ length: options.clients }, (_, caller) =>
+		runCaller(world, caller),
 	)
-	if (options.deadly) {
-		world.servers.onDeadly = backend => endUnderRequest(world, backend)
-		void runDeadlyCaller(world)
-		void watchForgetting(world)
+	if (options.poisonRequest) {
+		world.servers.onPoisonRequest = backend =>
+			crashUnderPoisonRequest(world, backend)
+		void runPoisonCaller(world)
+		void watchEntryOutages(world)
 	}
-	if (options.limited) void playLimits(world)
-	if (options.rests) {
-		world.servers.turnAway = (...args) => turnAway(world, ...args)
-		void playRests(world)
+	if (options.rateLimits) void injectRateLimits(world)
+	if (options.backoffs) {
+		world.servers.refuseWithBackoff = (...args) =>
+			refuseWithBackoff(world, ...args)
+		void injectBackoffs(world)
 	}
-	if (options.rewinds) void playRewinds(world)
-	await playFaults(world)
+	if (options.rollbacks) void injectRollbacks(world)
+	await injectFaults(world)
 	await sleep(RECOVERY_MS)
-	const calmSince = performance.now()
+	const recoveryDueAt = performance.now()
 	const stall = watchStalls()
-	void watchHeld(world)
-	await sleep(JUDGED_MS)
-	world.over = true
-	await Promise.race([Promise.all(callers), sleep(LAST_ANSWERS_MS)])
-	judgeWhole(world, calmSince, stall.end())
-	if (options.deadly) judgeDeadly(world)
-	if (options.timed && options.limited) judgeLimits(world)
-	if (options.timed) judgeRests(world)
-	judgeLeavings(world)
+	void watchUnavailability(world)
+	await sleep(MEASURED_MS)
+	world.finished = true
+	await Promise.race([Promise.all(callers), sleep(FINAL_ANSWERS_MS)])
+	checkRecord(world, recoveryDueAt, stall.stop())
+	if (options.poisonRequest) checkPoisonRequest(world)
+	if (options.checksTiming && options.rateLimits) checkRateLimits(world)
+	if (options.checksTiming) checkBackoffs(world)
+	checkLeaving(world)
 	await stopWorld(world)
 	for (const signal of SIGNALS) process.removeListener(signal, interrupt)
-	if (world.record.broken.length === 0)
+	if (world.record.violations.length === 0)
 		rmSync(options.folder, { recursive: true, force: true })
 	return world.record
 }
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -1,4 +1,4 @@
-/** Everything a soak runs: store, relays, backend servers and processes. */
+/** Everything that a soak runs: store, relays, backend servers and processes. */
 
 import { createRandom } from '@juniperhook/core'
 import type { Relay } from '@juniperhook/fakes'
@@ -14,64 +14,69 @@
 	relayIp,
 	serverIp,
 } from './addresses.ts'
+import type { BackoffLog } from './backoffs.ts'
+import { createBackoffLog } from './backoffs.ts'
 import { buildConfig, SERVICE_OF } from './config.ts'
-import type { HeldMoment } from './unavailability.ts'
-import type { PassedLeaving } from './leaving.ts'
-import type { NamedLimit } from './rateLimits.ts'
-import type { Managed } from './processes.ts'
-import { endProcess, prepareProcess, startProcess } from './processes.ts'
-import type { RestLog } from './backoffs.ts'
-import { createRestLog } from './backoffs.ts'
+import type { Disturbances } from './disturbances.ts'
+import { createDisturbances } from './disturbances.ts'
+import type { RelayedLeaving } from './leaving.ts'
+import type { ManagedProcess } from './processes.ts'
+import { prepareProcess, startProcess, terminateProcess } from './processes.ts'
+import type { ReportedLimit } from './rateLimits.ts'
 import type { BackendServer, Servers } from './servers.ts'
-import { behave, crashServer, listedAddress, startServer } from './servers.ts'
-import type { Troubles } from './disturbances.ts'
-import { createTroubles } from './disturbances.ts'
-import type { Record, SoakOptions } from './types.ts'
+import {
+	crashServer,
+	listedAddress,
+	noMisbehaviour,
+	startServer,
+} from './servers.ts'
+import type { SoakOptions, SoakRecord } from './types.ts'
 import { createRecord } from './types.ts'
+import type { UnavailableMoment } from './unavailability.ts'
 
 const SLOTS = 8
 
-/** A version of the configuration, and when the store took it. */
+/** A version of the configuration, and when it was written to the store. */
 export interface PublishedVersion {
 	readonly version: number
 	readonly at: number
-	readonly keepsDoomed: boolean
+	readonly keepsRevokedKey: boolean
 }
 
 /** A running soak. */
 export interface World {
 	readonly options: SoakOptions
-	readonly record: Record
-	readonly troubles: Troubles
+	readonly record: SoakRecord
+	readonly disturbances: Disturbances
 	readonly store: FakeStore
-	/** What writers last wrote, by key; they write it again when the store lacks it. */
-	readonly written: Map<string, string | undefined>
+	/** Last value written by key; written again when a rollback has lost it. */
+	readonly lastWritten: Map<string, string | undefined>
 	readonly servers: Servers
-	readonly entries: Managed[]
-	readonly agents: Managed[]
-	/** Relays to backend servers, and to agents beside them. */
+	readonly entries: ManagedProcess[]
+	readonly agents: ManagedProcess[]
+	/** Relays to backend servers, and to the agents of ranks. */
 	readonly serverRelays: Relay[]
 	readonly agentRelays: Relay[]
-	/** Relays to the store, entries' first. */
+	/** Relays to the store: those of entries, then those of agents. */
 	readonly storeRelays: Relay[]
 	readonly published: PublishedVersion[]
-	/** How often the configuration has grown by many routes. */
+	/** How often the configuration has grown; see {@link buildConfig}. */
 	growths: number
-	/** When the store was told that a server leaves or is gone, by id. */
-	readonly leftAt: Map<string, number>
-	/** When no entry was running, ms. */
-	readonly forgotAt: number[]
-	/** Limits that servers have named. */
-	readonly limits: NamedLimit[]
-	/** Rests that servers have asked for, and what came. */
-	readonly restLog: RestLog
-	readonly passedLeavings: PassedLeaving[]
-	readonly heldMoments: HeldMoment[]
-	/** Set when the soak is over. */
-	over: boolean
+	/** When the store recorded that a server is leaving or gone, by server id. */
+	readonly leavingAt: Map<string, number>
+	/** Times at which no entry was running, so that crash evidence was lost, ms. */
+	readonly evidenceLostAt: number[]
+	/** Rate limits that servers have reported. */
+	readonly limits: ReportedLimit[]
+	/** Backoffs that servers have requested, and the requests that reached them. */
+	readonly backoffLog: BackoffLog
+	readonly relayedLeavings: RelayedLeaving[]
+	readonly unavailableMoments: UnavailableMoment[]
+	/** Set when the soak ends. */
+	finished: boolean
 }
 
-/** Starts a world; processes are started and need a moment. */
+/** Starts everything; the processes need a moment until they serve. */
 export async function startWorld(options: SoakOptions): Promise<World> {
 	const { net, seed } = options
 	const record = createRecord()
@@ -84,16 +89,16 @@
 		random: createRandom(seed + 1),
 		net,
 		groupOpen: true,
-		onDeadly: () => {},
-		turnAway: () => false,
+		onPoisonRequest: () => {},
+		refuseWithBackoff: () => false,
 		incarnations: 0,
 	}
 	const world: World = {
 		options,
 		record,
-		troubles: createTroubles(),
+		disturbances: createDisturbances(),
 		store,
-		written: new Map(),
+		lastWritten: new Map(),
 		servers,
 		entries: [],
 		agents: [],
@@ -102,22 +107,22 @@
 		storeRelays: [],
 		published: [],
 		growths: 0,
-		leftAt: new Map(),
-		forgotAt: [],
+		leavingAt: new Map(),
+		evidenceLostAt: [],
 		limits: [],
-		restLog: createRestLog(),
-		passedLeavings: [],
-		heldMoments: [],
-		over: false,
+		backoffLog: createBackoffLog(),
+		relayedLeavings: [],
+		unavailableMoments: [],
+		finished: false,
 	}
 	publish(world, 1, true)
-	for (let at = 0; at < options.ranks + options.plain; at++)
-		await addServer(world, at)
+	for (let n = 0; n < options.ranks + options.plainServers; n++)
+		await addServer(world, n)
 	const storePort = Number(store.address.split(':')[1])
-	for (let at = 0; at < options.entries; at++)
-		world.entries.push(prepareProcess(options, 'entry', at))
-	for (let at = 0; at < options.ranks; at++)
-		world.agents.push(prepareProcess(options, 'agent', at))
+	for (let n = 0; n < options.entries; n++)
+		world.entries.push(prepareProcess(options, 'entry', n))
+	for (let n = 0; n < options.ranks; n++)
+		world.agents.push(prepareProcess(options, 'agent', n))
 	for (const { role, index } of [...world.entries, ...world.agents]) {
 		const ip = role === 'entry' ? entryStoreIp : agentStoreIp
 		world.storeRelays.push(
@@ -143,9 +148,9 @@
 		bornAt: 0,
 		id: '',
 		leaving: false,
-		misbehaviour: behave(),
+		misbehaviour: noMisbehaviour(),
 		limit: undefined,
-		turnsAway: false,
+		requestsBackoff: false,
 	}
 	servers.all.push(backend)
 	await startServer(servers, backend)
@@ -161,16 +166,16 @@
 }
 
 function write(world: World, key: string, value: string | undefined): void {
-	world.written.set(key, value)
+	world.lastWritten.set(key, value)
 	world.store.put(key, value)
 }
 
-/** Writes a server's entry. */
+/** Writes a server's record to the store. */
 export function listServer(world: World, backend: BackendServer): void {
 	const { id, name, service, address, rank, leaving, index } = backend
 	const { epoch } = world.servers.group
 	const phase = world.servers.groupOpen ? 'open' : 'broken'
-	const entry = {
+	const serverRecord = {
 		service,
 		address,
 		zone: `zone-${index % 2}`,
@@ -184,34 +189,34 @@
 			group: { name: 'g', rank, epoch, phase },
 		}),
 	}
-	write(world, `servers/${name}`, JSON.stringify(entry))
-	if (leaving) world.leftAt.set(id, performance.now())
+	write(world, `servers/${name}`, JSON.stringify(serverRecord))
+	if (leaving) world.leavingAt.set(id, performance.now())
 }
 
-/** Takes a server's entry away. */
+/** Removes a server's record from the store. */
 export function unlistServer(
 	world: World,
 	{ id, name }: Pick<BackendServer, 'id' | 'name'>,
 ): void {
 	write(world, `servers/${name}`, undefined)
-	if (!world.leftAt.has(id)) world.leftAt.set(id, performance.now())
+	if (!world.leavingAt.has(id)) world.leavingAt.set(id, performance.now())
 }
 
 /** Publishes a version of the configuration. */
 export function publish(
 	world: World,
 	version: number,
-	keepsDoomed: boolean,
+	keepsRevokedKey: boolean,
 ): void {
-	const text = buildConfig(version, keepsDoomed, world.growths)
+	const text = buildConfig(version, keepsRevokedKey, world.growths)
 	write(world, 'op/config', text)
-	world.published.push({ version, at: performance.now(), keepsDoomed })
+	world.published.push({ version, at: performance.now(), keepsRevokedKey })
 }
 
-/** Ends everything that the soak started; resolves when its processes are gone. */
+/** Stops everything that the soak started; resolves when its processes have exited. */
 export async function stopWorld(world: World): Promise<void> {
 	const managed = [...world.entries, ...world.agents]
-	const ended = Promise.all(managed.map(endProcess))
+	const ended = Promise.all(managed.map(terminateProcess))
 	for (const relay of allRelays(world)) stopRelay(relay)
 	for (const backend of world.servers.all) crashServer(backend)
 	world.servers.group.stop()
@@ -220,7 +225,7 @@
 	await ended
 }
 
-/** Every relay. */
+/** Returns all relays. */
 export function allRelays(world: World): Relay[] {
 	return [...world.serverRelays, ...world.agentRelays, ...world.storeRelays]
 }
--- a/soak/test/checks.test.ts
+++ b/soak/test/checks.test.ts
@@ -1,34 +1,34 @@
-/** The soak's judges: each promise that is broken is seen. */
+/** The soak's checks detect each kind of broken promise, and only those. */
 
 import type { IncomingMessage } from 'node:http'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { WIRE } from '../../platform/src/index.ts'
+import { checkBackoffs } from '../src/backoffs.ts'
+import type { CallerAnswer } from '../src/checks.ts'
+import { checkAnswer, checkPartialStream, checkRun } from '../src/checks.ts'
 import { SERVICE_OF } from '../src/config.ts'
-import { isHeldRightly } from '../src/unavailability.ts'
-import type { Got } from '../src/checks.ts'
-import { judgeAnswer, judgePart, judgeRun } from '../src/checks.ts'
-import { judgeLeavings } from '../src/leaving.ts'
-import { judgeRests } from '../src/backoffs.ts'
-import { createTroubles } from '../src/disturbances.ts'
-import type { Asked, Record } from '../src/types.ts'
+import { createDisturbances } from '../src/disturbances.ts'
+import { checkLeaving } from '../src/leaving.ts'
+import type { RequestRecord, SoakRecord } from '../src/types.ts'
 import { createRecord } from '../src/types.ts'
+import { isRefusalJustified } from '../src/unavailability.ts'
 import type { World } from '../src/world.ts'
 
-const ASKED: Asked = {
+const REQUEST: RequestRecord = {
 	id: 'a',
 	kind: 'once',
 	path: '/o/1',
 	body: 'body',
 	team: 'rangers',
 	entry: 0,
-	life: 1,
+	incarnation: 1,
 	sentAt: 0,
-	givenUpAt: 1_000,
+	timeoutAt: 1_000,
 	deadlineAt: 1_000,
-	leftAt: undefined,
-	gaveUp: false,
-	promisedAt: undefined,
+	abandonedAt: undefined,
+	callerTimedOut: false,
+	promisedNotRunAt: undefined,
 	answeredAt: undefined,
 	status: 0,
 	error: '',
@@ -38,226 +38,261 @@
 	[WIRE.team]: 'rangers',
 	[WIRE.deadlineMs]: '900',
 }
-const WHOLE = 'the whole answer'
-const GOT: Got = {
+const COMPLETE_BODY = 'the whole answer'
+const ANSWER: CallerAnswer = {
 	status: 200,
 	seal: 'seal',
-	answeredId: 'a',
+	requestId: 'a',
 	retryAfter: undefined,
-	body: WHOLE,
-	whole: true,
+	body: COMPLETE_BODY,
+	complete: true,
 }
 
-function runIt(record: Record, change: object = {}, body = 'body'): void {
+function run(record: SoakRecord, change: object = {}, body = 'body'): void {
 	const headers = { ...HEADERS, ...change }
 	const req = { url: '/o/1', headers } as unknown as IncomingMessage
-	judgeRun(record, 's', req, body)
+	checkRun(record, 's', req, body)
 }
 
 const CASES: {
 	name: string
-	deed: (record: Record) => void
-	/** Promises that are broken. */
+	act: (record: SoakRecord) => void
+	/** Names of the promises reported as broken. */
 	broken: string[]
 }[] = [
-	{ name: 'a run and its answer', deed: record => answer(record), broken: [] },
+	{ name: 'a run and its answer', act: record => answer(record), broken: [] },
 	{
 		name: 'a run of a request never sent',
-		deed: record => runIt(record, { [WIRE.requestId]: 'b' }),
+		act: record => run(record, { [WIRE.requestId]: 'b' }),
 		broken: ['UNASKED'],
 	},
 	{
 		name: 'a changed body',
-		deed: record => runIt(record, {}, 'other'),
+		act: record => run(record, {}, 'other'),
 		broken: ['UNASKED'],
 	},
 	{
 		name: 'another team',
-		deed: record => runIt(record, { [WIRE.team]: 'guests' }),
+		act: record => run(record, { [WIRE.team]: 'guests' }),
 		broken: ['UNASKED'],
 	},
 	{
-		name: 'a key shown to the server',
-		deed: record => runIt(record, { authorization: 'Token k' }),
+		name: 'an API key passed on to the server',
+		act: record => run(record, { authorization: 'Token k' }),
 		broken: ['UNASKED'],
 	},
 	{
-		name: 'two runs of what may run once',
-		deed(record) {
-			runIt(record)
-			runIt(record)
+		name: 'two runs of a request that may run once',
+		act(record) {
+			run(record)
+			run(record)
 		},
 		broken: ['TWICE'],
 	},
 	{
-		name: 'a refusal of what has run',
-		deed: record => answer(record, { status: 503, body: '' }),
+		name: 'a refusal of a request that has run',
+		act: record => answer(record, { status: 503, body: '' }),
 		broken: ['REFUSED'],
 	},
 	{
 		name: 'a run after a refusal',
-		deed(record) {
-			judgeAnswer(record, askedIn(record), { ...GOT, status: 503 }, WHOLE)
-			runIt(record)
+		act(record) {
+			checkAnswer(
+				record,
+				requestIn(record),
+				{ ...ANSWER, status: 503 },
+				COMPLETE_BODY,
+			)
+			run(record)
 		},
 		broken: ['REFUSED'],
 	},
 	{
 		name: "another request's answer",
-		deed: record => answer(record, { answeredId: 'b' }),
+		act: record => answer(record, { requestId: 'b' }),
 		broken: ['MIXED'],
 	},
 	{
-		name: 'half an answer that looks whole',
-		deed: record => answer(record, { body: 'the whole' }),
+		name: 'a short answer that ends by its framing',
+		act: record => answer(record, { body: 'the whole' }),
 		broken: ['MIXED'],
 	},
 	{
 		name: 'a success without a run',
-		deed: record => judgeAnswer(record, askedIn(record), GOT, WHOLE),
+		act: record =>
+			checkAnswer(record, requestIn(record), ANSWER, COMPLETE_BODY),
 		broken: ['MIXED'],
 	},
 	{
-		name: 'a part of a stream in order',
-		deed: record => judgePart(record, askedIn(record), 'the', WHOLE),
+		name: 'a truncated stream in order',
+		act: record =>
+			checkPartialStream(record, requestIn(record), 'the', COMPLETE_BODY),
 		broken: [],
 	},
 	{
-		name: 'a part of a stream that is missing',
-		deed: record => judgePart(record, askedIn(record), 'whole', WHOLE),
+		name: 'a truncated stream without its beginning',
+		act: record =>
+			checkPartialStream(record, requestIn(record), 'whole', COMPLETE_BODY),
 		broken: ['ORDER'],
 	},
 ]
 
-function askedIn(record: Record): Asked {
-	return record.asked.get('a')!
+function requestIn(record: SoakRecord): RequestRecord {
+	return record.requests.get('a')!
 }
 
-function answer(record: Record, change: Partial<Got> = {}): void {
-	runIt(record)
-	judgeAnswer(record, askedIn(record), { ...GOT, ...change }, WHOLE)
+function answer(record: SoakRecord, change: Partial<CallerAnswer> = {}): void {
+	run(record)
+	checkAnswer(
+		record,
+		requestIn(record),
+		{ ...ANSWER, ...change },
+		COMPLETE_BODY,
+	)
 }
 
-for (const { name, deed, broken } of CASES)
-	test(`soak judge: ${name}`, () => {
+for (const { name, act, broken } of CASES)
+	test(`soak checks: ${name}`, () => {
 		const record = createRecord()
-		record.asked.set('a', { ...ASKED })
-		deed(record)
-		const promises = record.broken.map(line => line.split(':')[0])
+		record.requests.set('a', { ...REQUEST })
+		act(record)
+		const promises = record.violations.map(line => line.split(':')[0])
 		assert.equal(promises, broken)
 	})
 
-/** A world as far as the judges of rests and leavings look at it. */
-function worldOf(part: object): World {
+/** Creates a world with only what the checks of backoffs and leaving read. */
+function createWorld(state: object): World {
 	const record = createRecord()
-	return { record, troubles: createTroubles(), ...part } as unknown as World
+	return {
+		record,
+		disturbances: createDisturbances(),
+		...state,
+	} as unknown as World
 }
 
-interface SpokenCase {
+interface ArrivalCase {
 	readonly name: string
-	/** When requests came to the server, ms. */
+	/** When requests were sent or arrived at the server, ms. */
 	readonly arrivals: readonly number[]
-	/** Whether the entry was in trouble meanwhile. */
-	readonly troubled?: boolean
+	/** Whether the entry was disturbed meanwhile. */
+	readonly disturbed?: boolean
 	readonly broken: number
 }
-const RESTS: readonly SpokenCase[] = [
-	{ name: 'two late requests', arrivals: [100, 200, 900, 950], broken: 0 },
-	{ name: 'three late requests', arrivals: [900, 950, 1_000], broken: 1 },
+const BACKOFF_CASES: readonly ArrivalCase[] = [
+	{
+		name: 'two requests after those in flight',
+		arrivals: [100, 200, 900, 950],
+		broken: 0,
+	},
+	{
+		name: 'three requests after those in flight',
+		arrivals: [900, 950, 1_000],
+		broken: 1,
+	},
 	{ name: 'requests after it', arrivals: [3_001, 3_002, 3_003], broken: 0 },
 	{
-		name: 'an entry in trouble',
+		name: 'three requests of a disturbed entry',
 		arrivals: [900, 950, 1_000],
-		troubled: true,
+		disturbed: true,
 		broken: 0,
 	},
 ]
-for (const { name, arrivals, troubled, broken } of RESTS)
-	test(`judge of rests: ${name}`, () => {
-		const who = { serverId: 's', entry: 0, life: 1 }
-		const world = worldOf({
-			restLog: {
-				rests: [{ ...who, at: 0, until: 3_000 }],
-				arrivals: arrivals.map(at => ({ ...who, at })),
+for (const { name, arrivals, disturbed, broken } of BACKOFF_CASES)
+	test(`check of backoffs: ${name}`, () => {
+		const sender = { serverId: 's', entry: 0, incarnation: 1 }
+		const world = createWorld({
+			backoffLog: {
+				backoffs: [{ ...sender, at: 0, until: 3_000 }],
+				arrivals: arrivals.map(at => ({ ...sender, at })),
 			},
 		})
-		if (troubled)
-			world.troubles.spans.push({ who: 'entry-0', from: 500, until: 600 })
-		judgeRests(world)
-		assert.is(world.record.broken.length, broken)
+		if (disturbed)
+			world.disturbances.spans.push({ vm: 'entry-0', from: 500, until: 600 })
+		checkBackoffs(world)
+		assert.is(world.record.violations.length, broken)
 	})
 
-/** No server of the plain service is free for entry 0 at that moment. */
-const HELD_AT = 500
-const REFUSED: Asked = {
-	...ASKED,
-	sentAt: HELD_AT,
-	answeredAt: HELD_AT + 10,
+/** Moment at which no server of the plain service is available to entry 0. */
+const UNAVAILABLE_AT = 500
+const REFUSED: RequestRecord = {
+	...REQUEST,
+	sentAt: UNAVAILABLE_AT,
+	answeredAt: UNAVAILABLE_AT + 10,
 	status: 503,
 	error: 'resting',
 }
-const REFUSALS: readonly {
+const REFUSAL_CASES: readonly {
 	readonly name: string
-	readonly asked: Asked
-	readonly rightly: boolean
+	readonly request: RequestRecord
+	readonly justified: boolean
 }[] = [
-	{ name: 'at that moment', asked: REFUSED, rightly: true },
+	{ name: 'at that moment', request: REFUSED, justified: true },
 	{
 		name: 'long before it',
-		asked: { ...REFUSED, sentAt: 100, answeredAt: 110 },
-		rightly: false,
+		request: { ...REFUSED, sentAt: 100, answeredAt: 110 },
+		justified: false,
 	},
 	{
 		name: 'long after it',
-		asked: { ...REFUSED, sentAt: 600, answeredAt: 610 },
-		rightly: false,
+		request: { ...REFUSED, sentAt: 600, answeredAt: 610 },
+		justified: false,
 	},
 	{
 		name: 'by another entry',
-		asked: { ...REFUSED, entry: 1 },
-		rightly: false,
+		request: { ...REFUSED, entry: 1 },
+		justified: false,
 	},
 	{
 		name: 'of another service',
-		asked: { ...REFUSED, kind: 'stream' },
-		rightly: false,
+		request: { ...REFUSED, kind: 'stream' },
+		justified: false,
 	},
 	{
 		name: 'for another reason',
-		asked: { ...REFUSED, error: 'overloaded' },
-		rightly: false,
+		request: { ...REFUSED, error: 'overloaded' },
+		justified: false,
 	},
 	{
 		name: 'after it may have run',
-		asked: { ...REFUSED, status: 502, error: 'linkLost' },
-		rightly: false,
+		request: { ...REFUSED, status: 502, error: 'linkLost' },
+		justified: false,
 	},
 ]
-for (const { name, asked, rightly } of REFUSALS)
-	test(`judge of recovery: refused ${name}, ${rightly ? 'rightly' : 'wrongly'}`, () => {
-		const moment = { at: HELD_AT, entry: 0, service: SERVICE_OF.once }
-		assert.is(isHeldRightly({ heldMoments: [moment] }, asked), rightly)
+for (const { name, request, justified } of REFUSAL_CASES)
+	test(`check of recovery: refused ${name}, ${justified ? 'justified' : 'not justified'}`, () => {
+		const moment = { at: UNAVAILABLE_AT, entry: 0, service: SERVICE_OF.once }
+		assert.is(
+			isRefusalJustified({ unavailableMoments: [moment] }, request),
+			justified,
+		)
 	})
 
-const LEAVINGS: readonly (SpokenCase & { readonly life: number })[] = [
-	{ name: 'asked in time', arrivals: [1_900], life: 1, broken: 0 },
-	{ name: 'asked too late', arrivals: [2_100], life: 1, broken: 1 },
-	{ name: 'asked of the next life', arrivals: [2_100], life: 2, broken: 0 },
+const LEAVING_CASES: readonly (ArrivalCase & {
+	readonly incarnation: number
+})[] = [
+	{ name: 'sent in time', arrivals: [1_900], incarnation: 1, broken: 0 },
+	{ name: 'sent too late', arrivals: [2_100], incarnation: 1, broken: 1 },
+	{
+		name: 'sent to the next incarnation',
+		arrivals: [2_100],
+		incarnation: 2,
+		broken: 0,
+	},
 ]
-for (const { name, arrivals, life, broken } of LEAVINGS)
-	test(`judge of leavings: ${name}`, () => {
-		const passed = { serverId: 's', entry: 0, life: 1, at: 0 }
-		const world = worldOf({ passedLeavings: [passed] })
-		const { asked, runs } = world.record
+for (const { name, arrivals, incarnation, broken } of LEAVING_CASES)
+	test(`check of leaving: ${name}`, () => {
+		const relayed = { serverId: 's', entry: 0, incarnation: 1, at: 0 }
+		const world = createWorld({ relayedLeavings: [relayed] })
+		const { requests, runs } = world.record
 		for (const sentAt of arrivals) {
 			const id = String(sentAt)
-			asked.set(id, { ...ASKED, id, life, sentAt })
+			requests.set(id, { ...REQUEST, id, incarnation, sentAt })
 			const startedAt = sentAt + 5
-			const run = { id, serverId: 's', startedAt, givenMs: 900 }
+			const run = { id, serverId: 's', startedAt, deadlineMs: 900 }
 			runs.set(id, [{ ...run, endedAt: undefined }])
 		}
-		judgeLeavings(world)
-		assert.is(world.record.broken.length, broken)
+		checkLeaving(world)
+		assert.is(world.record.violations.length, broken)
 	})
 
 test.run()
