--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -6,7 +6,7 @@
 import { writeFileSync } from 'node:fs'
 import type { GroupMap, SetPlan } from '@juniperhook/core'
 import { computeSetSkew, passFactor, planMap, planSet } from '@juniperhook/core'
-import type { ExpertWorkload, ExpertGroup } from '@juniperhook/fakes'
+import type { ExpertGroup, ExpertWorkload } from '@juniperhook/fakes'
 import {
 	createExpertGroup,
 	demandOf,
@@ -15,10 +15,10 @@
 } from '@juniperhook/fakes'
 import type { Demand } from '@juniperhook/groups'
 import {
+	addChoices,
+	computeExpertShares,
 	createDemand,
 	refreshDemand,
-	computeExpertShares,
-	addChoices,
 } from '@juniperhook/groups'
 import { isQuick, print, printTable } from './output.ts'
 
