--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -150,7 +150,10 @@
 	const request = { method: 'POST', path: '/x', team: undefined, body }
 	const startedAt = performance.now()
 	for (let round = 0; round < rounds; round++)
-		isQuarantined({ gate } as never, { ...request } as CallerRequest)
+		isQuarantined(
+			{ quarantineGate: gate } as never,
+			{ ...request } as CallerRequest,
+		)
 	return (((performance.now() - startedAt) * MICRO) / rounds).toFixed(2)
 }
 
