--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -88,7 +88,7 @@
 			String(result.valid),
 		]
 	})
-	printTable(['servers', 'KB', 'ms to judge', 'heap KB', 'valid'], rows)
+	printTable(['servers', 'KB', 'ms to validate', 'heap KB', 'valid'], rows)
 	printFit(points, 'ms a server')
 }
 
--- a/bench/frontierPlot.ts
+++ b/bench/frontierPlot.ts
@@ -7,7 +7,7 @@
 const MARGIN = 60
 const COLOURS = ['#1b6ca8', '#c0392b', '#1e8449', '#8e44ad', '#b9770e']
 
-/** Plots a dot for each policy and trace; the axis of cost is logarithmic. */
+/** Plots a dot for each policy and trace; the cost axis is logarithmic. */
 export function plotFrontier(rows: readonly PolicyResult[]): string {
 	const traces = [...new Set(rows.map(row => row.trace))]
 	const maxLost = Math.max(...rows.map(row => row.lostSeconds), 1)
--- a/bench/gateway.ts
+++ b/bench/gateway.ts
@@ -49,7 +49,7 @@
 	}
 	print(`CPU time of an entry for a request through the gateway, us`)
 	const head = ['pair', 'this build']
-	printTable(isPaired ? [...head, 'the other', 'ratio'] : head, rows)
+	printTable(isPaired ? [...head, 'other build', 'ratio'] : head, rows)
 	if (isPaired) print(`median ratio: ${medianOf(ratios).toFixed(3)}`)
 }
 
--- a/bench/lifecycle.ts
+++ b/bench/lifecycle.ts
@@ -40,7 +40,7 @@
 	{ name: 'the agent leaves', bounds: { ...BASE, leaves: 1 } },
 	{ name: 'the agent restarts', bounds: { ...BASE, restarts: 1, losses: 1 } },
 	{
-		name: 'all together, doubled messages',
+		name: 'all together, duplicate messages',
 		bounds: {
 			...BASE,
 			losses: 2,
--- a/bench/model.ts
+++ b/bench/model.ts
@@ -1,7 +1,8 @@
 /**
  * Larger explorations of the map protocol than those of the tests, with their numbers
- * of states, depth and time. Each checks that a step uses one map, that no map returns,
- * and that from every state one coordinator that receives all answers opens every gate.
+ * of states, depth and time. Each checks that a step uses one map, that a replaced map
+ * is not used again, and that from every state one coordinator that receives all answers
+ * opens every gate.
  */
 
 import { explore } from '../packages/core/test/models/explore.ts'
@@ -30,7 +31,7 @@
 		bounds: { ...BASE, steps: 2, restarts: 1 },
 	},
 	{
-		name: '2 steps, a doubled request',
+		name: '2 steps, a duplicate request',
 		bounds: { ...BASE, steps: 2, duplicates: 1 },
 	},
 	{
@@ -38,7 +39,7 @@
 		bounds: { ...BASE, steps: 2, late: 1 },
 	},
 	{
-		name: '2 steps, a lost reply and a time-out',
+		name: '2 steps, a lost reply and a timeout',
 		bounds: { ...BASE, steps: 2, losses: 1, timeouts: 1 },
 	},
 	{
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -15,9 +15,9 @@
 } from './overloadSimulation.ts'
 import { measureTeamLimits } from './teamLimits.ts'
 
-/** Least goodput as a ratio of the capacity; late answers do not count. */
+/** Minimum goodput as a ratio of the capacity; late answers do not count. */
 const GOODPUT_TARGET = 0.95
-/** Highest p99 of rosters relative to that without overload. */
+/** Maximum p99 of rosters relative to that without overload. */
 const ROSTER_TARGET = 1.5
 
 /** Runs the benchmark. */
--- a/bench/overloadSimulation.ts
+++ b/bench/overloadSimulation.ts
@@ -17,8 +17,9 @@
 } from '@juniperhook/core'
 import { build } from 'hdr-histogram-js'
 
-/** Number of backend servers, and of requests that each runs at once. */
+/** Number of backend servers. */
 export const SERVERS = 8
+/** Number of requests that each server runs at once. */
 export const SLOTS = 8
 /** Mean time of a request, ms. */
 export const SERVICE_MS = 50
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -62,7 +62,7 @@
 	const p50 = latencyMs(added, 50) - latencyMs(base, 50)
 	const p99 = latencyMs(added, 99) - latencyMs(base, 99)
 	printTable(
-		['way', 'p50 ms', 'p99 ms', 'count'],
+		['path', 'p50 ms', 'p99 ms', 'count'],
 		[row('direct', base), row('juniperhook', added)],
 	)
 	checkTarget('added p50 (ms)', p50, 1)
@@ -81,7 +81,7 @@
 		const due = start + (n * MS) / RATE
 		while (performance.now() < due)
 			await new Promise(resolve => setTimeout(resolve, 1))
-		// Calls alternate between the two paths, so that both run under the same conditions.
+		// Calls alternate between the paths, so that both run under the same conditions.
 		pending.push(timeCall(`${via}/rosters/pine`, results[0]))
 		await new Promise(resolve => setTimeout(resolve, MS / RATE / 2))
 		pending.push(timeCall(`${direct}/rosters/pine`, results[1]))
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -40,7 +40,7 @@
 	const rows = [0, 1_000, 16_000, 1_000_000].flatMap(bytes => [
 		[
 			String(bytes),
-			'nothing remembered',
+			'no evidence',
 			timeRequest(createQuarantineGate(), bytes, rounds),
 		],
 		[
@@ -54,15 +54,21 @@
 			timeRequest(fillGate(bytes), bytes, rounds),
 		],
 	])
-	printTable(['body bytes', 'remembered', 'µs a request'], rows)
+	printTable(['body bytes', 'evidence', 'µs a request'], rows)
 	printTable(
-		['servers', 'ends', 'ran beside it', 'barred for a time', 'still barred'],
+		[
+			'servers',
+			'crashes',
+			'ran beside it',
+			'quarantined for a time',
+			'still quarantined',
+		],
 		[3, 16, 64].map(measureConcurrent),
 	)
 	printTable(
 		['full', 'value'],
 		[
-			['one more end judged, ms', timeCrash()],
+			['one more crash merged, ms', timeCrash()],
 			['memory, KiB', measureMemory()],
 		],
 	)
@@ -77,31 +83,31 @@
 	let [crashes, concurrent, quarantinedOnce, stillQuarantined] = [0, 0, 0, 0]
 	for (let trial = 0; trial < TRIALS; trial++) {
 		const quarantine = createQuarantine()
-		const hit = new Set<string>()
+		const quarantinedByMistake = new Set<string>()
 		let resent: string[] = []
 		for (let round = 0; round < MAX_ROUNDS; round++) {
 			if (listQuarantined(quarantine).includes('poison')) break
 			const at = round * ATTEMPT_INTERVAL_MS
-			const here = resent.filter(() => randomIndex(random, servers) === 0)
-			const answered = resent.filter(one => !here.includes(one))
-			const fresh = Array.from(
+			const onServer = resent.filter(() => randomIndex(random, servers) === 0)
+			const answered = resent.filter(one => !onServer.includes(one))
+			const newRequests = Array.from(
 				{ length: NEW_CONCURRENT_REQUESTS },
 				(_, one) => `${round}-${one}`,
 			)
-			const running = [...here, ...fresh]
+			const running = [...onServer, ...newRequests]
 			const ran = new Map(running.map(one => [one, 100 + random() * 1_500]))
 			ran.set('poison', 40 + random() * 1_900)
-			const end = { server: `server-${round}`, at, ran }
-			mergeCrashEvidence(quarantine, { ends: [end], served: [] }, at)
+			const crash = { server: `server-${round}`, at, ran }
+			mergeCrashEvidence(quarantine, { ends: [crash], served: [] }, at)
 			for (const one of listQuarantined(quarantine))
-				if (one !== 'poison') hit.add(one)
+				if (one !== 'poison') quarantinedByMistake.add(one)
 			const served = answered.map(fingerprint => ({ fingerprint, at: at + 10 }))
 			mergeCrashEvidence(quarantine, { ends: [], served }, at + 20)
 			crashes++
-			concurrent += fresh.length
+			concurrent += newRequests.length
 			resent = running
 		}
-		quarantinedOnce += hit.size
+		quarantinedOnce += quarantinedByMistake.size
 		stillQuarantined += listQuarantined(quarantine).filter(
 			one => one !== 'poison',
 		).length
--- a/bench/rebalance.ts
+++ b/bench/rebalance.ts
@@ -38,7 +38,7 @@
 const TOKENS_PER_WINDOW = 2_000_000
 const SCALE = 10_000
 const STORM_GRACE_WINDOWS = 10
-const CHART = 'docs/rebalance-frontier.svg'
+const PLOT_PATH = 'docs/rebalance-frontier.svg'
 
 /** Parameters of one comparison. */
 interface Setting {
@@ -79,8 +79,8 @@
 	checkTargets(results)
 	const [first] = results
 	if (!first || isQuick()) return
-	writeFileSync(CHART, plotFrontier(first.rows))
-	print(`\nfrontier written to ${CHART}`)
+	writeFileSync(PLOT_PATH, plotFrontier(first.rows))
+	print(`\nfrontier written to ${PLOT_PATH}`)
 }
 
 function listSettings(): Setting[] {
@@ -269,19 +269,19 @@
 			storm.settledSkew <= 1.2,
 			storm.settledSkew.toFixed(3),
 		)
-		const still = find('stationary', ours)
+		const stationary = find('stationary', ours)
 		check(
 			'stationary: no move after warm-up',
-			still.lateMoves === 0,
-			String(still.lateMoves),
+			stationary.lateMoves === 0,
+			String(stationary.lateMoves),
 		)
-		const swing = find('oscillating', ours)
+		const oscillating = find('oscillating', ours)
 		const never = find('oscillating', 'never')
 		const relativeCost = (row: PolicyResult) => 100 / row.tokens
 		check(
 			'oscillating: at most 5% above the cost of never moving',
-			relativeCost(swing) <= relativeCost(never) * 1.05,
-			`${relativeCost(swing).toFixed(3)} against ${relativeCost(never).toFixed(3)}`,
+			relativeCost(oscillating) <= relativeCost(never) * 1.05,
+			`${relativeCost(oscillating).toFixed(3)} against ${relativeCost(never).toFixed(3)}`,
 		)
 	}
 }
--- a/bench/rollback.ts
+++ b/bench/rollback.ts
@@ -22,9 +22,9 @@
 const PLAIN = 5
 /** Agents that may coordinate one of two groups. */
 const READERS = 8
-const READ_MS = 1_000
+const READ_INTERVAL_MS = 1_000
 const OUTAGES_MS = [0, 1_000, 3_000] as const
-/** Changes that the older copy lacks: servers that restarted. */
+/** Number of changes that the older copy lacks; each is a server's restart. */
 const LOST_CHANGES = 24
 /** Time within which writers write again what the copy lacks, ms. */
 const REWRITE_MS = 1_800
@@ -53,7 +53,7 @@
 		`${ENTRIES} entries, ${READERS} agents that read, ${RANKS + PLAIN} servers, ${LOST_CHANGES} changes lost`,
 	)
 	printTable(
-		['store away', 'calls', 'KB', 'KB an entry', 'right after (ms)'],
+		['outage', 'calls', 'KB', 'KB an entry', 'up to date after (ms)'],
 		rows,
 	)
 }
@@ -93,10 +93,10 @@
 /** Writes the record of a server's next incarnation. */
 function startIncarnation(fleet: Fleet, index: number): void {
 	fleet.incarnations.set(`i-${index}`, fleet.nextIncarnation++)
-	write(fleet, index)
+	writeRecord(fleet, index)
 }
 
-function write({ store, incarnations }: Fleet, index: number): void {
+function writeRecord({ store, incarnations }: Fleet, index: number): void {
 	const isRank = index < RANKS
 	const name = `i-${index}`
 	const serverRecord = {
@@ -153,7 +153,7 @@
 	for (;;) {
 		for (const group of ['g0', 'g1'])
 			await source.read(SERVICE_OF.stream, group)
-		await sleep(READ_MS)
+		await sleep(READ_INTERVAL_MS)
 	}
 }
 
@@ -173,7 +173,7 @@
 	store.mode = 'serve'
 	for (let index = 0; index < LOST_CHANGES; index++)
 		setTimeout(
-			() => write(fleet, index * 8),
+			() => writeRecord(fleet, index * 8),
 			(REWRITE_MS * index) / LOST_CHANGES,
 		)
 	// Entries look up to date until they read the older copy, so all is rewritten first.
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -99,7 +99,7 @@
 const THRESHOLD = 1.5
 
 interface PolicyResult {
-	readonly day: string
+	readonly workload: string
 	readonly policy: Policy
 	readonly mean: number
 	readonly p50: number
@@ -123,9 +123,9 @@
 	let pending: { map: GroupMap; at: number } | undefined
 	while (group.nowMs < workload.lengthMs) {
 		if (policy === 'bound') group.map = planAll(group, demandOf(group), 1)
-		const now = demandOf(group)
+		const currentDemand = demandOf(group)
 		simulatePass(group)
-		for (const [expert, share] of now.entries())
+		for (const [expert, share] of currentDemand.entries())
 			counts[expert]! += Math.round(share * CHOICES_PER_PASS)
 		if (pending && group.nowMs >= pending.at) {
 			group.map = pending.map
@@ -202,7 +202,7 @@
 	fromScratch = false,
 ): GroupMap {
 	const { layout, ranks } = group.workload
-	const free = { ...layout, maxNew: layout.places }
+	const unrestricted = { ...layout, maxNew: layout.places }
 	return group.map.map((placement, set) => {
 		const share = shares.subarray(
 			set * layout.experts,
@@ -214,7 +214,7 @@
 		const plan: SetPlan = planSet(
 			from,
 			share,
-			fromScratch ? free : layout,
+			fromScratch ? unrestricted : layout,
 			[],
 			target,
 		)
@@ -230,7 +230,7 @@
 }
 
 function summarize(
-	day: string,
+	workload: string,
 	policy: Policy,
 	group: ExpertGroup,
 ): PolicyResult {
@@ -241,7 +241,7 @@
 	const total = passes.reduce((sum, pass) => sum + pass, 0)
 	const late = passes.filter(pass => pass > MAX_PAUSE_MS)
 	return {
-		day,
+		workload,
 		policy,
 		mean: total / passes.length,
 		p50: quantile(0.5),
@@ -254,15 +254,24 @@
 
 /** Runs the benchmark. */
 export async function run(): Promise<void> {
-	const days = isQuick() ? WORKLOADS.slice(0, 1) : WORKLOADS
+	const workloads = isQuick() ? WORKLOADS.slice(0, 1) : WORKLOADS
 	const rows: PolicyResult[] = []
-	for (const { name, change } of days)
+	for (const { name, change } of workloads)
 		for (const policy of POLICIES)
 			rows.push(simulate(name, { ...WORKLOAD, ...change }, policy))
 	printTable(
-		['day', 'policy', 'mean ms', 'p50', 'p99', 'late', 'copies', 'changes'],
+		[
+			'workload',
+			'policy',
+			'mean ms',
+			'p50',
+			'p99',
+			'late',
+			'copies',
+			'changes',
+		],
 		rows.map(row => [
-			row.day,
+			row.workload,
 			row.policy,
 			row.mean.toFixed(1),
 			row.p50.toFixed(1),
@@ -289,7 +298,7 @@
 		const width = ((WIDTH - MARGIN - 120) * row.mean) / maxMean
 		const colour = row.policy === 'present' ? '#1b6ca8' : '#999'
 		return [
-			`<text x="${MARGIN - 6}" y="${y + 12}" text-anchor="end">${row.day}, ${row.policy}</text>`,
+			`<text x="${MARGIN - 6}" y="${y + 12}" text-anchor="end">${row.workload}, ${row.policy}</text>`,
 			`<rect x="${MARGIN}" y="${y}" width="${width.toFixed(0)}" height="${ROW - 5}" fill="${colour}"/>`,
 			`<text x="${MARGIN + width + 5}" y="${y + 12}">${row.mean.toFixed(1)} ms, ${row.copies} copies</text>`,
 		].join('')
--- a/bench/teamLimits.ts
+++ b/bench/teamLimits.ts
@@ -34,7 +34,7 @@
 				const admitted = runLimit(limit, entries, reachable, uneven)
 				const share = admitted / rate
 				rows.push([
-					`${entries} entries, ${demand}, ${reachable === entries ? 'healed' : 'cut in halves'}`,
+					`${entries} entries, ${demand}, ${reachable === entries ? 'no partition' : 'split in halves'}`,
 					`${(100 * Math.max(0, share - 1)).toFixed(1)}%`,
 					`${(100 * Math.max(0, 1 - share)).toFixed(1)}%`,
 				])
--- a/bench/traces.ts
+++ b/bench/traces.ts
@@ -10,8 +10,8 @@
 const DRIFT_SWAPS = 4
 const STORM_AT = 90
 const STORM_WINDOWS = 20
-const SEASON_WINDOWS = 40
-const EXPERTS_OF_A_SEASON = 16
+const SHIFT_INTERVAL_WINDOWS = 40
+const SHIFTED_EXPERTS = 16
 
 /** A trace of popularity. */
 export interface Trace {
@@ -59,7 +59,7 @@
 		}
 	}
 	const random = createRandom(seed + 1)
-	const perWindow = Math.ceil(EXPERTS_OF_A_SEASON / STORM_WINDOWS)
+	const perWindow = Math.ceil(SHIFTED_EXPERTS / STORM_WINDOWS)
 	return [
 		make('drift', popularity => drift(popularity, DRIFT_SWAPS, random)),
 		make(
@@ -73,17 +73,17 @@
 		make(
 			'swings',
 			(popularity, window) => {
-				const isShift = window > 0 && window % SEASON_WINDOWS === 0
-				if (isShift) shiftDemand(popularity, EXPERTS_OF_A_SEASON)
+				const isShift = window > 0 && window % SHIFT_INTERVAL_WINDOWS === 0
+				if (isShift) shiftDemand(popularity, SHIFTED_EXPERTS)
 			},
 			Array.from(
-				{ length: length / SEASON_WINDOWS },
-				(_, n) => n * SEASON_WINDOWS,
+				{ length: length / SHIFT_INTERVAL_WINDOWS },
+				(_, n) => n * SHIFT_INTERVAL_WINDOWS,
 			),
 		),
 		make('oscillating', (popularity, window) => {
 			// Changes back and forth in each window, the interval at which policies plan.
-			const back = EXPERTS_OF_A_SEASON
+			const back = SHIFTED_EXPERTS
 			for (const order of popularity.order) {
 				if (window === 0) break
 				if (window % 2 === 1) order.unshift(...order.splice(-back))
--- a/packages/fakes/src/expertGroup.ts
+++ b/packages/fakes/src/expertGroup.ts
@@ -17,6 +17,7 @@
 export interface ExpertWorkload {
 	readonly ranks: number
 	readonly layout: ExpertLayout
+	/** Maximum number of streams per rank. */
 	readonly slots: number
 	readonly stepsPerPass: number
 	readonly stepMs: number
@@ -30,6 +31,7 @@
 	/** Share of the affinities that a demand shift redraws. */
 	readonly shiftShare: number
 	readonly shiftEveryMs: number
+	/** Duration of the simulation, ms. */
 	readonly lengthMs: number
 	readonly seed: number
 }
@@ -49,20 +51,23 @@
 	readonly streams: Stream[]
 	map: GroupMap
 	nowMs: number
-	/** Time until which experts are copied, ms. */
+	/** When the copying of experts ends, ms. */
 	copyingUntil: number
 	nextArrival: number
 	nextShift: number
+	/** Experts copied so far. */
 	copies: number
+	/** Maps that have replaced another one so far. */
 	changes: number
 	/** Duration of each pass, ms. */
 	readonly passes: number[]
+	/** Streams that have arrived and wait for a slot. */
 	waiting: number
 }
 
 /** Factor on the duration of passes while experts are copied. */
 const COPY_SLOWDOWN = 1.15
-/** Exponent of a subject's affinities; high, because measured expert counts are skewed. */
+/** Exponent of a subject's affinities; high, as measured expert counts are skewed. */
 const AFFINITY_EXPONENT = 3
 /** Zipf exponent of the subjects' popularity. */
 const SUBJECT_EXPONENT = 1.1
@@ -100,9 +105,9 @@
 		for (let at = 0; at < demand.length; at++) demand[at]! += affinity[at]!
 	}
 	for (let set = 0; set < sets; set++) {
-		const part = demand.subarray(set * experts, (set + 1) * experts)
-		const total = part.reduce((sum, value) => sum + value, 0)
-		for (let at = 0; at < experts; at++) part[at]! /= total
+		const ofSet = demand.subarray(set * experts, (set + 1) * experts)
+		const total = ofSet.reduce((sum, value) => sum + value, 0)
+		for (let at = 0; at < experts; at++) ofSet[at]! /= total
 	}
 	return demand
 }
--- a/packages/fakes/src/fleet.ts
+++ b/packages/fakes/src/fleet.ts
@@ -29,7 +29,7 @@
 const ROOT = fileURLToPath(new URL('../../..', import.meta.url))
 const READY_TIMEOUT_MS = 20_000
 const POLL_INTERVAL_MS = 50
-const FIRST_SECOND_OCTET = 10
+const MIN_SECOND_OCTET = 10
 const PREFIX_COUNT = 200
 /** Key of the team that sends most requests. */
 export const TEAM_KEY = 'demo-key'
@@ -42,14 +42,16 @@
 	readonly services: number
 	readonly serviceDelayMs: number
 	readonly serviceSlots: number
-	/** 0: no group. */
+	/** Number of ranks of the group; 0 for no group. */
 	readonly ranks: number
 	readonly group?: Partial<GroupProcessOptions>
 	/** Lines added to the configuration document. */
 	readonly extraConfig?: string
 	/** Lines added to the group's section. */
 	readonly groupConfig?: string
+	/** Lines added to the section of the team of {@link TEAM_KEY}. */
 	readonly teamConfig?: string
+	/** Lines added to the service's section. */
 	readonly serviceConfig?: string
 	readonly logLevel?: string
 	/** Whether entries reach the agents of plain services through {@link relayIp}. */
@@ -172,10 +174,10 @@
 /** Calls an `/admin/…` endpoint of the fake platform. */
 export async function callPlatform(
 	fleet: Fleet,
-	what: string,
+	endpoint: string,
 	body = '',
 ): Promise<Record<string, number>> {
-	const url = `http://${fleet.prefix}.1:${PORTS.platform}/admin/${what}`
+	const url = `http://${fleet.prefix}.1:${PORTS.platform}/admin/${endpoint}`
 	const res = await request(url, { method: 'POST', body })
 	return (await res.body.json()) as Record<string, number>
 }
@@ -211,7 +213,7 @@
 async function findPrefix(): Promise<string> {
 	for (let n = 0; n < PREFIX_COUNT; n++) {
 		const third = (process.pid + n) % 250
-		const second = FIRST_SECOND_OCTET + ((process.pid >> 8) % PREFIX_COUNT)
+		const second = MIN_SECOND_OCTET + ((process.pid >> 8) % PREFIX_COUNT)
 		const prefix = `127.${second}.${third}`
 		if (await isFree(`${prefix}.1`)) return prefix
 	}
--- a/packages/fakes/src/group.ts
+++ b/packages/fakes/src/group.ts
@@ -29,6 +29,7 @@
 	readonly rank: number
 	readonly running: EngineRequest[]
 	readonly waiting: EngineRequest[]
+	/** Requests by id, including ended ones that may still be resumed. */
 	readonly known: Map<string, EngineRequest>
 	cancelled: number
 }
@@ -117,6 +118,7 @@
 	})
 }
 
+/** Creates a function that starts a rank's waiting requests; it returns the batch size. */
 function startWaiting(group: FakeGroup): (rank: RankEngine) => number {
 	return rank => {
 		while (rank.running.length < group.slots) {
--- a/packages/fakes/src/groupModel.ts
+++ b/packages/fakes/src/groupModel.ts
@@ -40,8 +40,10 @@
 export interface GroupProcessOptions extends GroupOptions {
 	readonly ips: readonly string[]
 	readonly slots: number
+	/** Zipf exponent of the experts' popularity. */
 	readonly exponent: number
 	readonly seed: number
+	/** Factor on step times. */
 	readonly pace: number
 	/** Swaps of neighbours in the popularity order per layer and second. */
 	readonly driftPerSecond: number
@@ -68,7 +70,7 @@
 	mapSince: number
 	/** Generation of the last step that was begun. */
 	lastGeneration: number
-	/** The rank is stalled until this time, Unix ms. */
+	/** When a stall of the rank ends, Unix ms. */
 	stalledUntil: number
 }
 
@@ -85,6 +87,7 @@
 	/** Time that the group has waited at gates, ms. */
 	gateMs: number
 	gatedSince: number | undefined
+	/** Switches of single ranks to another map. */
 	switches: number
 	/** Steps with different maps, and switches to a map without its weights. */
 	violations: number
@@ -186,9 +189,9 @@
 	const { mapId } = rank.protocol
 	beginStep(rank.protocol)
 	const { generation, step } = rank.protocol
-	const barrier = generation !== rank.lastGeneration
+	const isNewGeneration = generation !== rank.lastGeneration
 	rank.lastGeneration = generation
-	if (barrier) rank.mapSince = step
+	if (isNewGeneration) rank.mapSince = step
 	if (rank.protocol.mapId === mapId) return
 	if (!holdsWeights(rank, rank.protocol.mapId)) model.violations++
 	const slots = rank.staged.get(rank.protocol.mapId)
@@ -223,12 +226,12 @@
 function measureStep(model: GroupModel, batch: readonly number[]): void {
 	const { options, popularity, ranks } = model
 	const requests = batch.reduce((sum, size) => sum + size, 0)
-	const own = ranks.map((_, rank) => options.tokenMs * (batch[rank] ?? 0))
-	const times = own.map(time => options.baseMs + time)
-	let slowest = 0
+	const requestMs = ranks.map((_, rank) => options.tokenMs * (batch[rank] ?? 0))
+	const times = requestMs.map(ms => options.baseMs + ms)
+	let slowestExpertMs = 0
 	for (let layer = 0; layer < options.layers; layer++) {
 		const holders = countHolders(model, layer)
-		const spent = ranks.map(rank => {
+		const expertMs = ranks.map(rank => {
 			let tokens = 0
 			for (const expert of rank.slots[layer]!) {
 				const share = popularity.share[layer]![expert]!
@@ -238,16 +241,16 @@
 			}
 			return tokens * options.expertMs
 		})
-		slowest += Math.max(...spent)
-		for (const [rank, time] of spent.entries()) times[rank]! += time
+		slowestExpertMs += Math.max(...expertMs)
+		for (const [rank, ms] of expertMs.entries()) times[rank]! += ms
 	}
-	const mean = times.reduce((sum, time) => sum + time, 0) / times.length
+	const mean = times.reduce((sum, ms) => sum + ms, 0) / times.length
 	for (const [at, rank] of ranks.entries()) rank.stepMs = times[at]!
-	model.stepMs = options.baseMs + Math.max(...own) + slowest
+	model.stepMs = options.baseMs + Math.max(...requestMs) + slowestExpertMs
 	model.meanStepMs = mean
-	const base = options.baseMs + Math.max(...own)
-	if (requests === 0 || mean <= base) return
-	const skew = slowest / (mean - base)
+	const withoutExpertsMs = options.baseMs + Math.max(...requestMs)
+	if (requests === 0 || mean <= withoutExpertsMs) return
+	const skew = slowestExpertMs / (mean - withoutExpertsMs)
 	model.meanSkew += SMOOTHING * (skew - model.meanSkew)
 }
 
--- a/packages/fakes/src/orders.ts
+++ b/packages/fakes/src/orders.ts
@@ -1,4 +1,4 @@
-/** Executes the orders to an engine of a group; only map requests (`rank`) check fences. */
+/** Executes orders to an engine of a group; only map requests (`rank`) check fences. */
 
 import type { RankReply, RankRequest } from '@juniperhook/core'
 import { handleRankRequest } from '@juniperhook/core'
--- a/packages/fakes/src/platform.ts
+++ b/packages/fakes/src/platform.ts
@@ -20,7 +20,7 @@
 export interface Platform {
 	readonly options: PlatformOptions
 	readonly topics: Record<Topic, PublishedTopic>
-	/** Whether the service answers. */
+	/** Whether the configuration service and the weight store answer. */
 	up: boolean
 	calls: number
 	/** When the weight store will have served all requests so far, Unix ms. */
--- a/packages/fakes/src/service.ts
+++ b/packages/fakes/src/service.ts
@@ -1,4 +1,4 @@
-/** Fake of a plain service with rosters, bookings and tiles. Records its runs. */
+/** Fake of a plain service with rosters, bookings and tiles; records runs of bookings. */
 
 import { appendFileSync } from 'node:fs'
 import { createServer, type Server, type ServerResponse } from 'node:http'
--- a/packages/fakes/src/throttledLink.ts
+++ b/packages/fakes/src/throttledLink.ts
@@ -1,6 +1,6 @@
 /** A VM's network link of limited bandwidth. */
 
-/** A link; all transfers share it and pass it one after the other. */
+/** A link that carries its transfers one after the other. */
 export interface ThrottledLink {
 	readonly bytesPerMs: number
 	/** When all transfers so far will have completed, monotonic ms. */
--- a/packages/runtime/src/io/engineOrders.ts
+++ b/packages/runtime/src/io/engineOrders.ts
@@ -13,10 +13,13 @@
 			/** Experts of this rank, one list per layer. */
 			readonly slots: readonly (readonly number[])[]
 	  }
-	/** For engines that do not check fences; these accept orders only from their agent. */
+	/**
+	 * This order and those below are for engines that do not check fences, which accept
+	 * orders only from their agent. `look` only queries the engine's state.
+	 */
 	| { readonly order: 'look' }
 	| { readonly order: 'hold' }
-	/** Rejected if the map is not staged. */
+	/** Stops the engine before a step; rejected if the map is not staged. */
 	| {
 			readonly order: 'gate'
 			readonly step: number
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -70,8 +70,8 @@
 	readonly random: () => number
 	vms: readonly Vm[]
 	/**
-	 * Whether the platform has been read and peers had time to answer. Before that, a
-	 * configuration may be stale and is not activated.
+	 * Whether the platform has been read and peers have had time to answer. Before that,
+	 * a configuration may be stale and is not activated.
 	 */
 	isInitialized: boolean
 	/** Configurations received before initialization, to be applied at its end. */
@@ -127,7 +127,7 @@
 	}
 }
 
-/** Handles the configuration revision that a peer reported in any message. */
+/** Handles a newer configuration revision that a peer has reported, as a notice. */
 export function handlePeerRevision(
 	follower: Follower,
 	from: string,
@@ -137,7 +137,7 @@
 	handleMessage(follower, from, { type: 'notice', topic: 'config', revision })
 }
 
-/** Handles a peer's connection: compares revisions with it. */
+/** Compares revisions with a peer that has connected. */
 export function handlePeerConnected(
 	follower: Follower,
 	name: string,
@@ -209,9 +209,9 @@
 }
 
 async function waitForPeers(follower: Follower): Promise<void> {
-	const others = follower.node.members.length > 1
-	const named = follower.settings.platform.peers.length > 0
-	if (!others && !named) return
+	const hasMembers = follower.node.members.length > 1
+	const hasConfiguredPeers = follower.settings.platform.peers.length > 0
+	if (!hasMembers && !hasConfiguredPeers) return
 	const deadline = readNow() + STARTUP_WAIT_MS
 	while (readNow() < deadline) await sleep(TICK_INTERVAL_MS / 20)
 }
@@ -323,8 +323,8 @@
 		case 'invalid':
 			metrics.invalidConfigs.inc()
 			if (held) {
-				const good = { revision: held.revision, text: held.document }
-				setLastValid(node, 'config', good)
+				const lastValid = { revision: held.revision, text: held.document }
+				setLastValid(node, 'config', lastValid)
 			}
 			log({ msg: 'invalid configuration rejected', revision })
 			break
--- a/packages/runtime/src/io/frames.ts
+++ b/packages/runtime/src/io/frames.ts
@@ -9,7 +9,7 @@
 
 /** A frame of a response. */
 export type AnswerFrame =
-	/** The agent has queued the request; it may still refuse it before the start. */
+	/** The agent has queued the request; it may still refuse it before it starts. */
 	| { readonly t: 'admitted' }
 	| {
 			readonly t: 'refused'
@@ -26,7 +26,7 @@
 	| { readonly t: 'chunk'; readonly n: number; readonly data: Uint8Array }
 	/** `n` is the number of chunks sent, including the head. */
 	| { readonly t: 'end'; readonly n: number; readonly load: LoadFields }
-	/** The backend server broke off its response; the request may have been run. */
+	/** The backend server broke off its response; the request may have run. */
 	| { readonly t: 'failed'; readonly detail: string }
 	/** Heartbeat while there is no data to send. */
 	| { readonly t: 'beat' }
--- a/packages/runtime/src/io/memberLinks.ts
+++ b/packages/runtime/src/io/memberLinks.ts
@@ -7,7 +7,7 @@
 import type { RpcLink } from './rpc.ts'
 import { CALL_TIMEOUT_MS, connectRpc, notify } from './rpc.ts'
 
-/** Idle time after which a link to a process that is no neighbour is closed, ms. */
+/** Idle time after which a link to a process that is not a neighbour is closed, ms. */
 const IDLE_TIMEOUT_MS = 30_000
 
 /** A link and when it was last used, ms. */
@@ -89,7 +89,7 @@
 	return link
 }
 
-/** Closes idle links to processes that are no neighbours. */
+/** Closes idle links to processes that are not neighbours. */
 export function closeIdleLinks(follower: Follower, now: number): void {
 	const kept = new Set(follower.node.neighbours)
 	for (const [name, { link, usedAt }] of follower.links) {
--- a/packages/runtime/src/io/messages.ts
+++ b/packages/runtime/src/io/messages.ts
@@ -10,7 +10,7 @@
 	load: count,
 	/** Smoothed time that a request occupies its slot, ms. */
 	serviceMs: count,
-	/** Ratio of the own step time to the group's mean; 1 outside a group. */
+	/** Ratio of the rank's step time to its group's mean; 1 outside a group. */
 	stepShare: count,
 	/** Time in which the server accepts no requests: backoff or exhausted limit, ms. */
 	heldMs: v.optional(count, 0),
@@ -33,7 +33,7 @@
 	priority: count,
 	startBudgetMs: count,
 	/**
-	 * Whether it may wait for a server that accepts no requests at the moment; set when
+	 * Whether the request may wait for a server that accepts none at the moment; set when
 	 * the entry has no better server.
 	 */
 	mayWait: v.optional(v.boolean(), true),
@@ -80,7 +80,7 @@
 	/** Id of the incarnation that crashed. */
 	server: v.string(),
 	agoMs,
-	/** How long it had run each of its requests, ms, by fingerprint. */
+	/** How long it had been running each of its requests, ms, by fingerprint. */
 	ran: v.record(v.string(), v.number()),
 })
 
--- a/packages/runtime/src/utils/fail.ts
+++ b/packages/runtime/src/utils/fail.ts
@@ -9,7 +9,7 @@
 	props: { kind: 'internal' as ErrorKind, detail: '' },
 })
 
-/** Throws a {@link JuniperhookError}; `detail` names the object and the place. */
+/** Throws a {@link JuniperhookError}; `detail` says what failed and where. */
 export function fail(kind: ErrorKind, detail: string): never {
 	const text = `${ERRORS[kind].text} ${detail}`
 	throw new JuniperhookError(text, { props: { kind, detail } })
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -1,13 +1,13 @@
 /**
  * Switches mechanisms off, one at a time, in a copy of the sources:
- * `node --import tsx scripts/ablation.ts NAME FOLDER`. What each is worth is
- * measured by playing that copy; see docs/ABLATION.md.
+ * `node --import tsx scripts/ablation.ts NAME FOLDER`. The effect of each is measured by
+ * running that copy; see docs/ABLATION.md.
  */
 
 import { readFileSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 
-/** One line of the sources, and what it is without the mechanism. */
+/** A mechanism: a line of the sources, and its replacement that switches it off. */
 export interface Switch {
 	readonly name: string
 	readonly file: string
@@ -289,11 +289,11 @@
 	},
 ]
 
-/** A source with a mechanism switched off; throws when its line is not there. */
+/** Returns a source with a mechanism switched off; throws if its line is not unique. */
 export function switchOff(source: string, { name, on, off }: Switch): string {
 	const [before, after, ...more] = source.split(on)
 	if (before === undefined || after === undefined || more.length > 0)
-		throw new Error(`${name}: its line must stand in the source once`)
+		throw new Error(`${name}: its line must occur exactly once in the source`)
 	return `${before}${off}${after}`
 }
 
@@ -302,7 +302,7 @@
 	const found = SWITCHES.find(one => one.name === wanted)
 	if (!found) {
 		const names = SWITCHES.map(one => one.name).join(', ')
-		process.stderr.write(`name one of: ${names}\n`)
+		process.stderr.write(`NAME is one of: ${names}\n`)
 		process.exit(2)
 	}
 	const path = join(folder, found.file)
--- a/scripts/load.ts
+++ b/scripts/load.ts
@@ -13,7 +13,7 @@
 const MAX_TOKENS = 24
 const dispatcher = new Agent({ connections: 64, pipelining: 1 })
 
-/** Rates and targets of the load. */
+/** Rates of the load, and the processes that receive it. */
 export interface LoadOptions {
 	/** IPs of the entries. */
 	readonly entries: readonly string[]
--- a/soak/src/backoffs.ts
+++ b/soak/src/backoffs.ts
@@ -20,17 +20,17 @@
 
 /** Range of requested backoffs, ms. */
 const BACKOFF_MS = [200, 3_000] as const
-/** Range of times during which a server refuses requests, ms. */
+/** Range of durations of a refusal period, in which a server refuses requests, ms. */
 const DURATION_MS = [300, 2_500] as const
-/** Range of pauses between such times, ms. */
+/** Range of pauses between two refusal periods, ms. */
 const PAUSE_MS = [100, 1_200] as const
-/** Ratio of requests that are refused during that time. */
+/** Ratio of requests that are refused in a refusal period. */
 const REFUSED_RATIO = 0.7
-/** Ratio of cases in which all servers of the service refuse together. */
+/** Ratio of refusal periods in which all servers of the service refuse together. */
 const WHOLE_SERVICE_RATIO = 0.15
 /**
- * Time for requests already in flight, ms, plus an allowance for delays of this
- * machine.
+ * Time after the request for a backoff in which requests already in flight may still
+ * arrive, plus an allowance for delays of this machine, ms.
  */
 const IN_FLIGHT_MS = 500 + 250
 /** Limit on requests that an entry sends to a server during a backoff. */
@@ -104,17 +104,17 @@
 	world.backoffLog.arrivals.push({ serverId, entry, incarnation, at })
 	const { random } = world.servers
 	if (!backend.requestsBackoff || random() >= REFUSED_RATIO) return false
-	const forMs = randomBetween(random, ...BACKOFF_MS)
+	const backoffMs = randomBetween(random, ...BACKOFF_MS)
 	world.backoffLog.backoffs.push({
 		serverId,
 		entry,
 		incarnation,
 		at,
-		until: at + forMs,
+		until: at + backoffMs,
 	})
 	const head = {
 		[WIRE.notRun]: '1',
-		[SIGNAL_HEADERS.restMs]: (forMs / 1_000).toFixed(3),
+		[SIGNAL_HEADERS.restMs]: (backoffMs / 1_000).toFixed(3),
 	}
 	res.writeHead(503, head).end()
 	return true
--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -27,7 +27,7 @@
 const ABANDON_RATIO = 0.03
 /** Ratio of requests that test which configuration is in force. */
 const PROBE_RATIO = 0.12
-/** How late an answer may come after its route's time-out, ms. */
+/** How late an answer may come after its route's timeout, ms. */
 const TIMEOUT_TOLERANCE_MS = 500
 
 /** Runs a caller until the soak ends. */
@@ -44,7 +44,7 @@
 		const answer = isProbe
 			? await probeConfig(context)
 			: await sendRequest(context)
-		// The caller stays at its entry, so that the connection is reused until it closes.
+		// The caller stays at its entry, so that it reuses the connection until it closes.
 		if (answer.status === 0 || random() < 0.02)
 			entry = randomItem(random, world.entries)
 		await sleep(randomBetween(random, ...THINK_TIME_MS))
@@ -84,7 +84,7 @@
 	return /^\{"error":"(\w+)"/.exec(body)?.[1] ?? ''
 }
 
-/** Checks whether the request got an answer, and whether it ended in time. */
+/** Checks whether the request received an answer and ended in time. */
 function checkCompletion(
 	world: World,
 	entry: ManagedProcess,
@@ -102,14 +102,14 @@
 	if (isTruncated) count(record, 'truncated answers')
 	if (answer.status === 0) {
 		count(record, 'connections without an answer')
-		const wasRead = (record.runs.get(request.id) ?? []).length > 0
+		const hasRun = (record.runs.get(request.id) ?? []).length > 0
 		// An entry that was frozen while it stopped may exceed its grace period.
 		const isStopping = entry.stopRequestedAt !== undefined
 		const isExcused =
 			isStopping &&
 			!isUndisturbed(disturbances, entry.name, request.sentAt, now)
 		if (
-			wasRead &&
+			hasRun &&
 			!wasKilled &&
 			!request.callerTimedOut &&
 			!isExcused &&
--- a/soak/src/config.ts
+++ b/soak/src/config.ts
@@ -2,7 +2,7 @@
 
 /** Hostname of all routes. */
 export const HOST = 'soak.example'
-/** Time-outs of routes by kind of request, ms. */
+/** Timeouts of routes by kind of request, ms. */
 export const TIMEOUT_MS = { once: 1_500, repeatable: 1_500, stream: 4_000 }
 /** Team names by API key. */
 export const TEAM_OF_KEY: { readonly [key: string]: string } = {
--- a/soak/src/configProbes.ts
+++ b/soak/src/configProbes.ts
@@ -9,13 +9,13 @@
 import { count, randomItem, recordViolation } from './types.ts'
 import type { World } from './world.ts'
 
-/** Ratio of these requests that use a revoked key. */
+/** Ratio of probes that use a revoked key. */
 const REVOKED_KEY_RATIO = 0.33
 /** Time within which a published configuration must be in force, ms. */
 const CONFIG_APPLY_MS = 2_000
 /**
- * Requests sent within this time after a newer version was seen may see an older one,
- * ms.
+ * Requests sent within this time after a newer version was seen may still be routed by
+ * an older one, ms.
  */
 const REORDER_TOLERANCE_MS = 250
 
--- a/soak/src/disturbances.ts
+++ b/soak/src/disturbances.ts
@@ -1,6 +1,6 @@
 /**
- * Which VMs are disturbed by faults, and when. By the platform's rules, promises with a
- * time bound hold only for VMs that are not.
+ * Records which VMs are disturbed by faults, and when. By the platform's rules, promises
+ * with a time bound hold only for undisturbed VMs.
  */
 
 /** Time after the end of a fault during which a VM still counts as disturbed, ms. */
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -28,8 +28,8 @@
 import { listServer, publish, unlistServer } from './world.ts'
 
 /**
- * Time that a leaving server goes on serving, ms. It is longer than entries may send
- * requests to it, so that a request sent too late is detected.
+ * Time for which a leaving server goes on serving, ms. It exceeds the time for which
+ * entries may send it requests, so that a request sent too late is detected.
  */
 const LEAVING_SERVE_MS = 4_500
 /** Time after a crash until the server's record expires, ms. */
@@ -37,8 +37,8 @@
 /** Range of durations of a fault, ms. */
 const FAULT_MS = [300, 3_500] as const
 /**
- * Range of throttled links; the largest configuration (0.8 MB) takes 0.5 to 5 s over
- * them.
+ * Range of bandwidths of throttled links; the largest configuration (0.8 MB) takes 0.5
+ * to 5 s over them.
  */
 const THROTTLED_BYTES_PER_MS = [200, 2_000] as const
 /** Limit on growths of the configuration: a published value has at most 1 MB. */
@@ -123,7 +123,7 @@
 		disturbStoreLink(world, random, resetRelay),
 	'narrow the link to the store for one': (world, random) => {
 		const relay = randomItem(random, world.storeRelays)
-		// Not recorded as a disturbance: entries pull the configuration from peers instead.
+		// Not recorded as a disturbance, as entries pull the configuration from peers.
 		relay.link = createThrottledLink(
 			randomBetween(random, ...THROTTLED_BYTES_PER_MS),
 		)
@@ -330,7 +330,7 @@
 	for (const backend of ranks) listServer(world, backend)
 }
 
-/** A server announces that it leaves, serves on for a while, stops, and is replaced. */
+/** Replaces a server: it announces that it leaves, serves on for a while and stops. */
 async function replaceServer(
 	world: World,
 	backend: BackendServer,
--- a/soak/src/leaving.ts
+++ b/soak/src/leaving.ts
@@ -8,8 +8,8 @@
 import type { World } from './world.ts'
 
 /**
- * Requests that an entry receives this long after such an answer must not reach the
- * server, ms.
+ * Requests that an entry receives this long after it relayed the answer must not reach
+ * the server, ms.
  */
 const DRAIN_MS = 2_000
 
@@ -22,7 +22,7 @@
 	readonly at: number
 }
 
-/** Returns the id of the server whose seal an answer has. */
+/** Returns the id of the server that an answer's seal names. */
 export function serverOfSeal(seal: string | undefined): string | undefined {
 	return seal?.startsWith('seal-') ? seal.slice('seal-'.length) : undefined
 }
@@ -39,8 +39,8 @@
 }
 
 /**
- * Checks all entries, also disturbed ones: only a later incarnation of an entry may not
- * know that a server is leaving.
+ * Checks all entries, including disturbed ones: an entry that has relayed the answer has
+ * received it. Only a later incarnation of the entry may lack it.
  */
 export function checkLeaving(world: World): void {
 	const { record, relayedLeavings } = world
--- a/soak/src/poisonRequest.ts
+++ b/soak/src/poisonRequest.ts
@@ -1,6 +1,7 @@
 /**
  * A poison request: each server that runs it crashes. Its caller sends it repeatedly to
- * random entries; the check limits how often it may still reach servers.
+ * random entries; the check limits how often it may reach servers after it has crashed
+ * several of them.
  */
 
 import { Agent } from 'node:http'
@@ -23,14 +24,15 @@
 const POISON_BODY = 'what no server survives'
 /** Time from the start of a run to the crash of its server, ms. */
 export const POISON_CRASH_DELAY_MS = 40
-/** Time until a crashed server is back, ms. */
+/** Time until a crashed server is restarted, ms. */
 export const POISON_DOWNTIME_MS = 1_500
 /** Range of pauses between two sends of the poison request, ms. */
 const PAUSE_MS = [300, 1_500] as const
-/** Interval of checks which entries run, ms; shorter than the start of a process. */
+/** Interval of checks whether any entry runs, ms; shorter than the start of a process. */
 const POLL_INTERVAL_MS = 20
-/** Crashes after which it must be quarantined, and sends that are allowed afterwards. */
+/** Number of crashes after which the poison request must be quarantined. */
 const CRASHES_UNTIL_QUARANTINE = 3
+/** Limit on its sends afterwards. */
 const MAX_LATE_SENDS = 3
 
 /** Sends the poison request until the soak ends. */
@@ -54,17 +56,15 @@
 }
 
 /**
- * Records each time from which no entry runs, until the soak ends: the evidence of
- * crashes is lost then, as entries keep it in memory.
+ * Records, until the soak ends, each time at which the last running entry has ended: the
+ * evidence of crashes is lost then, as entries keep it in memory.
  */
 export async function watchEntryOutages(world: World): Promise<void> {
 	let isLost = false
 	while (!world.finished) {
-		const isNoneRunning = world.entries.every(
-			({ child }) => child === undefined,
-		)
-		if (isNoneRunning && !isLost) world.evidenceLostAt.push(performance.now())
-		isLost = isNoneRunning
+		const noneRuns = world.entries.every(({ child }) => child === undefined)
+		if (noneRuns && !isLost) world.evidenceLostAt.push(performance.now())
+		isLost = noneRuns
 		await sleep(POLL_INTERVAL_MS)
 	}
 }
--- a/soak/src/servers.ts
+++ b/soak/src/servers.ts
@@ -32,7 +32,7 @@
 /** Time that a rank of a broken group takes to refuse a request, ms. */
 const STALL_MS = 300
 
-/** Misbehaviour of a server; except for `slow`, ratios of its requests, 0 to 1. */
+/** Misbehaviour of a server; all but `slow` are ratios of its requests, 0 to 1. */
 export interface Misbehaviour {
 	/** Runs the request and resets the connection. */
 	reset: number
@@ -84,7 +84,7 @@
 	readonly record: SoakRecord
 	readonly random: Random
 	readonly net: number
-	/** Whether the group serves: it does while all its ranks run. */
+	/** Whether the group serves, which requires that all its ranks run. */
 	groupOpen: boolean
 	/** Called when a server has run the poison request. */
 	onPoisonRequest: (backend: BackendServer) => void
@@ -216,7 +216,7 @@
 }
 
 /**
- * Sends an unrequested answer, where the client expects the answer to its next request.
+ * Sends an unrequested answer in place of the one to the connection's next request.
  */
 function sendExtra(record: SoakRecord, res: ServerResponse): void {
 	count(record, 'answers sent twice')
--- a/soak/src/stalls.ts
+++ b/soak/src/stalls.ts
@@ -7,7 +7,7 @@
 
 /** A running measurement of stalls. */
 export interface StallWatch {
-	/** Ends it; returns the longest delay of a sample beyond its interval, ms. */
+	/** Stops measuring; returns the longest delay of a sample, ms. */
 	stop(): number
 }
 
--- a/soak/src/types.ts
+++ b/soak/src/types.ts
@@ -8,7 +8,7 @@
 /** Kind of request: one that may run at most once, a repeatable one, or a stream. */
 export type RequestKind = 'once' | 'repeatable' | 'stream'
 
-/** A caller's request and its outcome; times in ms of the steady clock. */
+/** A caller's request and its outcome; times in ms of the monotonic clock. */
 export interface RequestRecord {
 	readonly id: string
 	readonly kind: RequestKind
@@ -19,7 +19,7 @@
 	/** The entry's incarnation when the request was sent. */
 	readonly incarnation: number
 	readonly sentAt: number
-	/** When the entry must have ended it: at its deadline or its route's time-out. */
+	/** When the entry must have ended it: at its deadline or its route's timeout. */
 	readonly timeoutAt: number
 	readonly deadlineAt: number
 	/** When the caller abandoned it, if it did. */
--- a/soak/src/world.ts
+++ b/soak/src/world.ts
@@ -76,7 +76,7 @@
 	finished: boolean
 }
 
-/** Starts everything; the processes need a moment until they serve. */
+/** Starts everything; resolves before the processes serve. */
 export async function startWorld(options: SoakOptions): Promise<World> {
 	const { net, seed } = options
 	const record = createRecord()
--- a/soak/test/soak.process.test.ts
+++ b/soak/test/soak.process.test.ts
@@ -48,8 +48,16 @@
 		cause: 'none: with a store that is rolled back',
 		rollbacks: true,
 	},
-	{ seed: 3016, cause: 'two copies within two seconds', ...MANUAL_RUN },
-	{ seed: 3022, cause: 'two copies within two seconds', ...MANUAL_RUN },
+	{
+		seed: 3016,
+		cause: 'two store rollbacks within two seconds',
+		...MANUAL_RUN,
+	},
+	{
+		seed: 3022,
+		cause: 'two store rollbacks within two seconds',
+		...MANUAL_RUN,
+	},
 ]
 
 for (const { seed, cause, ...options } of SEEDS)
