--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -12,6 +12,7 @@
 /** Minimum wait of a retried request, as a share of the route's target time. */
 const RETRY_WAIT_SHARE = 0.2
 
+/** Makes one attempt; refuses the request if no server has a free slot in time. */
 export async function makeAttempt(
 	ctx: GatewayContext,
 	job: Job,
@@ -50,7 +51,7 @@
 		team: request.team?.name ?? '',
 		priority: request.priority,
 		tried: job.tried,
-		// A retried request is admitted before requests that were never sent.
+		// With a draw of 0, a retried request is admitted before those never sent.
 		admissionDraw: job.sends > 0 ? 0 : job.admissionDraw,
 		waitMs: Math.min(waitMs, request.timeoutAt - now),
 		slotsFreeOneByOne: !isClosed,
--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -115,7 +115,7 @@
 				bytes: result.bytes,
 				tookMs: Math.round(now - startedAt),
 			})
-			markSourceLost(ctx, follower, now, result.reason)
+			handleSourceFailure(ctx, follower, now, result.reason)
 			if (result.lostHistory) {
 				revision = undefined
 				backoffMs = MIN_BACKOFF_MS
@@ -125,7 +125,7 @@
 			continue
 		}
 		backoffMs = MIN_BACKOFF_MS
-		markSourceBack(ctx, follower, now)
+		handleSourceAnswer(ctx, follower, now)
 		applySnapshot(ctx, result.value, isFullRead, follower, now)
 		const isChanged =
 			!isFullRead && !isSameRevision(result.value.revision, revision!)
@@ -143,7 +143,7 @@
 	return Math.round(settings.contactMs * WATCH_TIMEOUT_SHARE)
 }
 
-function markSourceLost(
+function handleSourceFailure(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
@@ -158,7 +158,7 @@
 	})
 }
 
-function markSourceBack(
+function handleSourceAnswer(
 	ctx: GatewayContext,
 	follower: CatalogFollower,
 	now: number,
--- a/packages/gateway/src/closedGroups.ts
+++ b/packages/gateway/src/closedGroups.ts
@@ -1,4 +1,4 @@
-/** Lock-step groups that are broken: all of their ranks refuse requests. */
+/** Closes lock-step groups whose ranks all refuse requests, and opens them again. */
 
 import type {
 	BlockageTracker,
@@ -22,16 +22,19 @@
 const UNAVAILABLE = 503
 /**
  * Share of the caller's timeout during which a request waits while its group re-forms;
- * the rest is left for the network and for processing the prompt.
+ * the remainder is left for the network and for processing the prompt.
  */
 const WAIT_SHARE = 0.85
 /**
  * Assumed duration of a group's first outage in addition to its re-forming, ms: the time
  * to restart a process and to load its weights.
  */
-const FIRST_OUTAGE_MS = 2_000
+const INITIAL_OUTAGE_MS = 2_000
 
-/** Ranks that crash together, as on one VM, are all detected within this time, ms. */
+/**
+ * Time after which the ranks of a closed group count as stalled, ms: ranks that crash
+ * together, as on one VM, are all detected within it.
+ */
 const STALLED_AFTER_MS = 500
 
 /**
@@ -98,21 +101,28 @@
 }
 
 /** Evidence that a group is closed or open. */
-type Witness = 'answer' | 'coordinator' | 'end'
+type GroupEvidence = 'answer' | 'coordinator' | 'end'
 
-function markClosed(ctx: GatewayContext, group: string, from: Witness): void {
+function markClosed(
+	ctx: GatewayContext,
+	group: string,
+	from: GroupEvidence,
+): void {
 	const now = readNow()
 	if (!ctx.closures.has(group)) ctx.log.write('group closed', { group, from })
 	markBlocked(blockageOf(ctx, group), now)
 	if (ctx.expectedOpenAt.has(group)) return
-	ctx.expectedOpenAt.set(group, now + FIRST_OUTAGE_MS + reformMsOf(ctx, group))
+	ctx.expectedOpenAt.set(
+		group,
+		now + INITIAL_OUTAGE_MS + reformMsOf(ctx, group),
+	)
 }
 
 /** Marks a group as open. Returns whether it was closed before. */
 export function handleGroupOpened(
 	ctx: GatewayContext,
 	group: string,
-	from: Witness,
+	from: GroupEvidence,
 ): boolean {
 	if (from === 'answer') ctx.expectedOpenAt.set(group, 0)
 	const since = ctx.closures.get(group)?.since
@@ -136,27 +146,29 @@
 function blockageOf(ctx: GatewayContext, group: string): BlockageTracker {
 	const known = ctx.blockages.get(group)
 	if (known) return known
-	const outage = createBlockageTracker(FIRST_OUTAGE_MS + reformMsOf(ctx, group))
-	ctx.blockages.set(group, outage)
-	return outage
+	const blockage = createBlockageTracker(
+		INITIAL_OUTAGE_MS + reformMsOf(ctx, group),
+	)
+	ctx.blockages.set(group, blockage)
+	return blockage
 }
 
 function reformMsOf(ctx: GatewayContext, group: string): number {
 	return expertLayoutOf(ctx, serviceOf(group))?.reformMs ?? 0
 }
 
-/** Returns when the first group of a closed service is expected to open, ms. */
-export function expectedReopenAt(
+/** Returns the expected time until the first group of a closed service opens, ms. */
+export function expectedReopenMs(
 	ctx: GatewayContext,
 	service: string,
 	now: number,
 ): number {
 	if (!isServiceClosed(ctx, service)) return 0
 	const rows = ctx.fleet.rowsByService.get(service) ?? []
-	const outages = rows.map(row =>
+	const blockages = rows.map(row =>
 		blockageOf(ctx, groupOf(ctx.fleet.servers[row]!)),
 	)
-	return Math.min(...outages.map(outage => estimateBlockageMs(outage, now)))
+	return Math.min(...blockages.map(one => estimateBlockageMs(one, now)))
 }
 
 /** Returns how long a request may wait for a closed service, ms. */
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -92,8 +92,8 @@
 	/** Closures of lock-step groups that refuse requests at every rank. */
 	readonly closures: GroupClosures
 	/**
-	 * When a group that refused before it ever served this process is expected to
-	 * open, ms, by group; 0 once it has served.
+	 * Expected time of the first opening of each group that refused requests before it
+	 * served any of this process, ms, by group; 0 once it has served one.
 	 */
 	readonly expectedOpenAt: Map<string, number>
 	/** Outages of lock-step groups, by group. */
--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -30,11 +30,11 @@
  * than the retention of abandoned requests.
  */
 const ABANDONED_CHECK_MS = 900
-/** Maximum number of concurrent checks; more servers than fail with a data centre. */
+/** Maximum number of concurrent checks; exceeds the servers lost with a data centre. */
 const MAX_CHECKS = 512
 
 /** Evidence of a crash: a refused connection, or the server list. */
-export type CrashWitness = 'refused' | 'list'
+export type CrashEvidence = 'refused' | 'list'
 
 /**
  * Starts a crash check for a server that closed a connection before its answer was
@@ -207,7 +207,7 @@
 function confirmCrash(
 	ctx: GatewayContext,
 	check: CrashCheck,
-	witness: CrashWitness,
+	witness: CrashEvidence,
 ): void {
 	const { server, at } = check
 	closeCheck(ctx, check)
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -1,6 +1,6 @@
 /**
  * Measures the request rates of this entry and its peers, and derives two things for each
- * service: the share of requests to admit while its groups are nearly full, and the
+ * service: the fraction of requests to admit while its groups are nearly full, and the
  * servers that this entry prefers.
  */
 
@@ -50,13 +50,13 @@
 	draw: number,
 ): boolean {
 	const meter = meterOf(fleet, serviceOfGroup(fleet, group))
-	if (!meter.intake) return room >= 1
-	const share = admittedFraction(room, meter.intake)
-	meter.minAdmittedFraction = Math.min(meter.minAdmittedFraction, share)
-	return draw < share
+	if (!meter.traffic) return room >= 1
+	const fraction = admittedFraction(room, meter.traffic)
+	meter.minAdmittedFraction = Math.min(meter.minAdmittedFraction, fraction)
+	return draw < fraction
 }
 
-/** Whether the groups of a service admit only a share of the requests. */
+/** Whether the groups of a service admit only a fraction of the requests. */
 export function isRationed(fleet: Fleet, service: string): boolean {
 	return meterOf(fleet, service).minAdmittedFraction < 1
 }
@@ -78,7 +78,7 @@
 	for (const service of fleet.rowsByService.keys()) {
 		const meter = meterOf(fleet, service)
 		updateMeter(meter, elapsedMs)
-		if (fleet.peerDemand.size > 0) updateService(ctx, service, meter, elapsedMs)
+		if (fleet.peerDemand.size > 0) updateTraffic(ctx, service, meter, elapsedMs)
 		else assignAllToSelf(fleet, service, meter)
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	meter.arrived = 0
 	meter.finished = 0
-	meter.sentSinceReport = 0
+	meter.unreportedSends = 0
 	meter.minAdmittedFraction = 1
 }
 
@@ -102,12 +102,13 @@
 	service: string,
 	meter: FlowMeter,
 ): void {
-	meter.intake = undefined
+	meter.traffic = undefined
 	for (const row of fleet.rowsByService.get(service) ?? [])
 		fleet.table.assignedElsewhere[row] = 0
 }
 
-function updateService(
+/** Updates the total traffic of a service and the servers assigned to this entry. */
+function updateTraffic(
 	ctx: GatewayContext,
 	service: string,
 	meter: FlowMeter,
@@ -122,7 +123,7 @@
 				(total, [, peer]) => total + (peer.flows[service]?.[rate] ?? 0),
 				0,
 			)
-	meter.intake = {
+	meter.traffic = {
 		perSecond: sum('come'),
 		endedPerSecond: sum('end'),
 		horizonMs: HORIZON_INTERVALS * elapsedMs,
--- a/packages/gateway/src/fleet.ts
+++ b/packages/gateway/src/fleet.ts
@@ -55,11 +55,11 @@
 	/** Arrivals and ends since the rates were last updated. */
 	arrived: number
 	finished: number
-	/** Sends since entries last exchanged their requests in flight. */
-	sentSinceReport: number
+	/** Sends that are not part of the last report to peers. */
+	unreportedSends: number
 	flow: RequestFlow
 	/** Rates over all entries; undefined without peers. */
-	intake: GroupTraffic | undefined
+	traffic: GroupTraffic | undefined
 	/** Least fraction of requests that one of its groups admitted since the last update. */
 	minAdmittedFraction: number
 }
@@ -175,7 +175,7 @@
 	fleet.table.sentSinceReport[row] = Math.max(0, inFlight)
 	const meter = meterOf(fleet, fleet.servers[row]!.service)
 	if (change < 0) meter.finished++
-	else meter.sentSinceReport++
+	else meter.unreportedSends++
 }
 
 /** Returns the request counts of a service, creating them on first use. */
@@ -186,9 +186,9 @@
 	const meter: FlowMeter = {
 		arrived: 0,
 		finished: 0,
-		sentSinceReport: 0,
+		unreportedSends: 0,
 		flow,
-		intake: undefined,
+		traffic: undefined,
 		minAdmittedFraction: 1,
 	}
 	fleet.meters.set(service, meter)
@@ -263,8 +263,8 @@
 
 /**
  * Resets the reported load of all servers to the requests in flight of the peers. Load
- * that a server reported in a response is outdated soon, and a server does not
- * report when the peers' requests there have ended.
+ * that a server reported in a response is soon outdated: the server does not report
+ * when the peers' requests there have ended.
  */
 export function applyPeerLoads(fleet: Fleet, now: number): void {
 	if (fleet.inFlightByPeer.size === 0) return
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -31,7 +31,7 @@
 import { relayStream } from './streamRelay.ts'
 
 const SERVER_ERROR = 500
-/** Errors of a cancelled request: if a server may have run it, and if none has. */
+/** Errors of a cancelled request: the first if a server may have run it. */
 const CANCEL_ERRORS = {
 	timeout: ['noAnswer', 'startBudget'],
 	quarantined: ['linkLost', 'quarantined'],
@@ -101,9 +101,9 @@
 		lastEventId: request.lastEventId,
 		times: { startMs: 0, longestPauseMs: 0 },
 	}
-	const cancel: CancelRequest = why => {
-		const [ran, notRun] = CANCEL_ERRORS[why]
-		failRequest(ctx, job, res, job.mayHaveRun ? ran : notRun)
+	const cancel: CancelRequest = reason => {
+		const [mayHaveRunError, notRunError] = CANCEL_ERRORS[reason]
+		failRequest(ctx, job, res, job.mayHaveRun ? mayHaveRunError : notRunError)
 		control.abort()
 	}
 	if (isQuarantined(ctx, request)) {
@@ -170,7 +170,7 @@
 	for (;;) {
 		const result = await makeAttempt(ctx, job)
 		if (job.signal.aborted) {
-			if (result.kind === 'answer') result.answer.cut()
+			if (result.kind === 'answer') result.answer.closeConnection()
 			if (result.kind === 'answer') result.release('abandoned')
 			return
 		}
@@ -188,9 +188,9 @@
 }
 
 /**
- * Waits until it is known whether the last server has crashed, where a retry depends
- * on it: a suspected request could crash the next server too, and the crash of a rank
- * closes its whole group. Usually this takes one round trip.
+ * Waits for the crash check of the last server where a retry depends on its result: a
+ * suspected request could crash the next server too, and the crash of a rank closes its
+ * whole group. Usually this takes one round trip.
  */
 async function awaitServerState(ctx: GatewayContext, job: Job): Promise<void> {
 	const server = [...job.tried].at(-1)
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -42,20 +42,23 @@
 /** Limit of the HTTP parser; the configuration's limit is lower. */
 const MAX_HEADER_BYTES = 65_536
 /** Timeouts until a configuration is known, ms. */
-const INITIAL_HEADER_MS = 10_000
-const INITIAL_IDLE_MS = 15_000
+const INITIAL_HEADER_TIMEOUT_MS = 10_000
+const INITIAL_IDLE_TIMEOUT_MS = 15_000
 /** Kept-alive connections outlive the published idle timeout by this, ms. */
 const IDLE_MARGIN_MS = 2_000
 /** Maximum time for which a starting entry waits for its peers' state, ms. */
-const PEER_STATE_MS = 1_000
+const PEER_STATE_TIMEOUT_MS = 1_000
 /** Interval of the periodic work on queues, removals and limits, ms. */
 const TICK_MS = 50
-/** The load balancer needs two failed health checks, 1 s apart, to stop sending. */
-const BALANCER_MS = 2_500
-/** Requests still open this long before SIGKILL are ended, ms. */
+/**
+ * Delay between failing readiness and closing connections, ms: the load balancer needs
+ * two failed health checks, 1 s apart, to stop sending.
+ */
+const BALANCER_DELAY_MS = 2_500
+/** Time before SIGKILL at which the requests still open are ended, ms. */
 const END_BEFORE_KILL_MS = 300
 const STOP_CHECK_MS = 50
-/** Time for the last responses to be flushed, ms; part of the time above. */
+/** Time for the last responses to be flushed, ms; part of END_BEFORE_KILL_MS. */
 const FLUSH_MS = 150
 
 /** Starts a gateway; resolves once it listens. */
@@ -66,7 +69,7 @@
 	log: EventLog,
 ): Promise<GatewayContext> {
 	const list = createServerList()
-	const book = createSharedState(list.departed)
+	const sharedState = createSharedState(list.departed)
 	const ctx: GatewayContext = {
 		settings,
 		wire: names,
@@ -95,14 +98,14 @@
 		sentRequests: createSentRequests(),
 		crashDetector: createCrashDetector(),
 		suspension: createSuspensionWatch(),
-		sharedState: book,
+		sharedState,
 		outbox: new Map(),
-		rateLimits: book.rateLimits,
+		rateLimits: sharedState.rateLimits,
 		backoffs: new Map(),
 		permits: createPermitStore(),
 		permitHomes: createPermitHomes(settings.control),
 		openRequests: 0,
-		quarantineGate: createQuarantineGate(book.quarantine),
+		quarantineGate: createQuarantineGate(sharedState.quarantine),
 		cancelByRequest: new Map(),
 		stopping: false,
 	}
@@ -145,9 +148,9 @@
 	const server = createServer(
 		{
 			maxHeaderSize: MAX_HEADER_BYTES,
-			headersTimeout: INITIAL_HEADER_MS,
+			headersTimeout: INITIAL_HEADER_TIMEOUT_MS,
 			requestTimeout: 0,
-			keepAliveTimeout: INITIAL_IDLE_MS + IDLE_MARGIN_MS,
+			keepAliveTimeout: INITIAL_IDLE_TIMEOUT_MS + IDLE_MARGIN_MS,
 			connectionsCheckingInterval: 500,
 			noDelay: true,
 		},
@@ -195,14 +198,18 @@
 	})
 }
 
-/** Returns whether a peer has sent its state, there are no peers, or the wait is over. */
+/** Returns whether a peer has sent its state or this entry no longer waits for one. */
 function isPeerStateSettled({
 	settings,
 	hasPeerState,
 	startedAt,
 }: GatewayContext): boolean {
 	const hasPeers = settings.seeds.some(seed => seed !== settings.control)
-	return hasPeerState || !hasPeers || readElapsed() - startedAt >= PEER_STATE_MS
+	return (
+		hasPeerState ||
+		!hasPeers ||
+		readElapsed() - startedAt >= PEER_STATE_TIMEOUT_MS
+	)
 }
 
 function createMetricsServer(ctx: GatewayContext): Server {
@@ -235,7 +242,7 @@
 	ctx.stopping = true
 	ctx.log.write('stop begun', { open: ctx.openRequests })
 	const endAt = startedAt + stopMs - END_BEFORE_KILL_MS
-	await sleep(Math.min(BALANCER_MS, stopMs / 2))
+	await sleep(Math.min(BALANCER_DELAY_MS, stopMs / 2))
 	callers.close()
 	do {
 		callers.closeIdleConnections()
--- a/packages/gateway/src/job.ts
+++ b/packages/gateway/src/job.ts
@@ -12,7 +12,7 @@
 
 /** A request that has been read completely and validated. */
 export interface CallerRequest {
-	/** Request id, set by the caller for each try. */
+	/** Request id, chosen anew by the caller for each of its retries. */
 	readonly id: string
 	readonly route: TrafficRoute
 	readonly team: TrafficTeam | undefined
@@ -94,7 +94,7 @@
  * Ends a request without a server's response, because it timed out or because it was
  * quarantined.
  */
-export type CancelRequest = (why: 'timeout' | 'quarantined') => void
+export type CancelRequest = (reason: 'timeout' | 'quarantined') => void
 
 /** What follows an attempt: nothing, a retry or a failure. */
 export type NextStep =
--- a/packages/gateway/src/peerLinks.ts
+++ b/packages/gateway/src/peerLinks.ts
@@ -73,7 +73,7 @@
 	return [...links.values()].filter(link => link !== undefined)
 }
 
-/** Lists the addresses of some linked entries, for a process that knows few. */
+/** Lists the addresses of some linked entries, for the reply to a coordinator. */
 export function listLinkedAddresses({ links }: PeerLinks): string[] {
 	return [...links]
 		.filter(([, link]) => link !== undefined)
--- a/packages/gateway/src/peerPull.ts
+++ b/packages/gateway/src/peerPull.ts
@@ -37,7 +37,7 @@
  * Delay before pulling what a peer is ahead with, ms: in most cases the answer of the
  * source itself is already on its way.
  */
-const GRACE_MS = 300
+const PULL_GRACE_MS = 300
 
 /** Pulls in progress, and what peers are ahead with. */
 export interface PeerPulls {
@@ -47,10 +47,11 @@
 	readonly gaps: Map<PullKind, Gap>
 }
 
-/** A newer version seen at a peer. */
+/** A newer version announced by a peer. */
 interface Gap {
-	/** The version that opened the gap. */
-	readonly newest: TermRevision
+	/** The newer version; the gap is closed once this entry has it. */
+	readonly target: TermRevision
+	/** When it was announced first, ms. */
 	readonly since: number
 }
 
@@ -100,9 +101,9 @@
 	const now = readNow()
 	const gap = gaps.get(kind)
 	const hasNothing = !isLater(own, NO_REVISION)
-	if (gap && isLater(gap.newest, own))
-		return hasNothing || now - gap.since >= GRACE_MS
-	gaps.set(kind, { newest: ofPeer, since: now })
+	if (gap && isLater(gap.target, own))
+		return hasNothing || now - gap.since >= PULL_GRACE_MS
+	gaps.set(kind, { target: ofPeer, since: now })
 	return hasNothing
 }
 
--- a/packages/gateway/src/peerStates.ts
+++ b/packages/gateway/src/peerStates.ts
@@ -73,7 +73,8 @@
 interface SentState {
 	readonly config: number
 	readonly list: TermRevision
-	readonly held: ReadonlyMap<string, number>
+	/** Requests in flight, by server id. */
+	readonly inFlight: ReadonlyMap<string, number>
 }
 
 /** Creates a state without messages sent or received. */
@@ -86,7 +87,7 @@
 		heartbeatAt: 0,
 		addressesAt: 0,
 		addressCount: 0,
-		lastSent: { config: -1, list: NO_REVISION, held: new Map() },
+		lastSent: { config: -1, list: NO_REVISION, inFlight: new Map() },
 	}
 }
 
@@ -98,7 +99,7 @@
 ): void {
 	const items = listAllUpdates(ctx)
 	if (items.length > 0) notify(link, 'news', { items })
-	// Sent last: a starting entry takes the first state as the end of the initial sync.
+	// Sent last: for a starting entry, the first state ends the initial synchronization.
 	sendState(ctx, link, {
 		...describeState(ctx),
 		peers: [...peers.links.keys()],
@@ -144,7 +145,7 @@
 	states.lastSent = {
 		config: state.config,
 		list: state.list,
-		held: new Map(ctx.fleet.inFlight),
+		inFlight: new Map(ctx.fleet.inFlight),
 	}
 	const isVersionChanged =
 		state.config !== lastSent.config ||
@@ -155,7 +156,7 @@
 		for (const link of links) sendState(ctx, link, fullState)
 		return
 	}
-	const changed = findChanged(lastSent.held, states.lastSent.held)
+	const changed = findChanged(lastSent.inFlight, states.lastSent.inFlight)
 	if (Object.keys(changed).length === 0) return
 	const delta: InFlightDelta = { name: state.name, changed }
 	for (const link of links) notify(link, 'held', delta)
@@ -220,9 +221,9 @@
 	if (state.sourceAway) states.withoutSource.add(link)
 	else states.withoutSource.delete(link)
 	const { dataCentre, flows } = state
-	const held = new Map(Object.entries(state.held))
+	const inFlight = new Map(Object.entries(state.held))
 	ctx.fleet.peerDemand.set(state.name, { dataCentre, flows })
-	recordPeerLoad(ctx.fleet, state.name, held, now)
+	recordPeerLoad(ctx.fleet, state.name, inFlight, now)
 	ctx.newestPeerVersion = Math.max(ctx.newestPeerVersion, state.config)
 	// A peer that is behind may only be reachable through the link that it has opened.
 	const isBehind =
@@ -240,11 +241,11 @@
 	const known = ctx.fleet.inFlightByPeer.get(name)
 	// Changes are relative to a full state, which has not arrived yet.
 	if (!known) return
-	const held = new Map(known)
+	const inFlight = new Map(known)
 	for (const [id, count] of Object.entries(changed))
-		if (count > 0) held.set(id, count)
-		else held.delete(id)
-	recordPeerLoad(ctx.fleet, name, held, readNow())
+		if (count > 0) inFlight.set(id, count)
+		else inFlight.delete(id)
+	recordPeerLoad(ctx.fleet, name, inFlight, readNow())
 }
 
 /** Whether an address belongs to another entry: all use the same control port. */
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -85,8 +85,8 @@
 	const peers = createPeerLinks(methods, link => {
 		sendFullState(ctx, peers, link)
 	})
-	ctx.permits.queryPermitHome = (home, query) =>
-		queryPermitHome(peers, home, query)
+	ctx.permits.queryPermitHome = (permitHome, query) =>
+		queryPermitHome(peers, permitHome, query)
 	for (const seed of ctx.settings.seeds)
 		if (seed !== ctx.settings.control)
 			recordEntryDiscovered(ctx.permitHomes.membership, seed, readElapsed())
@@ -105,15 +105,15 @@
 /** Requests permits from a permit home; without a link, requests the link instead. */
 function queryPermitHome(
 	peers: PeerLinks,
-	home: string,
+	permitHome: string,
 	query: PermitQuery,
 ): Promise<PermitReply> | undefined {
-	const link = peers.links.get(home)
+	const link = peers.links.get(permitHome)
 	if (link)
 		return call(link, 'permits', query, PERMIT_TIMEOUT_MS).then(reply =>
 			v.parse(PermitReplySchema, reply),
 		)
-	requestLink(peers, home)
+	requestLink(peers, permitHome)
 	return undefined
 }
 
--- a/packages/gateway/src/permitGate.ts
+++ b/packages/gateway/src/permitGate.ts
@@ -39,7 +39,10 @@
 }
 
 /** Consumes a permit for a request about to be sent, if the server is rate-limited. */
-export function spendPermit({ permits }: GatewayContext, server: string): void {
+export function consumePermitFor(
+	{ permits }: GatewayContext,
+	server: string,
+): void {
 	const held = permits.held.get(server)
 	if (held) consumePermit(held, readElapsed())
 }
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -45,10 +45,10 @@
 	const { homes, membership } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
-	const home =
+	const permitHome =
 		findPermitHome(server, membership.reachable) ?? ctx.settings.control
-	homes.set(server, home)
-	return home
+	homes.set(server, permitHome)
+	return permitHome
 }
 
 /** Grants permits for a server whose permit home is this entry. */
--- a/packages/gateway/src/permitState.ts
+++ b/packages/gateway/src/permitState.ts
@@ -10,7 +10,7 @@
 
 /** Sends a query to a permit home; returns undefined while there is no link to it. */
 export type QueryPermitHome = (
-	home: string,
+	permitHome: string,
 	query: PermitQuery,
 ) => Promise<PermitReply> | undefined
 
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -97,8 +97,8 @@
 
 /** One signal as parsed from a response: present, absent or unreadable. */
 export type Signal<T> =
-	| { readonly kind: 'told'; readonly value: T }
-	| { readonly kind: 'untold' }
+	| { readonly kind: 'present'; readonly value: T }
+	| { readonly kind: 'absent' }
 	| { readonly kind: 'unreadable'; readonly text: string }
 
 /** All signals of a response about its server. */
--- a/packages/gateway/src/pressure.ts
+++ b/packages/gateway/src/pressure.ts
@@ -24,9 +24,9 @@
 
 /** Load observations of one service. */
 export interface Pressure {
-	readonly flow: DispatchRate
-	readonly full: BlockageTracker
-	readonly returns: RetryAfterSchedule
+	readonly dispatchRate: DispatchRate
+	readonly blockage: BlockageTracker
+	readonly retryAfterSchedule: RetryAfterSchedule
 	/** Time from sending a request to the first byte of its response, smoothed, ms. */
 	firstByteMs: number
 }
@@ -39,9 +39,9 @@
 	const known = pressures.get(service)
 	if (known) return known
 	const pressure = {
-		flow: createDispatchRate(),
-		full: createBlockageTracker(INITIAL_BLOCKAGE_MS),
-		returns: createRetryAfterSchedule(),
+		dispatchRate: createDispatchRate(),
+		blockage: createBlockageTracker(INITIAL_BLOCKAGE_MS),
+		retryAfterSchedule: createRetryAfterSchedule(),
 		firstByteMs: 0,
 	}
 	pressures.set(service, pressure)
--- a/packages/gateway/src/quarantineGate.ts
+++ b/packages/gateway/src/quarantineGate.ts
@@ -22,9 +22,12 @@
  * Time between the entries' turns to retry a quarantined request, ms: longer than the
  * server takes to crash and the evidence to reach all entries.
  */
-const TURN_MS = 10_000
-/** A crash reported later than this no longer closes a group, which may run again, ms. */
-const FRESH_MS = 500
+const RETRY_TURN_MS = 10_000
+/**
+ * Age beyond which a crash that a peer reports no longer closes the group, ms: the group
+ * may be running again.
+ */
+const MAX_CRASH_AGE_MS = 500
 
 /** Whether a request must not be sent to any server. */
 export function isQuarantined(
@@ -47,12 +50,12 @@
 ): number {
 	const { quarantine } = ctx.quarantineGate
 	const fingerprint = fingerprintOf(request)
-	const turnMs = turnOf(ctx, fingerprint) * TURN_MS
+	const turnMs = retryTurnOf(ctx, fingerprint) * RETRY_TURN_MS
 	return quarantineLeftMs(quarantine, fingerprint, readElapsed(), turnMs)
 }
 
 /** Returns how many other entries retry a request before this one. */
-function turnOf({ permitHomes, settings }: GatewayContext, key: string) {
+function retryTurnOf({ permitHomes, settings }: GatewayContext, key: string) {
 	const { reachable } = permitHomes.membership
 	const order = topByRendezvous(key, reachable, reachable.length)
 	return Math.max(0, order.indexOf(settings.control))
@@ -111,7 +114,7 @@
 	updateQuarantine(ctx, from)
 	if (from === 'here') return
 	for (const one of changes)
-		if (one.kind === 'end' && now - one.at < FRESH_MS)
+		if (one.kind === 'end' && now - one.at < MAX_CRASH_AGE_MS)
 			closeGroupOf(ctx, one.server)
 }
 
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -7,7 +7,7 @@
 } from '@juniperhook/core'
 import { readNow } from '@juniperhook/runtime'
 import { forecastAvailability } from './availabilityForecast.ts'
-import { expectedReopenAt } from './closedGroups.ts'
+import { expectedReopenMs } from './closedGroups.ts'
 import type { GatewayContext } from './context.ts'
 import { pressureOf } from './pressure.ts'
 
@@ -24,33 +24,41 @@
 	leftMs: number,
 ): number {
 	const now = readNow()
-	const { flow, full, returns } = pressureOf(ctx.pressures, service)
-	const reopenInMs = expectedReopenAt(ctx, service, now)
+	const { dispatchRate, blockage, retryAfterSchedule } = pressureOf(
+		ctx.pressures,
+		service,
+	)
+	const reopenMs = expectedReopenMs(ctx, service, now)
 	const availability = forecastAvailability(ctx, service)
 	const maxHonoredMs = leftMs * ctx.settings.retryAfterShare - RESPONSE_TRIP_MS
 	if (availability?.kind === 'resting') {
 		const { nextMs } = availability
 		const forecast = {
-			availableInMs: reopenInMs,
+			availableInMs: reopenMs,
 			notBeforeMs: nextMs,
 			maxHonoredMs,
 		}
 		// While nothing is sent, the observed intervals say nothing about the server's rate.
-		const gapMs = Math.max(flow.intervalMs, availability.intervalMs)
-		return scheduleRetryAfter(returns, { ...forecast, gapMs }, now, ctx.random)
+		const gapMs = Math.max(dispatchRate.intervalMs, availability.intervalMs)
+		return scheduleRetryAfter(
+			retryAfterSchedule,
+			{ ...forecast, gapMs },
+			now,
+			ctx.random,
+		)
 	}
 	const permitMs = availability?.nextMs ?? 0
 	const availableInMs = Math.max(
-		reopenInMs,
-		estimateBlockageMs(full, now),
+		reopenMs,
+		estimateBlockageMs(blockage, now),
 		permitMs,
 	)
-	const gapMs = currentIntervalMs(flow, now)
+	const gapMs = currentIntervalMs(dispatchRate, now)
 	const forecast = {
 		availableInMs,
 		notBeforeMs: 0,
 		gapMs,
 		maxHonoredMs,
 	}
-	return scheduleRetryAfter(returns, forecast, now, ctx.random)
+	return scheduleRetryAfter(retryAfterSchedule, forecast, now, ctx.random)
 }
--- a/packages/gateway/src/retryDecision.ts
+++ b/packages/gateway/src/retryDecision.ts
@@ -5,7 +5,7 @@
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
 
-/** Maximum of refused sends before a retry; they do not count as attempts. */
+/** Maximum number of refused sends with a retry; they do not count as attempts. */
 const MAX_REFUSED_SENDS = 3
 
 /**
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -10,7 +10,7 @@
 	readonly server: ListedServer
 	/** The request in the record of requests sent by this entry. */
 	readonly sentRequest: SentRequest
-	/** When it was sent, ms of the steady clock, which stands while the VM is suspended. */
+	/** When it was sent, ms of the steady clock, which stops while the VM is suspended. */
 	readonly sentAt: number
 	/** When it was sent, ms of elapsed time, which includes suspensions. */
 	readonly sentAtElapsed: number
--- a/packages/gateway/src/sendOutcome.ts
+++ b/packages/gateway/src/sendOutcome.ts
@@ -63,7 +63,7 @@
 	answer: ServerAnswer,
 ): AttemptResult {
 	const { status, message } = answer
-	const saysNotRun = message.headers[ctx.wire.notRun] !== undefined
+	const isMarkedNotRun = message.headers[ctx.wire.notRun] !== undefined
 	const isMisdirected = status === MISDIRECTED
 	// A misdirected response comes from another server than the one addressed.
 	if (!isMisdirected)
@@ -72,11 +72,11 @@
 			{
 				server: send.server.id,
 				sentAt: send.sentAtElapsed,
-				ran: !saysNotRun,
+				ran: !isMarkedNotRun,
 			},
 			ctx.readStatement(status, message.headers),
 		)
-	if (saysNotRun || isMisdirected) return recordRefusal(ctx, send, answer)
+	if (isMarkedNotRun || isMisdirected) return recordRefusal(ctx, send, answer)
 	return beginAnswer(ctx, send, answer)
 }
 
--- a/packages/gateway/src/sentRequests.ts
+++ b/packages/gateway/src/sentRequests.ts
@@ -77,7 +77,7 @@
 	const abandoned = (requests.abandoned.get(server) ?? []).filter(
 		one => abandonedAt - one.abandonedAt < ABANDONED_RETENTION_MS,
 	)
-	abandoned.push({ ...describe(sent), abandonedAt })
+	abandoned.push({ ...summarize(sent), abandonedAt })
 	requests.abandoned.set(server, abandoned.slice(-MAX_ABANDONED))
 }
 
@@ -87,7 +87,7 @@
 	server: string,
 ): InFlightSummary[] {
 	const now = readElapsed()
-	const inFlight = [...(requests.inFlight.get(server) ?? [])].map(describe)
+	const inFlight = [...(requests.inFlight.get(server) ?? [])].map(summarize)
 	const abandoned = requests.abandoned.get(server) ?? []
 	return [
 		...abandoned.filter(one => now - one.abandonedAt < ABANDONED_RETENTION_MS),
@@ -103,6 +103,6 @@
 			requests.abandoned.delete(server)
 }
 
-function describe({ request, since }: SentRequest): InFlightSummary {
+function summarize({ request, since }: SentRequest): InFlightSummary {
 	return { id: request.id, fingerprint: fingerprintOf(request), since }
 }
--- a/packages/gateway/src/serverCall.ts
+++ b/packages/gateway/src/serverCall.ts
@@ -4,7 +4,6 @@
 import { request } from 'node:http'
 import type { Socket } from 'node:net'
 
-/** Connect timeout, ms. */
 const CONNECT_TIMEOUT_MS = 200
 
 /** A request to a server. */
@@ -22,7 +21,7 @@
 	readonly idHeader: string
 	readonly agent: Agent
 	/** Timeout for the response head, ms. */
-	readonly headMs: number
+	readonly headTimeoutMs: number
 	readonly signal: AbortSignal
 }
 
@@ -41,9 +40,10 @@
 	/** Returns whether the body is complete; valid once `message` is closed. */
 	isWhole(): boolean
 	/** Closes the connection, so that the server stops its work. */
-	cut(): void
+	closeConnection(): void
 }
 
+/** Sends a request to a server; resolves with the head of its response. */
 export function callServer(call: ServerRequest): Promise<CallResult> {
 	const [host, port] = call.address.split(':')
 	return new Promise(resolve => {
@@ -69,7 +69,10 @@
 			settle(connected ? { kind: 'lost', reason } : { kind: 'notSent', reason })
 			req.destroy()
 		}
-		const headTimer = setTimeout(() => fail('no answer in time'), call.headMs)
+		const headTimer = setTimeout(
+			() => fail('no answer in time'),
+			call.headTimeoutMs,
+		)
 		let connectTimer: NodeJS.Timeout | undefined
 		req.on('socket', (socket: Socket) => {
 			if (!socket.connecting) {
@@ -131,7 +134,7 @@
 		status: message.statusCode ?? 0,
 		message,
 		isWhole: () => message.complete && !isReset,
-		cut: () => req.destroy(),
+		closeConnection: () => req.destroy(),
 	}
 }
 
--- a/packages/gateway/src/serverPool.ts
+++ b/packages/gateway/src/serverPool.ts
@@ -3,7 +3,7 @@
 import { Agent } from 'node:http'
 import type { TrafficService } from '@juniperhook/core'
 
-/** Maximum of idle connections to one server. */
+/** Maximum number of idle connections to one server. */
 const MAX_IDLE_CONNECTIONS = 12
 /**
  * Share of a server's connections that all entries together may keep idle. A server
@@ -11,7 +11,7 @@
  */
 const IDLE_SHARE = 0.5
 /** Idle timeout of connections, ms; shorter than that of servers. */
-const IDLE_MS = 8_000
+const IDLE_TIMEOUT_MS = 8_000
 
 /** HTTP agents for calls to all servers. */
 export interface ServerPool {
@@ -30,7 +30,7 @@
 		keepAlive: new Agent({
 			keepAlive: true,
 			maxFreeSockets: MAX_IDLE_CONNECTIONS,
-			timeout: IDLE_MS,
+			timeout: IDLE_TIMEOUT_MS,
 			scheduling: 'lifo',
 		}),
 		oneShot: new Agent({ keepAlive: false }),
@@ -38,12 +38,10 @@
 }
 
 /** Closes the idle connections to a crashed server; `address` is its `IP:port`. */
-export function closeIdle(
-	{ keepAlive: kept }: ServerPool,
-	address: string,
-): void {
+export function closeIdle({ keepAlive }: ServerPool, address: string): void {
 	const [host, port] = address.split(':')
-	const idle = kept.freeSockets[kept.getName({ host, port: Number(port) })]
+	const idle =
+		keepAlive.freeSockets[keepAlive.getName({ host, port: Number(port) })]
 	for (const socket of idle ?? []) socket.destroy()
 }
 
@@ -62,16 +60,16 @@
 }
 
 /**
- * Adjusts the maximum of idle connections to the connection limits of services and the
+ * Adjusts the maximum number of idle connections to the connection limits of services and the
  * number of entries.
  */
 export function resizeIdle(
-	{ keepAlive: kept }: ServerPool,
+	{ keepAlive }: ServerPool,
 	services: Iterable<TrafficService>,
 	entries: number,
 ): void {
 	const maxConnections = Math.min(
 		...[...services].map(service => service.maxConnections),
 	)
-	kept.maxFreeSockets = maxIdlePerServer(maxConnections, entries)
+	keepAlive.maxFreeSockets = maxIdlePerServer(maxConnections, entries)
 }
--- a/packages/gateway/src/serverQueue.ts
+++ b/packages/gateway/src/serverQueue.ts
@@ -21,7 +21,7 @@
 import type { GatewayContext } from './context.ts'
 import { isAdmitted, isRationed } from './entryDemand.ts'
 import { groupOf, meterOf, queueOf, trackInFlight } from './fleet.ts'
-import { listLimited, spendPermit } from './permitGate.ts'
+import { consumePermitFor, listLimited } from './permitGate.ts'
 import { requestPermits } from './permitRequest.ts'
 import type { Pressure } from './pressure.ts'
 import { pressureOf } from './pressure.ts'
@@ -30,7 +30,8 @@
 
 /**
  * Requests that an engine may queue beyond its slots: none. A request queued there
- * waits until one of that engine's few streams ends; here, until any stream ends.
+ * waits until one of that engine's few streams ends; in the queue here, until any
+ * stream of the service ends.
  */
 const ENGINE_QUEUE_CAPACITY = 0
 /** Requests that a plain server may queue beyond its slots. */
@@ -54,14 +55,14 @@
 			options.admissionDraw,
 		)
 		if (grant.kind === 'server') {
-			recordDispatch(pressure.flow, now)
+			recordDispatch(pressure.dispatchRate, now)
 			// A blockage goes on while the service admits only a fraction of requests.
 			if (!isRationed(ctx.fleet, options.service))
-				markUnblocked(pressure.full, now)
+				markUnblocked(pressure.blockage, now)
 		}
 		if (grant.kind !== 'full') return Promise.resolve(grant)
 	}
-	markBlocked(pressure.full, now)
+	markBlocked(pressure.blockage, now)
 	requestPermitsAhead(ctx, options.service, demand, options.waitMs)
 	const forecast = forecastAvailability(ctx, options.service)
 	if (willExceedWait(queue, options, pressure, forecast, now))
@@ -105,7 +106,7 @@
 function willExceedWait(
 	queue: FairQueue<Waiter>,
 	options: AcquireOptions,
-	{ flow }: Pressure,
+	{ dispatchRate }: Pressure,
 	forecast: AvailabilityForecast | undefined,
 	now: number,
 ): boolean {
@@ -114,7 +115,7 @@
 	)
 	if (forecast) return forecastWaitMs(forecast, before.length) > options.waitMs
 	if (!options.slotsFreeOneByOne) return options.waitMs <= 0
-	return predictWaitMs(flow, before.length, now) > options.waitMs
+	return predictWaitMs(dispatchRate, before.length, now) > options.waitMs
 }
 
 /** Assigns servers with free slots to waiting requests. */
@@ -136,7 +137,10 @@
 		}
 		dequeue(queue)
 		if (grant.kind === 'server')
-			recordDispatch(pressureOf(ctx.pressures, next.service).flow, readNow())
+			recordDispatch(
+				pressureOf(ctx.pressures, next.service).dispatchRate,
+				readNow(),
+			)
 		next.grant(grant)
 	}
 }
@@ -158,8 +162,8 @@
 	const waiting = [...queue.waiting]
 	const { service } = waiting[0]!
 	const now = readNow()
-	const longest = Math.max(...waiting.map(({ until }) => until - now))
-	requestPermitsAhead(ctx, service, waiting.length, longest)
+	const longestWaitMs = Math.max(...waiting.map(({ until }) => until - now))
+	requestPermitsAhead(ctx, service, waiting.length, longestWaitMs)
 	const forecast = forecastAvailability(ctx, service)
 	if (!forecast) return
 	for (const [before, { until, grant }] of waiting.entries())
@@ -181,16 +185,16 @@
 	}
 	const now = readNow()
 	const isEngine = routes?.services.get(service)?.engine !== undefined
-	const { permitted, exhausted: spent } = listLimited(ctx, service)
+	const { permitted, exhausted } = listLimited(ctx, service)
 	const query = {
 		rows: fleet.rowsByService.get(service) ?? [],
 		tried,
 		queueCapacity: isEngine ? ENGINE_QUEUE_CAPACITY : PLAIN_QUEUE_CAPACITY,
 		closedGroups: listUnavailableGroups(ctx, admissionDraw, now),
 		localRows: fleet.localRows,
-		unreportedSends: meterOf(fleet, service).sentSinceReport,
+		unreportedSends: meterOf(fleet, service).unreportedSends,
 		permitted,
-		withheld: new Set([...spent, ...listBackingOff(ctx, service)]),
+		withheld: new Set([...exhausted, ...listBackingOff(ctx, service)]),
 	}
 	const choice = chooseRow(fleet.table, query, now, ctx.random)
 	if (choice.kind !== 'row') return choice
@@ -198,7 +202,7 @@
 	if (!tryEnterGroup(ctx.closures, groupOf(server), now))
 		return { kind: 'full' }
 	const { id } = server
-	spendPermit(ctx, id)
+	consumePermitFor(ctx, id)
 	recordBackoffProbe(ctx.backoffs, id, readElapsed())
 	trackInFlight(fleet, id, 1)
 	return { kind: 'server', id }
@@ -213,9 +217,9 @@
 	for (const [number, group] of ctx.fleet.groups.entries())
 		if (isGroupClosed(ctx.closures, group, now)) unavailable.add(number)
 	const { fleet } = ctx
-	const isOpen = (group: number, freeSlots: number) =>
+	const accepts = (group: number, freeSlots: number) =>
 		isAdmitted(fleet, group, freeSlots, admissionDraw)
-	const full = listFullGroups(fleet.table, isOpen, fleet.peerScale)
+	const full = listFullGroups(fleet.table, accepts, fleet.peerScale)
 	for (const number of full) unavailable.add(number)
 	return unavailable
 }
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -15,12 +15,12 @@
 
 /** No attempt is made with less time left than this, ms. */
 const MIN_LEFT_MS = 5
-/** Margin by which the request's own timeout, with the right error, fires first, ms. */
+/** Margin of a call's timeout over the request's own, whose error is specific, ms. */
 const HEAD_TIMEOUT_MARGIN_MS = 500
 /** Head timeout of a repeatable request before a retry, as a share of its target. */
 const HEAD_TIMEOUT_SHARE = 0.5
-/** The same as a multiple of the server's usual service time; the longer one counts. */
-const HEAD_TIMEOUT_TIMES = 4
+/** The same as a multiple of the server's usual service time; the longer one applies. */
+const HEAD_TIMEOUT_FACTOR = 4
 
 /** Sends a request to an acquired server. */
 export async function sendToServer(
@@ -89,7 +89,7 @@
 		id: request.id,
 		idHeader: ctx.wire.requestId,
 		agent: request.repeatable ? ctx.pool.keepAlive : ctx.pool.oneShot,
-		headMs: Math.min(
+		headTimeoutMs: Math.min(
 			untilTimeoutMs + HEAD_TIMEOUT_MARGIN_MS,
 			headTimeoutMs(ctx, job),
 		),
@@ -110,6 +110,6 @@
 	const usualMs = row === undefined ? 0 : ctx.fleet.table.serviceMs[row]!
 	return Math.max(
 		route.targetMs * HEAD_TIMEOUT_SHARE,
-		usualMs * HEAD_TIMEOUT_TIMES,
+		usualMs * HEAD_TIMEOUT_FACTOR,
 	)
 }
--- a/packages/gateway/src/serverStatement.ts
+++ b/packages/gateway/src/serverStatement.ts
@@ -11,17 +11,17 @@
 import { recordRequestedBackoff } from './serverBackoffs.ts'
 import { recordLeaving } from './serverRecords.ts'
 
-/** Maximum of unknown headers that are counted by name. */
+/** Maximum number of unknown headers that are counted by name. */
 const MAX_UNKNOWN = 32
-/** Maximum of distinct unreadable signals that are logged. */
+/** Maximum number of distinct unreadable signals that are logged. */
 const MAX_UNREADABLE = 256
 /** Label under which further headers are counted. */
 const OTHERS = 'others'
 
-/** Handles a signal; the value is undefined when the response lacks the signal. */
+/** Handles a signal; the value is undefined when the response does not carry it. */
 type Handler<T> = (
 	ctx: GatewayContext,
-	heard: StatementOrigin,
+	origin: StatementOrigin,
 	value: T | undefined,
 ) => void
 
@@ -46,30 +46,30 @@
 /** Handles all signals and unknown headers of a response. */
 export function applyStatement(
 	ctx: GatewayContext,
-	heard: StatementOrigin,
+	origin: StatementOrigin,
 	statement: ServerStatement,
 ): void {
 	for (const signal of HANDLED_SIGNALS)
-		handleSignal(ctx, heard, statement, signal)
-	for (const header of statement.unknown) recordUnknown(ctx, heard, header)
+		handleSignal(ctx, origin, statement, signal)
+	for (const header of statement.unknown) recordUnknown(ctx, origin, header)
 }
 
 function handleSignal<K extends keyof SignalValues>(
 	ctx: GatewayContext,
-	heard: StatementOrigin,
+	origin: StatementOrigin,
 	{ signals }: ServerStatement,
 	name: K,
 ): void {
 	const signal = signals[name]
 	switch (signal.kind) {
-		case 'told':
-			HANDLERS[name](ctx, heard, signal.value)
+		case 'present':
+			HANDLERS[name](ctx, origin, signal.value)
 			return
-		case 'untold':
-			HANDLERS[name](ctx, heard, undefined)
+		case 'absent':
+			HANDLERS[name](ctx, origin, undefined)
 			return
 		case 'unreadable':
-			recordUnreadable(ctx, heard, name, signal.text)
+			recordUnreadable(ctx, origin, name, signal.text)
 			return
 		default:
 			signal satisfies never
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -32,7 +32,7 @@
 	const relay = (event: StreamEvent) => {
 		if (!isAfter(job.lastEventId, event.id)) {
 			inOrder = false
-			answer.cut()
+			answer.closeConnection()
 			return
 		}
 		const now = readNow()
--- a/packages/gateway/src/suspension.ts
+++ b/packages/gateway/src/suspension.ts
@@ -1,6 +1,7 @@
 /**
- * Detects suspensions of the VM and corrects their effects: timers and open connections
- * do not notice a suspension, so timeouts fire late and state is older than it seems.
+ * Detects suspensions of the VM and corrects their effects: timers
+ * stop and connections stay open during a suspension, so timeouts fire late and state is
+ * older than it seems.
  */
 
 import { readElapsed, readSuspendedMs } from '@juniperhook/runtime'
--- a/packages/gateway/src/updateExchange.ts
+++ b/packages/gateway/src/updateExchange.ts
@@ -26,15 +26,15 @@
 ): void {
 	const now = readElapsed()
 	const updates = items.map(item => fromWire(item, now))
-	const of = <K extends ServerUpdate['kind']>(...kinds: readonly K[]) =>
+	const ofKind = <K extends ServerUpdate['kind']>(...kinds: readonly K[]) =>
 		updates.filter((one): one is UpdateOf<K> => kinds.some(k => k === one.kind))
-	receiveLimits(ctx, of('limit'), from)
-	recordLeaving(ctx, of('left'), from)
-	receiveCrashUpdates(ctx, of('end', 'served'), from)
-	receiveBackoffs(ctx, of('rest'), from)
+	receiveLimits(ctx, ofKind('limit'), from)
+	recordLeaving(ctx, ofKind('left'), from)
+	receiveCrashUpdates(ctx, ofKind('end', 'served'), from)
+	receiveBackoffs(ctx, ofKind('rest'), from)
 }
 
-/** Takes the updates that have not been sent to other entries yet. */
+/** Removes and returns the updates that have not been sent to other entries yet. */
 export function drainUpdates({ outbox }: GatewayContext): WireUpdate[] {
 	const now = readElapsed()
 	return drainOutbox(outbox).map(one => toWire(one, now))
--- a/packages/gateway/test/backoff.test.ts
+++ b/packages/gateway/test/backoff.test.ts
@@ -218,7 +218,7 @@
 	}
 	const outcomes = await Promise.all(responses)
 	closeWorld(world)
-	const others = outcomes.filter(end => end !== 'served')
+	const others = outcomes.filter(outcome => outcome !== 'served')
 	assert.ok(
 		others.length <= MAX_FAILED_RETRIES * outcomes.length,
 		others.join('\n'),
--- a/packages/gateway/test/configTransfer.test.ts
+++ b/packages/gateway/test/configTransfer.test.ts
@@ -80,8 +80,14 @@
 	for (const other of links.slice(0, MAX_TRANSFERS))
 		await other.peer.request('configPiece', first)
 	assert.equal(await fetchConfig(last, VERSION), { ok: false, reason: 'busy' })
-	assert.ok((await fetchConfig(link, VERSION)).ok, 'a started one continues')
-	assert.ok((await fetchConfig(last, VERSION)).ok, 'a finished one makes room')
+	assert.ok(
+		(await fetchConfig(link, VERSION)).ok,
+		'a transfer in progress continues',
+	)
+	assert.ok(
+		(await fetchConfig(last, VERSION)).ok,
+		'a finished transfer admits another',
+	)
 })
 
 test.after(() => {
--- a/packages/gateway/test/crashingServers.ts
+++ b/packages/gateway/test/crashingServers.ts
@@ -16,7 +16,7 @@
 /** Time from a crash to the restart, ms. */
 const RESTART_AFTER_MS = 150
 
-/** A request as run by a server. */
+/** A request that a server ran. */
 export interface ServerRun {
 	readonly body: string
 	readonly server: string
--- a/packages/gateway/test/fakeBackends.ts
+++ b/packages/gateway/test/fakeBackends.ts
@@ -49,8 +49,8 @@
 		const read = <T>(name: string, toValue: (text: string) => T): Signal<T> => {
 			const text = headers[name]?.toString()
 			return text === undefined
-				? { kind: 'untold' }
-				: { kind: 'told', value: toValue(text) }
+				? { kind: 'absent' }
+				: { kind: 'present', value: toValue(text) }
 		}
 		const backoff = read(SIGNALS.restMs, text => Number(text) * 1_000)
 		return {
@@ -60,7 +60,7 @@
 					return { running, waiting }
 				}),
 				perSecond: read(SIGNALS.perSecond, Number),
-				restMs: status === 503 ? backoff : { kind: 'untold' },
+				restMs: status === 503 ? backoff : { kind: 'absent' },
 				leaving: read(SIGNALS.leaving, () => true as const),
 			},
 			unknown: Object.keys(headers).filter(name => name.startsWith('x-new')),
--- a/packages/gateway/test/fingerprint.test.ts
+++ b/packages/gateway/test/fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Requests that have the same fingerprint. */
+/** Tests which requests have the same fingerprint. */
 
 import type { TrafficTeam } from '@juniperhook/core'
 import { test } from 'uvu'
--- a/packages/gateway/test/gateway.test.ts
+++ b/packages/gateway/test/gateway.test.ts
@@ -1,4 +1,4 @@
-/** Requests through a gateway to backend servers with scripted behaviour. */
+/** Tests requests through a gateway to backend servers with scripted behaviour. */
 
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
--- a/packages/gateway/test/gatewayState.test.ts
+++ b/packages/gateway/test/gatewayState.test.ts
@@ -1,4 +1,4 @@
-/** A gateway's state of servers and its source. */
+/** Tests the state that a gateway keeps of its servers and its source. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { incarnationId } from '@juniperhook/core'
@@ -22,8 +22,8 @@
 const openGateway = createOpener(21_540, backends.listed)
 /** Time that the source client adds to a watch's wait before it times out, ms. */
 const WATCH_GRACE_MS = 500
-/** Pause before the next call to the source, ms. */
-const PAUSE_MS = 100
+/** Delay before the next call to the source, ms. */
+const RETRY_DELAY_MS = 100
 
 function reset(script: readonly BackendAction[] = []): void {
 	backends.script = [...script]
@@ -70,10 +70,10 @@
 	const catalog = createCatalog(CONFIG, [listedAs(10)])
 	const other = await openGateway(catalog)
 	const { fleet } = other.ctx
-	const ask = (id: string) =>
+	const send = (id: string) =>
 		callGateway(other.callers, '/o/x', { [WIRE.requestId]: id }, 'POST')
-	for (let at = 0; at < 4; at++) await ask(`former-${at}`)
-	const lost = ask('former-open')
+	for (let at = 0; at < 4; at++) await send(`former-${at}`)
+	const lost = send('former-open')
 	await until(() => fleet.inFlight.get(listedAs(10).id) === 1)
 	assert.ok(fleet.table.failureRate[0]! > 0)
 	catalog.publish({
@@ -84,7 +84,7 @@
 	await until(() => fleet.table.rowOf.has(listedAs(20).id))
 	assert.is(fleet.table.failureRate[0], 0)
 	assert.is(fleet.table.sentSinceReport[0], 0)
-	const answer = await ask('restarted')
+	const answer = await send('restarted')
 	assert.is(answer.status, 200)
 	const expected = backends.arrivals.at(-1)?.headers[WIRE.expectServer]
 	assert.is(expected, first!.name, 'requests are addressed to the server name')
@@ -124,7 +124,7 @@
 	const other = await openGateway(catalog)
 	const [first] = backends.listed
 	const { name } = first!
-	// After an outage, removals are doubted, but values that were written are not.
+	// After an outage removals are deferred, but an unreadable value applies at once.
 	catalog.isDown = true
 	await new Promise(resolve => setTimeout(resolve, 1_500))
 	catalog.publish({
@@ -164,8 +164,8 @@
 	const catalog = createCatalog(CONFIG, backends.listed)
 	await openGateway(catalog)
 	await until(() => catalog.watchMs > 0)
-	const reread = WATCH_GRACE_MS + 2 * PAUSE_MS
-	assert.ok(catalog.watchMs + reread < CONTACT_MS)
+	const reopenMs = WATCH_GRACE_MS + 2 * RETRY_DELAY_MS
+	assert.ok(catalog.watchMs + reopenMs < CONTACT_MS)
 })
 
 test('gateway: open requests get a final response when the time to stop is over', async () => {
--- a/packages/gateway/test/groups.test.ts
+++ b/packages/gateway/test/groups.test.ts
@@ -1,4 +1,4 @@
-/** Circuit breakers of lock-step groups that break, form and open. */
+/** Tests how entries handle lock-step groups that break, form and open again. */
 
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -95,7 +95,7 @@
 	reset()
 	const link = await connectRpc(gateway.control, {})
 	const report = (number: number, broken: boolean) => {
-		const news = {
+		const params = {
 			group: 'plain/',
 			by: 'one',
 			number,
@@ -103,7 +103,7 @@
 			slow: {},
 			broken,
 		}
-		return call(link, 'paces', news)
+		return call(link, 'paces', params)
 	}
 	await report(1, true)
 	const answers = [1, 2, 3].map(at =>
--- a/packages/gateway/test/leaving.test.ts
+++ b/packages/gateway/test/leaving.test.ts
@@ -38,7 +38,7 @@
 /** Time for updates to reach all entries, ms. */
 const PROPAGATION_MS = 300
 
-/** Opens a world of three entries, the first of which got a server's announcement. */
+/** Opens a world of three entries, the first of which received an announcement. */
 async function openLeaving(): Promise<[LimitedWorld, LimitedServer]> {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
@@ -101,7 +101,7 @@
 	},
 ]
 for (const { name, change, getsRequests } of LATER_CASES)
-	test(`a leaving server gets no requests when ${name}: ${!getsRequests}`, async () => {
+	test(`a server that announced its leaving gets ${getsRequests ? 'requests' : 'none'} when ${name}`, async () => {
 		const [world, server] = await openLeaving()
 		const before = server.arrivals.length
 		change(world, server)
@@ -112,7 +112,7 @@
 		assert.is(server.arrivals.length > before, getsRequests)
 	})
 
-test('a starting entry knows leaving servers before it is ready', async () => {
+test('a starting entry has received leaving servers before it is ready', async () => {
 	const [world, server] = await openLeaving()
 	const started = await openEntry(world)
 	while ((await callGateway(started.readiness, '/')).status !== 200)
--- a/packages/gateway/test/limitedServers.ts
+++ b/packages/gateway/test/limitedServers.ts
@@ -18,8 +18,8 @@
 import { openGatewayAt, until } from './openGateway.ts'
 
 /** Window over which requests are counted, ms. */
-export const SPAN_MS = 4_000
-const SPAN_SECONDS = SPAN_MS / 1_000
+export const WINDOW_MS = 4_000
+const WINDOW_SECONDS = WINDOW_MS / 1_000
 /** Requests allowed in a window: the limit times a factor, plus a constant. */
 const ALLOWED_FACTOR = 1.5
 const ALLOWED_EXTRA = 5
@@ -78,7 +78,7 @@
 }
 
 /** Header with the entry that a request is sent to; entries forward it. */
-const ENTRY_HEADER = 'x-asked'
+const ENTRY_HEADER = 'x-sent-to'
 
 /** Linked entries in front of such servers. */
 export interface LimitedWorld {
@@ -202,7 +202,7 @@
 }
 
 /** Returns the largest number of requests in any window between `from` and `to`, ms. */
-export function maxInSpan(
+export function maxInWindow(
 	{ arrivals }: LimitedServer,
 	from: number,
 	to = Number.POSITIVE_INFINITY,
@@ -210,14 +210,14 @@
 	const times = arrivals.map(({ at }) => at)
 	const counted = times.filter(at => at >= from && at < to)
 	const counts = counted.map(
-		first => counted.filter(at => at >= first && at < first + SPAN_MS).length,
+		first => counted.filter(at => at >= first && at < first + WINDOW_MS).length,
 	)
 	return Math.max(0, ...counts)
 }
 
 /** Returns the maximum number of requests that a limit allows in a window. */
-export function allowedInSpan(perSecond: number): number {
-	return ALLOWED_FACTOR * SPAN_SECONDS * perSecond + ALLOWED_EXTRA
+export function allowedInWindow(perSecond: number): number {
+	return ALLOWED_FACTOR * WINDOW_SECONDS * perSecond + ALLOWED_EXTRA
 }
 
 /** Response to a request. */
--- a/packages/gateway/test/poisonWorld.ts
+++ b/packages/gateway/test/poisonWorld.ts
@@ -46,11 +46,11 @@
 	servers: number,
 	engine: EngineProfile | undefined,
 ): Promise<World> {
-	const mortals = await startCrashingServers(servers)
+	const crashingServers = await startCrashingServers(servers)
 	const entries: OpenGateway[] = []
 	const services = CONFIG.services.map(one => ({ ...one, engine }))
 	const config = { ...CONFIG, routes: ROUTES, services, limits: LIMITS }
-	const world = { servers: mortals, entries, port, config }
+	const world = { servers: crashingServers, entries, port, config }
 	for (let at = 0; at < entryCount; at++) await openEntry(world)
 	await pause(LINK_MS)
 	return world
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -1,4 +1,4 @@
-/** Requests to a full service: queueing, early refusal and `Retry-After` times. */
+/** Tests requests to a full service: queueing, early refusal and `Retry-After` times. */
 
 import { readNow } from '@juniperhook/runtime'
 import { test } from 'uvu'
@@ -21,8 +21,8 @@
 function fill(gapMs: number): Pressure {
 	ctx.fleet.table.maxInFlight.fill(0)
 	const pressure = pressureOf(ctx.pressures, SERVICE)
-	pressure.flow.intervalMs = gapMs
-	pressure.flow.lastAt = readNow()
+	pressure.dispatchRate.intervalMs = gapMs
+	pressure.dispatchRate.lastAt = readNow()
 	return pressure
 }
 
@@ -91,8 +91,8 @@
 
 test('full service: callers get ascending Retry-After times', () => {
 	const pressure = fill(200)
-	pressure.full.since = readNow()
-	pressure.full.typicalMs = 1_000
+	pressure.blockage.since = readNow()
+	pressure.blockage.typicalMs = 1_000
 	const times = [0, 1, 2].map(() => chooseRetryAfterMs(ctx, SERVICE, 8_000))
 	assert.ok(times[0]! >= 1_000, `${times}`)
 	assert.ok(times[2]! > times[0]!, `${times}`)
@@ -121,20 +121,20 @@
 	fleet.table.maxInFlight.fill(2.5)
 	const meter = meterOf(fleet, SERVICE)
 	// 2.5 slots within 50 ms, in which 5 requests arrive: half of them are admitted.
-	meter.intake = { perSecond: 100, endedPerSecond: 0, horizonMs: 50 }
-	const { full } = pressureOf(ctx.pressures, SERVICE)
-	full.since = undefined
+	meter.traffic = { perSecond: 100, endedPerSecond: 0, horizonMs: 50 }
+	const { blockage } = pressureOf(ctx.pressures, SERVICE)
+	blockage.since = undefined
 	assert.is((await acquire(-1, true, 0.9)).kind, 'full')
-	assert.ok(full.since !== undefined)
+	assert.ok(blockage.since !== undefined)
 	assert.is((await acquire(-1, true, 0.2)).kind, 'server')
 	assert.ok(
-		full.since !== undefined,
+		blockage.since !== undefined,
 		'the blockage goes on while others are refused',
 	)
 	meter.minAdmittedFraction = 1
-	meter.intake = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
+	meter.traffic = { perSecond: 1, endedPerSecond: 0, horizonMs: 50 }
 	assert.is((await acquire(-1, true, 0.9)).kind, 'server')
-	assert.is(full.since, undefined)
+	assert.is(blockage.since, undefined)
 })
 
 test.after(() => {
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Quarantine of requests that crash the servers that run them, over several entries. */
+/** Tests the quarantine of requests that crash their servers, over several entries. */
 
 import type { ListedServer } from '@juniperhook/core'
 import { clocks } from '@juniperhook/runtime'
@@ -18,7 +18,7 @@
 const openWorld = createWorlds(23_500)
 /** Crashes this far apart do not count as simultaneous, ms. */
 const APART_MS = 600
-/** Time after which a request that crashed two servers is tried again, ms. */
+/** Quarantine of a request that crashed two servers, ms. */
 const QUARANTINE_MS = 600_000
 /** Earliest probe of a closed group, which is after 500 ms, less a margin, ms. */
 const CLOSED_MS = 300
@@ -56,8 +56,8 @@
 	const { now } = clocks
 	clocks.now = () => now() + QUARANTINE_MS
 	await pause(APART_MS)
-	const asked = world.entries.map(entry => send(entry, '/o/x', POISON))
-	const statuses = (await Promise.all(asked)).map(({ status }) => status)
+	const responses = world.entries.map(entry => send(entry, '/o/x', POISON))
+	const statuses = (await Promise.all(responses)).map(({ status }) => status)
 	clocks.now = now
 	assert.is(world.servers.crashes.length - before, 1)
 	assert.is(statuses.filter(status => status === 503).length, 2)
@@ -79,7 +79,7 @@
 	world.servers.close()
 })
 
-test('quarantine: an entry that starts later learns of quarantined requests', async () => {
+test('quarantine: an entry that starts later receives the quarantined requests', async () => {
 	const world = await openWorld(2)
 	await crashServersUntilRefused(world)
 	const newcomer = await openEntry(world)
@@ -120,7 +120,7 @@
 test('quarantine: a running copy of the request is ended as possibly run', async () => {
 	const world = await openWorld(1)
 	const [entry] = world.entries as [OpenGateway]
-	const asked = send(entry, '/o/x', SLOW)
+	const response = send(entry, '/o/x', SLOW)
 	await until(() => entry.ctx.sentRequests.inFlight.size > 0)
 	const [run] = [...[...entry.ctx.sentRequests.inFlight.values()][0]!]
 	const fingerprint = fingerprintOf(run!.request)
@@ -134,14 +134,14 @@
 		})),
 		'peer',
 	)
-	assert.is((await asked).status, 502)
+	assert.is((await response).status, 502)
 	world.servers.close()
 })
 
 test('quarantine: requests that ran beside a poison request are served', async () => {
 	const world = await openWorld(3, 2)
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
-	const asked = bodies.map((body, at) =>
+	const responses = bodies.map((body, at) =>
 		retryUntilServed(world.entries[at % 3]!, body),
 	)
 	for (let at = 0; at < 3; at++) {
@@ -151,7 +151,7 @@
 		world.servers.release()
 	}
 	const release = setInterval(() => world.servers.release(), 20)
-	const statuses = await Promise.all(asked)
+	const statuses = await Promise.all(responses)
 	clearInterval(release)
 	for (const one of statuses) assert.is(one.at(-1), 200, one.join())
 	assert.ok(world.servers.crashes.length >= 2)
@@ -162,13 +162,13 @@
 	const world = await openWorld(3, 4)
 	const bodies = Array.from({ length: 9 }, (_, at) => `${SLOW} ${at}`)
 	for (let round = 0; round < 3; round++) {
-		const asked = bodies.map((body, at) =>
+		const responses = bodies.map((body, at) =>
 			send(world.entries[at % 3]!, '/r/x', body),
 		)
 		await pause(50)
 		for (const one of world.servers.servers)
 			crash(world.servers, one, one.listed.name)
-		await Promise.all(asked)
+		await Promise.all(responses)
 		await pause(APART_MS)
 	}
 	const release = setInterval(() => world.servers.release(), 20)
@@ -181,7 +181,7 @@
 
 test('quarantine: the crash of a rank closes its group at all entries', async () => {
 	const world = await openWorld(3, 4, ENGINE)
-	const asked = send(world.entries[0]!, '/o/x', SLOW)
+	const stalled = send(world.entries[0]!, '/o/x', SLOW)
 	await until(() => world.servers.runs.length > 0)
 	const [run] = world.servers.runs
 	const rank = world.servers.servers.find(
@@ -189,10 +189,10 @@
 	)
 	crash(world.servers, rank!, run!.server)
 	for (const { ctx } of world.entries) await until(() => ctx.closures.size > 0)
-	assert.is((await asked).status, 502)
+	assert.is((await stalled).status, 502)
 	// The other ranks would hold the request until they refuse it.
 	const before = world.servers.runs.length
-	const response = send(world.entries[2]!, '/o/x', 'after the end')
+	const response = send(world.entries[2]!, '/o/x', 'after the crash')
 	await pause(CLOSED_MS)
 	assert.is(world.servers.runs.length, before)
 	await response
@@ -202,7 +202,7 @@
 /** Changes of the list that show that a server has crashed. */
 const LIST_CHANGES = [
 	{ name: 'no longer contains it', next: () => undefined },
-	// A defect counted the former incarnation as a server that had announced to leave.
+	// A defect counted the former incarnation as a server that had announced its leaving.
 	{
 		name: 'contains another incarnation',
 		next: (server: ListedServer) => ({ ...server, id: `${server.id}@2` }),
@@ -213,7 +213,7 @@
 	test(`server crash: behind a proxy that still listens, it is detected when the list ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2)
 		const [entry] = entries as [OpenGateway]
-		const asked = send(entry, '/o/x', SLOW)
+		const response = send(entry, '/o/x', SLOW)
 		await until(() => servers.runs.length > 0)
 		const row = entry.ctx.fleet.table.rowOf.get(servers.runs[0]!.server)!
 		const server = entry.ctx.fleet.servers[row]!
@@ -230,41 +230,43 @@
 			servers: [{ ...record, server: next(server) }],
 		})
 		await until(() => entry.ctx.quarantineGate.quarantine.crashes.size > 0)
-		const [end] = entry.ctx.quarantineGate.quarantine.crashes.values()
+		const [detected] = entry.ctx.quarantineGate.quarantine.crashes.values()
 		assert.equal(
-			[end?.server, [...end!.ran.keys()]],
+			[detected?.server, [...detected!.ran.keys()]],
 			[server.id, [fingerprintOf(run!.request)]],
 		)
 		servers.release()
-		await asked
+		await response
 		servers.close()
 	})
 
-test('server crash: earlier failures are no crash of a server that announces to leave', async () => {
+test('server crash: earlier failures are no crash of a server that announces its leaving', async () => {
 	const { entries, servers } = await openWorld(1, 2)
 	const [entry] = entries as [OpenGateway]
 	const { ctx } = entry
 	const server = ctx.fleet.servers[0]!
 	recordBrokenConnection(ctx, server)
 	await until(() => ctx.crashDetector.inconclusive.size > 0)
-	const tell = (at: number, one: ListedServer | undefined) =>
+	const publish = (revision: number, record: ListedServer | undefined) =>
 		servers.catalogs[0]!.publish({
-			servers: [{ name: server.name, revision: revisionOf(at), server: one }],
+			servers: [
+				{ name: server.name, revision: revisionOf(revision), server: record },
+			],
 		})
-	tell(9, { ...server, leaving: true })
+	publish(9, { ...server, leaving: true })
 	await until(() => ctx.list.departed.has(server.id))
-	tell(10, undefined)
+	publish(10, undefined)
 	await until(() => ctx.list.records.get(server.name)?.server === undefined)
 	assert.is(ctx.quarantineGate.quarantine.crashes.size, 0)
 	servers.close()
 })
 
-const CLOSED: { name: string; forMs: number; doubts: number }[] = [
-	{ name: 'has just closed is probed', forMs: 0, doubts: 1 },
-	{ name: 'has been closed for a while is not probed', forMs: 600, doubts: 0 },
+const CLOSED: { name: string; forMs: number; checks: number }[] = [
+	{ name: 'has just closed is probed', forMs: 0, checks: 1 },
+	{ name: 'has been closed for a while is not probed', forMs: 600, checks: 0 },
 ]
 
-for (const { name, forMs, doubts } of CLOSED)
+for (const { name, forMs, checks } of CLOSED)
 	test(`server crash: a rank that closes a connection in a group that ${name}`, async () => {
 		const { entries, servers } = await openWorld(1, 2, ENGINE)
 		const [entry] = entries as [OpenGateway]
@@ -273,7 +275,7 @@
 		const [rank] = entry.ctx.fleet.servers
 		entry.ctx.closures.set(groupOf(rank!), closure)
 		recordBrokenConnection(entry.ctx, rank!)
-		assert.is(entry.ctx.crashDetector.checks.size, doubts)
+		assert.is(entry.ctx.crashDetector.checks.size, checks)
 		servers.close()
 	})
 
--- a/packages/gateway/test/rateLimits.test.ts
+++ b/packages/gateway/test/rateLimits.test.ts
@@ -11,10 +11,10 @@
 import * as assert from 'uvu/assert'
 import type { Demand } from './limitedServers.ts'
 import {
-	allowedInSpan,
+	allowedInWindow,
 	closeWorld,
 	createLimitedWorlds,
-	maxInSpan,
+	maxInWindow,
 	openEntry,
 	sendSteadily,
 } from './limitedServers.ts'
@@ -90,14 +90,14 @@
 	for (const server of limitedServers) server.perSecond = perSecond
 	await sendSteadily(world, demand)
 	closeWorld(world)
-	const allowed = allowedInSpan(perSecond)
+	const allowed = allowedInWindow(perSecond)
 	return limitedServers
-		.map(one => maxInSpan(one, one.arrivals[0]!.at + CONTACT_MS))
+		.map(one => maxInWindow(one, one.arrivals[0]!.at + CONTACT_MS))
 		.filter(max => max > allowed)
 		.map(max => `${name}: ${max} requests in 4 s, allowed ${allowed}`)
 }
 
-test('all entries together keep an announced limit', async () => {
+test('all entries together stay within an announced limit', async () => {
 	const faults: string[] = []
 	// Run one after the other: concurrent cases would compete for this process's CPU time.
 	for (const one of CASES) faults.push(...(await findFault(one)))
@@ -121,7 +121,7 @@
 	const used = server.arrivals.filter(({ at }) => at >= from).length
 	const min = (MIN_UTILIZATION * server.perSecond * MEASURED_MS) / 1_000
 	assert.ok(used >= min, `${used} requests, minimum ${min}`)
-	assert.ok(maxInSpan(server, from) <= allowedInSpan(server.perSecond))
+	assert.ok(maxInWindow(server, from) <= allowedInWindow(server.perSecond))
 })
 
 test('other servers serve callers without a wait for permits', async () => {
@@ -159,11 +159,11 @@
 	for (const server of others) server.refusesAll = true
 	await sendSteadily(world, { perSecond: 20, forMs: FOR_MS })
 	closeWorld(world)
-	const max = maxInSpan(limited!, limited!.arrivals[0]!.at + CONTACT_MS)
-	assert.ok(max <= allowedInSpan(1), `${max} requests`)
+	const max = maxInWindow(limited!, limited!.arrivals[0]!.at + CONTACT_MS)
+	assert.ok(max <= allowedInWindow(1), `${max} requests`)
 })
 
-test('entries that learn a limit from peers keep it, as does a starting entry', async () => {
+test('entries that receive a limit from peers apply it, as does a starting entry', async () => {
 	const world = await openWorld(3, 2)
 	const server = world.servers[0]!
 	server.perSecond = 0.25
@@ -175,8 +175,8 @@
 	const from = performance.now()
 	await sendSteadily(world, { perSecond: 40, forMs: 4_500 })
 	closeWorld(world)
-	const max = maxInSpan(server, from)
-	assert.ok(max <= allowedInSpan(0.25), `${max} requests`)
+	const max = maxInWindow(server, from)
+	assert.ok(max <= allowedInWindow(0.25), `${max} requests`)
 })
 
 test('all entries lift a limit soon after the server stops announcing it', async () => {
--- a/packages/gateway/test/serverPool.test.ts
+++ b/packages/gateway/test/serverPool.test.ts
@@ -1,4 +1,4 @@
-/** Idle connections that all entries together keep to a server. */
+/** Tests how many idle connections all entries together keep to a server. */
 
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -1,4 +1,4 @@
-/** Suspension of an entry's VM: the steady clock stops, the time of day goes on. */
+/** Tests the suspension of an entry's VM: the steady clock stops, the time of day goes on. */
 
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
@@ -15,7 +15,7 @@
 import { createOpener, until } from './openGateway.ts'
 
 const SUSPENDED_MS = 20_000
-/** Far less than the time that the requests had left, ms. */
+/** Far less than the timeout of the request, ms. */
 const SOON_MS = 2_000
 const backends = await startBackends(3)
 const openGateway = createOpener(23_800, backends.listed)
@@ -34,7 +34,7 @@
 	})
 }
 
-test('suspension: a request that timed out meanwhile is ended soon', async () => {
+test('suspension: a request that timed out during it is ended soon', async () => {
 	const routes = CONFIG.routes.map(one => ({ ...one, timeoutMs: 10_000 }))
 	const config = { ...CONFIG, routes }
 	const gateway = await openGateway(createCatalog(config, backends.listed))
@@ -65,7 +65,7 @@
 	assert.ok(left(second) <= left(first) - SUSPENDED_MS + 1_000)
 })
 
-test('suspension: reports of peers and coordinators age meanwhile', async () => {
+test('suspension: reports of peers and coordinators age during it', async () => {
 	const gateway = await openGateway()
 	const { ctx } = gateway
 	const ran = { '6.deadly': 40 }
