--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -10,7 +10,7 @@
 import type { Grant } from './waiter.ts'
 
 /** Minimum wait of a retried request, as a share of the route's target time. */
-const RETRY_WAIT_SHARE = 0.2
+const MIN_RETRY_WAIT_SHARE = 0.2
 
 /** Makes one attempt; refuses the request if no server has a free slot in time. */
 export async function makeAttempt(
@@ -69,5 +69,7 @@
 		elapsedMs,
 	)
 	// A retried request that is late already is still worth a short wait.
-	return job.sends > 0 ? Math.max(budget, targetMs * RETRY_WAIT_SHARE) : budget
+	return job.sends > 0
+		? Math.max(budget, targetMs * MIN_RETRY_WAIT_SHARE)
+		: budget
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -102,13 +102,13 @@
 	readonly pressures: Map<string, Pressure>
 	/** Retry budget windows, by service. */
 	readonly retries: Map<string, RetryWindow>
-	/** Entries considered alive, including this one. */
+	/** Number of entries considered alive, including this one. */
 	entryCount: number
 	/** Requests in flight and requests abandoned at servers. */
 	readonly sentRequests: SentRequests
 	/** Detects crashes of servers. */
 	readonly crashDetector: CrashDetector
-	/** What this entry knows of servers and shares with other entries. */
+	/** Facts about servers that the entries exchange, as merged by this one. */
 	readonly sharedState: SharedState
 	/** Server updates that are still to be sent to other entries. */
 	readonly outbox: Outbox
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -31,7 +31,7 @@
 import { relayStream } from './streamRelay.ts'
 
 const SERVER_ERROR = 500
-/** Errors of a cancelled request: the first if a server may have run it. */
+/** Errors of a cancelled request: if a server may have run it, and otherwise. */
 const CANCEL_ERRORS = {
 	timeout: ['noAnswer', 'startBudget'],
 	quarantined: ['linkLost', 'quarantined'],
@@ -240,9 +240,9 @@
 	if (isStream) return await relayStream(ctx, job, res, result)
 	const body = await readAnswerBody(answer)
 	const isSealed = message.headers[ctx.wire.seal] !== undefined
-	const isUsable = body.kind === 'whole' && (isSealed || status >= 300)
+	const isUsable = body.kind === 'complete' && (isSealed || status >= 300)
 	const isGood = isUsable && status < SERVER_ERROR
-	result.release(classifyEnd(job, isGood, body.kind === 'whole'))
+	result.release(classifyEnd(job, isGood, body.kind === 'complete'))
 	if (job.signal.aborted) return { kind: 'done' }
 	if (!isGood) {
 		const reason = body.kind === 'broken' ? body.reason : `status ${status}`
@@ -258,8 +258,12 @@
 	return { kind: 'done' }
 }
 
-function classifyEnd(job: Job, isGood: boolean, isWhole: boolean): AnswerEnd {
+function classifyEnd(
+	job: Job,
+	isGood: boolean,
+	isComplete: boolean,
+): AnswerEnd {
 	if (job.signal.aborted) return 'abandoned'
 	if (isGood) return 'good'
-	return isWhole ? 'failed' : 'broken'
+	return isComplete ? 'failed' : 'broken'
 }
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -34,9 +34,9 @@
 	for (const server of [...pools.keys()])
 		if (permitHomeOf(ctx, server) !== control) pools.delete(server)
 	for (const [server, home] of before) {
-		const after = permitHomeOf(ctx, server)
-		if (after !== home)
-			ctx.log.write('permit home', { server, home: after, before: home })
+		const current = permitHomeOf(ctx, server)
+		if (current !== home)
+			ctx.log.write('permit home', { server, home: current, before: home })
 	}
 }
 
--- a/packages/gateway/src/retryDecision.ts
+++ b/packages/gateway/src/retryDecision.ts
@@ -5,7 +5,10 @@
 import type { GatewayContext } from './context.ts'
 import type { Job } from './job.ts'
 
-/** Maximum number of refused sends with a retry; they do not count as attempts. */
+/**
+ * Maximum number of refused sends after which a request is still retried. Refused sends
+ * do not count as attempts.
+ */
 const MAX_REFUSED_SENDS = 3
 
 /**
--- a/packages/gateway/src/serverCall.ts
+++ b/packages/gateway/src/serverCall.ts
@@ -38,7 +38,7 @@
 	readonly status: number
 	readonly message: IncomingMessage
 	/** Returns whether the body is complete; valid once `message` is closed. */
-	isWhole(): boolean
+	isComplete(): boolean
 	/** Closes the connection, so that the server stops its work. */
 	closeConnection(): void
 }
@@ -133,7 +133,7 @@
 	return {
 		status: message.statusCode ?? 0,
 		message,
-		isWhole: () => message.complete && !isReset,
+		isComplete: () => message.complete && !isReset,
 		closeConnection: () => req.destroy(),
 	}
 }
@@ -144,7 +144,7 @@
 
 /** A response body, or how it failed. */
 export type BodyResult =
-	| { readonly kind: 'whole'; readonly body: Buffer }
+	| { readonly kind: 'complete'; readonly body: Buffer }
 	| { readonly kind: 'broken'; readonly reason: string }
 
 /** Reads the body of a response to its end. */
@@ -154,8 +154,8 @@
 		const parts: Buffer[] = []
 		message.on('data', (part: Buffer) => parts.push(part))
 		message.on('close', () => {
-			if (answer.isWhole())
-				resolve({ kind: 'whole', body: Buffer.concat(parts) })
+			if (answer.isComplete())
+				resolve({ kind: 'complete', body: Buffer.concat(parts) })
 			else resolve({ kind: 'broken', reason: 'response body truncated' })
 		})
 	})
--- a/packages/gateway/src/serverPool.ts
+++ b/packages/gateway/src/serverPool.ts
@@ -60,8 +60,8 @@
 }
 
 /**
- * Adjusts the maximum number of idle connections to the connection limits of services and the
- * number of entries.
+ * Adjusts the maximum number of idle connections to the connection limits of services and
+ * the number of entries.
  */
 export function resizeIdle(
 	{ keepAlive }: ServerPool,
--- a/packages/gateway/src/serverSend.ts
+++ b/packages/gateway/src/serverSend.ts
@@ -15,7 +15,10 @@
 
 /** No attempt is made with less time left than this, ms. */
 const MIN_LEFT_MS = 5
-/** Margin of a call's timeout over the request's own, whose error is specific, ms. */
+/**
+ * Margin of the head timeout over the request's remaining time, ms, so that the request's
+ * own timeout fires first and reports the specific error.
+ */
 const HEAD_TIMEOUT_MARGIN_MS = 500
 /** Head timeout of a repeatable request before a retry, as a share of its target. */
 const HEAD_TIMEOUT_SHARE = 0.5
--- a/packages/gateway/src/streamRelay.ts
+++ b/packages/gateway/src/streamRelay.ts
@@ -51,13 +51,14 @@
 			for (const event of splitEvents(splitter, data)) if (inOrder) relay(event)
 		})
 		message.on('close', () => {
-			const whole = answer.isWhole() && inOrder && splitter.pending.length === 0
-			result.release(classifyEnd(job, whole, answer.isWhole()))
+			const isComplete =
+				answer.isComplete() && inOrder && splitter.pending.length === 0
+			result.release(classifyEnd(job, isComplete, answer.isComplete()))
 			if (job.signal.aborted) {
 				resolve({ kind: 'done' })
 				return
 			}
-			if (whole) {
+			if (isComplete) {
 				if (!res.headersSent) writeStreamHead(ctx, res, message)
 				res.end()
 				logServed(ctx, job, serverId, 'stream ended')
@@ -76,10 +77,14 @@
 }
 
 /** Classifies the end of a stream's connection. */
-function classifyEnd(job: Job, isWhole: boolean, isFramed: boolean): AnswerEnd {
+function classifyEnd(
+	job: Job,
+	isComplete: boolean,
+	isFramingComplete: boolean,
+): AnswerEnd {
 	if (job.signal.aborted) return 'abandoned'
-	if (isWhole) return 'good'
-	return isFramed ? 'failed' : 'broken'
+	if (isComplete) return 'good'
+	return isFramingComplete ? 'failed' : 'broken'
 }
 
 /** Returns whether an event id follows the last one; ids are ascending numbers. */
--- a/packages/gateway/src/suspension.ts
+++ b/packages/gateway/src/suspension.ts
@@ -1,7 +1,6 @@
 /**
- * Detects suspensions of the VM and corrects their effects: timers
- * stop and connections stay open during a suspension, so timeouts fire late and state is
- * older than it seems.
+ * Detects suspensions of the VM and corrects their effects: during a suspension timers
+ * stop and connections stay open, so timeouts fire late and state is older than it seems.
  */
 
 import { readElapsed, readSuspendedMs } from '@juniperhook/runtime'
@@ -9,7 +8,7 @@
 
 /**
  * Delay after a suspension before overdue requests are ended, ms. Responses that have
- * arrived are read meanwhile, and if the time of day was only set forward, most requests
+ * arrived are read during it, and if the time of day was only set forward, most requests
  * end normally.
  */
 const OVERDUE_GRACE_MS = 500
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -220,7 +220,7 @@
 		recordBrokenConnection(entry.ctx, server)
 		await until(() => entry.ctx.crashDetector.inconclusive.size > 0)
 		assert.is(entry.ctx.quarantineGate.quarantine.crashes.size, 0)
-		// Requests sent meanwhile reach the proxy, not the server.
+		// Requests sent after that reach the proxy, not the server.
 		const [run] = entry.ctx.sentRequests.inFlight.get(server.id)!
 		entry.ctx.sentRequests.inFlight.clear()
 		recordBrokenConnection(entry.ctx, server)
--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -1,4 +1,4 @@
-/** Tests the suspension of an entry's VM: the steady clock stops, the time of day goes on. */
+/** Tests suspensions of an entry's VM, when the steady clock stops but not the time of day. */
 
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
@@ -34,7 +34,7 @@
 	})
 }
 
-test('suspension: a request that timed out during it is ended soon', async () => {
+test('suspension: a request that timed out during the suspension is ended soon', async () => {
 	const routes = CONFIG.routes.map(one => ({ ...one, timeoutMs: 10_000 }))
 	const config = { ...CONFIG, routes }
 	const gateway = await openGateway(createCatalog(config, backends.listed))
@@ -65,7 +65,7 @@
 	assert.ok(left(second) <= left(first) - SUSPENDED_MS + 1_000)
 })
 
-test('suspension: reports of peers and coordinators age during it', async () => {
+test('suspension: reports of peers and coordinators age during a suspension', async () => {
 	const gateway = await openGateway()
 	const { ctx } = gateway
 	const ran = { '6.deadly': 40 }
