--- a/packages/gateway/test/suspension.test.ts
+++ b/packages/gateway/test/suspension.test.ts
@@ -1,4 +1,4 @@
-/** Tests suspensions of an entry's VM, when the steady clock stops but not the time of day. */
+/** Tests VM suspensions of an entry: the steady clock stops, the time of day does not. */
 
 import { clocks, readElapsed } from '@juniperhook/runtime'
 import { test } from 'uvu'
