--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -10,8 +10,9 @@
 import type { Grant } from './waiter.ts'
 
 /** Minimum wait of a retried request, as a share of the route's target time. */
-const RETRY_WAIT_SHARE = 0.2
+const MIN_RETRY_WAIT_SHARE = 0.2
 
+/** Makes one attempt; refuses the request if no server has a free slot in time. */
 export async function makeAttempt(
 	ctx: GatewayContext,
 	job: Job,
@@ -50,7 +51,7 @@
 		team: request.team?.name ?? '',
 		priority: request.priority,
 		tried: job.tried,
-		// A retried request is admitted before requests that were never sent.
+		// With a draw of 0, a retried request is admitted before those never sent.
 		admissionDraw: job.sends > 0 ? 0 : job.admissionDraw,
 		waitMs: Math.min(waitMs, request.timeoutAt - now),
 		slotsFreeOneByOne: !isClosed,
@@ -68,5 +69,7 @@
 		elapsedMs,
 	)
 	// A retried request that is late already is still worth a short wait.
-	return job.sends > 0 ? Math.max(budget, targetMs * RETRY_WAIT_SHARE) : budget
+	return job.sends > 0
+		? Math.max(budget, targetMs * MIN_RETRY_WAIT_SHARE)
+		: budget
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -92,8 +92,8 @@
 	/** Closures of lock-step groups that refuse requests at every rank. */
 	readonly closures: GroupClosures
 	/**
-	 * When a group that refused before it ever served this process is expected to
-	 * open, ms, by group; 0 once it has served.
+	 * Expected time of the first opening of each group that refused requests before it
+	 * served any of this process, ms, by group; 0 once it has served one.
 	 */
 	readonly expectedOpenAt: Map<string, number>
 	/** Outages of lock-step groups, by group. */
@@ -102,13 +102,13 @@
 	readonly pressures: Map<string, Pressure>
 	/** Retry budget windows, by service. */
 	readonly retries: Map<string, RetryWindow>
-	/** Entries considered alive, including this one. */
+	/** Number of entries considered alive, including this one. */
 	entryCount: number
 	/** Requests in flight and requests abandoned at servers. */
 	readonly sentRequests: SentRequests
 	/** Detects crashes of servers. */
 	readonly crashDetector: CrashDetector
-	/** What this entry knows of servers and shares with other entries. */
+	/** Facts about servers that the entries exchange, as merged by this one. */
 	readonly sharedState: SharedState
 	/** Server updates that are still to be sent to other entries. */
 	readonly outbox: Outbox
--- a/packages/gateway/src/permitHome.ts
+++ b/packages/gateway/src/permitHome.ts
@@ -34,9 +34,9 @@
 	for (const server of [...pools.keys()])
 		if (permitHomeOf(ctx, server) !== control) pools.delete(server)
 	for (const [server, home] of before) {
-		const after = permitHomeOf(ctx, server)
-		if (after !== home)
-			ctx.log.write('permit home', { server, home: after, before: home })
+		const current = permitHomeOf(ctx, server)
+		if (current !== home)
+			ctx.log.write('permit home', { server, home: current, before: home })
 	}
 }
 
@@ -45,10 +45,10 @@
 	const { homes, membership } = ctx.permitHomes
 	const known = homes.get(server)
 	if (known !== undefined) return known
-	const home =
+	const permitHome =
 		findPermitHome(server, membership.reachable) ?? ctx.settings.control
-	homes.set(server, home)
-	return home
+	homes.set(server, permitHome)
+	return permitHome
 }
 
 /** Grants permits for a server whose permit home is this entry. */
--- a/packages/gateway/src/serverCall.ts
+++ b/packages/gateway/src/serverCall.ts
@@ -4,7 +4,6 @@
 import { request } from 'node:http'
 import type { Socket } from 'node:net'
 
-/** Connect timeout, ms. */
 const CONNECT_TIMEOUT_MS = 200
 
 /** A request to a server. */
@@ -22,7 +21,7 @@
 	readonly idHeader: string
 	readonly agent: Agent
 	/** Timeout for the response head, ms. */
-	readonly headMs: number
+	readonly headTimeoutMs: number
 	readonly signal: AbortSignal
 }
 
@@ -39,11 +38,12 @@
 	readonly status: number
 	readonly message: IncomingMessage
 	/** Returns whether the body is complete; valid once `message` is closed. */
-	isWhole(): boolean
+	isComplete(): boolean
 	/** Closes the connection, so that the server stops its work. */
-	cut(): void
+	closeConnection(): void
 }
 
+/** Sends a request to a server; resolves with the head of its response. */
 export function callServer(call: ServerRequest): Promise<CallResult> {
 	const [host, port] = call.address.split(':')
 	return new Promise(resolve => {
@@ -69,7 +69,10 @@
 			settle(connected ? { kind: 'lost', reason } : { kind: 'notSent', reason })
 			req.destroy()
 		}
-		const headTimer = setTimeout(() => fail('no answer in time'), call.headMs)
+		const headTimer = setTimeout(
+			() => fail('no answer in time'),
+			call.headTimeoutMs,
+		)
 		let connectTimer: NodeJS.Timeout | undefined
 		req.on('socket', (socket: Socket) => {
 			if (!socket.connecting) {
@@ -130,8 +133,8 @@
 	return {
 		status: message.statusCode ?? 0,
 		message,
-		isWhole: () => message.complete && !isReset,
-		cut: () => req.destroy(),
+		isComplete: () => message.complete && !isReset,
+		closeConnection: () => req.destroy(),
 	}
 }
 
@@ -141,7 +144,7 @@
 
 /** A response body, or how it failed. */
 export type BodyResult =
-	| { readonly kind: 'whole'; readonly body: Buffer }
+	| { readonly kind: 'complete'; readonly body: Buffer }
 	| { readonly kind: 'broken'; readonly reason: string }
 
 /** Reads the body of a response to its end. */
@@ -151,8 +154,8 @@
 		const parts: Buffer[] = []
 		message.on('data', (part: Buffer) => parts.push(part))
 		message.on('close', () => {
-			if (answer.isWhole())
-				resolve({ kind: 'whole', body: Buffer.concat(parts) })
+			if (answer.isComplete())
+				resolve({ kind: 'complete', body: Buffer.concat(parts) })
 			else resolve({ kind: 'broken', reason: 'response body truncated' })
 		})
 	})
