--- a/packages/gateway/src/crashDetector.ts
+++ b/packages/gateway/src/crashDetector.ts
@@ -34,7 +34,7 @@
 const MAX_CHECKS = 512
 
 /** Evidence of a crash: a refused connection, or the server list. */
-export type CrashEvidence = 'refused' | 'list'
+export type CrashWitness = 'refused' | 'list'
 
 /**
  * Starts a crash check for a server that closed a connection before its answer was
@@ -207,7 +207,7 @@
 function confirmCrash(
 	ctx: GatewayContext,
 	check: CrashCheck,
-	witness: CrashEvidence,
+	witness: CrashWitness,
 ): void {
 	const { server, at } = check
 	closeCheck(ctx, check)
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -75,7 +75,7 @@
 		name: 'predictedWaits',
 		file: WAITING,
 		on: '	if (!options.slotsFreeOneByOne) return options.waitMs <= 0',
-		off: '	if (flow) return options.waitMs <= 0',
+		off: '	if (dispatchRate) return options.waitMs <= 0',
 	},
 	{
 		name: 'fairQueue',
@@ -182,7 +182,7 @@
 	{
 		name: 'untoldSends',
 		file: WAITING,
-		on: '		unreportedSends: meterOf(fleet, service).sentSinceReport,',
+		on: '		unreportedSends: meterOf(fleet, service).unreportedSends,',
 		off: '		unreportedSends: 0,',
 	},
 	{
@@ -200,8 +200,8 @@
 	{
 		name: 'partTaken',
 		file: ENTRY_DEMAND,
-		on: '	if (!meter.intake) return room >= 1',
-		off: '	if (!meter.intake || meter.come >= 0) return room >= 1',
+		on: '	if (!meter.traffic) return room >= 1',
+		off: '	if (!meter.traffic || meter.arrived >= 0) return room >= 1',
 	},
 	{
 		name: 'dealtServers',
