--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -51,11 +51,11 @@
 } from './reports.ts'
 
 const TICK_INTERVAL_MS = 100
-/** Answers carry load reports too; these are for entries that receive no answers. */
+/** Interval of load reports for entries that receive no answers, which carry the load. */
 const REPORT_INTERVAL_MS = 2_000
 const HEARTBEAT_INTERVAL_MS = 1_000
 const IDLE_CHECK_INTERVAL_MS = 50
-/** The offer's header contains the caller's own headers. */
+/** Limit for the offer's header, which contains the caller's own headers. */
 const MAX_OFFER_HEADER_BYTES = 65_536
 const log = createLog('agent')
 
@@ -132,7 +132,7 @@
 	updateGroup(agent, active)
 	if (server.service) {
 		const servers = listServiceServers(active.config, server.service)
-		recordServerSet(table.homes, servers, Date.now())
+		recordServerSet(table.keyHomes, servers, Date.now())
 	}
 	pushReports(agent)
 }
--- a/packages/agent/src/agentState.ts
+++ b/packages/agent/src/agentState.ts
@@ -15,7 +15,7 @@
 	lastReportedLoad: string
 	/** Report periods since the start. */
 	reportPeriods: number
-	/** Undefined until a configuration that names this server is in force. */
+	/** Undefined until a configuration that contains this server is in force. */
 	requests: RequestTable | undefined
 	/** Undefined for a server outside any group. */
 	group: GroupMember | undefined
--- a/packages/agent/src/io/answerLog.ts
+++ b/packages/agent/src/io/answerLog.ts
@@ -7,11 +7,11 @@
 import type { AnswerFrame } from '@juniperhook/runtime'
 import { packFrame } from '@juniperhook/runtime'
 
-/** Frames before the slowest reader's position that are retained for a resumption. */
+/** Number of frames retained behind the slowest reader's position for resumption. */
 const RETAINED_FRAMES = 512
-/** A log is trimmed only above this size. */
+/** Size above which a log is trimmed, bytes. */
 const TRIM_THRESHOLD_BYTES = 262_144
-/** Largest answer retained whole for later requests with the same idempotency key. */
+/** Maximum size of an answer that is retained whole for its idempotency key, bytes. */
 export const MAX_RETAINED_BYTES = 262_144
 
 interface Reader {
@@ -95,7 +95,7 @@
 	return true
 }
 
-/** Whether some reader is so far behind that the backend should be paused. */
+/** Whether some reader is so far behind that reading from the backend must pause. */
 export function hasSlowReader(log: AnswerLog): boolean {
 	if (log.bytes <= TRIM_THRESHOLD_BYTES) return false
 	for (const reader of log.readers)
--- a/packages/agent/src/io/group.ts
+++ b/packages/agent/src/io/group.ts
@@ -39,10 +39,10 @@
 /** After this time in doubt, the agent of the first rank starts a recovery round. */
 const IN_DOUBT_TIMEOUT_MS = 1_000
 const STAGE_TIMEOUT_MS = 600_000
-/** How long after the last step a change takes effect; converted into steps. */
+/** Time from the latest step to that at which a change takes effect; converted to steps. */
 const CHANGE_LEAD_MS = 400
 const FIRST_MAP = 'first'
-const MS = 1_000
+const MS_PER_SECOND = 1_000
 const log = createLog('agent:group')
 
 const EMPTY_PLAN: PlanSummary = {
@@ -60,7 +60,7 @@
 	slots: v.array(v.array(v.number())),
 })
 
-/** Joins the group whose configuration names this server, if there is one. */
+/** Joins the group that has this server as a rank, if there is one. */
 export function joinGroup(
 	name: string,
 	config: Config,
@@ -82,7 +82,11 @@
 		coordinator: createMapCoordinator(size, FIRST_MAP),
 		fenceId: randomBytes(FENCE_BYTES).readUInt32LE(),
 		links: new Map(),
-		estimate: createExpertEstimate(layers, experts, planSeconds * MS),
+		estimate: createExpertEstimate(
+			layers,
+			experts,
+			planSeconds * MS_PER_SECOND,
+		),
 		config,
 		group,
 		report: undefined,
@@ -90,7 +94,7 @@
 		inDoubtSince: undefined,
 		plannedAt: now,
 		split: false,
-		wish: EMPTY_PLAN,
+		lastPlan: EMPTY_PLAN,
 	}
 	void watchGroup(member)
 	return member
@@ -126,12 +130,12 @@
 
 /** Describes the rank's map state for `juniperhook status`. */
 export function describeGroup(member: GroupMember): object {
-	const { report, wish, coordinator, split } = member
+	const { report, lastPlan, coordinator, split } = member
 	const skew = report?.meanStepMs ? report.groupStepMs / report.meanStepMs : 1
 	return {
 		rank: member.rank,
 		mapId: report?.mapId ?? '',
-		// The round part of the fence; the remainder is the coordinator's id.
+		// The round part of the fence; the rest is the coordinator's id.
 		fence: Math.floor(coordinator.fence / FENCE_SPACE),
 		step: report?.step ?? 0,
 		generation: report?.generation ?? 0,
@@ -139,7 +143,7 @@
 		skew,
 		split,
 		changes: coordinator.finished,
-		wish,
+		wish: lastPlan,
 	}
 }
 
@@ -175,7 +179,7 @@
 		return
 	}
 	if (!isPlanner || member.split) return
-	if (now - member.plannedAt < member.group.planSeconds * MS) return
+	if (now - member.plannedAt < member.group.planSeconds * MS_PER_SECOND) return
 	member.plannedAt = now
 	await rebalance(member)
 }
@@ -187,14 +191,16 @@
 		await declareSplit(member)
 		return
 	}
-	const same = reports.every(report => report.mapId === reports[0]!.mapId)
-	const tokens = same ? countTokens(member, reports) : undefined
+	const haveSameMap = reports.every(
+		report => report.mapId === reports[0]!.mapId,
+	)
+	const tokens = haveSameMap ? countTokens(member, reports) : undefined
 	if (!tokens) return
 	observeTokens(member.estimate, tokens)
 	const layers = readLayers(member, reports)
 	const plans = await planLayers(member, layers)
-	member.wish = summarize(plans)
-	if (member.wish.loads === 0) return
+	member.lastPlan = summarize(plans)
+	if (member.lastPlan.loads === 0) return
 	await changeMap(member, plans, reports)
 }
 
@@ -220,8 +226,8 @@
 	)
 	if (!staged) return
 	const stepMs = Math.max(1, ...reports.map(report => report.groupStepMs))
-	const lead = Math.ceil(CHANGE_LEAD_MS / stepMs)
-	const done = await runRound(member, mapId, lead, fence)
+	const leadSteps = Math.ceil(CHANGE_LEAD_MS / stepMs)
+	const done = await runRound(member, mapId, leadSteps, fence)
 	log({ msg: done ? 'map changed' : 'map not changed', detail: mapId })
 }
 
--- a/packages/agent/src/io/groupMember.ts
+++ b/packages/agent/src/io/groupMember.ts
@@ -34,7 +34,7 @@
 	/** Whether ranks were found to use different maps in one step. */
 	split: boolean
 	/** Summary of the last plan, for operators. */
-	wish: PlanSummary
+	lastPlan: PlanSummary
 }
 
 /** The planned loads of one layer with their benefit and cost. */
--- a/packages/agent/src/io/groupPlan.ts
+++ b/packages/agent/src/io/groupPlan.ts
@@ -16,12 +16,12 @@
 import type { GroupMember, LayerSummary, PlanSummary } from './groupMember.ts'
 import { callAgent } from './groupMember.ts'
 
-/** Most layers in the summary of a plan. */
+/** Maximum number of layers in the summary of a plan. */
 const MAX_SHOWN_LAYERS = 8
 
 /**
- * Whether all ranks of a generation use a map from the same step on, and no two maps from
- * one step. Otherwise, the map protocol was violated.
+ * Whether, within each generation, all ranks began to use a map at the same step, and no
+ * two maps at one step. If not, the map protocol was violated.
  */
 export function areMapsConsistent(reports: readonly RankReport[]): boolean {
 	const mapOf = new Map<string, string>()
@@ -139,11 +139,11 @@
 }
 
 function summarizeLayers(plans: readonly LayerPlan[]): LayerSummary[] {
-	const moving = plans
+	const changedLayers = plans
 		.map((plan, layer) => ({ plan, layer }))
 		.filter(({ plan }) => plan.loads.length > 0)
-	moving.sort((a, b) => netBenefitMs(b.plan) - netBenefitMs(a.plan))
-	return moving.slice(0, MAX_SHOWN_LAYERS).map(({ plan, layer }) => ({
+	changedLayers.sort((a, b) => netBenefitMs(b.plan) - netBenefitMs(a.plan))
+	return changedLayers.slice(0, MAX_SHOWN_LAYERS).map(({ plan, layer }) => ({
 		layer,
 		loads: plan.loads.map(load => `${load.expert}>${load.rank}`),
 		skewBefore: plan.skewBefore,
--- a/packages/agent/src/io/offerTerms.ts
+++ b/packages/agent/src/io/offerTerms.ts
@@ -5,7 +5,7 @@
 import type { OfferMeta } from '@juniperhook/runtime'
 import type { RequestTable } from './requestTable.ts'
 
-const SECOND_MS = 1_000
+const MS_PER_SECOND = 1_000
 
 /** Returns the terms of an offer, with the claim on its idempotency key. */
 export function readOffer(table: RequestTable, meta: OfferMeta): Offer {
@@ -29,8 +29,8 @@
 	return {
 		key,
 		wallTime: readKeyTime(meta.key) ?? 0,
-		windowMs: (service?.keyWindowSeconds ?? 0) * SECOND_MS,
+		windowMs: (service?.keyWindowSeconds ?? 0) * MS_PER_SECOND,
 		fresh: meta.freshKey === true,
-		homeSinceWall: findKeyHomeSince(table.homes, key, table.serverName),
+		homeSinceWall: findKeyHomeSince(table.keyHomes, key, table.serverName),
 	}
 }
--- a/packages/agent/src/io/openRequests.ts
+++ b/packages/agent/src/io/openRequests.ts
@@ -9,9 +9,9 @@
 import { stepTable } from './requests.ts'
 import type { OpenRequest, RequestTable } from './requestTable.ts'
 
-/** How long a finished answer is retained for a reader that lost its connection. */
+/** Retention of a finished answer for a reader that lost its connection, ms. */
 const ANSWER_RETENTION_MS = 5_000
-/** A request whose answer has had no reader for this long is cancelled. */
+/** Time without a reader of its answer after which a request is cancelled, ms. */
 const UNREAD_TIMEOUT_MS = 10_000
 const HEARTBEAT = packFrame({ t: 'beat' })
 
--- a/packages/agent/src/io/rankPort.ts
+++ b/packages/agent/src/io/rankPort.ts
@@ -8,7 +8,7 @@
 import { createRestartedRank, handleRankRequest } from '@juniperhook/core'
 import { sendOrder } from './engine.ts'
 
-/** How long an order sent by an earlier agent process may still be in transit. */
+/** Time for which an order of an earlier agent process may still be in transit, ms. */
 export const MAX_ORDER_DELAY_MS = 3_000
 
 /** Access to the rank of this agent. */
--- a/packages/agent/src/io/requestTable.ts
+++ b/packages/agent/src/io/requestTable.ts
@@ -30,8 +30,8 @@
 	readonly admission: AdmissionState
 	readonly open: Map<string, OpenRequest>
 	readonly metrics: Metrics
-	/** History of the configured servers of this server's service. */
-	readonly homes: KeyHomeHistory
+	/** History of the service's servers, which tells since when a key has had its home. */
+	readonly keyHomes: KeyHomeHistory
 	config: Config
 	server: ServerConfig
 	/** Own step time divided by the group's mean; 1 outside a group. */
@@ -72,7 +72,7 @@
 		admission: createAdmission(readMoment(), server.slots),
 		open: new Map(),
 		metrics,
-		homes: [],
+		keyHomes: [],
 		config,
 		server,
 		stepShare: 1,
--- a/packages/agent/src/io/requests.ts
+++ b/packages/agent/src/io/requests.ts
@@ -36,7 +36,8 @@
 import { runOnBackend } from './runs.ts'
 import { describeServer, readServerSignals } from './serverSignals.ts'
 
-const MS = 1_000
+/** `Retry-After` of a request that never reached the backend server, ms. */
+const UNREACHABLE_RETRY_MS = 1_000
 const ADMITTED = packFrame({ t: 'admitted' })
 const log = createLog('agent:request')
 
@@ -227,7 +228,11 @@
 		case 'unstarted':
 			closeLog(answer, {
 				t: 'refused',
-				outcome: { outcome: 'notRun', kind: 'unreachable', retryAfterMs: MS },
+				outcome: {
+					outcome: 'notRun',
+					kind: 'unreachable',
+					retryAfterMs: UNREACHABLE_RETRY_MS,
+				},
 				load,
 			})
 			break
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,9 +1,9 @@
-/** Starts an agent with the settings file named on the command line. */
+/** Starts an agent from the settings file given on the command line. */
 
 import { loadSettings, setLogLevel } from '@juniperhook/runtime'
 import { startAgent } from './agent.ts'
 
-/** Runs the daemon until it receives SIGTERM. */
+/** Starts the daemon, which runs until SIGTERM. */
 export async function runAgent(settingsPath: string): Promise<void> {
 	const settings = loadSettings(settingsPath)
 	setLogLevel(settings.log.level)
--- a/packages/agent/src/reports.ts
+++ b/packages/agent/src/reports.ts
@@ -6,7 +6,7 @@
 import type { RequestTable } from './io/requestTable.ts'
 import { readLoad } from './io/requestTable.ts'
 
-/** An unchanged load is reported only once in this many periods. */
+/** Number of periods after which an unchanged load is reported again. */
 const FORCED_REPORT_PERIODS = 5
 
 /** Reports the server's load to all entries if it changed or a report is due. */
--- a/packages/agent/test/engine.test.ts
+++ b/packages/agent/test/engine.test.ts
@@ -1,4 +1,4 @@
-/** Agents rely on an engine to promise no map whose weights it does not hold. */
+/** An engine must not promise a map whose weights it does not hold; agents rely on it. */
 
 import type { GroupModel } from '@juniperhook/fakes'
 import {
--- a/packages/agent/test/map.process.test.ts
+++ b/packages/agent/test/map.process.test.ts
@@ -1,6 +1,6 @@
 /**
- * All ranks of a group use one map per step, with real agent processes. Coordinators are
- * frozen or killed, an engine loses its state and a rank stalls.
+ * All ranks of a group use one map per step, with real agent processes, while a
+ * coordinator is suspended or killed, an engine loses its state, or a rank stalls.
  */
 
 import { setTimeout as wait } from 'node:timers/promises'
@@ -20,7 +20,7 @@
 import { suite } from 'uvu'
 import * as assert from 'uvu/assert'
 
-const RECOVER_MS = 15_000
+const RECOVERY_TIMEOUT_MS = 15_000
 
 interface GroupLoad {
 	readonly step: number
@@ -143,7 +143,7 @@
 		await waitUntil(
 			async () => (await readLoad(fleet)).switches >= 2 * group.ranks,
 			'two changes',
-			2 * RECOVER_MS,
+			2 * RECOVERY_TIMEOUT_MS,
 		)
 		assert.is((await readLoad(fleet)).violations, 0)
 	})
@@ -160,7 +160,7 @@
 						return now.joined && now.step > before.step + 20
 					},
 					'the group to step again',
-					RECOVER_MS,
+					RECOVERY_TIMEOUT_MS,
 				)
 				assert.is((await readLoad(fleet)).violations, 0)
 			}
@@ -168,7 +168,7 @@
 			await waitUntil(
 				async () => (await readLoad(fleet)).switches > before.switches,
 				'a further change',
-				2 * RECOVER_MS,
+				2 * RECOVERY_TIMEOUT_MS,
 			)
 			assert.is((await readLoad(fleet)).violations, 0)
 		})
--- a/packages/agent/test/serverSignals.test.ts
+++ b/packages/agent/test/serverSignals.test.ts
@@ -111,10 +111,10 @@
 			stop: new EventEmitter(),
 		}
 		const events: AdmissionEvent[] = []
-		const end = await runOnBackend(SERVER, request, (status, headers) => {
+		const result = await runOnBackend(SERVER, request, (status, headers) => {
 			events.push(...readServerSignals(status, headers, STARTED_AT))
 		})
-		assert.is(end.how, 'whole')
+		assert.is(result.how, 'whole')
 		assert.equal(events, one.events)
 	})
 
--- a/packages/entry/src/bin.ts
+++ b/packages/entry/src/bin.ts
@@ -5,9 +5,9 @@
 
 const args = process.argv.slice(2)
 const [command, file] = args
-const isPlainStart =
+const isDirectStart =
 	command === 'entry' && args.length === 2 && !file?.startsWith('-')
-if (isPlainStart) {
+if (isDirectStart) {
 	const { runEntry } = await import('./main.ts')
 	await runEntry(file!)
 } else {
--- a/packages/entry/src/commands/diff.ts
+++ b/packages/entry/src/commands/diff.ts
@@ -24,8 +24,8 @@
 		const to = this.read(args.to)
 		const diff = diffConfigs(from, to)
 		for (const change of diff.changes) {
-			const place = `[${change.section}] ${change.key}`.trim()
-			this.log(`${change.kind.padEnd(8)}${place}${describe(change)}`)
+			const location = `[${change.section}] ${change.key}`.trim()
+			this.log(`${change.kind.padEnd(8)}${location}${describe(change)}`)
 		}
 		for (const move of diff.moves) {
 			const megabytes = Math.round(move.bytes / MEGABYTE)
--- a/packages/entry/src/commands/status.ts
+++ b/packages/entry/src/commands/status.ts
@@ -5,7 +5,7 @@
 
 const CALL_TIMEOUT_MS = 2_000
 
-interface LayerMoves {
+interface LayerSummary {
 	readonly layer: number
 	readonly loads: readonly string[]
 	readonly skewBefore: number
@@ -26,7 +26,7 @@
 	readonly map?: {
 		readonly fence: number
 		readonly skew: number
-		readonly wish?: { readonly layers: readonly LayerMoves[] }
+		readonly wish?: { readonly layers: readonly LayerSummary[] }
 	}
 	readonly error?: string
 }
@@ -79,7 +79,7 @@
 		else
 			for (const line of [
 				...formatTable(statuses),
-				...formatPlannedMoves(statuses),
+				...formatPlannedLoads(statuses),
 			])
 				this.log(line)
 		if (statuses.some(status => status.error)) this.exit(1)
@@ -131,13 +131,13 @@
 }
 
 /** Formats the moves in the last plan of each group's rebalancer, with gain and cost. */
-function formatPlannedMoves(rows: readonly ProcessStatus[]): string[] {
+function formatPlannedLoads(rows: readonly ProcessStatus[]): string[] {
 	return rows.flatMap(row =>
-		(row.map?.wish?.layers ?? []).map(moves => {
-			const skew = `${moves.skewBefore.toFixed(2)} to ${moves.skewAfter.toFixed(2)}`
-			const benefit = `gain ${moves.benefitMs.toFixed(0)} ms, cost ${moves.costMs.toFixed(0)} ms`
-			const loads = moves.loads.join(' ')
-			return `${row.name}: layer ${moves.layer}: ${loads} (expert>rank), skew ${skew}, ${benefit}`
+		(row.map?.wish?.layers ?? []).map(summary => {
+			const skew = `${summary.skewBefore.toFixed(2)} to ${summary.skewAfter.toFixed(2)}`
+			const benefit = `gain ${summary.benefitMs.toFixed(0)} ms, cost ${summary.costMs.toFixed(0)} ms`
+			const loads = summary.loads.join(' ')
+			return `${row.name}: layer ${summary.layer}: ${loads} (expert>rank), skew ${skew}, ${benefit}`
 		}),
 	)
 }
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -51,8 +51,8 @@
 import {
 	applyConfig,
 	applyEntries,
-	applyVmList,
 	createServerView,
+	markLeavingServers,
 } from './io/servers.ts'
 import {
 	applyLiveEntries,
@@ -119,7 +119,7 @@
 		settings,
 		metrics,
 		{
-			onConfigActivated: held => applyActiveConfig(entry, held),
+			onConfigActivated: active => applyActiveConfig(entry, active),
 			onVmList: vms => applyVms(ctx, vms),
 		},
 		seed,
@@ -191,7 +191,7 @@
 	)
 	pullEvidence(ctx)
 	applyEntries(ctx.servers, entries, ctx.config)
-	applyVmList(ctx.servers, new Set(leaving.map(vm => vm.name)))
+	markLeavingServers(ctx.servers, new Set(leaving.map(vm => vm.name)))
 }
 
 /**
--- a/packages/entry/src/explain.ts
+++ b/packages/entry/src/explain.ts
@@ -6,7 +6,7 @@
 import type { LogLine } from './logLines.ts'
 import { readLogLine } from './logLines.ts'
 
-/** Transient state logged longer before a request's outcome is not its cause, ms. */
+/** Maximum time from transient state to an outcome that it may have caused, ms. */
 const STATE_WINDOW_MS = 3_000
 
 /** Log lines about a request and the likely cause of its outcome. */
@@ -56,7 +56,7 @@
 		if (line.time > last.time) break
 		const key = stateKeyOf(line, last, servers)
 		if (key === undefined) continue
-		// Of a newer configuration elsewhere, the first entry that applied it counts.
+		// If several entries applied a newer configuration, the first one counts.
 		if (isNewerElsewhere(line, last) && newest.has(key)) continue
 		newest.set(key, line)
 	}
@@ -161,10 +161,10 @@
 		.filter(({ event }) => event === 'server rests')
 		.map(({ server, time, forMs = 0 }) => ({
 			server,
-			leftMs: Math.round(time + forMs - last.time),
+			remainingMs: Math.round(time + forMs - last.time),
 		}))
-		.filter(({ leftMs }) => leftMs > 0)
-		.map(({ server, leftMs }) => `${server} for ${leftMs} ms more`)
+		.filter(({ remainingMs }) => remainingMs > 0)
+		.map(({ server, remainingMs }) => `${server} for ${remainingMs} ms more`)
 	return `All servers of its service had asked this entry to back off (${backoffs.join(', ')}).`
 }
 
@@ -197,8 +197,8 @@
 	const failed = stateLines.findLast(
 		({ event }) => event === 'source call failed',
 	)
-	const why = failed ? `; its last call of the source: ${failed.reason}` : ''
-	return `, version ${newer.version} had been in force elsewhere for ${last.time - newer.time} ms${why}`
+	const reason = failed ? `; its last call of the source: ${failed.reason}` : ''
+	return `, version ${newer.version} had been in force elsewhere for ${last.time - newer.time} ms${reason}`
 }
 
 function explainOverload(
@@ -214,10 +214,10 @@
 	if (groupReport?.limit === undefined)
 		return 'Every server had as many requests in flight as it accepts.'
 	const shift = stateLines.find(line => line.event === 'demand shifted')
-	const why = shift
+	const reason = shift
 		? `: demand had shifted ${last.time - shift.time} ms before`
 		: ' so that passes stay short enough'
-	return `Its group was to hold ${groupReport.limit} requests a rank${why}.`
+	return `Its group was to hold ${groupReport.limit} requests a rank${reason}.`
 }
 
 function explainQuarantine(
--- a/packages/entry/src/io/callerRequest.ts
+++ b/packages/entry/src/io/callerRequest.ts
@@ -42,7 +42,7 @@
 export interface RequestKey {
 	readonly value: string
 	/** Whether this entry has just created it: no earlier request can have used it. */
-	readonly fresh: boolean
+	readonly isNew: boolean
 }
 
 /** A request that has been read and checked. */
@@ -247,10 +247,10 @@
 function readKey(req: IncomingMessage): RequestKey {
 	const given = req.headers[KEY_HEADER]
 	if (given === undefined)
-		return { value: makeKey(Date.now(), randomBytes(KEY_BYTES)), fresh: true }
+		return { value: makeKey(Date.now(), randomBytes(KEY_BYTES)), isNew: true }
 	const value = String(given).toLowerCase()
 	if (readKeyTime(value) === undefined) fail('badKey', '')
-	return { value, fresh: false }
+	return { value, isNew: false }
 }
 
 function readPriority(
--- a/packages/entry/src/io/entryContext.ts
+++ b/packages/entry/src/io/entryContext.ts
@@ -103,5 +103,5 @@
 
 /** Whether the request has a key that its caller may have used before. */
 export function hasCallerKey(request: CallerRequest): boolean {
-	return request.key !== undefined && !request.key.fresh
+	return request.key !== undefined && !request.key.isNew
 }
--- a/packages/entry/src/io/entryNotifications.ts
+++ b/packages/entry/src/io/entryNotifications.ts
@@ -14,6 +14,6 @@
 		const link = await openMemberLink(ctx.follower(), name)
 		if (link) notify(link, method, params)
 	} catch {
-		// Lost messages are repaired: receivers pull evidence, reports are repeated.
+		// Reports are repeated, and an entry pulls crash evidence when it starts.
 	}
 }
--- a/packages/entry/src/io/exchange.ts
+++ b/packages/entry/src/io/exchange.ts
@@ -199,7 +199,7 @@
 		}),
 		...(request.key && {
 			key: request.key.value,
-			freshKey: request.key.fresh,
+			freshKey: request.key.isNew,
 		}),
 	}
 	const sink = createAttemptSink(ctx, exchange, event =>
--- a/packages/entry/src/io/exchangeTimeouts.ts
+++ b/packages/entry/src/io/exchangeTimeouts.ts
@@ -1,4 +1,4 @@
-/** Time-outs of requests in flight: deadlines, and agents that send no frames. */
+/** Timeouts of requests in flight: deadlines, and agents that send no frames. */
 
 import { recordResult } from '@juniperhook/core'
 import { readElapsed, readNow } from '@juniperhook/runtime'
@@ -11,7 +11,7 @@
 const STALL_TIMEOUT_MS = 4_000
 const CHECK_INTERVAL_MS = 250
 
-/** Checks the time-outs of all requests in flight. */
+/** Checks the timeouts of all requests in flight. */
 export function tickExchanges(ctx: EntryContext): void {
 	const now = readNow()
 	const elapsed = readElapsed()
--- a/packages/entry/src/io/quarantine.ts
+++ b/packages/entry/src/io/quarantine.ts
@@ -28,11 +28,11 @@
 import { notifyEntry } from './entryNotifications.ts'
 
 /**
- * Time between the entries' turns to retry a quarantined request, ms: longer than a server
- * takes to crash and the evidence to reach all entries.
+ * Time between the entries' turns to retry a quarantined request, ms: longer than it takes
+ * a server to crash and the evidence to reach all entries.
  */
 const RETRY_TURN_MS = 10_000
-/** Maximum turns: together they last as long as the first quarantine of a request. */
+/** Maximum number of turns, which together last as long as the first quarantine. */
 const MAX_TURNS = 60
 /** Maximum number of entries from which evidence is pulled at the start. */
 const MAX_PULLED_PEERS = 3
@@ -84,21 +84,27 @@
 }
 
 /** Creates the methods that agents and other entries may call. */
-export function createQuarantineMethods(find: () => EntryContext): Methods {
+export function createQuarantineMethods(
+	getContext: () => EntryContext,
+): Methods {
 	return {
 		serverEnd(params: unknown): void {
-			const end = v.parse(ServerCrashSchema, params)
-			mergeEvidence(find(), fromNotice({ ends: [end], served: [] }), 'agent')
+			const crash = v.parse(ServerCrashSchema, params)
+			mergeEvidence(
+				getContext(),
+				fromNotice({ ends: [crash], served: [] }),
+				'agent',
+			)
 		},
 		endNews(params: unknown): void {
 			mergeEvidence(
-				find(),
+				getContext(),
 				fromNotice(v.parse(CrashUpdatesSchema, params)),
 				'entry',
 			)
 		},
 		listEnds: (): CrashUpdatesNotice =>
-			toNotice(listCrashEvidence(find().quarantineGate.quarantine)),
+			toNotice(listCrashEvidence(getContext().quarantineGate.quarantine)),
 	}
 }
 
@@ -125,7 +131,7 @@
 	}
 }
 
-/** Merges evidence; what is new and not from another entry is sent to all others. */
+/** Merges evidence; new evidence is sent to all other entries unless it is from one. */
 function mergeEvidence(
 	ctx: EntryContext,
 	evidence: CrashEvidence,
--- a/packages/entry/src/io/routeQuery.ts
+++ b/packages/entry/src/io/routeQuery.ts
@@ -54,7 +54,7 @@
 	return available.every(other => other === row)
 }
 
-/** Returns the rows of servers that can serve the request; with a key, its key home. */
+/** Returns the rows of servers that can serve a request: with a key, only its key home. */
 export function candidateRows(
 	ctx: EntryContext,
 	exchange: Exchange,
@@ -65,14 +65,16 @@
 			return ctx.servers.rowsOfModel.get(target.model) ?? []
 		case 'service': {
 			const rows = ctx.servers.rowsOfService.get(target.service) ?? []
-			return key ? findHomeRow(ctx, exchange, target.service, key.value) : rows
+			return key
+				? findKeyHomeRows(ctx, exchange, target.service, key.value)
+				: rows
 		}
 		default:
 			return target satisfies never
 	}
 }
 
-function findHomeRow(
+function findKeyHomeRows(
 	ctx: EntryContext,
 	exchange: Exchange,
 	service: string,
@@ -80,14 +82,14 @@
 ): readonly number[] {
 	if (!ctx.config) return []
 	const scoped = scopeKey(exchange.request.teamName, service, key)
-	const home = findKeyHome(ctx.config, service, scoped)
-	const row = home && ctx.servers.table.rowOf.get(home)
+	const keyHome = findKeyHome(ctx.config, service, scoped)
+	const row = keyHome && ctx.servers.table.rowOf.get(keyHome)
 	return typeof row === 'number' ? [row] : []
 }
 
 /**
- * Opens a link to a key home outside this entry's subset; returns false if a link was
- * kept already.
+ * Starts maintaining a link to a key home outside this entry's subset; returns false if
+ * one was maintained already.
  */
 export function ensureLinkToRow(ctx: EntryContext, row: number): boolean {
 	return ensureLink(ctx.servers, peerOfRow(ctx.servers, row))
--- a/packages/entry/src/io/servers.ts
+++ b/packages/entry/src/io/servers.ts
@@ -51,7 +51,7 @@
 	isRemoved: boolean
 	/** Until when the server accepts no requests, as its agent reported, ms. */
 	unavailableUntil: number
-	/** Whether a link is maintained: to the subset, and to key homes once needed. */
+	/** Whether a link is maintained: for the entry's subset, and for key homes once needed. */
 	keepsLink: boolean
 }
 
@@ -141,7 +141,7 @@
 }
 
 /** Marks the servers that are leaving according to the platform's VM list. */
-export function applyVmList(
+export function markLeavingServers(
 	view: ServerView,
 	leaving: ReadonlySet<string>,
 ): void {
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -42,11 +42,11 @@
 
 /** Time within which a team home must answer an admission request, ms. */
 const TEAM_HOME_TIMEOUT_MS = 300
-/** Time for which an unresponsive team home gets no admission requests, ms. */
+/** Time for which an unresponsive team home is sent no admission requests, ms. */
 const UNRESPONSIVE_RETRY_MS = 1_000
 /** Interval of reports to the team homes, which repair the loss of single reports, ms. */
 export const TEAM_REPORT_INTERVAL_MS = 10_000
-/** No team home decides for all entries: each enforces its share. */
+/** Reply that stands for a missing team home: each entry enforces its share. */
 const NOT_HOME: TeamReply = { type: 'notHome' }
 const log = createLog('entry:teams')
 
@@ -55,7 +55,7 @@
 	/** Names of the live entries, including this one. */
 	names: readonly string[]
 	share: LimitShare
-	/** Until when unresponsive team homes get no admission requests, ms, by entry. */
+	/** Until when unresponsive team homes are sent no admission requests, ms, by entry. */
 	readonly unresponsiveUntil: Map<string, number>
 }
 
@@ -73,12 +73,12 @@
 	const { liveEntries, limits } = ctx
 	const index = names.indexOf(ctx.name)
 	liveEntries.names = names
-	// The others do not count an entry that is not listed as live, as one that leaves: it
-	// takes the last share of one entry more.
+	// The other entries do not count one that is not listed as live, such as one that is
+	// leaving. It counts itself in addition to them, with the last share.
 	const count = index < 0 ? names.length + 1 : names.length
 	liveEntries.share = { count, index: index < 0 ? names.length : index }
-	const isHome = (team: string) => findTeamHome(team, names) === ctx.name
-	pruneInFlightElsewhere(limits, new Set(names), isHome)
+	const isTeamHome = (team: string) => findTeamHome(team, names) === ctx.name
+	pruneInFlightElsewhere(limits, new Set(names), isTeamHome)
 }
 
 /** Admits a request, or refuses it with the time after which its team may send it. */
@@ -89,11 +89,13 @@
 	const { teamName, team, tokens } = request
 	const { limits, liveEntries } = ctx
 	const { share } = liveEntries
-	const home = teamHomeOf(ctx, request)
-	if (home === ctx.name)
+	const teamHome = teamHomeOf(ctx, request)
+	if (teamHome === ctx.name)
 		return admitAtTeamHome(limits, teamName, team, tokens, readNow())
 	const reply =
-		home === undefined ? NOT_HOME : await requestAdmission(ctx, home, request)
+		teamHome === undefined
+			? NOT_HOME
+			: await requestAdmission(ctx, teamHome, request)
 	switch (reply.type) {
 		case 'admitted':
 			return undefined
@@ -109,9 +111,9 @@
 /** Records the end of an admitted request. */
 export function endRequest(ctx: EntryContext, request: CallerRequest): void {
 	releaseTeam(ctx.limits, request.teamName)
-	const home = teamHomeOf(ctx, request)
-	if (home !== undefined && home !== ctx.name)
-		void reportToTeamHome(ctx, home, request.teamName)
+	const teamHome = teamHomeOf(ctx, request)
+	if (teamHome !== undefined && teamHome !== ctx.name)
+		void reportToTeamHome(ctx, teamHome, request.teamName)
 }
 
 /** Reports the requests in flight here to all team homes, also if unchanged. */
@@ -119,22 +121,22 @@
 	const { limits, config, liveEntries } = ctx
 	for (const team of limits.keys()) {
 		const limit = config?.team[team]
-		const home = findTeamHome(team, liveEntries.names)
+		const teamHome = findTeamHome(team, liveEntries.names)
 		if (!limit || !isEnforcedAtTeamHome(limit, liveEntries.share.count))
 			continue
-		if (home !== undefined && home !== ctx.name)
-			void reportToTeamHome(ctx, home, team)
+		if (teamHome !== undefined && teamHome !== ctx.name)
+			void reportToTeamHome(ctx, teamHome, team)
 	}
 }
 
 /** Creates the methods that other entries may call. */
-export function createTeamMethods(find: () => EntryContext): Methods {
+export function createTeamMethods(getContext: () => EntryContext): Methods {
 	return {
 		admitTeam: (params: unknown): TeamReply =>
-			answerAdmissionRequest(find(), params),
+			answerAdmissionRequest(getContext(), params),
 		teamHeld(params: unknown): void {
 			const { team, entry, held } = v.parse(TeamInFlightSchema, params)
-			recordTeamInFlight(find().limits, team, entry, held)
+			recordTeamInFlight(getContext().limits, team, entry, held)
 		},
 	}
 }
@@ -150,17 +152,17 @@
 
 async function requestAdmission(
 	ctx: EntryContext,
-	home: string,
+	teamHome: string,
 	{ teamName, team, tokens }: CallerRequest,
 ): Promise<TeamReply> {
-	const unresponsiveUntil = ctx.liveEntries.unresponsiveUntil.get(home) ?? 0
+	const unresponsiveUntil = ctx.liveEntries.unresponsiveUntil.get(teamHome) ?? 0
 	if (readElapsed() < unresponsiveUntil) return NOT_HOME
 	const held = beginTeamHomeAdmission(ctx.limits, teamName, team, readNow())
 	const admission = { entry: ctx.name, team: teamName, held, tokens }
 	try {
 		const link = await openMemberLink(
 			ctx.follower(),
-			home,
+			teamHome,
 			TEAM_HOME_TIMEOUT_MS,
 		)
 		if (!link) throw new Error('not listed')
@@ -173,23 +175,23 @@
 		const reply = v.parse(TeamReplySchema, answer)
 		const isAdmitted = reply.type === 'admitted'
 		if (endTeamHomeAdmission(ctx.limits, teamName, isAdmitted))
-			void reportToTeamHome(ctx, home, teamName)
+			void reportToTeamHome(ctx, teamHome, teamName)
 		return reply
 	} catch (err) {
 		endTeamHomeAdmission(ctx.limits, teamName, false)
 		ctx.liveEntries.unresponsiveUntil.set(
-			home,
+			teamHome,
 			readElapsed() + UNRESPONSIVE_RETRY_MS,
 		)
 		const detail = messageOf(err)
 		log({
 			msg: 'home of a team is silent',
 			team: teamName,
-			server: home,
+			server: teamHome,
 			detail,
 		})
 		// The team home may have admitted the request: correct its count.
-		void reportToTeamHome(ctx, home, teamName)
+		void reportToTeamHome(ctx, teamHome, teamName)
 		return NOT_HOME
 	}
 }
@@ -197,8 +199,8 @@
 function answerAdmissionRequest(ctx: EntryContext, params: unknown): TeamReply {
 	const { team, ...admission } = v.parse(TeamAdmissionSchema, params)
 	const limit = ctx.config?.team[team]
-	const isHome = findTeamHome(team, ctx.liveEntries.names) === ctx.name
-	if (!limit || !isHome) return NOT_HOME
+	const isTeamHome = findTeamHome(team, ctx.liveEntries.names) === ctx.name
+	if (!limit || !isTeamHome) return NOT_HOME
 	const refusal = admitForEntry(ctx.limits, team, limit, admission, readNow())
 	if (!refusal) return { type: 'admitted' }
 	const { kind, retryAfterMs } = refusal
@@ -207,9 +209,9 @@
 
 async function reportToTeamHome(
 	ctx: EntryContext,
-	home: string,
+	teamHome: string,
 	team: string,
 ): Promise<void> {
 	const held = reportTeamInFlight(ctx.limits, team)
-	await notifyEntry(ctx, home, 'teamHeld', { entry: ctx.name, team, held })
+	await notifyEntry(ctx, teamHome, 'teamHeld', { entry: ctx.name, team, held })
 }
--- a/packages/entry/src/io/teamMessages.ts
+++ b/packages/entry/src/io/teamMessages.ts
@@ -26,7 +26,7 @@
 		kind: v.picklist(kinds),
 		retryAfterMs: v.pipe(v.number(), v.minValue(0)),
 	}),
-	/** By its own list of live entries, or its configuration does not contain the team. */
+	/** The receiver is not the team home by its own list, or does not know the team. */
 	v.object({ type: v.literal('notHome') }),
 ])
 
--- a/packages/entry/src/report.ts
+++ b/packages/entry/src/report.ts
@@ -17,7 +17,7 @@
 	resultOfLine,
 } from './routeReport.ts'
 
-const SECOND_MS = 1_000
+const MS_PER_SECOND = 1_000
 /** Maximum number of causes shown. */
 const MAX_CAUSES = 10
 
@@ -68,7 +68,7 @@
 	const causes = new Map<string, number>()
 	const errors: number[] = []
 	for (const line of logLines) {
-		const second = Math.floor((line.time - startTime) / SECOND_MS)
+		const second = Math.floor((line.time - startTime) / MS_PER_SECOND)
 		const row = rows.get(second) ?? createRow(second)
 		rows.set(second, row)
 		addLine(row, line)
--- a/packages/entry/src/roundReport.ts
+++ b/packages/entry/src/roundReport.ts
@@ -52,7 +52,7 @@
 }
 
 function describeFailure({ phase, reason }: LogLine): string {
-	return reason ? `${phase}: ${reason}` : `given up while ${phase}`
+	return reason ? `${phase}: ${reason}` : `abandoned while ${phase}`
 }
 
 function countByName(names: readonly string[]): [string, number][] {
--- a/packages/entry/test/client.ts
+++ b/packages/entry/test/client.ts
@@ -15,7 +15,7 @@
 export type CallResult = 'answered' | 'notRun' | 'unknown' | 'cut'
 
 /** Answer to a call. */
-export interface Booking {
+export interface CallAnswer {
 	readonly ref: string
 	readonly result: CallResult
 	readonly status: number
@@ -37,7 +37,7 @@
 	ref: string,
 	key?: string,
 	query = '',
-): Promise<Booking> {
+): Promise<CallAnswer> {
 	const started = performance.now()
 	const url = `http://${entryIp(fleet, n)}:${PORTS.data}/services/huts/bookings/${ref}${query}`
 	const took = () => performance.now() - started
@@ -65,7 +65,7 @@
 	n: number,
 	query = '',
 	extraHeaders: Record<string, string> = {},
-): Promise<Booking> {
+): Promise<CallAnswer> {
 	const url = `http://${entryIp(fleet, n)}:${PORTS.data}/services/huts/rosters/pine${query}`
 	const started = performance.now()
 	try {
--- a/packages/entry/test/failures.process.test.ts
+++ b/packages/entry/test/failures.process.test.ts
@@ -21,7 +21,7 @@
 import { request } from 'undici'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { Booking } from './client.ts'
+import type { CallAnswer } from './client.ts'
 import {
 	book,
 	countRuns,
@@ -72,8 +72,8 @@
 }
 
 /** Makes bookings for `ms`, half of them with keys of the caller. */
-async function bookFor(ms: number): Promise<Booking[]> {
-	const calls: Promise<Booking>[] = []
+async function bookFor(ms: number): Promise<CallAnswer[]> {
+	const calls: Promise<CallAnswer>[] = []
 	const end = Date.now() + ms
 	while (Date.now() < end) {
 		const ref = `b${nextRef++}`
@@ -85,7 +85,7 @@
 }
 
 /** Checks that nothing ran twice, nothing "not run" ran, and answers are not mixed up. */
-async function checkBookings(bookings: readonly Booking[]): Promise<void> {
+async function checkBookings(bookings: readonly CallAnswer[]): Promise<void> {
 	const runs = countRuns(fleet)
 	for (const { ref, result, body } of bookings) {
 		const count = runs.get(ref) ?? 0
@@ -150,7 +150,7 @@
 		answered: 0.3,
 	},
 	{
-		name: 'an agent is stopped beyond all time-outs and continued',
+		name: 'an agent is stopped beyond all timeouts and continued',
 		...stopFor('service-1', 5_000),
 		answered: 0.3,
 	},
--- a/packages/entry/test/quarantine.process.test.ts
+++ b/packages/entry/test/quarantine.process.test.ts
@@ -17,7 +17,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 
-/** Can be raised for manual runs. */
+/** Number of entries; can be raised for manual runs. */
 const ENTRIES = Number(process.env.ENTRIES ?? 3)
 const SERVICES = 4
 const ALL = Array.from({ length: ENTRIES }, (_, n) => n)
--- a/packages/entry/test/report.test.ts
+++ b/packages/entry/test/report.test.ts
@@ -95,7 +95,7 @@
 	assert.is(rounds.begun, 3)
 	assert.is(rounds.done, 1)
 	assert.equal(rounds.failures, [
-		{ failure: 'given up while preparing', count: 1 },
+		{ failure: 'abandoned while preparing', count: 1 },
 		{ failure: 'failed: a newer round', count: 1 },
 	])
 	assert.equal(rounds.tookMs, { p50: 300, max: 300 })
--- a/packages/entry/test/serverSignals.process.test.ts
+++ b/packages/entry/test/serverSignals.process.test.ts
@@ -15,10 +15,10 @@
 import { request } from 'undici'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { Booking } from './client.ts'
+import type { CallAnswer } from './client.ts'
 import { requestRoster } from './client.ts'
 
-/** Can be raised for manual runs. */
+/** Number of entries; can be raised for manual runs. */
 const ENTRIES = Number(process.env.ENTRIES ?? 3)
 /** Interval between two requests, ms. */
 const REQUEST_INTERVAL_MS = 25
@@ -61,7 +61,7 @@
 
 /** Result of requests to all entries in turn for some time. */
 interface LoadResult {
-	readonly bookings: Booking[]
+	readonly answers: CallAnswer[]
 	/** Requests that server 0 received in that time. */
 	readonly arrived: number
 	/** Maximum number of requests observed waiting at its agent. */
@@ -70,7 +70,7 @@
 
 async function requestFor(forMs: number): Promise<LoadResult> {
 	const before = await countRequests(0)
-	const requests: Promise<Booking>[] = []
+	const requests: Promise<CallAnswer>[] = []
 	let maxWaiting = 0
 	const end = performance.now() + forMs
 	for (let at = 0; performance.now() < end; at++) {
@@ -80,7 +80,7 @@
 			maxWaiting = Math.max(maxWaiting, await countWaiting(0))
 	}
 	const arrived = (await countRequests(0)) - before
-	return { bookings: await Promise.all(requests), arrived, maxWaiting }
+	return { answers: await Promise.all(requests), arrived, maxWaiting }
 }
 
 /** Sends requests until a server has received one. */
@@ -92,8 +92,8 @@
 	}, 'a request received by the server')
 }
 
-function failedStatuses(bookings: readonly Booking[]): number[] {
-	return bookings.map(({ status }) => status).filter(status => status !== 200)
+function failedStatuses(answers: readonly CallAnswer[]): number[] {
+	return answers.map(({ status }) => status).filter(status => status !== 200)
 }
 
 test('a server that backs off gets no requests, and the other serves', async () => {
@@ -101,11 +101,11 @@
 	await requestUntilReceived(0)
 	await callBackend(0, 'says')
 	await wait(IN_FLIGHT_MS)
-	const { bookings, arrived, maxWaiting } = await requestFor(
+	const { answers, arrived, maxWaiting } = await requestFor(
 		BACKOFF_MS - 2 * IN_FLIGHT_MS,
 	)
 	assert.ok(arrived <= 2, `${arrived} during its backoff`)
-	assert.equal(failedStatuses(bookings), [])
+	assert.equal(failedStatuses(answers), [])
 	assert.is(maxWaiting, 0)
 	await wait(2 * IN_FLIGHT_MS)
 	await requestUntilReceived(0)
@@ -138,11 +138,11 @@
 	await callBackend(0, 'says?limit=1')
 	await requestUntilReceived(0)
 	await wait(IN_FLIGHT_MS)
-	const { bookings, arrived, maxWaiting } = await requestFor(LOAD_MS)
+	const { answers, arrived, maxWaiting } = await requestFor(LOAD_MS)
 	const allowed = (1.5 * LOAD_MS) / 1_000 + 5
 	assert.ok(arrived <= allowed, `${arrived} in four seconds`)
 	assert.ok(arrived > 0)
-	assert.equal(failedStatuses(bookings), [])
+	assert.equal(failedStatuses(answers), [])
 	assert.is(maxWaiting, 0)
 	await callBackend(0, 'says')
 	// The next answer contains no limit.
@@ -153,9 +153,9 @@
 	await callBackend(0, 'says?leaves=1')
 	await requestUntilReceived(0)
 	await wait(IN_FLIGHT_MS)
-	const { bookings, arrived } = await requestFor(LOAD_MS / 2)
+	const { answers, arrived } = await requestFor(LOAD_MS / 2)
 	assert.is(arrived, 0)
-	assert.equal(failedStatuses(bookings), [])
+	assert.equal(failedStatuses(answers), [])
 	signalProcess(fleet, 'backend-0', 'SIGKILL')
 	await wait(IN_FLIGHT_MS)
 	await restartProcess(fleet, 'backend-0')
--- a/packages/entry/test/teams.process.test.ts
+++ b/packages/entry/test/teams.process.test.ts
@@ -15,7 +15,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 
-/** Can be raised for manual runs. */
+/** Number of entries; can be raised for manual runs. */
 const ENTRIES = Number(process.env.ENTRIES ?? 3)
 const KEY = 'ten-key'
 const CONCURRENCY = 10
@@ -80,10 +80,10 @@
 
 test('while the team home does not answer, the other entries keep to their shares', async () => {
 	// Each entry is stopped once, so that one of them is the team home.
-	for (const silent of ALL) {
-		const name = `entry-${silent}`
+	for (const stopped of ALL) {
+		const name = `entry-${stopped}`
 		signalProcess(fleet, name, 'SIGSTOP')
-		const others = ALL.filter(n => n !== silent)
+		const others = ALL.filter(n => n !== stopped)
 		const statuses = await Promise.all(
 			others.flatMap(n =>
 				Array.from({ length: CONCURRENCY }, () => requestStatus(n)),
--- a/packages/groups/src/agent.ts
+++ b/packages/groups/src/agent.ts
@@ -32,7 +32,7 @@
 
 /**
  * Ranks whose agents may coordinate the group, in order of precedence. The anchor's is
- * last: if its VM stopped while the group is held, nobody could release the group.
+ * last: if its VM stopped while the group is held, no agent could release the group.
  */
 const CANDIDATES = [1, 2, 3, 0]
 /** Interval at which a candidate polls its engine and the earlier candidates, ms. */
@@ -237,7 +237,7 @@
 	co.onStatus = status =>
 		reportGroup(agent.reporter, { group: name, ...status })
 	applyGroup(co, group)
-	// The agents of earlier candidates do not answer: call their engines directly.
+	// The agents of earlier candidates do not answer, so their engines are called directly.
 	for (const rank of CANDIDATES.slice(0, CANDIDATES.indexOf(report.rank)))
 		bypassAgent(co, rank)
 	agent.coordinator = co
--- a/packages/groups/src/armingTime.ts
+++ b/packages/groups/src/armingTime.ts
@@ -10,7 +10,7 @@
  */
 const MIN_PROBE_TIMEOUT_MS = 60
 const PROBE_ROUND_TRIPS = 3
-/** Share of the lead that a probe may take, where that is longer. */
+/** Share of the lead that a probe may take, if that exceeds the minimum timeout. */
 const PROBE_LEAD_SHARE = 0.7
 /**
  * Minimum lead, ms. Passes continue during the lead. It covers a hold order that is sent
@@ -20,19 +20,19 @@
 const MIN_LEAD_MS = 120
 const LEAD_ROUND_TRIPS = 2
 /**
- * Factor of the expected arming time that the lead allows. With too short a lead, a
- * group of 192 ranks stood still for 0.11 s at each map change.
+ * Lead as a multiple of the expected arming time. With too short a lead, a group of 192
+ * ranks stood still for 0.11 s at each map change.
  */
 const LEAD_FACTOR = 1.25
 /** Factor by which the expected arming time decays with each shorter round. */
 const DECAY_PER_ROUND = 0.8
 /**
- * Factor of a probe's timeout that arming is expected to take after the probe has timed
- * out. With 40 ranks on links that lose 2 % of the packets, some answer is delayed by a
+ * Expected arming time after a probe that timed out, as a multiple of its timeout. With
+ * 40 ranks on links that lose 2 % of the packets, some answer is delayed by a
  * retransmission in nearly every round.
  */
 const TIMEOUT_FACTOR = 2
-/** Maximum expected arming time, ms; with a longer one, demand shifts meanwhile. */
+/** Maximum expected arming time, ms; demand would shift during a longer one. */
 const MAX_ARMING_MS = 800
 
 /** Returns the time allowed from the hold until all ranks are armed, ms. */
--- a/packages/groups/src/demand.ts
+++ b/packages/groups/src/demand.ts
@@ -5,8 +5,9 @@
  * half-life.
  *
  * Dropping the history at a shift raised the share of streams in time from 0.62 to 0.67;
- * the longer half-life that it allows raised it from 0.87 to 0.93 (emulated days with
- * low load of 12 ranks whose demand shifts every 3.5 s, the second with plans by gain).
+ * the longer half-life that it allows raised it from 0.87 to 0.93. Both were measured
+ * with an emulated low load on 12 ranks whose demand shifts every 3.5 s, the second with
+ * plans chosen by their gain.
  */
 
 /** Half-life of the history, ms. */
@@ -18,8 +19,8 @@
  * retained, and from which all of it is. In emulated groups, counts of 200 ms agree by
  * 0.98 and more while demand is steady. In the reading with a shift they agree by 0.34 to
  * 0.93 in small groups, and by 0.84 to 0.92 in one of 192 ranks, where subjects have many
- * preferred experts in common. With 0.8 and 0.95, the first plan after a shift there was
- * made by half for the earlier demand.
+ * preferred experts in common. With bounds of 0.8 and 0.95, half of the demand for which
+ * the first plan after a shift was made there was still the earlier one.
  */
 export const MIN_AGREEMENT = 0.9
 const FULL_AGREEMENT = 0.975
--- a/packages/groups/src/demandMonitor.ts
+++ b/packages/groups/src/demandMonitor.ts
@@ -32,10 +32,10 @@
 const MIN_COUNTED_RANKS = 4
 /**
  * Share of the coordinator's link that counts may use. With more, the anchor's reports
- * arrived 0.3 s late and other agents took the coordinator for down.
+ * arrived 0.3 s late and other agents considered the coordinator down.
  */
 const COUNTS_LINK_SHARE = 0.25
-/** Size of a sample without its counts, bytes, and of base64 relative to its input. */
+/** Size of a sample without its counts, bytes; size of base64 relative to its input. */
 const SAMPLE_OVERHEAD_BYTES = 150
 const BASE64_RATIO = 4 / 3
 /**
@@ -145,7 +145,7 @@
 	return Math.min(MAX_COUNTED_RANKS, Math.max(MIN_COUNTED_RANKS, fitting))
 }
 
-/** Refreshes the demand and updates what is known of its shifts. */
+/** Refreshes the demand and updates the estimates of its shifts. */
 function updateDemand(co: Coordinator): void {
 	const now = readNow()
 	const agreement = refreshDemand(co.demand, now)
--- a/packages/groups/src/mapDelta.ts
+++ b/packages/groups/src/mapDelta.ts
@@ -74,11 +74,17 @@
 	for (const [set, placement] of map.entries())
 		for (const [rank, experts] of placement.entries()) {
 			const before = base.map[set]![rank]!
-			const lost = findPlaces(before, expert => !experts.includes(expert))
-			const gained = experts.filter(expert => !before.includes(expert))
-			if (lost.length + gained.length === 0) continue
+			const removed = findPlaces(before, expert => !experts.includes(expert))
+			const added = experts.filter(expert => !before.includes(expert))
+			if (removed.length + added.length === 0) continue
 			const at = set * ranks + rank
-			numbers.push(at - last, lost.length, gained.length, ...lost, ...gained)
+			numbers.push(
+				at - last,
+				removed.length,
+				added.length,
+				...removed,
+				...added,
+			)
 			last = at
 		}
 	return {
@@ -118,7 +124,7 @@
 	const numbers = decodeVarints(delta.packed)
 	let cell = 0
 	for (let at = 0; at < numbers.length; ) {
-		const [skipped = -1, lostCount = -1, gainedCount = -1] = numbers.slice(
+		const [skipped = -1, removedCount = -1, addedCount = -1] = numbers.slice(
 			at,
 			at + 3,
 		)
@@ -127,13 +133,16 @@
 		const set = Math.floor(cell / delta.ranks)
 		const rank = cell % delta.ranks
 		const before = map[set]?.[rank]
-		if (!before || at + lostCount + gainedCount > numbers.length)
+		if (!before || at + removedCount + addedCount > numbers.length)
 			throw new RangeError('map delta truncated or out of range')
-		const lost = new Set(numbers.slice(at, at + lostCount))
-		const gained = numbers.slice(at + lostCount, at + lostCount + gainedCount)
-		const kept = before.filter((_, place) => !lost.has(place))
-		map[set]![rank] = [...kept, ...gained].sort((a, b) => a - b)
-		at += lostCount + gainedCount
+		const removed = new Set(numbers.slice(at, at + removedCount))
+		const added = numbers.slice(
+			at + removedCount,
+			at + removedCount + addedCount,
+		)
+		const kept = before.filter((_, place) => !removed.has(place))
+		map[set]![rank] = [...kept, ...added].sort((a, b) => a - b)
+		at += removedCount + addedCount
 	}
 	return checksumOf(map) === delta.sum ? map : undefined
 }
--- a/packages/groups/src/mapPlanning.ts
+++ b/packages/groups/src/mapPlanning.ts
@@ -22,7 +22,7 @@
 /** Time for which a search may block the event loop, ms. */
 const MAX_BLOCK_MS = 5
 const BITS_PER_BYTE = 8
-const SECOND_MS = 1_000
+const MS_PER_SECOND = 1_000
 
 /** Returns the map in use, cached or read from the ranks; undefined if not available. */
 export async function readMap(
@@ -86,10 +86,12 @@
 	if (!group) return undefined
 	const startedAt = readNow()
 	const shares = map.map((_, set) => computeExpertShares(demand, set))
-	const paces = slowdownsOf(co, map)
+	const slowdowns = slowdownsOf(co, map)
 	const cost = estimateChangeCost(co, group)
 	const { layout } = group
-	const plan = await runSearch(planMap({ map, shares, layout, paces, cost }))
+	const plan = await runSearch(
+		planMap({ map, shares, layout, paces: slowdowns, cost }),
+	)
 	if (!plan) return undefined
 	co.log.write('map planned', {
 		before: round3(plan.before),
@@ -100,7 +102,7 @@
 		steadyMs: Math.round(cost.steadyMs),
 		passMs: Math.round(co.passMs),
 		held: round3(co.inFlightPerRank),
-		slow: paces.filter(pace => pace > 1.2).length,
+		slow: slowdowns.filter(slowdown => slowdown > 1.2).length,
 		tookMs: Math.round(readNow() - startedAt),
 		of: co.mapVersion,
 	})
@@ -162,7 +164,7 @@
 /** Returns the time that a rank takes to copy one expert, ms. */
 export function expertCopyMs({ layout, linkMbps }: PublishedGroup): number {
 	return linkMbps > 0
-		? (layout.expertMb * BITS_PER_BYTE * SECOND_MS) / linkMbps
+		? (layout.expertMb * BITS_PER_BYTE * MS_PER_SECOND) / linkMbps
 		: 0
 }
 
--- a/packages/groups/src/orderSender.ts
+++ b/packages/groups/src/orderSender.ts
@@ -33,7 +33,7 @@
  * individually, as a tree would add a hop.
  */
 const MIN_TREE_RANKS = 4
-/** Time allowed for an agent and its engine, ms: two unanswered calls. */
+/** Time allowed for an agent and its engine, ms: enough for two unanswered calls. */
 const ORDER_WORK_TIMEOUT_MS = 300
 /**
  * The same time for a `prepare`, ms, to which a multiple of the copying time is added. It
@@ -93,9 +93,7 @@
 	if (isTree) broadcastOrder(co, run, relayed)
 }
 
-/**
- * Whether to broadcast an order via agents; a hold order is sent via one agent instead.
- */
+/** Whether agents may relay an order; a hold order is sent via a single agent instead. */
 function canRelay(co: Coordinator, { rank, order }: PendingOrder): boolean {
 	const client = co.clients.get(rank)
 	return (
--- a/packages/groups/src/passMonitor.ts
+++ b/packages/groups/src/passMonitor.ts
@@ -1,7 +1,7 @@
 /**
  * Measures pass times of a group at the coordinator's local engine and fits the pass
- * model to them. On an emulated day with a slow rank, the model predicted means of four
- * passes to within 10% (p50) and 16% (p90).
+ * model to them. With an emulated workload and a slow rank, the model predicted means of
+ * four passes to within 10% (p50) and 16% (p90).
  */
 
 import type { PassSample, RankReport } from '@juniperhook/core'
@@ -11,7 +11,7 @@
 import { computePassFactor } from './mapPlanning.ts'
 import type { PublishedGroup } from './ports.ts'
 
-/** Number of passes per measurement, as the polling interval is as long as a pass. */
+/** Number of passes per measurement: several, as the polling interval is as long as one. */
 const PASSES_PER_SAMPLE = 4
 /** Interval between log lines that compare predicted and measured pass times, ms. */
 const LOG_INTERVAL_MS = 1_000
@@ -32,7 +32,7 @@
 	const jumps = countClockJumps()
 	const factor = computePassFactor(co, group, map)
 	const { startedFrom } = passTiming
-	const isSame =
+	const isContinued =
 		startedFrom !== undefined &&
 		startedFrom.report.epoch === report.epoch &&
 		startedFrom.report.map === report.map &&
@@ -40,9 +40,9 @@
 		passTiming.copying === copying &&
 		passTiming.jumps === jumps &&
 		Math.abs(passTiming.factor / factor - 1) < FACTOR_TOLERANCE
-	if (isSame && report.step - startedFrom.report.step < PASSES_PER_SAMPLE)
+	if (isContinued && report.step - startedFrom.report.step < PASSES_PER_SAMPLE)
 		return
-	if (isSame) {
+	if (isContinued) {
 		const passMs =
 			(at - startedFrom.at) / (report.step - startedFrom.report.step)
 		addPassTiming(co, group, {
--- a/packages/groups/src/rankClient.ts
+++ b/packages/groups/src/rankClient.ts
@@ -34,7 +34,7 @@
 const READ_TIMEOUT_MS = 250
 /**
  * Addition to the timeout for each rank where all ranks are read at once, ms: each takes
- * some 0.3 KB of a small VM's link and time of its fraction of a core. A time-out closes
+ * some 0.3 KB of a small VM's link and time of its fraction of a core. A timeout closes
  * the link, even one that works.
  */
 const READ_TIMEOUT_PER_RANK_MS = 3
@@ -43,15 +43,13 @@
  * queue behind a large map on a small link while the agent is well.
  */
 const DEMAND_TIMEOUT_MS = 600
-/**
- * Timeout of an order sent via another VM's agent, ms; after it, the effect is checked.
- */
+/** Timeout of an order sent via another VM's agent, ms; then its effect is checked. */
 const REMOTE_ORDER_TIMEOUT_MS = 50
 /** Time without a link to an agent after which its engine is called directly, ms. */
 const BYPASS_AFTER_MS = 400
 /** Time for which an agent is bypassed after it did not answer, ms. */
 const BYPASS_MS = 1_000
-/** Maximum age of an engine's report to other VMs, ms; engines state 200. */
+/** Maximum age of an engine's report to other VMs, ms; engines specify 200. */
 const REPORT_LAG_MS = 230
 
 /** Connection of a coordinator to a rank. */
@@ -237,9 +235,7 @@
 	return (await callAgent(client, 'busy', {}, DEMAND_TIMEOUT_MS)) ?? undefined
 }
 
-/**
- * Reads the experts of a rank; `concurrentReads` is the number of ranks read at once.
- */
+/** Reads the experts of a rank; `concurrentReads` is the number of ranks read at once. */
 export async function readRankPlacement(
 	client: RankClient,
 	concurrentReads: number,
@@ -261,7 +257,7 @@
 	try {
 		return await call<RankResults[M]>(link, method, params, timeoutMs)
 	} catch {
-		// A frozen agent still accepts connections, so it has to be bypassed for a while.
+		// A suspended agent still accepts connections, so it has to be bypassed for a while.
 		link.socket.destroy()
 		markUnresponsive(client)
 		return null
--- a/packages/groups/src/rankService.ts
+++ b/packages/groups/src/rankService.ts
@@ -27,8 +27,8 @@
 /** Time after which an engine that still copies counts as not answering, ms. */
 const COPY_TIMEOUT_MS = 2_500
 /**
- * Attempts at an order that the local engine does not answer. A retry on the same VM is
- * cheap; one by the coordinator takes another broadcast.
+ * Maximum number of attempts at an order that the local engine does not answer. A retry
+ * on the same VM is cheap; one by the coordinator takes another broadcast.
  */
 const MAX_ATTEMPTS = 2
 /**
@@ -102,7 +102,7 @@
 			return true
 		case 'disarm':
 		case 'go':
-			// Their fence has to be recorded too, and no report contains it.
+			// The engine also has to record the fence of these orders, which no report contains.
 			return false
 		default:
 			return order satisfies never
--- a/packages/groups/src/roundRunner.ts
+++ b/packages/groups/src/roundRunner.ts
@@ -94,10 +94,11 @@
 		)
 		if (needsReport(round)) {
 			const { phase } = round
-			const fresh = await readAnchor(co)
+			const anchorReport = await readAnchor(co)
 			const leadMs = computeLeadMs(co.armingMs, roundTripMs)
-			const lead = Math.max(1, Math.ceil(leadMs / co.passMs))
-			if (fresh && round.phase === phase) applyAnchorReport(round, fresh, lead)
+			const leadPasses = Math.max(1, Math.ceil(leadMs / co.passMs))
+			if (anchorReport && round.phase === phase)
+				applyAnchorReport(round, anchorReport, leadPasses)
 		}
 		if (round.phase !== lastPhase) {
 			const tookMs = readNow() - phaseAt
--- a/packages/groups/test/armingTime.test.ts
+++ b/packages/groups/test/armingTime.test.ts
@@ -17,7 +17,7 @@
 
 const ROUND_TRIP_MS = 50
 const LOSSY_RANKS = 38
-const LOSS = 0.025
+const LOSS_RATE = 0.025
 const RETRANSMIT_MS = 200
 
 const ARMINGS = [
@@ -32,7 +32,7 @@
 		assert.is(computeProbeTimeoutMs(armingMs, ROUND_TRIP_MS), probe)
 	})
 
-test('arming: the probe timeout grows after a time-out and falls after short rounds', () => {
+test('arming: the probe timeout grows after a timeout and falls after short rounds', () => {
 	const raised = raiseArmingMs(0, 210)
 	assert.ok(computeProbeTimeoutMs(raised, ROUND_TRIP_MS) > 210)
 	let armingMs = raised
@@ -51,7 +51,7 @@
 	const drawRoundTripMs = () => {
 		let took = ROUND_TRIP_MS
 		for (let packet = 0; packet < 2 * LOSSY_RANKS; packet++)
-			if (random() < LOSS) took = ROUND_TRIP_MS + RETRANSMIT_MS
+			if (random() < LOSS_RATE) took = ROUND_TRIP_MS + RETRANSMIT_MS
 		return took
 	}
 	let armingMs = 0
--- a/packages/groups/test/fakeGroup.ts
+++ b/packages/groups/test/fakeGroup.ts
@@ -20,7 +20,7 @@
 	map: number
 	placements: number[][]
 	prepared: { version: number; placements: number[][] } | undefined
-	highest: number
+	highestVersion: number
 	armed: { version: number; step: number } | undefined
 	fence: number
 	counts: number[]
@@ -41,7 +41,7 @@
 	/** Passes that began with different maps; has to remain empty. */
 	readonly mixedPasses: string[]
 	/** Slowdown factor of each engine, by rank. */
-	readonly paces: number[]
+	readonly slowdowns: number[]
 	/** Resets all engines and begins a new epoch, as when a group re-forms. */
 	reform(): void
 	stop(): void
@@ -69,20 +69,20 @@
 		map: 0,
 		placements: Array.from({ length: SETS }, () => [...placement[rank]!]),
 		prepared: undefined,
-		highest: 0,
+		highestVersion: 0,
 		armed: undefined,
 		fence: 0,
 		counts: Array.from({ length: SETS * EXPERTS }, () => 0),
 	})
 	const rankOf = (address: string) =>
 		group.group.members.findIndex(member => member.engine === address)
-	const reach = (address: string) => {
+	const findReachable = (address: string) => {
 		if (group.cutOff.has(address)) return undefined
 		return group.engines[rankOf(address)]
 	}
 	const group: FakeGroup = {
 		engines: Array.from({ length: ranks }, (_, rank) => createEngine(rank)),
-		paces: new Array<number>(ranks).fill(1),
+		slowdowns: new Array<number>(ranks).fill(1),
 		step: 0,
 		epoch: 1,
 		held: undefined,
@@ -102,21 +102,21 @@
 		},
 		port: {
 			async report(address) {
-				const engine = reach(address)
+				const engine = findReachable(address)
 				return engine && reportOf(group, engine, rankOf(address))
 			},
 			async counts(address) {
-				const engine = reach(address)
+				const engine = findReachable(address)
 				return engine && { epoch: group.epoch, counts: [...engine.counts] }
 			},
 			async placement(address) {
-				const engine = reach(address)
+				const engine = findReachable(address)
 				if (!engine) return undefined
 				const { map, placements } = engine
 				return { epoch: group.epoch, map, experts: placements }
 			},
 			async order(address, order) {
-				const engine = reach(address)
+				const engine = findReachable(address)
 				if (!engine) return 'silent'
 				if (random() >= group.lossRate) return handleOrder(group, engine, order)
 				if (random() < 0.5)
@@ -179,11 +179,12 @@
 ): OrderAnswer {
 	switch (order.type) {
 		case 'prepare': {
-			if (engine.armed || order.version <= engine.highest) return 'conflict'
+			if (engine.armed || order.version <= engine.highestVersion)
+				return 'conflict'
 			const rank = group.engines.indexOf(engine)
 			const placements = order.map.map(set => [...set[rank]!])
 			engine.prepared = { version: order.version, placements }
-			engine.highest = order.version
+			engine.highestVersion = order.version
 			return 'done'
 		}
 		case 'arm': {
@@ -226,6 +227,6 @@
 		held: rank === 0 ? group.held : undefined,
 		running: 4,
 		waiting: 0,
-		pace: group.paces[rank]!,
+		pace: group.slowdowns[rank]!,
 	}
 }
--- a/packages/groups/test/largeGroup.test.ts
+++ b/packages/groups/test/largeGroup.test.ts
@@ -45,7 +45,7 @@
 
 test('large group: a slow rank whose counts are not read is reported', async () => {
 	await startAll()
-	group.paces[SLOW_RANK] = SLOWDOWN
+	group.slowdowns[SLOW_RANK] = SLOWDOWN
 	const end = performance.now() + TIMEOUT_MS
 	const isReported = () =>
 		reports.some(slow => slow[addressOf(SLOW_RANK)] === SLOWDOWN)
--- a/packages/groups/test/orderMessage.test.ts
+++ b/packages/groups/test/orderMessage.test.ts
@@ -109,8 +109,8 @@
 			map: NEXT,
 		} as const
 		const line = JSON.stringify(encodeOrder(order, base))
-		const got = decodeOrder(JSON.parse(line), cache)
-		assert.equal(got, decoded ? order : undefined)
+		const result = decodeOrder(JSON.parse(line), cache)
+		assert.equal(result, decoded ? order : undefined)
 	})
 
 test('order message: a delta of two ranks takes a fraction of a map of 72 ranks', () => {
--- a/packages/groups/test/rankSample.test.ts
+++ b/packages/groups/test/rankSample.test.ts
@@ -83,11 +83,11 @@
 		const rest = { epoch: 1, running: 1, waiting: 0, pace: 1 }
 		const line = JSON.stringify(encodeSample({ ...rest, chosen }))
 		const { length } = chosen
-		const got = decodeSample(JSON.parse(line), length).chosen
-		assert.is(got.length, chosen.length)
+		const decoded = decodeSample(JSON.parse(line), length).chosen
+		assert.is(decoded.length, chosen.length)
 		const unit = Math.max(1, Math.max(0, ...chosen) / 255)
 		for (const [at, count] of chosen.entries())
-			assert.ok(Math.abs(got[at]! - count) <= unit / 2)
+			assert.ok(Math.abs(decoded[at]! - count) <= unit / 2)
 	})
 
 /** Counts of 0.2 s of a rank whose 3,839 experts are chosen unevenly. */
@@ -97,10 +97,10 @@
 	const sample = { epoch: 1, chosen: MANY, running: 1, waiting: 0, pace: 1 }
 	const line = JSON.stringify(encodeSample(sample))
 	assert.ok(line.length < 2_700, `${line.length} bytes`)
-	const got = decodeSample(JSON.parse(line), MANY.length).chosen
-	assert.is(got.length, MANY.length)
+	const decoded = decodeSample(JSON.parse(line), MANY.length).chosen
+	assert.is(decoded.length, MANY.length)
 	for (const [at, count] of MANY.entries())
-		assert.ok(Math.abs(Math.sqrt(got[at]!) - Math.sqrt(count)) <= 0.5)
+		assert.ok(Math.abs(Math.sqrt(decoded[at]!) - Math.sqrt(count)) <= 0.5)
 })
 
 test('choices: counts of 1,728 experts take less than 3 KB', () => {
--- a/packages/groups/test/rankService.test.ts
+++ b/packages/groups/test/rankService.test.ts
@@ -12,13 +12,10 @@
 const FIRST: GroupMap = [[[0, 1], [2], [0]]]
 const SECOND: GroupMap = [[[0], [1, 2], [0]]]
 
-/**
- * Creates an engine that executes orders at once, but does not answer the first
- * `silent`.
- */
-function createEngine(silent = 0) {
+/** Creates an engine that ignores its first `ignored` orders and executes the others. */
+function createEngine(ignored = 0) {
 	const executed: EngineOrder[] = []
-	let unanswered = silent
+	let unanswered = ignored
 	let prepared = 0
 	const port: Pick<EnginePort, 'order' | 'report'> = {
 		async order(_address, order) {
