--- a/packages/agent/src/io/engine.ts
+++ b/packages/agent/src/io/engine.ts
@@ -56,7 +56,7 @@
 /** See {@link RankReportSchema}. */
 export type RankReport = v.InferOutput<typeof RankReportSchema>
 
-/** Drops what the coordinator does not need, because it fetches reports of many ranks. */
+/** Reduces a report to what the coordinator needs, as it fetches those of many ranks. */
 export function toRankReport(
 	report: EngineReport,
 	experts: number,
--- a/packages/entry/src/explain.ts
+++ b/packages/entry/src/explain.ts
@@ -28,13 +28,14 @@
 		.filter(line => line !== undefined)
 		.sort((a, b) => a.time - b.time)
 	const requestLines = lines.filter(line => line.req === id)
-	const last = requestLines.findLast(isOutcome) ?? requestLines.at(-1)
-	if (!last) return undefined
-	const stateLines = findStateLines(lines, requestLines, last)
+	// Without a logged outcome, the last line about the request takes its place.
+	const outcomeLine = requestLines.findLast(isOutcome) ?? requestLines.at(-1)
+	if (!outcomeLine) return undefined
+	const stateLines = findStateLines(lines, requestLines, outcomeLine)
 	return {
 		requestLines,
 		stateLines,
-		cause: findCause(last, requestLines, stateLines),
+		cause: findCause(outcomeLine, requestLines, stateLines),
 	}
 }
 
@@ -48,38 +49,39 @@
 function findStateLines(
 	lines: readonly LogLine[],
 	requestLines: readonly LogLine[],
-	last: LogLine,
+	outcomeLine: LogLine,
 ): LogLine[] {
 	const servers = new Set(requestLines.map(line => line.server))
 	const newest = new Map<string, LogLine>()
 	for (const line of lines) {
-		if (line.time > last.time) break
-		const key = stateKeyOf(line, last, servers)
+		if (line.time > outcomeLine.time) break
+		const key = stateKeyOf(line, outcomeLine, servers)
 		if (key === undefined) continue
 		// If several entries applied a newer configuration, the first one counts.
-		if (isNewerElsewhere(line, last) && newest.has(key)) continue
+		if (isNewerElsewhere(line, outcomeLine) && newest.has(key)) continue
 		newest.set(key, line)
 	}
 	return [...newest.values()].sort((a, b) => a.time - b.time)
 }
 
 /** Whether another entry had applied a newer configuration than this request's entry. */
-function isNewerElsewhere(line: LogLine, last: LogLine): boolean {
+function isNewerElsewhere(line: LogLine, outcomeLine: LogLine): boolean {
 	const { event, node, version } = line
-	if (event !== 'configuration in force' || node === last.node) return false
-	return version !== undefined && version > (last.config ?? version)
+	if (event !== 'configuration in force' || node === outcomeLine.node)
+		return false
+	return version !== undefined && version > (outcomeLine.config ?? version)
 }
 
 /** Returns a key for the state in a line; undefined if it did not apply to the request. */
 function stateKeyOf(
 	line: LogLine,
-	last: LogLine,
+	outcomeLine: LogLine,
 	servers: ReadonlySet<string | undefined>,
 ): string | undefined {
-	if (isNewerElsewhere(line, last)) return `version ${line.version}`
+	if (isNewerElsewhere(line, outcomeLine)) return `version ${line.version}`
 	const { event, node, group, server, time, fingerprint } = line
-	const isHere = node === last.node
-	const isRecent = last.time - time <= STATE_WINDOW_MS
+	const isHere = node === outcomeLine.node
+	const isRecent = outcomeLine.time - time <= STATE_WINDOW_MS
 	switch (event) {
 		case 'configuration in force':
 		case 'source lost':
@@ -101,7 +103,7 @@
 		case 'server ended':
 			return servers.has(server) ? `ended ${server}` : undefined
 		case 'request quarantined':
-			return fingerprint === last.fingerprint ? event : undefined
+			return fingerprint === outcomeLine.fingerprint ? event : undefined
 		case 'server':
 			return isHere && servers.has(server) ? `server ${server}` : undefined
 		case 'demand shifted':
@@ -115,11 +117,11 @@
 }
 
 function findCause(
-	last: LogLine,
+	outcomeLine: LogLine,
 	requestLines: readonly LogLine[],
 	stateLines: readonly LogLine[],
 ): string {
-	const { error, event, outcome } = last
+	const { error, event, outcome } = outcomeLine
 	if (event === 'attempt' && outcome === 'answered')
 		return 'It was answered by its server; nothing failed here.'
 	switch (error) {
@@ -127,26 +129,26 @@
 			return `No outcome is logged; the last event is "${event}".`
 		case 'unauthorized':
 		case 'notFound':
-			return `Configuration ${last.config} has no such ${error === 'notFound' ? 'route' : 'key'}${describeNewerConfig(last, stateLines)}.`
+			return `Configuration ${outcomeLine.config} has no such ${error === 'notFound' ? 'route' : 'key'}${describeNewerConfig(outcomeLine, stateLines)}.`
 		case 'configBehind':
-			return `Configuration ${last.config} does not contain it${describeNewerConfig(last, stateLines)}.`
+			return `Configuration ${outcomeLine.config} does not contain it${describeNewerConfig(outcomeLine, stateLines)}.`
 		case 'overloaded':
-			return explainOverload(last, stateLines)
+			return explainOverload(outcomeLine, stateLines)
 		case 'rateLimited':
 			return explainRateLimits(stateLines)
 		case 'resting':
-			return explainBackoffs(last, stateLines)
+			return explainBackoffs(outcomeLine, stateLines)
 		case 'noServer':
 			return 'No server of its service was listed as serving.'
 		case 'noAnswer':
-			return `Its server had not answered by the deadline${describeAttempts(requestLines)}${describeRollback(last, stateLines)}.`
+			return `Its server had not answered by the deadline${describeAttempts(requestLines)}${describeRollback(outcomeLine, stateLines)}.`
 		case 'linkLost':
 		case 'truncated':
-			return `The connection to its server broke after it may have run${describeAttempts(requestLines)}${describeCrashes(stateLines)}${describeRollback(last, stateLines)}.`
+			return `The connection to its server broke after it may have run${describeAttempts(requestLines)}${describeCrashes(stateLines)}${describeRollback(outcomeLine, stateLines)}.`
 		case 'quarantined':
-			return explainQuarantine(last, stateLines)
+			return explainQuarantine(outcomeLine, stateLines)
 		case 'unreachable':
-			return `No server that it was sent to accepted it${describeAttempts(requestLines)}${describeRollback(last, stateLines)}.`
+			return `No server that it was sent to accepted it${describeAttempts(requestLines)}${describeRollback(outcomeLine, stateLines)}.`
 		default:
 			return `It was refused by this entry: ${error}.`
 	}
@@ -154,14 +156,14 @@
 
 /** Lists the servers that had asked this entry to back off, and for how much longer. */
 function explainBackoffs(
-	last: LogLine,
+	outcomeLine: LogLine,
 	stateLines: readonly LogLine[],
 ): string {
 	const backoffs = stateLines
 		.filter(({ event }) => event === 'server rests')
 		.map(({ server, time, forMs = 0 }) => ({
 			server,
-			remainingMs: Math.round(time + forMs - last.time),
+			remainingMs: Math.round(time + forMs - outcomeLine.time),
 		}))
 		.filter(({ remainingMs }) => remainingMs > 0)
 		.map(({ server, remainingMs }) => `${server} for ${remainingMs} ms more`)
@@ -179,35 +181,35 @@
 
 /** Describes a rollback of the source, after which the server list may be outdated. */
 function describeRollback(
-	last: LogLine,
+	outcomeLine: LogLine,
 	stateLines: readonly LogLine[],
 ): string {
 	const rollback = stateLines.find(({ event }) => event === 'source went back')
 	if (!rollback) return ''
-	return `; the source had rolled back from ${rollback.backFrom} to ${rollback.backTo} ${last.time - rollback.time} ms before`
+	return `; the source had rolled back from ${rollback.backFrom} to ${rollback.backTo} ${outcomeLine.time - rollback.time} ms before`
 }
 
 /** Describes how far this entry was behind another, and its last failed source call. */
 function describeNewerConfig(
-	last: LogLine,
+	outcomeLine: LogLine,
 	stateLines: readonly LogLine[],
 ): string {
-	const newer = stateLines.findLast(line => isNewerElsewhere(line, last))
+	const newer = stateLines.findLast(line => isNewerElsewhere(line, outcomeLine))
 	if (!newer) return ''
 	const failed = stateLines.findLast(
 		({ event }) => event === 'source call failed',
 	)
 	const reason = failed ? `; its last call of the source: ${failed.reason}` : ''
-	return `, version ${newer.version} had been in force elsewhere for ${last.time - newer.time} ms${reason}`
+	return `, version ${newer.version} had been in force elsewhere for ${outcomeLine.time - newer.time} ms${reason}`
 }
 
 function explainOverload(
-	last: LogLine,
+	outcomeLine: LogLine,
 	stateLines: readonly LogLine[],
 ): string {
 	const closed = stateLines.find(line => line.event === 'group closed')
 	if (closed) {
-		const forMs = last.time - closed.time
+		const forMs = outcomeLine.time - closed.time
 		return `Its group ${closed.group} had refused at every rank for ${forMs} ms.`
 	}
 	const groupReport = stateLines.find(line => line.event === 'paces told')
@@ -215,20 +217,20 @@
 		return 'Every server had as many requests in flight as it accepts.'
 	const shift = stateLines.find(line => line.event === 'demand shifted')
 	const reason = shift
-		? `: demand had shifted ${last.time - shift.time} ms before`
+		? `: demand had shifted ${outcomeLine.time - shift.time} ms before`
 		: ' so that passes stay short enough'
 	return `Its group was to hold ${groupReport.limit} requests a rank${reason}.`
 }
 
 function explainQuarantine(
-	last: LogLine,
+	outcomeLine: LogLine,
 	stateLines: readonly LogLine[],
 ): string {
 	const quarantine = stateLines.find(
 		({ event }) => event === 'request quarantined',
 	)
 	const servers = quarantine?.servers?.join(', ') ?? 'servers'
-	return `${servers} crashed while they ran it (${last.fingerprint}); it is quarantined.`
+	return `${servers} crashed while they ran it (${outcomeLine.fingerprint}); it is quarantined.`
 }
 
 /** Lists its servers that crashed, with how many requests each had in flight. */
--- a/packages/entry/src/io/teamLimits.ts
+++ b/packages/entry/src/io/teamLimits.ts
@@ -165,7 +165,7 @@
 			teamHome,
 			TEAM_HOME_TIMEOUT_MS,
 		)
-		if (!link) throw new Error('not listed')
+		if (!link) throw new Error('the team home is not in the VM list')
 		const answer = await call(
 			link,
 			'admitTeam',
--- a/packages/entry/test/config.process.test.ts
+++ b/packages/entry/test/config.process.test.ts
@@ -20,11 +20,12 @@
 import * as assert from 'uvu/assert'
 import { requestRoster } from './client.ts'
 
-const IN_FORCE_MS = 5_000
+/** Time from publication until a revision is active at all processes, ms. */
+const ACTIVATION_TIMEOUT_MS = 5_000
 /** Time from when all processes answer until they have the configuration, ms. */
-const CONVERGE_MS = 8_000
+const CONVERGENCE_TIMEOUT_MS = 8_000
 /** Far longer than a process takes to start, also on an overloaded machine, ms. */
-const PROCESS_START_MS = 60_000
+const PROCESS_START_TIMEOUT_MS = 60_000
 const ENTRIES = 3
 const SERVICES = 5
 let fleet: Fleet
@@ -78,9 +79,9 @@
 	await waitUntil(
 		async () => (await readRevisions()).length > 0,
 		'an answer from every process',
-		PROCESS_START_MS,
+		PROCESS_START_TIMEOUT_MS,
 	)
-	await waitForAll(revision, CONVERGE_MS)
+	await waitForAll(revision, CONVERGENCE_TIMEOUT_MS)
 }
 
 /** Describes the status of each process, or why it could not be read. */
@@ -102,7 +103,7 @@
 
 test('a revision is active at all processes within five seconds', async () => {
 	await publish(10, team('ten'))
-	await waitForAll(10, IN_FORCE_MS)
+	await waitForAll(10, ACTIVATION_TIMEOUT_MS)
 })
 
 test('an invalid revision is refused by all processes, also by a restarted one', async () => {
@@ -124,7 +125,7 @@
 
 test('a platform that rolls back causes no rollback, not even of restarted processes', async () => {
 	await publish(20, team('twenty'))
-	await waitForAll(20, IN_FORCE_MS)
+	await waitForAll(20, ACTIVATION_TIMEOUT_MS)
 	await publish(12, team('twelve'))
 	for (const name of ['entry-2', 'service-2']) {
 		signalProcess(fleet, name, 'SIGKILL')
@@ -149,7 +150,7 @@
 	const { calls: before = 0 } = await callPlatform(fleet, 'calls')
 	await wait(20_000)
 	const { calls: after = 0 } = await callPlatform(fleet, 'calls')
-	// Two readers and two topics, a watch of 30 s each.
+	// Two readers watch two topics each, in calls of up to 30 s.
 	assert.ok(after - before <= 8, `${after - before} calls in 20 s`)
 })
 
--- a/packages/groups/src/mapPlanning.ts
+++ b/packages/groups/src/mapPlanning.ts
@@ -47,10 +47,10 @@
 			readRankPlacement(co.clients.get(rank)!, report.size),
 		),
 	)
-	const known = ranks.every(
+	const allAgree = ranks.every(
 		rank => rank?.epoch === report.epoch && rank.map === report.map,
 	)
-	if (!known) return undefined
+	if (!allAgree) return undefined
 	const sets = Array.from({ length: layout.sets }, (_, set) =>
 		ranks.map(rank => rank!.experts[set]!),
 	)
--- a/packages/groups/src/rankClient.ts
+++ b/packages/groups/src/rankClient.ts
@@ -213,17 +213,17 @@
 
 /**
  * Reads a sample, only from the local engine or an agent, because reading counts from
- * another VM delays the group. `experts` is the number of experts of all sets; `known` is
- * a recent report of the local engine, if any.
+ * another VM delays the group. `experts` is the number of experts of all sets; `recentReport`
+ * is one of the local engine, if any.
  */
 export async function readRankSample(
 	client: RankClient,
 	experts: number,
-	known?: RankReport,
+	recentReport?: RankReport,
 ): Promise<RankSample | undefined> {
 	const { port, member } = client
 	if (client.isLocal)
-		return await readSample(port, member.engine, client.cursor, known)
+		return await readSample(port, member.engine, client.cursor, recentReport)
 	const message = await callAgent(client, 'sample', {}, DEMAND_TIMEOUT_MS)
 	return message ? decodeSample(message, experts) : undefined
 }
--- a/packages/groups/src/rankSample.ts
+++ b/packages/groups/src/rankSample.ts
@@ -28,17 +28,18 @@
 }
 
 /**
- * Reads an engine's new expert choices and its load, the latter from `known` if given.
+ * Reads an engine's new expert choices and its load, the latter from `recentReport` if
+ * given.
  * Resolves to undefined if the engine does not answer.
  */
 export async function readSample(
 	port: EnginePort,
 	engine: string,
 	cursor: CountCursor,
-	known: RankReport | undefined,
+	recentReport: RankReport | undefined,
 ): Promise<RankSample | undefined> {
 	const counts = await port.counts(engine)
-	const report = known ?? (await port.report(engine))
+	const report = recentReport ?? (await port.report(engine))
 	if (!counts || !report) return undefined
 	const { running, waiting, pace } = report
 	const chosen = computeIncrements(cursor, counts)
