--- a/packages/agent/src/io/offerTerms.ts
+++ b/packages/agent/src/io/offerTerms.ts
@@ -31,6 +31,6 @@
 		wallTime: readKeyTime(meta.key) ?? 0,
 		windowMs: (service?.keyWindowSeconds ?? 0) * MS_PER_SECOND,
 		fresh: meta.freshKey === true,
-		homeSinceWall: findKeyHomeSince(table.keyHomes, key, table.serverName),
+		keyHomeSinceWall: findKeyHomeSince(table.keyHomes, key, table.serverName),
 	}
 }
--- a/packages/core/src/core/entryShare.ts
+++ b/packages/core/src/core/entryShare.ts
@@ -27,9 +27,9 @@
 /** Arrivals and completions at a group, over all entries. */
 export interface GroupTraffic {
 	/** Requests per second that arrive at all entries. */
-	readonly perSecond: number
+	readonly arrivalsPerSecond: number
 	/** Requests per second that the group completes. */
-	readonly endedPerSecond: number
+	readonly completionsPerSecond: number
 	/** Time within which free slots are to be filled, ms. */
 	readonly horizonMs: number
 }
@@ -43,7 +43,7 @@
  */
 export function admittedFraction(
 	room: number,
-	{ perSecond, endedPerSecond, horizonMs }: GroupTraffic,
+	{ arrivalsPerSecond: perSecond, completionsPerSecond: endedPerSecond, horizonMs }: GroupTraffic,
 ): number {
 	const slotsPerSecond = endedPerSecond + (room * SECOND_MS) / horizonMs
 	return slotsPerSecond / Math.max(perSecond, MIN_PER_SECOND)
--- a/packages/core/src/core/mapPlan.ts
+++ b/packages/core/src/core/mapPlan.ts
@@ -25,7 +25,7 @@
 	readonly shares: readonly Float64Array[]
 	readonly layout: ExpertLayout
 	/** Slowdown factor of each rank; 1 is its usual speed. */
-	readonly paces: readonly number[]
+	readonly slowdowns: readonly number[]
 	readonly cost: MapChangeCost
 }
 
@@ -49,7 +49,7 @@
 export function* planMap(
 	basis: MapPlanInput,
 ): Generator<void, MapPlan | undefined> {
-	const { map, shares, layout, paces, cost } = basis
+	const { map, shares, layout, slowdowns: paces, cost } = basis
 	const search = createGroupSearch(map, shares, layout, paces, TARGET_SKEW)
 	const before = passFactor(
 		search.sets.map(computeSearchSkew),
--- a/packages/core/src/core/retryAfter.ts
+++ b/packages/core/src/core/retryAfter.ts
@@ -28,7 +28,7 @@
 	/** Time before which the service certainly accepts none, ms. */
 	readonly notBeforeMs: number
 	/** Interval between two slots that become free, ms. */
-	readonly gapMs: number
+	readonly slotIntervalMs: number
 	/** Longest Retry-After that the caller honors, ms. */
 	readonly maxHonoredMs: number
 }
@@ -36,7 +36,7 @@
 /** Reserves the next free slot for a caller and returns its Retry-After, ms. */
 export function scheduleRetryAfter(
 	schedule: RetryAfterSchedule,
-	{ availableInMs, notBeforeMs, gapMs, maxHonoredMs }: RetryAfterForecast,
+	{ availableInMs, notBeforeMs, slotIntervalMs: gapMs, maxHonoredMs }: RetryAfterForecast,
 	now: number,
 	random: Random,
 ): number {
--- a/packages/core/test/decisions.test.ts
+++ b/packages/core/test/decisions.test.ts
@@ -83,13 +83,13 @@
 	{
 		name: 'a server with the cached prefix is preferred',
 		prepare: () =>
-			countChoices(tableOf([0, 0, 0]), { cachedRow: 1, credit: 1 }),
+			countChoices(tableOf([0, 0, 0]), { cachedRow: 1, cacheConfidence: 1 }),
 		expect: ([, b]) => b! === 2_000,
 	},
 	{
 		name: 'a cached prefix does not outweigh a long queue',
 		prepare: () =>
-			countChoices(tableOf([0, 80, 0]), { cachedRow: 1, credit: 1 }),
+			countChoices(tableOf([0, 80, 0]), { cachedRow: 1, cacheConfidence: 1 }),
 		expect: ([, b]) => b! < 400,
 	},
 	{
--- a/packages/core/test/groupPlan.test.ts
+++ b/packages/core/test/groupPlan.test.ts
@@ -149,7 +149,7 @@
 	const shares = map.map((_, set) => skewedShare(size.experts, set + 1))
 	const paces = new Array<number>(size.ranks).fill(1)
 	const cost = { copyMs, overheadMs: 300, steadyMs }
-	const plan = runToEnd(planMap({ map, shares, layout, paces, cost }))
+	const plan = runToEnd(planMap({ map, shares, layout, slowdowns: paces, cost }))
 	return { plan, map, size }
 }
 
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -124,8 +124,8 @@
 				0,
 			)
 	meter.traffic = {
-		perSecond: sum('come'),
-		endedPerSecond: sum('end'),
+		arrivalsPerSecond: sum('come'),
+		completionsPerSecond: sum('end'),
 		horizonMs: HORIZON_INTERVALS * elapsedMs,
 	}
 	const { name, dataCentre } = settings
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -42,7 +42,7 @@
 		const gapMs = Math.max(dispatchRate.intervalMs, availability.intervalMs)
 		return scheduleRetryAfter(
 			retryAfterSchedule,
-			{ ...forecast, gapMs },
+			{ ...forecast, slotIntervalMs: gapMs },
 			now,
 			ctx.random,
 		)
--- a/packages/groups/src/mapPlanning.ts
+++ b/packages/groups/src/mapPlanning.ts
@@ -90,7 +90,7 @@
 	const cost = estimateChangeCost(co, group)
 	const { layout } = group
 	const plan = await runSearch(
-		planMap({ map, shares, layout, paces: slowdowns, cost }),
+		planMap({ map, shares, layout, slowdowns: slowdowns, cost }),
 	)
 	if (!plan) return undefined
 	co.log.write('map planned', {
