--- a/bench/config.ts
+++ b/bench/config.ts
@@ -8,7 +8,7 @@
 import {
 	createNet,
 	killNode,
-	measureSpread,
+	measurePropagation,
 	pickLive,
 	publishChange,
 	restartNode,
@@ -71,7 +71,9 @@
 			runNet(net, SETTLE_MS)
 			fail(net)
 			publishChange(net, 2)
-			const delaysMs = measureSpread(net, 2, LIMIT_MS).sort((a, b) => a - b)
+			const delaysMs = measurePropagation(net, 2, LIMIT_MS).sort(
+				(a, b) => a - b,
+			)
 			const quantile = (fraction: number) =>
 				delaysMs[
 					Math.min(delaysMs.length - 1, Math.floor(delaysMs.length * fraction))
@@ -120,7 +122,7 @@
 	const bytes = (net.bytes - before.bytes) / seconds / size
 	const beforeChange = net.bytes
 	publishChange(net, 3)
-	measureSpread(net, 3, LIMIT_MS)
+	measurePropagation(net, 3, LIMIT_MS)
 	runNet(net, 1_000)
 	const change = (net.bytes - beforeChange) / size
 	return [
--- a/packages/agent/src/io/offerTerms.ts
+++ b/packages/agent/src/io/offerTerms.ts
@@ -31,6 +31,6 @@
 		wallTime: readKeyTime(meta.key) ?? 0,
 		windowMs: (service?.keyWindowSeconds ?? 0) * SECOND_MS,
 		fresh: meta.freshKey === true,
-		homeSinceWall: findKeyHomeSince(table.homes, key, table.serverName),
+		keyHomeSinceWall: findKeyHomeSince(table.homes, key, table.serverName),
 	}
 }
--- a/packages/core/src/core/admission.ts
+++ b/packages/core/src/core/admission.ts
@@ -60,7 +60,7 @@
 		startedWall: at.wall,
 		slots,
 		mode: 'serving',
-		lastSeen: at,
+		lastEventAt: at,
 		pauseEndedAt: Number.NEGATIVE_INFINITY,
 		backoffUntil: Number.NEGATIVE_INFINITY,
 		nextProbeAt: undefined,
@@ -142,11 +142,11 @@
  * have abandoned them in the meantime, so they must not be started late.
  */
 function detectPause(state: AdmissionState, at: Moment): AdmissionEffect[] {
-	const { lastSeen } = state
-	state.lastSeen = at
+	const { lastEventAt } = state
+	state.lastEventAt = at
 	// The monotonic clock stops while the VM is suspended, so the wall clock is compared
 	// too. A wall clock that is set ahead cannot be distinguished from a suspension.
-	const gap = Math.max(at.now - lastSeen.now, at.wall - lastSeen.wall)
+	const gap = Math.max(at.now - lastEventAt.now, at.wall - lastEventAt.wall)
 	if (gap <= PAUSE_THRESHOLD_MS) return []
 	state.pauseEndedAt = at.now
 	return refuseAll(state, 'paused', at)
--- a/packages/core/src/core/admissionKeys.ts
+++ b/packages/core/src/core/admissionKeys.ts
@@ -24,9 +24,9 @@
 	claim: KeyClaim,
 	at: Moment,
 ): Unknown | undefined {
-	if (claim.fresh || claim.homeSinceWall === undefined) return undefined
+	if (claim.fresh || claim.keyHomeSinceWall === undefined) return undefined
 	if (claim.wallTime <= at.wall - claim.windowMs) return unknown('keyForgotten')
-	const safeSince = Math.max(state.startedWall, claim.homeSinceWall)
+	const safeSince = Math.max(state.startedWall, claim.keyHomeSinceWall)
 	const isRecent = claim.wallTime > safeSince + MAX_CLOCK_SKEW_MS
 	return isRecent ? undefined : unknown('keyForgotten')
 }
@@ -37,7 +37,7 @@
 	claim: KeyClaim,
 	at: Moment,
 ): NotRun | undefined {
-	if (claim.homeSinceWall === undefined) return notRun('notHome')
+	if (claim.keyHomeSinceWall === undefined) return notRun('notHome')
 	if (claim.wallTime > at.wall + MAX_CLOCK_SKEW_MS) return notRun('keyClock')
 	if (state.keys.size >= MAX_KEYS) return notRun('keyMemoryFull')
 	return undefined
--- a/packages/core/src/core/entryShare.ts
+++ b/packages/core/src/core/entryShare.ts
@@ -27,26 +27,27 @@
 /** Arrivals and completions at a group, over all entries. */
 export interface GroupTraffic {
 	/** Requests per second that arrive at all entries. */
-	readonly perSecond: number
+	readonly arrivalsPerSecond: number
 	/** Requests per second that the group completes. */
-	readonly endedPerSecond: number
+	readonly completionsPerSecond: number
 	/** Time within which free slots are to be filled, ms. */
 	readonly horizonMs: number
 }
 
 /**
- * Returns the fraction of arriving requests that entries may admit while `room` slots of
- * a group are free as far as known; `room` is negative if the group is over its limit.
+ * Returns the fraction of arriving requests that entries may admit while, as far as
+ * known, `freeSlots` slots of a group are free; negative if the group is over its limit.
  * Slots freed by completing requests are included. All entries admit the same fraction
  * of their own arrivals, so they refuse callers alike, whichever entry's requests
  * complete.
  */
 export function admittedFraction(
-	room: number,
-	{ perSecond, endedPerSecond, horizonMs }: GroupTraffic,
+	freeSlots: number,
+	{ arrivalsPerSecond, completionsPerSecond, horizonMs }: GroupTraffic,
 ): number {
-	const slotsPerSecond = endedPerSecond + (room * SECOND_MS) / horizonMs
-	return slotsPerSecond / Math.max(perSecond, MIN_PER_SECOND)
+	const slotsPerSecond =
+		completionsPerSecond + (freeSlots * SECOND_MS) / horizonMs
+	return slotsPerSecond / Math.max(arrivalsPerSecond, MIN_PER_SECOND)
 }
 
 /** A server to be assigned to an entry. */
--- a/packages/core/src/core/groupClosure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -21,7 +21,7 @@
 	/** Time before which no request is sent to the group, ms. */
 	until: number
 	/** Interval between two probes, ms. */
-	tryMs: number
+	probeIntervalMs: number
 }
 
 /** Closed groups, by name. */
@@ -35,8 +35,8 @@
 ): void {
 	const current = closures.get(group)
 	const since = current?.since ?? now
-	const tryMs = current?.tryMs ?? GROUP_PROBE_INTERVAL_MS
-	closures.set(group, { since, until: now + tryMs, tryMs })
+	const probeIntervalMs = current?.probeIntervalMs ?? GROUP_PROBE_INTERVAL_MS
+	closures.set(group, { since, until: now + probeIntervalMs, probeIntervalMs })
 }
 
 /** Records that a group's coordinator reported it broken. */
@@ -49,7 +49,7 @@
 	closures.set(group, {
 		since,
 		until: now + BROKEN_GROUP_PROBE_INTERVAL_MS,
-		tryMs: BROKEN_GROUP_PROBE_INTERVAL_MS,
+		probeIntervalMs: BROKEN_GROUP_PROBE_INTERVAL_MS,
 	})
 }
 
@@ -86,6 +86,6 @@
 	const closure = closures.get(group)
 	if (!closure) return true
 	if (now < closure.until) return false
-	closure.until = now + closure.tryMs
+	closure.until = now + closure.probeIntervalMs
 	return true
 }
--- a/packages/core/src/core/mapPlan.ts
+++ b/packages/core/src/core/mapPlan.ts
@@ -25,7 +25,7 @@
 	readonly shares: readonly Float64Array[]
 	readonly layout: ExpertLayout
 	/** Slowdown factor of each rank; 1 is its usual speed. */
-	readonly paces: readonly number[]
+	readonly slowdowns: readonly number[]
 	readonly cost: MapChangeCost
 }
 
@@ -47,10 +47,10 @@
  * the pause limit (two emulated days of 12 ranks with low load).
  */
 export function* planMap(
-	basis: MapPlanInput,
+	input: MapPlanInput,
 ): Generator<void, MapPlan | undefined> {
-	const { map, shares, layout, paces, cost } = basis
-	const search = createGroupSearch(map, shares, layout, paces, TARGET_SKEW)
+	const { map, shares, layout, slowdowns, cost } = input
+	const search = createGroupSearch(map, shares, layout, slowdowns, TARGET_SKEW)
 	const before = passFactor(
 		search.sets.map(computeSearchSkew),
 		layout.expertShare,
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -17,7 +17,7 @@
 /** Rate at which a permit home issues permits. */
 export interface PermitSchedule {
 	/** Interval between two permits, ms. */
-	readonly gapMs: number
+	readonly intervalMs: number
 	/**
 	 * Set for the permit home of a minority partition: position of its permit within each
 	 * interval, from 0 to 1. The permit homes of the partitions thus issue permits in
@@ -83,16 +83,19 @@
 	let nextAt = alignToPhase(Math.max(pool.nextAt, now - BURST_MS), schedule)
 	while (dueMs.length < count && nextAt <= now + withinMs) {
 		dueMs.push(Math.max(0, nextAt - now))
-		nextAt += schedule.gapMs
+		nextAt += schedule.intervalMs
 	}
 	if (dueMs.length > 0) pool.nextAt = nextAt
 	return { dueMs, waitMs: Math.max(0, nextAt - now) }
 }
 
-function alignToPhase(at: number, { gapMs, phase }: PermitSchedule): number {
+function alignToPhase(
+	at: number,
+	{ intervalMs, phase }: PermitSchedule,
+): number {
 	if (phase === undefined) return at
-	const first = phase * gapMs
-	return first + Math.ceil((at - first) / gapMs) * gapMs
+	const first = phase * intervalMs
+	return first + Math.ceil((at - first) / intervalMs) * intervalMs
 }
 
 /** Returns how long a permit stays valid once it is usable, ms. */
@@ -110,9 +113,9 @@
 	perSecond: number,
 	{ reachable, known, index }: EntryCount,
 ): PermitSchedule {
-	const gapMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
-	if (2 * reachable > known) return { gapMs, phase: undefined }
-	return { gapMs: (gapMs * known) / reachable, phase: index / known }
+	const intervalMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
+	if (2 * reachable > known) return { intervalMs, phase: undefined }
+	return { intervalMs: (intervalMs * known) / reachable, phase: index / known }
 }
 
 /** Returns a server's permit home among the reachable entries, by rendezvous hashing. */
--- a/packages/core/src/core/placementSearch.ts
+++ b/packages/core/src/core/placementSearch.ts
@@ -128,7 +128,7 @@
 }
 
 /** Whether a rank may hold an expert within the limits on new copies. */
-export function canTake(
+export function canHold(
 	search: PlacementSearch,
 	rank: number,
 	expert: number,
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -5,7 +5,7 @@
 
 import type { PlacementSearch } from './placementSearch.ts'
 import {
-	canTake,
+	canHold,
 	FREE_PLACE,
 	hasExpert,
 	isNew,
@@ -106,7 +106,7 @@
 	const expert = slots[from]!
 	if (hasExpert(search, rank, expert)) return
 	const hottest = Math.floor(from / places)
-	const hasRoom = canTake(search, rank, expert)
+	const hasRoom = canHold(search, rank, expert)
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const other = slots[at]!
 		const replacesNewCopy = other !== FREE_PLACE && isNew(search, rank, other)
@@ -114,7 +114,7 @@
 		if (other === FREE_PLACE || copies[other]! >= 2) evaluate(at, expert)
 		if (other === FREE_PLACE || hasExpert(search, hottest, other)) continue
 		const canExchange =
-			canTake(search, hottest, other) || isNew(search, hottest, expert)
+			canHold(search, hottest, other) || isNew(search, hottest, expert)
 		if (canExchange) evaluate(at, expert, from)
 	}
 }
@@ -137,7 +137,7 @@
 		for (let at = rank * places; at < (rank + 1) * places; at++) {
 			const expert = slots[at]!
 			if (expert === FREE_PLACE || hasExpert(search, hottest, expert)) continue
-			if (!canTake(search, hottest, expert) && !isNew(search, hottest, dropped))
+			if (!canHold(search, hottest, expert) && !isNew(search, hottest, dropped))
 				continue
 			evaluate(from, expert)
 		}
--- a/packages/core/src/core/retryAfter.ts
+++ b/packages/core/src/core/retryAfter.ts
@@ -28,7 +28,7 @@
 	/** Time before which the service certainly accepts none, ms. */
 	readonly notBeforeMs: number
 	/** Interval between two slots that become free, ms. */
-	readonly gapMs: number
+	readonly slotIntervalMs: number
 	/** Longest Retry-After that the caller honors, ms. */
 	readonly maxHonoredMs: number
 }
@@ -36,19 +36,24 @@
 /** Reserves the next free slot for a caller and returns its Retry-After, ms. */
 export function scheduleRetryAfter(
 	schedule: RetryAfterSchedule,
-	{ availableInMs, notBeforeMs, gapMs, maxHonoredMs }: RetryAfterForecast,
+	{
+		availableInMs,
+		notBeforeMs,
+		slotIntervalMs,
+		maxHonoredMs,
+	}: RetryAfterForecast,
 	now: number,
 	random: Random,
 ): number {
 	// Never returns a time at which the service certainly accepts nothing, even if the
 	// caller does not honor a longer one.
-	const isUnreachable = notBeforeMs + gapMs > maxHonoredMs
+	const isUnreachable = notBeforeMs + slotIntervalMs > maxHonoredMs
 	const latestMs = isUnreachable ? notBeforeMs + maxHonoredMs : maxHonoredMs
 	const availableAt = now + Math.max(availableInMs, notBeforeMs)
-	const nextSlotAt = Math.max(availableAt, schedule.lastDueAt) + gapMs
+	const nextSlotAt = Math.max(availableAt, schedule.lastDueAt) + slotIntervalMs
 	const dueAt = Math.min(nextSlotAt, now + latestMs)
 	schedule.lastDueAt = Math.max(schedule.lastDueAt, dueAt)
-	const jitterMs = JITTER_SHARE * gapMs * (random() - 0.5)
+	const jitterMs = JITTER_SHARE * slotIntervalMs * (random() - 0.5)
 	return Math.max(
 		MIN_RETRY_AFTER_MS,
 		Math.min(dueAt - now + jitterMs, latestMs),
--- a/packages/core/src/core/revision.ts
+++ b/packages/core/src/core/revision.ts
@@ -21,8 +21,8 @@
 
 /** The active and the last rejected configuration of a process. */
 export interface RevisionState {
-	held: ActiveConfig | undefined
-	refused: RejectedConfig | undefined
+	active: ActiveConfig | undefined
+	rejected: RejectedConfig | undefined
 }
 
 /** Result of offering a document. */
@@ -30,12 +30,12 @@
 
 /** Creates the state of a process that has no configuration yet. */
 export function createRevisionState(): RevisionState {
-	return { held: undefined, refused: undefined }
+	return { active: undefined, rejected: undefined }
 }
 
 /** Returns the highest revision seen, valid or not; 0 before the first. */
 export function highestSeen(state: RevisionState): number {
-	return Math.max(state.held?.revision ?? 0, state.refused?.revision ?? 0)
+	return Math.max(state.active?.revision ?? 0, state.rejected?.revision ?? 0)
 }
 
 /** Validates a published document and activates it if it is valid and newer. */
@@ -44,15 +44,15 @@
 	revision: number,
 	document: string,
 ): OfferResult {
-	const active = state.held?.revision ?? 0
+	const active = state.active?.revision ?? 0
 	if (revision < active) return 'stale'
-	if (revision === active || revision === state.refused?.revision)
+	if (revision === active || revision === state.rejected?.revision)
 		return 'known'
 	const result = readConfig(document)
 	if (!result.valid) {
-		state.refused = { revision, faults: result.faults }
+		state.rejected = { revision, faults: result.faults }
 		return 'invalid'
 	}
-	state.held = { revision, document, config: result.config }
+	state.active = { revision, document, config: result.config }
 	return 'adopted'
 }
--- a/packages/core/src/core/routing.ts
+++ b/packages/core/src/core/routing.ts
@@ -191,7 +191,7 @@
 	readonly avoid: number
 	/** Row that has the request's prefix cached, or -1, and the cached share, 0 to 1. */
 	readonly cachedRow: number
-	readonly credit: number
+	readonly cacheConfidence: number
 }
 
 /**
@@ -214,7 +214,7 @@
 	let best = -1
 	let bestCost = Number.POSITIVE_INFINITY
 	for (const row of candidates) {
-		const credit = row === query.cachedRow ? query.credit : 0
+		const credit = row === query.cachedRow ? query.cacheConfidence : 0
 		const cost = estimateFinishMs(table, row, credit, now)
 		if (cost >= bestCost) continue
 		best = row
--- a/packages/core/src/core/startLimits.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -100,6 +100,6 @@
 	now: number,
 ): number {
 	if (!limit) return 0
-	const { gapMs } = permitScheduleFor(limit.perSecond, SINGLE_SENDER)
-	return Math.max(0, limit.pool.nextAt + ahead * gapMs - now)
+	const { intervalMs } = permitScheduleFor(limit.perSecond, SINGLE_SENDER)
+	return Math.max(0, limit.pool.nextAt + ahead * intervalMs - now)
 }
--- a/packages/core/src/core/teamLimits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -12,7 +12,7 @@
 	createTokenBucket,
 	notRun,
 	pickByRendezvous,
-	refillBucket,
+	refillAndGetWaitMs,
 	takeTokens,
 } from '../internal.ts'
 
@@ -29,9 +29,9 @@
 	/** Requests in flight at this entry. */
 	inFlight: number
 	/** Admission requests of this entry that the team home has not answered yet. */
-	pendingAtHome: number
+	pendingAtTeamHome: number
 	/** Number of requests that this entry last reported to the team home. */
-	reportedToHome: number
+	reportedToTeamHome: number
 	/**
 	 * Whether the last report was part of an admission request: the team home then adds
 	 * the requests that it admits.
@@ -157,10 +157,10 @@
 	now: number,
 ): number {
 	const row = teamRow(table, team, limit, 1, now)
-	row.reportedToHome = countOwn(row)
+	row.reportedToTeamHome = countOwn(row)
 	row.isReportedByRequest = true
-	row.pendingAtHome++
-	return row.reportedToHome
+	row.pendingAtTeamHome++
+	return row.reportedToTeamHome
 }
 
 /**
@@ -175,11 +175,11 @@
 ): boolean {
 	const row = table.get(team)
 	if (!row) return false
-	row.pendingAtHome--
+	row.pendingAtTeamHome--
 	if (isAdmitted) row.inFlight++
-	if (row.pendingAtHome > 0) return false
+	if (row.pendingAtTeamHome > 0) return false
 	const added = row.isReportedByRequest && isAdmitted ? 1 : 0
-	return row.reportedToHome + added !== row.inFlight
+	return row.reportedToTeamHome + added !== row.inFlight
 }
 
 /** Records at the team home the requests in flight at another entry. */
@@ -199,9 +199,9 @@
 export function reportTeamInFlight(table: LimitTable, team: string): number {
 	const row = table.get(team)
 	if (!row) return 0
-	row.reportedToHome = countOwn(row)
+	row.reportedToTeamHome = countOwn(row)
 	row.isReportedByRequest = false
-	return row.reportedToHome
+	return row.reportedToTeamHome
 }
 
 /** Drops counts of entries that are gone, and of teams with another team home. */
@@ -221,8 +221,8 @@
 	if (row) row.inFlight--
 }
 
-function countOwn({ inFlight, pendingAtHome }: TeamRow): number {
-	return inFlight + pendingAtHome
+function countOwn({ inFlight, pendingAtTeamHome }: TeamRow): number {
+	return inFlight + pendingAtTeamHome
 }
 
 function countRunning({ inFlight, inFlightElsewhere }: TeamRow): number {
@@ -250,8 +250,8 @@
 		requests: createTokenBucket(limit.ratePerSecond * fraction, now),
 		tokens: createTokenBucket(limit.tokensPerSecond * fraction, now),
 		inFlight: 0,
-		pendingAtHome: 0,
-		reportedToHome: 0,
+		pendingAtTeamHome: 0,
+		reportedToTeamHome: 0,
 		isReportedByRequest: false,
 		inFlightElsewhere: new Map(),
 	}
@@ -282,7 +282,7 @@
 ): NotRun | undefined {
 	if (running >= maxRunning)
 		return notRun('teamConcurrency', CONCURRENCY_RETRY_MS)
-	const wait = refillBucket(
+	const wait = refillAndGetWaitMs(
 		row.requests,
 		limit.ratePerSecond * fraction,
 		1,
@@ -290,7 +290,7 @@
 	)
 	if (wait > 0) return refuse('teamRate', wait)
 	const tokenRate = limit.tokensPerSecond * fraction
-	const tokenWait = refillBucket(row.tokens, tokenRate, tokens, now)
+	const tokenWait = refillAndGetWaitMs(row.tokens, tokenRate, tokens, now)
 	if (tokenWait > 0) return refuse('teamTokens', tokenWait)
 	takeTokens(row.requests, 1)
 	takeTokens(row.tokens, tokens)
--- a/packages/core/src/core/tokenBucket.ts
+++ b/packages/core/src/core/tokenBucket.ts
@@ -17,7 +17,7 @@
 }
 
 /** Refills the bucket up to `now`; returns the time until `amount` may be taken, ms. */
-export function refillBucket(
+export function refillAndGetWaitMs(
 	bucket: TokenBucket,
 	rate: number,
 	amount: number,
--- a/packages/core/src/types/admission.ts
+++ b/packages/core/src/types/admission.ts
@@ -19,7 +19,7 @@
 	 * Since when its configuration has made this agent the key home (the agent selected by
 	 * rendezvous hashing), Unix ms; `undefined` if another agent is.
 	 */
-	readonly homeSinceWall: number | undefined
+	readonly keyHomeSinceWall: number | undefined
 	/**
 	 * Whether the entry created the key for this request and every earlier attempt was
 	 * proved not to have run, so that no record of the key can have been evicted.
@@ -141,7 +141,7 @@
 	slots: number
 	/** `suspect`: the ranks of its group have been seen with different expert maps. */
 	mode: 'serving' | 'leaving' | 'suspect'
-	lastSeen: Moment
+	lastEventAt: Moment
 	pauseEndedAt: number
 	/** End of the backoff; no request is started earlier. */
 	backoffUntil: number
--- a/packages/core/test/config.test.ts
+++ b/packages/core/test/config.test.ts
@@ -108,7 +108,7 @@
 	assert.is(offerRevision(state, 9, VALID), 'adopted')
 	assert.is(offerRevision(state, 7, other), 'stale')
 	assert.is(offerRevision(state, 9, other), 'known')
-	assert.is(state.held?.document, VALID)
+	assert.is(state.active?.document, VALID)
 	assert.is(offerRevision(state, 10, other), 'adopted')
 })
 
--- a/packages/core/test/decisions.test.ts
+++ b/packages/core/test/decisions.test.ts
@@ -48,7 +48,13 @@
 	const random = createRandom(1)
 	const counts = table.names.map(() => 0)
 	const rows = [...counts.keys()]
-	const fullQuery = { rows, avoid: -1, cachedRow: -1, credit: 0, ...query }
+	const fullQuery = {
+		rows,
+		avoid: -1,
+		cachedRow: -1,
+		cacheConfidence: 0,
+		...query,
+	}
 	for (let n = 0; n < 2_000; n++) {
 		const row = chooseServer(table, fullQuery, now, random)
 		if (row >= 0) counts[row]!++
@@ -83,13 +89,13 @@
 	{
 		name: 'a server with the cached prefix is preferred',
 		prepare: () =>
-			countChoices(tableOf([0, 0, 0]), { cachedRow: 1, credit: 1 }),
+			countChoices(tableOf([0, 0, 0]), { cachedRow: 1, cacheConfidence: 1 }),
 		expect: ([, b]) => b! === 2_000,
 	},
 	{
 		name: 'a cached prefix does not outweigh a long queue',
 		prepare: () =>
-			countChoices(tableOf([0, 80, 0]), { cachedRow: 1, credit: 1 }),
+			countChoices(tableOf([0, 80, 0]), { cachedRow: 1, cacheConfidence: 1 }),
 		expect: ([, b]) => b! < 400,
 	},
 	{
--- a/packages/core/test/entryShare.test.ts
+++ b/packages/core/test/entryShare.test.ts
@@ -46,9 +46,13 @@
 	let sum = 0
 	let samples = 0
 	for (let now = 0; now < DURATION_MS; now += STEP_MS) {
-		const perSecond = sumOf(arriving)
-		const endedPerSecond = sumOf(ended)
-		const intake = { perSecond, endedPerSecond, horizonMs: HORIZON_MS }
+		const arrivalsPerSecond = sumOf(arriving)
+		const completionsPerSecond = sumOf(ended)
+		const traffic = {
+			arrivalsPerSecond,
+			completionsPerSecond,
+			horizonMs: HORIZON_MS,
+		}
 		for (let entry = 0; entry < entries; entry++) {
 			const runningBefore = ends[entry]!.length
 			ends[entry] = ends[entry]!.filter(end => end > now)
@@ -66,10 +70,11 @@
 				return reported[(entry + at + 1) % entries]!
 			})
 			const times = isShared ? (entries - 1) / visible : 1
-			const room = LIMIT - times * sumOf(known) - reported[entry]! - unreported
+			const freeSlots =
+				LIMIT - times * sumOf(known) - reported[entry]! - unreported
 			const fraction = isShared
-				? admittedFraction(room, intake)
-				: room >= 1
+				? admittedFraction(freeSlots, traffic)
+				: freeSlots >= 1
 					? 1
 					: 0
 			const isAdmitted = random() < fraction
--- a/packages/core/test/gossip.test.ts
+++ b/packages/core/test/gossip.test.ts
@@ -16,7 +16,7 @@
 import {
 	createNet,
 	killNode,
-	measureSpread,
+	measurePropagation,
 	pickLive,
 	publishChange,
 	restartNode,
@@ -98,10 +98,10 @@
 for (const { name, loss, fail, withinMs } of CASES)
 	test(`gossip: a revision reaches every node when ${name}`, () => {
 		const net = createNet({ ...BASE, loss })
-		measureSpread(net, 1, 30_000)
+		measurePropagation(net, 1, 30_000)
 		fail(net)
 		publishChange(net, 2)
-		const took = measureSpread(net, 2, withinMs)
+		const took = measurePropagation(net, 2, withinMs)
 		assert.ok(took.every(ms => ms >= 0))
 		assert.is(net.reversals, 0)
 	})
@@ -109,7 +109,7 @@
 test('gossip: a platform that goes back to a lower revision does not revert any node', () => {
 	const net = createNet(BASE)
 	publishChange(net, 5)
-	measureSpread(net, 5, 30_000)
+	measurePropagation(net, 5, 30_000)
 	publishChange(net, 3)
 	runNet(net, 5_000)
 	for (let n = 0; n < 10; n++) restartNode(net, pickLive(net))
@@ -129,17 +129,17 @@
 
 test('gossip: a revision spreads when the platform fails after one reader has read it', () => {
 	const net = createNet(BASE)
-	measureSpread(net, 1, 30_000)
+	measurePropagation(net, 1, 30_000)
 	publishChange(net, 2)
 	while (!net.active.includes(2)) runNet(net, 5)
 	net.published = undefined
-	const took = measureSpread(net, 2, ACTIVE_MS)
+	const took = measurePropagation(net, 2, ACTIVE_MS)
 	assert.ok(took.every(ms => ms >= 0))
 })
 
 test('gossip: two partitions with different revisions converge on the higher', () => {
 	const net = createNet(BASE)
-	measureSpread(net, 1, 30_000)
+	measurePropagation(net, 1, 30_000)
 	for (const at of net.partition.keys()) net.partition[at] = at % 2
 	publishChange(net, 2)
 	runNet(net, 3_000)
@@ -147,7 +147,7 @@
 	const before = net.messages
 	for (const at of net.partition.keys()) net.partition[at] = 0
 	restartNode(net, 0)
-	const took = measureSpread(net, 2, 40_000)
+	const took = measurePropagation(net, 2, 40_000)
 	assert.ok(took.every(ms => ms >= 0))
 	assert.ok(
 		net.messages - before < 60 * net.nodes.length,
@@ -183,7 +183,7 @@
 		}
 		net.partition.fill(0)
 		publishChange(net, ++revision)
-		const took = measureSpread(net, revision, 60_000)
+		const took = measurePropagation(net, revision, 60_000)
 		assert.ok(
 			took.every(ms => ms >= 0),
 			`seed ${seed}`,
--- a/packages/core/test/groupPlan.test.ts
+++ b/packages/core/test/groupPlan.test.ts
@@ -116,11 +116,11 @@
 	const size = SIZES[0]!
 	const layout = layoutOf(size)
 	const share = skewedShare(size.experts, 4)
-	const paces = Array.from({ length: size.ranks }, (_, rank) =>
+	const slowdowns = Array.from({ length: size.ranks }, (_, rank) =>
 		rank === 3 ? 12 : 1,
 	)
 	const initial = distributeRoundRobin(size.ranks, layout)
-	const plan = planSet(initial, share, layout, paces)
+	const plan = planSet(initial, share, layout, slowdowns)
 	assert.ok(plan.before > 6, `before ${plan.before}`)
 	assert.ok(plan.after < plan.before / 2, `after ${plan.after}`)
 })
@@ -147,9 +147,9 @@
 	const initial = distributeRoundRobin(size.ranks, layout)
 	const map = [initial, initial, initial]
 	const shares = map.map((_, set) => skewedShare(size.experts, set + 1))
-	const paces = new Array<number>(size.ranks).fill(1)
+	const slowdowns = new Array<number>(size.ranks).fill(1)
 	const cost = { copyMs, overheadMs: 300, steadyMs }
-	const plan = runToEnd(planMap({ map, shares, layout, paces, cost }))
+	const plan = runToEnd(planMap({ map, shares, layout, slowdowns, cost }))
 	return { plan, map, size }
 }
 
--- a/packages/core/test/models/gossipNet.ts
+++ b/packages/core/test/models/gossipNet.ts
@@ -168,7 +168,7 @@
 }
 
 /** Runs until every live node has `revision`; returns how long each took, ms. */
-export function measureSpread(
+export function measurePropagation(
 	net: GossipNet,
 	revision: number,
 	limitMs: number,
--- a/packages/core/test/models/lifecycleModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -166,7 +166,7 @@
 	state.used.restarts++
 	const agent = createAdmission(state.at, 1)
 	if (draft.mutant === 'ignoreKeyAge')
-		Object.assign(agent, { bornWall: BORN_WALL })
+		Object.assign(agent, { startedWall: BORN_WALL })
 	draft.state = {
 		...state,
 		agent,
@@ -222,7 +222,7 @@
 		key: KEY,
 		wallTime: KEY_WALL,
 		windowMs: AMPLE_MS,
-		homeSinceWall: BORN_WALL,
+		keyHomeSinceWall: BORN_WALL,
 		fresh: freshKey,
 	}
 	send(draft.state, {
--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -84,7 +84,7 @@
 	readonly number: number
 	readonly address: string
 	incarnation: number
-	roster: EntryMembership
+	membership: EntryMembership
 	pool: PermitPool | undefined
 	limits: RateLimits
 	held: HeldPermits
@@ -133,7 +133,7 @@
 		number,
 		address,
 		incarnation: 0,
-		roster: createEntryMembership(address),
+		membership: createEntryMembership(address),
 		pool: undefined,
 		limits: createRateLimits(),
 		held: createHeldPermits(),
@@ -145,7 +145,7 @@
 	const { incarnation } = entry
 	const others = sim.entries.filter(other => other !== entry)
 	for (const other of others.slice(0, 3))
-		recordEntryDiscovered(entry.roster, other.address, sim.now)
+		recordEntryDiscovered(entry.membership, other.address, sim.now)
 	const every = (periodMs: number, act: () => void) => {
 		const again = () => {
 			if (entry.incarnation !== incarnation) return
@@ -273,12 +273,12 @@
 		perSecond,
 		agoMs: sim.now - at,
 	}))
-	const known = [...from.roster.others.keys()]
+	const known = [...from.membership.others.keys()]
 	deliver(sim, from, to, () => {
 		for (const address of known)
 			if (address !== to.address)
-				recordEntryDiscovered(to.roster, address, sim.now)
-		recordEntryContact(to.roster, from.address, sim.now)
+				recordEntryDiscovered(to.membership, address, sim.now)
+		recordEntryContact(to.membership, from.address, sim.now)
 		for (const { server, perSecond, agoMs } of notices)
 			applyNotice(sim, to, server, perSecond, sim.now - agoMs)
 	})
@@ -298,12 +298,12 @@
 }
 
 function checkMembership(sim: Simulation, entry: Entry): void {
-	const { roster, address } = entry
+	const { membership: roster, address } = entry
 	if (!updateEntryMembership(roster, address, () => true, sim.now)) return
 	if (homeOf(entry) !== address) entry.pool = undefined
 }
 
-function homeOf({ roster }: Entry): string {
+function homeOf({ membership: roster }: Entry): string {
 	return findPermitHome(SERVER, roster.reachable)!
 }
 
@@ -313,7 +313,7 @@
 	perSecond: number,
 	request: PermitRequest,
 ): PermitGrant {
-	const { roster } = entry
+	const { membership: roster } = entry
 	entry.pool ??= createPermitPool()
 	const permitSchedule = permitScheduleFor(perSecond, roster.count)
 	return grantPermits(entry.pool, permitSchedule, request, sim.now)
--- a/packages/core/test/models/storeRollback.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -54,7 +54,7 @@
 	/** Time during which failures occur, ms; a time without failures follows. */
 	readonly forMs: number
 	/** Fraction of answers that are lost. */
-	readonly lost: number
+	readonly lossRate: number
 	/** Rate of each event, per second. */
 	readonly perSecond: {
 		readonly rollbacks: number
@@ -265,7 +265,7 @@
 	if (isPartitioned) return
 	if (now >= entry.callAt) {
 		entry.callAt = now + CALL_INTERVAL_MS * (0.5 + net.random())
-		const isLost = net.random() < net.scenario.lost
+		const isLost = net.random() < net.scenario.lossRate
 		if (now >= store.downUntil && !isLost) callStore(net, entry)
 		else if (isLost) entry.inContactSince = now
 	}
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -43,7 +43,7 @@
 	/** Share of messages that are lost. */
 	readonly lossRate: number
 	/** When the team home stops and the others learn of it, ms. */
-	readonly homeEndsAt?: number
+	readonly teamHomeStopsAt?: number
 	readonly endsAt: number
 	readonly seed: number
 }
@@ -184,8 +184,8 @@
 				for (const entry of byName.values()) report(entry)
 			},
 		})
-	if (scenario.homeEndsAt !== undefined)
-		queue.push({ at: scenario.homeEndsAt, run: stopHome })
+	if (scenario.teamHomeStopsAt !== undefined)
+		queue.push({ at: scenario.teamHomeStopsAt, run: stopHome })
 	runAll(queue, at => {
 		now = at
 	})
--- a/packages/core/test/retryAfter.test.ts
+++ b/packages/core/test/retryAfter.test.ts
@@ -91,7 +91,7 @@
 			const forecast = {
 				availableInMs,
 				notBeforeMs: 0,
-				gapMs: 100,
+				slotIntervalMs: 100,
 				maxHonoredMs,
 			}
 			const retryAfterMs = scheduleRetryAfter(
@@ -110,7 +110,7 @@
 const FORECAST = {
 	availableInMs: 0,
 	notBeforeMs: 0,
-	gapMs: 100,
+	slotIntervalMs: 100,
 	maxHonoredMs: 2_560,
 }
 
--- a/packages/core/test/storeRollback.test.ts
+++ b/packages/core/test/storeRollback.test.ts
@@ -17,7 +17,7 @@
 	entries: fc.constantFrom(1, 2, 5),
 	servers: fc.constantFrom(3, 8),
 	forMs: fc.constantFrom(10_000, 30_000),
-	lost: fc.constantFrom(0, 0.1, 0.4),
+	lossRate: fc.constantFrom(0, 0.1, 0.4),
 	perSecond: fc.record({
 		rollbacks: fc.constantFrom(0.1, 0.5, 2),
 		partitions: fc.constantFrom(0, 0.3),
--- a/packages/core/test/teamLimits.test.ts
+++ b/packages/core/test/teamLimits.test.ts
@@ -134,7 +134,7 @@
 	const overrides = {
 		entries: 36,
 		lossRate: 0.05,
-		homeEndsAt: 8_000,
+		teamHomeStopsAt: 8_000,
 		limit,
 		seed: 3,
 	}
--- a/packages/entry/src/io/routeQuery.ts
+++ b/packages/entry/src/io/routeQuery.ts
@@ -27,7 +27,7 @@
 	const cachedRow = cached
 		? (ctx.servers.table.rowOf.get(cached.server) ?? -1)
 		: -1
-	return { rows, avoid, cachedRow, credit: cached?.credit ?? 0 }
+	return { rows, avoid, cachedRow, cacheConfidence: cached?.credit ?? 0 }
 }
 
 /**
--- a/packages/gateway/src/entryDemand.ts
+++ b/packages/gateway/src/entryDemand.ts
@@ -123,8 +123,8 @@
 				0,
 			)
 	meter.intake = {
-		perSecond: sum('come'),
-		endedPerSecond: sum('end'),
+		arrivalsPerSecond: sum('come'),
+		completionsPerSecond: sum('end'),
 		horizonMs: HORIZON_INTERVALS * elapsedMs,
 	}
 	const { name, dataCentre } = settings
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -36,8 +36,13 @@
 			maxHonoredMs,
 		}
 		// While nothing is sent, the observed intervals say nothing about the server's rate.
-		const gapMs = Math.max(flow.intervalMs, availability.intervalMs)
-		return scheduleRetryAfter(returns, { ...forecast, gapMs }, now, ctx.random)
+		const slotIntervalMs = Math.max(flow.intervalMs, availability.intervalMs)
+		return scheduleRetryAfter(
+			returns,
+			{ ...forecast, slotIntervalMs },
+			now,
+			ctx.random,
+		)
 	}
 	const permitMs = availability?.nextMs ?? 0
 	const availableInMs = Math.max(
@@ -45,11 +50,11 @@
 		estimateBlockageMs(full, now),
 		permitMs,
 	)
-	const gapMs = currentIntervalMs(flow, now)
+	const slotIntervalMs = currentIntervalMs(flow, now)
 	const forecast = {
 		availableInMs,
 		notBeforeMs: 0,
-		gapMs,
+		slotIntervalMs,
 		maxHonoredMs,
 	}
 	return scheduleRetryAfter(returns, forecast, now, ctx.random)
--- a/packages/groups/src/mapPlanning.ts
+++ b/packages/groups/src/mapPlanning.ts
@@ -86,10 +86,12 @@
 	if (!group) return undefined
 	const startedAt = readNow()
 	const shares = map.map((_, set) => computeExpertShares(demand, set))
-	const paces = slowdownsOf(co, map)
+	const slowdowns = slowdownsOf(co, map)
 	const cost = estimateChangeCost(co, group)
 	const { layout } = group
-	const plan = await runSearch(planMap({ map, shares, layout, paces, cost }))
+	const plan = await runSearch(
+		planMap({ map, shares, layout, slowdowns, cost }),
+	)
 	if (!plan) return undefined
 	co.log.write('map planned', {
 		before: round3(plan.before),
@@ -100,7 +102,7 @@
 		steadyMs: Math.round(cost.steadyMs),
 		passMs: Math.round(co.passMs),
 		held: round3(co.inFlightPerRank),
-		slow: paces.filter(pace => pace > 1.2).length,
+		slow: slowdowns.filter(slowdown => slowdown > 1.2).length,
 		tookMs: Math.round(readNow() - startedAt),
 		of: co.mapVersion,
 	})
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -149,7 +149,7 @@
 
 /** Returns the revision of the active configuration; 0 before the first. */
 export function activeRevision(follower: Follower): number {
-	return follower.state.held?.revision ?? 0
+	return follower.state.active?.revision ?? 0
 }
 
 /** Returns the follower's part of `juniperhook status`. */
@@ -157,7 +157,7 @@
 	const { node, state } = follower
 	return {
 		revision: activeRevision(follower),
-		refusedRevision: state.refused?.revision ?? 0,
+		refusedRevision: state.rejected?.revision ?? 0,
 		members: node.members.length,
 		neighbours: node.neighbours,
 		reader: isReader(node, readNow()),
@@ -221,7 +221,7 @@
 	const now = readNow()
 	const { node, state } = follower
 	applyEffects(follower, tickGossip(node, now, follower.random))
-	if (state.refused && !state.held)
+	if (state.rejected && !state.active)
 		applyEffects(follower, requestFullValue(node, 'config', follower.random))
 	if (isReader(node, now))
 		for (const topic of TOPICS) void watch(follower, topic)
@@ -312,18 +312,18 @@
 function applyConfig(follower: Follower, revision: number, text: string): void {
 	const { state, metrics, node } = follower
 	const result = offerRevision(state, revision, text)
-	const { held } = state
+	const { active } = state
 	switch (result) {
 		case 'adopted':
 			metrics.revision.set(revision)
 			setLastValid(node, 'config', undefined)
-			if (held) follower.events.onConfigActivated(held)
+			if (active) follower.events.onConfigActivated(active)
 			updateMembers(follower)
 			break
 		case 'invalid':
 			metrics.invalidConfigs.inc()
-			if (held) {
-				const good = { revision: held.revision, text: held.document }
+			if (active) {
+				const good = { revision: active.revision, text: active.document }
 				setLastValid(node, 'config', good)
 			}
 			log({ msg: 'invalid configuration rejected', revision })
@@ -361,6 +361,6 @@
 }
 
 function regionOf(follower: Follower, dataCentre: string): string {
-	const centres = follower.state.held?.config.dataCentre ?? {}
+	const centres = follower.state.active?.config.dataCentre ?? {}
 	return centres[dataCentre]?.region ?? dataCentre
 }
