--- a/packages/core/src/core/admissionKeys.ts
+++ b/packages/core/src/core/admissionKeys.ts
@@ -26,8 +26,11 @@
 ): Unknown | undefined {
 	if (claim.fresh || claim.keyHomeSinceWall === undefined) return undefined
 	if (claim.wallTime <= at.wall - claim.windowMs) return unknown('keyForgotten')
-	const safeSince = Math.max(state.startedWall, claim.keyHomeSinceWall)
-	const isRecent = claim.wallTime > safeSince + MAX_CLOCK_SKEW_MS
+	const recordsCompleteSince = Math.max(
+		state.startedWall,
+		claim.keyHomeSinceWall,
+	)
+	const isRecent = claim.wallTime > recordsCompleteSince + MAX_CLOCK_SKEW_MS
 	return isRecent ? undefined : unknown('keyForgotten')
 }
 
--- a/packages/core/src/core/affinity.ts
+++ b/packages/core/src/core/affinity.ts
@@ -45,7 +45,7 @@
 	if (oldest !== undefined) table.records.delete(oldest)
 }
 
-/** Returns the server that likely has the prefix cached, and the confidence, 0 to 1. */
+/** Returns the server that likely has the prefix cached; `credit`: confidence, 0 to 1. */
 export function findPrefix(
 	table: AffinityTable,
 	prefix: number,
--- a/packages/core/src/core/blockage.ts
+++ b/packages/core/src/core/blockage.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks blockages, periods in which a service or group accepts no requests, and estimates
- * the remaining duration of the current one from the typical duration.
+ * Tracks blockages, periods in which a service or group accepts no requests, and
+ * estimates the remaining duration of the current one from the typical duration.
  */
 
 /** Blockages of one service or group. */
@@ -34,7 +34,7 @@
 
 /**
  * Estimates the remaining duration of the current blockage, ms; 0 while there is none.
- * A blockage is expected to last at least half as long again as it has lasted so far.
+ * A blockage is expected to last for at least another half of the time it has lasted.
  */
 export function estimateBlockageMs(
 	{ since, typicalMs }: BlockageTracker,
--- a/packages/core/src/core/dispatch.ts
+++ b/packages/core/src/core/dispatch.ts
@@ -194,9 +194,10 @@
 	for (const row of sampleCandidates(table, query, withCapacity, random)) {
 		const remote = query.localRows.has(row) ? 0 : REMOTE_LOAD
 		const slow = rankSlowdownLoad(table, row)
-		const held =
+		const inFlight =
 			countInFlight(table, row) + unreported * table.assignedElsewhere[row]!
-		const load = held / table.slots[row]! + remote + slow + penalties.get(row)!
+		const load =
+			inFlight / table.slots[row]! + remote + slow + penalties.get(row)!
 		if (load >= bestLoad) continue
 		best = row
 		bestLoad = load
@@ -213,8 +214,8 @@
 }
 
 /**
- * Returns the servers not yet tried by the request, without ejected ones unless too many
- * are ejected.
+ * Returns the servers not yet tried by the request, or all open ones if it has tried
+ * them all; without the ejected ones unless too many are ejected.
  */
 function listHealthy(
 	table: ServerTable,
@@ -222,11 +223,11 @@
 	open: readonly number[],
 	now: number,
 ): readonly number[] {
-	const fresh = open.filter(row => !tried.has(row))
-	const untried = fresh.length > 0 ? fresh : open
-	const healthy = untried.filter(row => !isEjected(table, row, now))
+	const untried = open.filter(row => !tried.has(row))
+	const candidates = untried.length > 0 ? untried : open
+	const healthy = candidates.filter(row => !isEjected(table, row, now))
 	const enough = healthy.length >= open.length * (1 - MAX_EJECTED_SHARE)
-	return enough && healthy.length > 0 ? healthy : untried
+	return enough && healthy.length > 0 ? healthy : candidates
 }
 
 function hasCapacity(
@@ -296,15 +297,15 @@
 }
 
 /**
- * Returns the lock-step groups that are full. `isOpen` decides for each group with a
+ * Returns the lock-step groups that are full. `hasRoom` decides for each group with a
  * limit, given its free capacity: the sum of its ranks' limits less their requests in
- * flight. A limit may be fractional: a rank may then hold up to the next whole number,
- * but not all ranks at once. Loads reported by other entries are multiplied by
+ * flight. A limit may be fractional: a rank may then have up to the next whole number in
+ * flight, but not all ranks at once. Loads reported by other entries are multiplied by
  * `peerScale`, to account for entries that have not reported.
  */
 export function listFullGroups(
 	table: ServerTable,
-	isOpen: (group: number, free: number) => boolean = hasWholeSlot,
+	hasRoom: (group: number, capacity: number) => boolean = hasWholeSlot,
 	peerScale = 1,
 ): Set<number> {
 	const capacities = new Map<number, number>()
@@ -316,7 +317,7 @@
 		capacities.set(group, (capacities.get(group) ?? 0) + free)
 	}
 	const full = [...capacities].filter(
-		([group, capacity]) => !isOpen(group, capacity),
+		([group, capacity]) => !hasRoom(group, capacity),
 	)
 	return new Set(full.map(([group]) => group))
 }
--- a/packages/core/src/core/errors.ts
+++ b/packages/core/src/core/errors.ts
@@ -1,5 +1,5 @@
 /**
- * The closed list of error kinds and the table that maps each kind to its response.
+ * The fixed list of error kinds and the table that maps each kind to its response.
  * The kind is also the label of its refusal counter.
  */
 
--- a/packages/core/src/core/gossip.ts
+++ b/packages/core/src/core/gossip.ts
@@ -1,8 +1,8 @@
 /**
  * Gossip of published values to all processes. A few readers in each region watch the
  * platform. A new revision is announced by notices along a graph of bounded degree, and
- * fetched as patches from the sender of a notice. Slow anti-entropy with random members
- * repairs losses. The highest revision wins; a node never goes back to a lower one.
+ * fetched as patches from the sender of a notice. Infrequent anti-entropy with random
+ * members repairs losses. The highest revision wins; a node never goes back to a lower one.
  *
  * Pure functions: events in, effects out; the daemons carry out the effects.
  */
@@ -129,10 +129,10 @@
 		if (name !== node.self)
 			effects.push(sendTo(name, compareMessage(node, true)))
 	}
-	const rank = node.readers.indexOf(node.self)
-	if (rank >= READERS && now >= node.nextReaderCheck) {
+	const position = node.readers.indexOf(node.self)
+	if (position >= READERS && now >= node.nextReaderCheck) {
 		node.nextReaderCheck = now + READER_CHECK_MS * (0.75 + random() / 2)
-		for (const reader of node.readers.slice(0, rank))
+		for (const reader of node.readers.slice(0, position))
 			effects.push(sendTo(reader, { type: 'look' }))
 	}
 	return effects
@@ -164,7 +164,10 @@
 	node.topics[topic].lastValid = value
 }
 
-/** Fetches the full value from a random member, with its last valid one. */
+/**
+ * Fetches the full value from a random member, which adds the last valid value if the
+ * full one is invalid.
+ */
 export function requestFullValue(
 	node: GossipNode,
 	topic: Topic,
--- a/packages/core/src/core/gossipTopology.ts
+++ b/packages/core/src/core/gossipTopology.ts
@@ -43,10 +43,10 @@
  */
 export function isReader(node: GossipNode, now: number): boolean {
 	if (node.members.length === 0) return true
-	const rank = node.readers.indexOf(node.self)
-	if (rank < 0) return false
-	if (rank < READERS) return true
-	const preferred = node.readers.slice(0, rank)
+	const position = node.readers.indexOf(node.self)
+	if (position < 0) return false
+	if (position < READERS) return true
+	const preferred = node.readers.slice(0, position)
 	const failed = preferred.filter(
 		reader => now - (node.readerContactAt.get(reader) ?? 0) > READER_TIMEOUT_MS,
 	)
--- a/packages/core/src/core/groupPolicy.ts
+++ b/packages/core/src/core/groupPolicy.ts
@@ -25,7 +25,8 @@
  */
 const SHIFT_PAUSE_SHARE = 0.9
 /**
- * The same share for passes after a demand shift, below which the present map is kept.
+ * The same share for passes after a demand shift; below it, streams are on time without a
+ * change, and the present map is kept.
  */
 const KEPT_MAP_SHARE = 0.65
 /** Share of an engine's slots that requests may always occupy. */
@@ -62,12 +63,13 @@
 
 /**
  * Returns how many requests a rank may have in flight for streams to meet the pause
- * limit; undefined for no limit. Where demand shifts are frequent, the limit also has to hold
- * right after a shift, or all streams in progress at that time would be late. Copying
- * is taken into account there only if it lasts longer than a pass: by calculation, 192
- * ranks that copy for 10 ms may have 3 requests each in flight instead of 2.25. In emulations the
- * limit raised the share of streams in time from 0.93 to 0.96 on days with low load, and
- * from 0.58 to 0.67 on days with 20 % more load.
+ * limit; undefined for no limit. Where demand shifts are frequent, streams have to meet
+ * it right after a shift too, or all streams in progress at that time would be late.
+ * Copying is taken into account there only if it lasts longer than a pass: by
+ * calculation, 192 ranks that copy for 10 ms may have 3 requests each in flight instead
+ * of 2.25. In emulations the limit on requests in flight raised the share of streams in
+ * time from 0.93 to 0.96 under workloads with low load, and from 0.58 to 0.67 under those
+ * with 20 % more load.
  */
 export function maxInFlightPerRank(
 	{ factor, shiftedFactor, steadyMs, copiesLong, fit }: LoadConditions,
@@ -109,7 +111,7 @@
  * Whether streams could be late with the present map: whether the present demand, or
  * the next shift, makes passes too long until a map change takes effect. Without this
  * check a group with spare time copies experts without any benefit: four times as many
- * on an emulated day of 16 ranks with low load, for no more streams in time.
+ * under an emulated workload of 16 ranks with low load, for no more streams in time.
  */
 export function isMapNeeded(
 	inFlight: number,
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -1,7 +1,7 @@
 /**
  * The coordinator's side of the map protocol. A round learns the state of every rank,
- * commits or aborts undecided changes, then prepares one change and commits it with the
- * promises of all ranks. The process may be paused or killed at any point, and several
+ * commits or aborts undecided changes, then prepares one change and commits it once all
+ * ranks have promised it. The process may be paused or killed at any point, and several
  * coordinators may be active at once.
  */
 
--- a/packages/core/src/core/mapPlan.ts
+++ b/packages/core/src/core/mapPlan.ts
@@ -44,7 +44,7 @@
  *
  * With copies of 0.4 s and a demand shift every 3.5 s, the share of requested streams in
  * time rose from 0.67 to 0.87, compared with complete plans made when passes came near
- * the pause limit (two emulated days of 12 ranks with low load).
+ * the pause limit (two emulated workloads of 12 ranks with low load).
  */
 export function* planMap(
 	input: MapPlanInput,
--- a/packages/core/src/core/passModel.ts
+++ b/packages/core/src/core/passModel.ts
@@ -1,8 +1,8 @@
 /**
  * Predicts how long a pass of a lock-step group takes, and how many requests the group
- * may have in flight for its passes to stay within a limit. The published figures do not state how
- * much of a pass is stretched by imbalance, nor what overhead there is; both are fitted
- * to observed passes.
+ * may have in flight for its passes to stay within a limit. The published figures do not
+ * state how much of a pass is stretched by imbalance, nor what overhead there is; both
+ * are fitted to observed passes.
  */
 
 /** Published cost of a pass, depending on the requests of its ranks. */
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -53,8 +53,8 @@
 /** Unclaimed permits accumulate for this long, ms. */
 const BURST_MS = 250
 /**
- * Minimum requests per second let through at any limit: only an answer of the server can
- * show that the limit has ended.
+ * Minimum rate of permits at any limit, per second: only an answer of the server can show
+ * that the limit has ended.
  */
 const MIN_PER_SECOND = 0.1
 /**
@@ -72,7 +72,7 @@
 	return { nextAt: Number.NEGATIVE_INFINITY }
 }
 
-/** Grants permits from a pool. */
+/** Grants up to `count` permits that become usable within `withinMs`. */
 export function grantPermits(
 	pool: PermitPool,
 	schedule: PermitSchedule,
--- a/packages/core/src/core/placementSearch.ts
+++ b/packages/core/src/core/placementSearch.ts
@@ -118,8 +118,8 @@
 	return search.hasNow[rank * search.share.length + expert] === 1
 }
 
-/** Whether a rank would have to copy an expert. */
-export function isNew(
+/** Whether an expert is or would be a new copy on a rank that did not hold it before. */
+export function isNewCopy(
 	search: PlacementSearch,
 	rank: number,
 	expert: number,
@@ -133,7 +133,7 @@
 	rank: number,
 	expert: number,
 ): boolean {
-	if (!isNew(search, rank, expert)) return true
+	if (!isNewCopy(search, rank, expert)) return true
 	const { newCopies, maxNew, budget } = search
 	return (
 		newCopies[rank]! < maxNew && budget.usedByRank[rank]! < budget.maxPerRank
@@ -153,17 +153,21 @@
 		hasNow[rank * share.length + previous] = 0
 		copies[previous]!--
 		holders[previous] = holders[previous]!.filter(holder => holder !== rank)
-		if (isNew(search, rank, previous)) countNew(search, rank, -1)
+		if (isNewCopy(search, rank, previous)) adjustNewCopies(search, rank, -1)
 	}
 	slots[at] = expert
 	if (expert === FREE_PLACE) return
 	hasNow[rank * share.length + expert] = 1
 	copies[expert]!++
 	holders[expert]!.push(rank)
-	if (isNew(search, rank, expert)) countNew(search, rank, 1)
+	if (isNewCopy(search, rank, expert)) adjustNewCopies(search, rank, 1)
 }
 
-function countNew(search: PlacementSearch, rank: number, change: 1 | -1): void {
+function adjustNewCopies(
+	search: PlacementSearch,
+	rank: number,
+	change: 1 | -1,
+): void {
 	search.newCopies[rank]! += change
 	search.budget.usedByRank[rank]! += change
 }
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -8,7 +8,7 @@
 	canHold,
 	FREE_PLACE,
 	hasExpert,
-	isNew,
+	isNewCopy,
 	refreshLoad,
 	setPlace,
 } from './placementSearch.ts'
@@ -106,15 +106,16 @@
 	const expert = slots[from]!
 	if (hasExpert(search, rank, expert)) return
 	const hottest = Math.floor(from / places)
-	const hasRoom = canHold(search, rank, expert)
+	const canCopy = canHold(search, rank, expert)
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
 		const other = slots[at]!
-		const replacesNewCopy = other !== FREE_PLACE && isNew(search, rank, other)
-		if (!hasRoom && !replacesNewCopy) continue
+		const replacesNewCopy =
+			other !== FREE_PLACE && isNewCopy(search, rank, other)
+		if (!canCopy && !replacesNewCopy) continue
 		if (other === FREE_PLACE || copies[other]! >= 2) evaluate(at, expert)
 		if (other === FREE_PLACE || hasExpert(search, hottest, other)) continue
 		const canExchange =
-			canHold(search, hottest, other) || isNew(search, hottest, expert)
+			canHold(search, hottest, other) || isNewCopy(search, hottest, expert)
 		if (canExchange) evaluate(at, expert, from)
 	}
 }
@@ -137,7 +138,10 @@
 		for (let at = rank * places; at < (rank + 1) * places; at++) {
 			const expert = slots[at]!
 			if (expert === FREE_PLACE || hasExpert(search, hottest, expert)) continue
-			if (!canHold(search, hottest, expert) && !isNew(search, hottest, dropped))
+			if (
+				!canHold(search, hottest, expert) &&
+				!isNewCopy(search, hottest, dropped)
+			)
 				continue
 			evaluate(from, expert)
 		}
@@ -162,7 +166,7 @@
 	expert: number,
 ): number {
 	const rank = Math.floor(at / search.places)
-	return expert !== FREE_PLACE && isNew(search, rank, expert) ? 1 : 0
+	return expert !== FREE_PLACE && isNewCopy(search, rank, expert) ? 1 : 0
 }
 
 /** Returns by how much a change decreases the sum of powers. */
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -15,8 +15,9 @@
  * - A crash has one cause: crashes attributed to the primary suspect do not count against
  *   the requests next to it, however many there were.
  *
- * Evidence is a grow-only set of crashes until they expire: entries that have received
- * the same evidence, in any order and any number of times, reach the same result.
+ * Evidence is a set of crashes that only grows, apart from their expiry: entries that
+ * have received the same evidence, in any order and any number of times, reach the same
+ * result.
  */
 
 /** Points from which a request is quarantined: three isolated crashes. */
@@ -117,8 +118,8 @@
 }
 
 /**
- * Returns the remaining quarantine of a request, ms; 0 if it may be sent. Entries try it
- * again one after the other: each waits `turnMs` longer than the first.
+ * Returns the remaining quarantine of a request, ms; 0 if it may be sent. This
+ * entry waits `turnMs` longer than the first one: entries retry it one after the other.
  */
 export function quarantineLeftMs(
 	{ suspects }: Quarantine,
--- a/packages/core/src/core/rebalance.ts
+++ b/packages/core/src/core/rebalance.ts
@@ -63,20 +63,24 @@
 }
 
 /** Returns the weighted cost of `count` loads, in ms of the group's capacity. */
-export function loadCostMs(terms: RebalanceParameters, count: number): number {
-	return terms.moveWeight * count * terms.loadMs * terms.loadLoss
+export function loadCostMs(
+	parameters: RebalanceParameters,
+	count: number,
+): number {
+	return parameters.moveWeight * count * parameters.loadMs * parameters.loadLoss
 }
 
 /** Returns the weighted benefit of a lower skew, in ms of the group's capacity. */
 export function skewBenefitMs(
-	terms: RebalanceParameters,
+	parameters: RebalanceParameters,
 	before: number,
 	after: number,
 ): number {
-	const layerShare = terms.expertShare / terms.layers
+	const layerShare = parameters.expertShare / parameters.layers
 	const savedShare =
-		(layerShare * (before - after)) / (1 + terms.expertShare * (before - 1))
-	return terms.skewWeight * savedShare * terms.horizonMs
+		(layerShare * (before - after)) /
+		(1 + parameters.expertShare * (before - 1))
+	return parameters.skewWeight * savedShare * parameters.horizonMs
 }
 
 /** Plans one layer; the list of loads is empty if no change pays off. */
@@ -84,12 +88,12 @@
 	current: LayerPlacement,
 	share: Float64Array,
 	layer: number,
-	terms: RebalanceParameters,
+	parameters: RebalanceParameters,
 ): LayerPlan {
 	const offset = layer * current.experts
 	const candidate = cloneLayer(current)
-	const loads = computeRankLoads(candidate, share, offset)
-	const skewBefore = computeSkew(loads)
+	const rankLoads = computeRankLoads(candidate, share, offset)
+	const skewBefore = computeSkew(rankLoads)
 	let best: LayerPlan = {
 		loads: [],
 		placement: current,
@@ -99,17 +103,17 @@
 		costMs: 0,
 	}
 	for (let step = 0; step < MAX_LOADS; step++) {
-		const change = findChange(candidate, share, offset, loads)
+		const change = findChange(candidate, share, offset, rankLoads)
 		if (!change) break
 		applyChange(candidate, change)
-		loads.set(computeRankLoads(candidate, share, offset))
+		rankLoads.set(computeRankLoads(candidate, share, offset))
 		const plan = describePlan(
 			current,
 			candidate,
 			layer,
 			skewBefore,
-			loads,
-			terms,
+			rankLoads,
+			parameters,
 		)
 		const isSignificant = skewBefore - plan.skewAfter >= MIN_GAIN
 		if (isSignificant && netBenefitMs(plan) > netBenefitMs(best))
@@ -129,7 +133,7 @@
 	layer: number,
 	skewBefore: number,
 	rankLoads: Float64Array,
-	terms: RebalanceParameters,
+	parameters: RebalanceParameters,
 ): LayerPlan {
 	const loads = listExpertLoads(current, candidate, layer)
 	const skewAfter = computeSkew(rankLoads)
@@ -138,8 +142,8 @@
 		placement: candidate,
 		skewBefore,
 		skewAfter,
-		benefitMs: skewBenefitMs(terms, skewBefore, skewAfter),
-		costMs: loadCostMs(terms, loads.length),
+		benefitMs: skewBenefitMs(parameters, skewBefore, skewAfter),
+		costMs: loadCostMs(parameters, loads.length),
 	}
 }
 
--- a/packages/core/src/core/rebalanceStep.ts
+++ b/packages/core/src/core/rebalanceStep.ts
@@ -108,23 +108,23 @@
 	offset: number,
 	loads: Float64Array,
 	slots: readonly SlotChange[],
-	sum: number,
+	startScore: number,
 ): number {
 	const mean = 1 / loads.length
 	const deltas = new Map<number, number>()
-	const addSigned = (expert: number, sign: 1 | -1) => {
+	const addExpertLoads = (expert: number, sign: 1 | -1) => {
 		if (expert !== EMPTY_SLOT)
 			addLoads(candidate, share[offset + expert]!, expert, sign, deltas)
 	}
 	const experts = new Set(slots.map(slot => slot.expert))
 	for (const { at } of slots) experts.add(candidate.slots[at]!)
-	for (const expert of experts) addSigned(expert, -1)
+	for (const expert of experts) addExpertLoads(expert, -1)
 	const previous = slots.map(({ at }) => candidate.slots[at]!)
 	applySlots(candidate, slots)
-	for (const expert of experts) addSigned(expert, 1)
+	for (const expert of experts) addExpertLoads(expert, 1)
 	for (const [index, { at }] of slots.entries())
 		setSlot(candidate, at, previous[index]!)
-	let after = sum
+	let after = startScore
 	for (const [rank, change] of deltas) {
 		const load = loads[rank]!
 		after += ((load + change) / mean) ** POWER - (load / mean) ** POWER
--- a/packages/core/src/core/requestLifecycle.ts
+++ b/packages/core/src/core/requestLifecycle.ts
@@ -46,7 +46,7 @@
 export type LifecycleEvent =
 	| { readonly type: 'routed' }
 	| { readonly type: 'noRoute'; readonly kind: ErrorKind }
-	/** The connection failed before a byte of the request left. */
+	/** The connection failed before a byte of the request was sent. */
 	| { readonly type: 'notSent'; readonly attempt: number }
 	| {
 			readonly type: 'refused'
@@ -120,7 +120,7 @@
 			return settleUnstarted(lifecycle, event.kind, 0)
 		case 'notSent':
 			if (lifecycle.state.at === 'answering') return resume(lifecycle, mayRetry)
-			return tryAgain(lifecycle, 'unreachable', 0, mayRetry)
+			return retryOrSettle(lifecycle, 'unreachable', 0, mayRetry)
 		case 'refused':
 			return onRefused(lifecycle, event.outcome, mayRetry)
 		case 'admitted':
@@ -132,7 +132,7 @@
 		case 'linkLost':
 			return onLinkLost(lifecycle, mayRetry)
 		case 'backendFailed':
-			return giveUpStarted(lifecycle, 'backendFailed', mayRetry)
+			return abandonAttempt(lifecycle, 'backendFailed', mayRetry)
 		case 'silent':
 			if (lifecycle.state.at !== 'offered') return []
 			lifecycle.state = { at: 'voiding', why: 'noAnswer' }
@@ -160,7 +160,7 @@
 		lifecycle.notRunProvable = true
 	// An attempt that is refused after its admission was shed from the queue.
 	if (outcome.outcome === 'notRun' && !lifecycle.answerStarted)
-		return tryAgain(lifecycle, kind, retryAfterMs, mayRetry)
+		return retryOrSettle(lifecycle, kind, retryAfterMs, mayRetry)
 	lifecycle.mayHaveRun = true
 	return settle(lifecycle, unknown(kind, retryAfterMs))
 }
@@ -206,7 +206,7 @@
 			if (!canRepeat(lifecycle, mayRetry)) return resume(lifecycle, mayRetry)
 			return [
 				cancelOf(lifecycle),
-				...giveUpStarted(lifecycle, 'linkLost', mayRetry),
+				...abandonAttempt(lifecycle, 'linkLost', mayRetry),
 			]
 		case 'routing':
 		case 'voiding':
@@ -226,12 +226,12 @@
 	const why = lifecycle.state.why
 	switch (answer) {
 		case 'void':
-			return tryAgain(lifecycle, why, 0, mayRetry)
+			return retryOrSettle(lifecycle, why, 0, mayRetry)
 		case 'started':
 			lifecycle.state = { at: 'answering', next: 0 }
 			return resume(lifecycle, mayRetry)
 		case 'unknown':
-			return giveUpStarted(lifecycle, why, mayRetry)
+			return abandonAttempt(lifecycle, why, mayRetry)
 		default:
 			return answer satisfies never
 	}
@@ -250,13 +250,16 @@
 	const from = lifecycle.state.at === 'answering' ? lifecycle.state.next : 0
 	lifecycle.state = { at: 'answering', next: from }
 	if (lifecycle.resumes >= MAX_RESUMES)
-		return giveUpStarted(lifecycle, 'truncated', mayRetry)
+		return abandonAttempt(lifecycle, 'truncated', mayRetry)
 	lifecycle.resumes++
 	return [{ do: 'resume', attempt: lifecycle.attempt, from }]
 }
 
-/** Starts another attempt; the current one is proved not to have run. */
-function tryAgain(
+/**
+ * Starts another attempt, or settles the request if none is allowed. The current attempt
+ * is proved not to have run.
+ */
+function retryOrSettle(
 	lifecycle: RequestLifecycle,
 	why: ErrorKind,
 	retryAfterMs: number,
@@ -268,8 +271,11 @@
 	return [{ do: 'route', why }]
 }
 
-/** Abandons the current attempt, which may have run. */
-function giveUpStarted(
+/**
+ * Abandons the current attempt, which may have run. Starts another if the request may be
+ * repeated; otherwise settles the request.
+ */
+function abandonAttempt(
 	lifecycle: RequestLifecycle,
 	why: ErrorKind,
 	mayRetry: boolean,
--- a/packages/core/src/core/routing.ts
+++ b/packages/core/src/core/routing.ts
@@ -54,7 +54,7 @@
 /** Half-life of the weight of a load report, ms. */
 const REPORT_HALF_LIFE_MS = 4_000
 /** Share of a request's service time that a cached prefix saves. */
-const CACHE_CREDIT = 0.7
+const CACHE_SAVING = 0.7
 
 /** Creates a table for `names`. */
 export function createServerTable(names: readonly string[]): ServerTable {
@@ -169,18 +169,19 @@
 export function estimateFinishMs(
 	table: ServerTable,
 	row: number,
-	credit: number,
+	cacheConfidence: number,
 	now: number,
 ): number {
 	const age = now - table.reportedAt[row]!
-	const trust = 0.5 ** (age / REPORT_HALF_LIFE_MS)
-	const load = table.reportedLoad[row]! * trust + table.sentSinceReport[row]!
+	const reportWeight = 0.5 ** (age / REPORT_HALF_LIFE_MS)
+	const load =
+		table.reportedLoad[row]! * reportWeight + table.sentSinceReport[row]!
 	const service = table.serviceMs[row]! || 1
 	const rounds = Math.max(0, load) / table.slots[row]!
-	const own = service * (1 - CACHE_CREDIT * credit)
+	const own = service * (1 - CACHE_SAVING * cacheConfidence)
 	// In a lock-step group, work on the slowest rank delays every rank.
-	const lockStep = table.group[row]! >= 0 ? table.stepShare[row]! ** 2 : 1
-	return (own + rounds * service) * lockStep
+	const lockStepFactor = table.group[row]! >= 0 ? table.stepShare[row]! ** 2 : 1
+	return (own + rounds * service) * lockStepFactor
 }
 
 /** Inputs for a selection. */
@@ -189,8 +190,9 @@
 	readonly rows: readonly number[]
 	/** Row to avoid if there is another one, or -1. */
 	readonly avoid: number
-	/** Row that has the request's prefix cached, or -1, and the cached share, 0 to 1. */
+	/** Row that likely has the request's prefix cached, or -1. */
 	readonly cachedRow: number
+	/** Confidence that it has, 0 to 1. */
 	readonly cacheConfidence: number
 }
 
@@ -214,8 +216,8 @@
 	let best = -1
 	let bestCost = Number.POSITIVE_INFINITY
 	for (const row of candidates) {
-		const credit = row === query.cachedRow ? query.cacheConfidence : 0
-		const cost = estimateFinishMs(table, row, credit, now)
+		const cacheConfidence = row === query.cachedRow ? query.cacheConfidence : 0
+		const cost = estimateFinishMs(table, row, cacheConfidence, now)
 		if (cost >= bestCost) continue
 		best = row
 		bestCost = cost
--- a/packages/core/src/core/serverList.ts
+++ b/packages/core/src/core/serverList.ts
@@ -15,7 +15,7 @@
  * ms: the record of one that has ended expires within this time.
  */
 const RETURN_DELAY_MS = 5_000
-/** Maximum removed incarnations remembered; the oldest are evicted. */
+/** Maximum removed incarnations retained; the oldest are evicted. */
 const MAX_REMOVED = 1_024
 
 /** Record published under a server's name. */
@@ -37,11 +37,11 @@
 	readonly pendingRemovals: Map<string, { record: ServerRecord; until: number }>
 	/** Ids of incarnations whose address is known to belong to another server now. */
 	readonly displaced: Set<string>
-	/** Ids of incarnations over for good: they announced it, or another one followed. */
+	/** Ids of incarnations that announced their departure or were replaced by another one. */
 	readonly departed: Set<string>
 	/** Ids of incarnations whose record was removed without notice; the oldest first. */
 	readonly removed: Set<string>
-	/** Records of those in a restored source, and when they take effect, ms. */
+	/** Removed incarnations that a restored source lists again, by name; see `RETURN_DELAY_MS`. */
 	readonly pendingReturns: Map<string, { record: ServerRecord; until: number }>
 	/** Latest revision among all records received. */
 	revision: TermRevision
@@ -79,7 +79,7 @@
 export function applyRecord(list: ServerList, record: ServerRecord): boolean {
 	const known = list.records.get(record.name)
 	if (known && !isLater(record.revision, known.revision)) return false
-	// Also for a record that is ignored below; otherwise it would be requested for ever.
+	// Also updated for a record that is ignored below, or it would be pulled for ever.
 	list.revision = laterOf(list.revision, record.revision)
 	const { server } = record
 	// An incarnation that has left does not come back.
@@ -93,7 +93,7 @@
 	return true
 }
 
-/** Remembers the incarnation that a record replaces or removes. */
+/** Records as departed or removed the incarnation that a record replaces or removes. */
 function retireFormer(
 	list: ServerList,
 	known: ServerRecord,
@@ -121,9 +121,10 @@
 	now: number,
 ): boolean {
 	const { name, server, revision } = record
-	const before = list.records.get(name)?.revision.term ?? 0
-	const mayBeOver = server && list.removed.has(server.id)
-	if (!mayBeOver || before >= revision.term) return applyRecord(list, record)
+	const knownTerm = list.records.get(name)?.revision.term ?? 0
+	const mayHaveEnded = server && list.removed.has(server.id)
+	if (!mayHaveEnded || knownTerm >= revision.term)
+		return applyRecord(list, record)
 	list.revision = laterOf(list.revision, revision)
 	list.pendingReturns.set(name, { record, until: now + RETURN_DELAY_MS })
 	return false
--- a/packages/core/src/core/serverUpdates.ts
+++ b/packages/core/src/core/serverUpdates.ts
@@ -83,9 +83,9 @@
 	updates: readonly T[],
 	now: number,
 ): T[] {
-	const fresh = mergeEvidence(state, updates, now)
+	const newEvidence = mergeEvidence(state, updates, now)
 	return updates
-		.filter(one => fresh.has(one) || mergeOne(state, one, now))
+		.filter(one => newEvidence.has(one) || mergeUpdate(state, one, now))
 		.map(one => withFullEvidence(state, one))
 }
 
@@ -98,8 +98,8 @@
 	const ends = updates.filter(one => one.kind === 'end')
 	const served = updates.filter(one => one.kind === 'served')
 	if (ends.length + served.length === 0) return new Set()
-	const fresh = mergeCrashEvidence(quarantine, { ends, served }, now)
-	return new Set([...fresh.ends, ...fresh.served])
+	const merged = mergeCrashEvidence(quarantine, { ends, served }, now)
+	return new Set([...merged.ends, ...merged.served])
 }
 
 function withFullEvidence<T extends ServerUpdate>(
@@ -110,7 +110,7 @@
 	return { ...update, ...quarantine.crashes.get(update.server) }
 }
 
-function mergeOne(
+function mergeUpdate(
 	state: SharedState,
 	update: ServerUpdate,
 	now: number,
--- a/packages/core/src/core/startLimits.ts
+++ b/packages/core/src/core/startLimits.ts
@@ -15,8 +15,8 @@
 
 /** The agent is the only sender, so the whole rate is its share. */
 const SINGLE_SENDER = { reachable: 1, known: 1, index: 0 }
-/** Request for one permit, for immediate use. */
-const ONE_NOW = { count: 1, withinMs: 0 }
+/** Request for one permit that is usable now. */
+const ONE_PERMIT_NOW = { count: 1, withinMs: 0 }
 
 /** Applies a backoff that the server has requested; a longer one in effect is kept. */
 export function applyBackoff(
@@ -62,7 +62,9 @@
 
 function acquirePermit(limit: StartLimit, now: number): boolean {
 	const schedule = permitScheduleFor(limit.perSecond, SINGLE_SENDER)
-	return grantPermits(limit.pool, schedule, ONE_NOW, now).dueMs.length > 0
+	return (
+		grantPermits(limit.pool, schedule, ONE_PERMIT_NOW, now).dueMs.length > 0
+	)
 }
 
 /** Delay of a start by a backoff or rate limit, whether or not a slot is free. */
--- a/packages/core/src/core/teamLimits.ts
+++ b/packages/core/src/core/teamLimits.ts
@@ -1,9 +1,9 @@
 /**
  * Team limits on concurrency, request rate and token rate, enforced across all entries.
  * Where a limit is large enough, it is divided and each entry enforces its own share.
- * Smaller limits are enforced by one entry for all, the team home, which the others
- * ask for admission. Dividing a limit of only a few requests per entry would not work:
- * rounded up the shares exceed the limit, rounded down some entries get nothing.
+ * Smaller limits are enforced by one entry for all, the team home, from which the others
+ * request admission. Dividing a limit of only a few requests per entry would not work:
+ * rounded up, the shares exceed the limit; rounded down, some entries get nothing.
  */
 
 import type { ErrorKind, NotRun, TeamConfig, TokenBucket } from '../internal.ts'
@@ -106,13 +106,13 @@
 	const fraction = 1 / share.count
 	const row = teamRow(table, team, limit, fraction, now)
 	// At least one, so that an entry keeps serving while the team home does not answer.
-	const maxRunning = Math.max(1, integerShare(limit.concurrency, share))
+	const maxInFlight = Math.max(1, integerShare(limit.concurrency, share))
 	const refusal = admit(
 		row,
 		limit,
 		fraction,
 		row.inFlight,
-		maxRunning,
+		maxInFlight,
 		tokens,
 		now,
 	)
@@ -157,7 +157,7 @@
 	now: number,
 ): number {
 	const row = teamRow(table, team, limit, 1, now)
-	row.reportedToTeamHome = countOwn(row)
+	row.reportedToTeamHome = countOwnInFlight(row)
 	row.isReportedByRequest = true
 	row.pendingAtTeamHome++
 	return row.reportedToTeamHome
@@ -187,11 +187,11 @@
 	table: LimitTable,
 	team: string,
 	entry: string,
-	held: number,
+	inFlight: number,
 ): void {
 	const row = table.get(team)
 	if (!row) return
-	if (held > 0) row.inFlightElsewhere.set(entry, held)
+	if (inFlight > 0) row.inFlightElsewhere.set(entry, inFlight)
 	else row.inFlightElsewhere.delete(entry)
 }
 
@@ -199,20 +199,24 @@
 export function reportTeamInFlight(table: LimitTable, team: string): number {
 	const row = table.get(team)
 	if (!row) return 0
-	row.reportedToTeamHome = countOwn(row)
+	row.reportedToTeamHome = countOwnInFlight(row)
 	row.isReportedByRequest = false
 	return row.reportedToTeamHome
 }
 
-/** Drops counts of entries that are gone, and of teams with another team home. */
+/**
+ * Removes the counts of entries that are no longer live, and those of teams whose team
+ * home is another entry.
+ */
 export function pruneInFlightElsewhere(
 	table: LimitTable,
 	entries: ReadonlySet<string>,
-	isHome: (team: string) => boolean,
+	isTeamHome: (team: string) => boolean,
 ): void {
 	for (const [team, { inFlightElsewhere }] of table)
 		for (const entry of inFlightElsewhere.keys())
-			if (!entries.has(entry) || !isHome(team)) inFlightElsewhere.delete(entry)
+			if (!entries.has(entry) || !isTeamHome(team))
+				inFlightElsewhere.delete(entry)
 }
 
 /** Records that an admitted request has ended. */
@@ -221,13 +225,13 @@
 	if (row) row.inFlight--
 }
 
-function countOwn({ inFlight, pendingAtTeamHome }: TeamRow): number {
+function countOwnInFlight({ inFlight, pendingAtTeamHome }: TeamRow): number {
 	return inFlight + pendingAtTeamHome
 }
 
-function countRunning({ inFlight, inFlightElsewhere }: TeamRow): number {
+function countAllInFlight({ inFlight, inFlightElsewhere }: TeamRow): number {
 	return [...inFlightElsewhere.values()].reduce(
-		(sum, held) => sum + held,
+		(sum, count) => sum + count,
 		inFlight,
 	)
 }
@@ -267,7 +271,7 @@
 	now: number,
 ): NotRun | undefined {
 	const { concurrency } = limit
-	return admit(row, limit, 1, countRunning(row), concurrency, tokens, now)
+	return admit(row, limit, 1, countAllInFlight(row), concurrency, tokens, now)
 }
 
 /** Takes a request from both buckets, or returns a refusal with its waiting time. */
@@ -275,12 +279,12 @@
 	row: TeamRow,
 	limit: TeamConfig,
 	fraction: number,
-	running: number,
-	maxRunning: number,
+	inFlight: number,
+	maxInFlight: number,
 	tokens: number,
 	now: number,
 ): NotRun | undefined {
-	if (running >= maxRunning)
+	if (inFlight >= maxInFlight)
 		return notRun('teamConcurrency', CONCURRENCY_RETRY_MS)
 	const wait = refillAndGetWaitMs(
 		row.requests,
--- a/packages/core/src/core/tokenBucket.ts
+++ b/packages/core/src/core/tokenBucket.ts
@@ -16,7 +16,7 @@
 	return { level: capacityOf(rate), refilledAt: now }
 }
 
-/** Refills the bucket up to `now`; returns the time until `amount` may be taken, ms. */
+/** Refills the bucket as of `now` and returns the time until `amount` may be taken, ms. */
 export function refillAndGetWaitMs(
 	bucket: TokenBucket,
 	rate: number,
--- a/packages/core/src/types/admission.ts
+++ b/packages/core/src/types/admission.ts
@@ -73,8 +73,9 @@
 	  }
 	/** The backend server accepted a request that was started at `startedAt`, ms. */
 	| { readonly type: 'taken'; readonly startedAt: number }
-	/** The backend server is leaving, or its next incarnation has started. */
+	/** The backend server has announced that it is leaving. */
 	| { readonly type: 'serverLeaves' }
+	/** The next incarnation of the backend server has started. */
 	| { readonly type: 'serverStarts' }
 	| { readonly type: 'tick' }
 
@@ -128,7 +129,7 @@
 export interface StartLimit {
 	/** Requests per second. */
 	readonly perSecond: number
-	/** When the limit was learned, ms. */
+	/** When the limit was received, ms. */
 	readonly since: number
 	readonly pool: PermitPool
 }
@@ -141,7 +142,9 @@
 	slots: number
 	/** `suspect`: the ranks of its group have been seen with different expert maps. */
 	mode: 'serving' | 'leaving' | 'suspect'
+	/** Time of the last event. */
 	lastEventAt: Moment
+	/** When the last pause of this process ended, ms. */
 	pauseEndedAt: number
 	/** End of the backoff; no request is started earlier. */
 	backoffUntil: number
--- a/packages/core/test/decisions.test.ts
+++ b/packages/core/test/decisions.test.ts
@@ -266,7 +266,7 @@
 	assert.ok(Math.abs((found?.credit ?? 0) - 0.5) < 0.01)
 })
 
-test('key home: a server is the home of a moved key only since the move', () => {
+test('key home: a server is the key home of a moved key only since the move', () => {
 	const history: Parameters<typeof recordServerSet>[0] = []
 	recordServerSet(history, ['a', 'b'], 1_000)
 	recordServerSet(history, ['b', 'a'], 2_000)
--- a/packages/core/test/dispatch.test.ts
+++ b/packages/core/test/dispatch.test.ts
@@ -224,11 +224,8 @@
 			table.sentSinceReport[choice.row]!++
 			if (choice.row < 4) atFirst++
 		}
-		const [least, most] = first
-		assert.ok(
-			atFirst >= least && atFirst <= most,
-			`${atFirst} at the first group`,
-		)
+		const [min, max] = first
+		assert.ok(atFirst >= min && atFirst <= max, `${atFirst} at the first group`)
 	})
 
 test('a closed group gets one probe at a time', () => {
--- a/packages/core/test/gossip.test.ts
+++ b/packages/core/test/gossip.test.ts
@@ -127,7 +127,7 @@
 	assert.ok(net.reversals > 0)
 })
 
-test('gossip: a revision spreads when the platform fails after one reader has read it', () => {
+test('gossip: a revision reaches every node if the platform fails after one reader has read it', () => {
 	const net = createNet(BASE)
 	measurePropagation(net, 1, 30_000)
 	publishChange(net, 2)
--- a/packages/core/test/groupReopening.test.ts
+++ b/packages/core/test/groupReopening.test.ts
@@ -1,11 +1,11 @@
 /**
- * Groups reopen while requests wait at all entries, as in the second after a complete
- * standstill. Each entry dispatches its waiting requests at once, without knowing what the
- * others send until the next load exchange. Guards against requests piling up on the same
- * ranks: a request queued behind a rank's slots waits for a stream to end, at least
- * 1.4 s, and callers leave after 2 s. 64 ranks of 7 slots in two groups, 16 entries and
- * about 420 requests are those of a service that stood still for 2.3 s at 157 requests
- * per second, with callers who retry. No network is involved.
+ * Groups reopen while requests wait at all entries, as in the second after a blockage of
+ * the whole service. Each entry dispatches its waiting requests at once, without knowing
+ * what the others send until the next load exchange. Guards against requests that pile up
+ * on the same ranks: a request queued behind a rank's slots waits for a stream to end, at
+ * least 1.4 s, and callers abandon requests after 2 s. The numbers (64 ranks of 7 slots in
+ * two groups, 16 entries, about 420 requests) are those of a service that was blocked for
+ * 2.3 s at 157 requests per second, with callers who retry. No network is involved.
  */
 
 import { test } from 'uvu'
@@ -70,9 +70,9 @@
 ]
 
 /**
- * Returns the requests queued behind the slots of ranks, and those kept at entries. An
- * entry that does not estimate the unreported load of the others assumes that their
- * servers are as empty as last reported.
+ * Returns the requests queued behind the slots of ranks, and those still waiting at
+ * entries. An entry that does not estimate the unreported load of the others assumes that
+ * their servers are as empty as last reported.
  */
 function simulate(scenario: Scenario, isEstimating: boolean, seed: number) {
 	const { entries, waitingAt, openGroups } = scenario
@@ -87,7 +87,7 @@
 		perSecond: waitingAt(at) / 2,
 	}))
 	const sentTo = new Array<number>(RANKS).fill(0)
-	let kept = 0
+	let stillWaiting = 0
 	for (const [at, own] of demand.entries()) {
 		const others = demand.filter(one => one !== own)
 		const assigned = new Set(assignServers(own, others, servers))
@@ -115,7 +115,7 @@
 			const unreportedSends = isEstimating ? sent : 0
 			const choice = chooseRow(table, { ...query, unreportedSends }, 0, random)
 			if (choice.kind !== 'row') {
-				kept += waitingAt(at) - sent
+				stillWaiting += waitingAt(at) - sent
 				break
 			}
 			table.sentSinceReport[choice.row]!++
@@ -123,14 +123,14 @@
 		}
 	}
 	const queued = sentTo.reduce((sum, one) => sum + Math.max(0, one - SLOTS), 0)
-	return { queued, kept }
+	return { queued, stillWaiting }
 }
 
 for (const scenario of SCENARIOS)
 	test(`requests waiting when groups reopen: ${scenario.name}`, () => {
 		const sum = (isEstimating: boolean) =>
 			SEEDS.reduce(
-				(so, seed) => so + simulate(scenario, isEstimating, seed).queued,
+				(total, seed) => total + simulate(scenario, isEstimating, seed).queued,
 				0,
 			)
 		const queued = sum(true)
--- a/packages/core/test/models/lifecycleModel.ts
+++ b/packages/core/test/models/lifecycleModel.ts
@@ -1,7 +1,7 @@
 /**
- * Model of one booking, requested at up to two entries with the same key. Its home agent
- * may pause, restart or leave; links may lose, duplicate and delay messages. The model
- * explores the same functions that the daemons run.
+ * Model of one request, such as a booking, sent to up to two entries with the same key.
+ * The agent that is its key home may pause, restart or leave; links may lose, duplicate
+ * and delay messages. The model explores the same functions that the daemons run.
  */
 
 import type {
@@ -73,7 +73,7 @@
 	const events: LifecycleModelEvent[] = []
 	for (const [entry, isRequested] of state.requested.entries()) {
 		if (!isRequested) {
-			events.push({ do: 'ask', entry })
+			events.push({ do: 'request', entry })
 			break
 		}
 		const { at } = state.lifecycles[entry]!.state
@@ -105,7 +105,7 @@
 	const draft: Draft = { state: structuredClone(before), bounds, mutant }
 	const { state } = draft
 	switch (event.do) {
-		case 'ask':
+		case 'request':
 			state.requested[event.entry] = true
 			sendOffer(draft, event.entry)
 			break
--- a/packages/core/test/models/lifecycleModelLinks.ts
+++ b/packages/core/test/models/lifecycleModelLinks.ts
@@ -1,4 +1,4 @@
-/** Links between the entries and the home agent in the request lifecycle model. */
+/** Links between the entries and the key home in the request lifecycle model. */
 
 import type { AttemptName } from '../../src/index.ts'
 import type {
--- a/packages/core/test/models/lifecycleModelState.ts
+++ b/packages/core/test/models/lifecycleModelState.ts
@@ -97,7 +97,7 @@
 
 /** An event of the model. */
 export type LifecycleModelEvent =
-	| { readonly do: 'ask'; readonly entry: number }
+	| { readonly do: 'request'; readonly entry: number }
 	| {
 			readonly do: 'deliver'
 			readonly message: string
@@ -113,7 +113,7 @@
 export const CHUNKS = 1
 export const KEY = 'team/huts/key'
 export const KEY_WALL = 1_000_000
-/** The first agent starts long before the booking is made. */
+/** The first agent has started long before the request is sent. */
 export const BORN_WALL = KEY_WALL - 10 * MAX_CLOCK_SKEW_MS
 export const AMPLE_MS = 1e9
 
--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -90,12 +90,12 @@
 			events.push({ do: 'timeout', coordinator })
 	}
 	for (const message of state.messages)
-		for (const replyFate of ['prompt', 'lost', 'late'] as const)
+		for (const replyDelivery of ['prompt', 'lost', 'late'] as const)
 			for (const again of [false, true]) {
-				if (replyFate === 'lost' && state.losses >= bounds.losses) continue
-				if (replyFate === 'late' && state.late >= bounds.late) continue
+				if (replyDelivery === 'lost' && state.losses >= bounds.losses) continue
+				if (replyDelivery === 'late' && state.late >= bounds.late) continue
 				if (again && state.duplicates >= bounds.duplicates) continue
-				events.push({ do: 'deliver', message, replyFate, again })
+				events.push({ do: 'deliver', message, replyDelivery, again })
 			}
 	for (const index of state.lateReplies.keys())
 		events.push({ do: 'lateReply', index })
@@ -212,11 +212,11 @@
 		ranks,
 		messages,
 		duplicates: state.duplicates + (event.again ? 1 : 0),
-		losses: state.losses + (event.replyFate === 'lost' ? 1 : 0),
-		late: state.late + (event.replyFate === 'late' ? 1 : 0),
+		losses: state.losses + (event.replyDelivery === 'lost' ? 1 : 0),
+		late: state.late + (event.replyDelivery === 'late' ? 1 : 0),
 	}
-	if (event.replyFate === 'lost') return next
-	if (event.replyFate === 'late') {
+	if (event.replyDelivery === 'lost') return next
+	if (event.replyDelivery === 'late') {
 		const lateReply: LateReply = { rank: message.to, at: message.from, reply }
 		return { ...next, lateReplies: [...state.lateReplies, lateReply] }
 	}
--- a/packages/core/test/models/mapModelState.ts
+++ b/packages/core/test/models/mapModelState.ts
@@ -84,7 +84,7 @@
 	| {
 			readonly do: 'deliver'
 			readonly message: string
-			readonly replyFate: 'prompt' | 'lost' | 'late'
+			readonly replyDelivery: 'prompt' | 'lost' | 'late'
 			/** Whether the message stays in flight, to be delivered again. */
 			readonly again: boolean
 	  }
--- a/packages/core/test/models/permitNet.ts
+++ b/packages/core/test/models/permitNet.ts
@@ -298,13 +298,13 @@
 }
 
 function checkMembership(sim: Simulation, entry: Entry): void {
-	const { membership: roster, address } = entry
-	if (!updateEntryMembership(roster, address, () => true, sim.now)) return
-	if (homeOf(entry) !== address) entry.pool = undefined
+	const { membership, address } = entry
+	if (!updateEntryMembership(membership, address, () => true, sim.now)) return
+	if (permitHomeOf(entry) !== address) entry.pool = undefined
 }
 
-function homeOf({ membership: roster }: Entry): string {
-	return findPermitHome(SERVER, roster.reachable)!
+function permitHomeOf({ membership }: Entry): string {
+	return findPermitHome(SERVER, membership.reachable)!
 }
 
 function grant(
@@ -313,16 +313,16 @@
 	perSecond: number,
 	request: PermitRequest,
 ): PermitGrant {
-	const { membership: roster } = entry
+	const { membership } = entry
 	entry.pool ??= createPermitPool()
-	const permitSchedule = permitScheduleFor(perSecond, roster.count)
+	const permitSchedule = permitScheduleFor(perSecond, membership.count)
 	return grantPermits(entry.pool, permitSchedule, request, sim.now)
 }
 
 function scheduleArrival(sim: Simulation): void {
 	const { demand, firstEntryShare, entries } = sim.scenario
-	const gapMs = (-Math.log(1 - sim.random()) * 1_000) / demand
-	schedule(sim, sim.now + gapMs, () => {
+	const intervalMs = (-Math.log(1 - sim.random()) * 1_000) / demand
+	schedule(sim, sim.now + intervalMs, () => {
 		const isFirst = sim.random() < firstEntryShare
 		const at = isFirst ? 0 : Math.floor(sim.random() * entries)
 		arrive(sim, sim.entries[at]!)
@@ -345,9 +345,9 @@
 function requestPermit(sim: Simulation, entry: Entry, perSecond: number): void {
 	const { held } = entry
 	if (!shouldRequestPermits(held, 0, sim.now)) return
-	const home = homeOf(entry)
+	const permitHome = permitHomeOf(entry)
 	const request = { count: 1, withinMs: 0 }
-	if (home === entry.address) {
+	if (permitHome === entry.address) {
 		addGrantedPermits(
 			held,
 			perSecond,
@@ -365,13 +365,13 @@
 	schedule(sim, sim.now + REQUEST_TIMEOUT_MS, () => {
 		if (held.isRequestPending) finish()
 	})
-	const other = sim.entries.find(one => one.address === home)!
+	const other = sim.entries.find(one => one.address === permitHome)!
 	if (!isUp(sim, other)) return
 	deliver(sim, entry, other, () => {
-		const isHome = homeOf(other) === other.address
+		const isPermitHome = permitHomeOf(other) === other.address
 		const limit = rateLimitOf(other.limits, SERVER)
 		const permits =
-			isHome && limit !== undefined
+			isPermitHome && limit !== undefined
 				? grant(sim, other, limit, request)
 				: undefined
 		deliver(sim, other, entry, () => {
--- a/packages/core/test/models/quarantineNet.ts
+++ b/packages/core/test/models/quarantineNet.ts
@@ -111,27 +111,27 @@
 	received: CrashEvidence,
 	now: number,
 ): void {
-	const fresh = mergeCrashEvidence(sim.quarantines[entry]!, received, now)
-	if (fresh.ends.length === 0) return
+	const newEvidence = mergeCrashEvidence(sim.quarantines[entry]!, received, now)
+	if (newEvidence.ends.length === 0) return
 	for (let other = 0; other < scenario.entries; other++) {
 		if (other === entry) continue
 		const latencyMs = UPDATE_DELAY_MS + sim.random() * LATENCY_MS
 		const isLost = sim.random() < scenario.lossRate
 		const at = now + (isLost ? RECONNECT_MS : latencyMs)
-		schedule(sim, at, () => receive(sim, scenario, other, fresh, at))
+		schedule(sim, at, () => receive(sim, scenario, other, newEvidence, at))
 	}
 }
 
 /** Restarts an entry without its state; each other one then sends it all evidence. */
 function restart(sim: Simulation, entry: number, now: number): void {
 	const { quarantines } = sim
-	const fresh = createQuarantine()
-	quarantines[entry] = fresh
+	const restarted = createQuarantine()
+	quarantines[entry] = restarted
 	for (const other of quarantines) {
-		if (other === fresh) continue
+		if (other === restarted) continue
 		const at = now + RECONNECT_MS * sim.random()
 		schedule(sim, at, () =>
-			mergeCrashEvidence(fresh, listCrashEvidence(other), at),
+			mergeCrashEvidence(restarted, listCrashEvidence(other), at),
 		)
 	}
 }
--- a/packages/core/test/models/storeRollback.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -169,7 +169,7 @@
 		.sort()
 }
 
-function occurs({ random }: Net, perSecond: number): boolean {
+function occursNow({ random }: Net, perSecond: number): boolean {
 	return random() < (perSecond * STEP_MS) / SECOND_MS
 }
 
@@ -179,12 +179,12 @@
 
 function injectEvents(net: Net): void {
 	const { rollbacks, partitions, restarts, changes } = net.scenario.perSecond
-	if (occurs(net, rollbacks)) rollBack(net)
-	if (occurs(net, partitions))
+	if (occursNow(net, rollbacks)) rollBack(net)
+	if (occursNow(net, partitions))
 		pickOne(net, net.entries).partitionedUntil = net.now + net.random() * 4_000
-	if (occurs(net, restarts))
+	if (occursNow(net, restarts))
 		Object.assign(pickOne(net, net.entries), createEntry(net.now))
-	if (occurs(net, changes)) changeEngine(net)
+	if (occursNow(net, changes)) changeEngine(net)
 }
 
 function changeEngine(net: Net): void {
@@ -355,7 +355,7 @@
 	else applyRecord(list, record)
 }
 
-/** Sends another entry the records it lacks, and the departed incarnations. */
+/** Sends another entry the records newer than its list, and the departed incarnations. */
 function sendUpdates({ now }: Net, from: Entry, to: Entry): void {
 	const after = to.list.revision
 	const newer = [...from.list.records.values()].filter(record =>
--- a/packages/core/test/models/teamNet.ts
+++ b/packages/core/test/models/teamNet.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates entries that enforce a team's limit together, in virtual time: the real
- * decisions, and messages that are delayed, lost, or unanswered because the team home is
- * gone.
+ * decisions, and messages that are delayed, lost, or unanswered because the team home
+ * has stopped.
  */
 
 import type { LimitTable, TeamConfig } from '../../src/index.ts'
@@ -85,22 +85,22 @@
 	// Messages on a link arrive in the order in which they were sent.
 	const arrivals = new Map<string, number>()
 	const send = (from: string, to: string, run: () => void) => {
-		const [least, most] = LATENCY_MS
+		const [minMs, maxMs] = LATENCY_MS
 		const link = `${from} ${to}`
-		const earliest = now + least + random() * (most - least)
+		const earliest = now + minMs + random() * (maxMs - minMs)
 		const at = Math.max(earliest, arrivals.get(link) ?? 0)
 		arrivals.set(link, at)
 		if (random() >= scenario.lossRate) after(at - now, run)
 	}
 
 	function report(entry: Entry): void {
-		const home = findTeamHome(TEAM, entry.names)!
+		const teamHome = findTeamHome(TEAM, entry.names)!
 		const held = reportTeamInFlight(entry.limits, TEAM)
-		if (home === entry.name) return
-		send(entry.name, home, () => {
-			const homeEntry = byName.get(home)
-			if (homeEntry)
-				recordTeamInFlight(homeEntry.limits, TEAM, entry.name, held)
+		if (teamHome === entry.name) return
+		send(entry.name, teamHome, () => {
+			const teamHomeEntry = byName.get(teamHome)
+			if (teamHomeEntry)
+				recordTeamInFlight(teamHomeEntry.limits, TEAM, entry.name, held)
 		})
 	}
 
@@ -118,7 +118,7 @@
 			begin(entry)
 	}
 
-	function askHome(entry: Entry, home: string): void {
+	function requestAdmission(entry: Entry, teamHome: string): void {
 		const held = beginTeamHomeAdmission(entry.limits, TEAM, limit, now)
 		let isOver = false
 		const settle = (then: () => void) => {
@@ -133,12 +133,18 @@
 				admitLocally(entry)
 			}),
 		)
-		send(entry.name, home, () => {
-			const homeEntry = byName.get(home)
-			if (!homeEntry) return
+		send(entry.name, teamHome, () => {
+			const teamHomeEntry = byName.get(teamHome)
+			if (!teamHomeEntry) return
 			const request = { entry: entry.name, held, tokens }
-			const refusal = admitForEntry(homeEntry.limits, TEAM, limit, request, now)
-			send(home, entry.name, () =>
+			const refusal = admitForEntry(
+				teamHomeEntry.limits,
+				TEAM,
+				limit,
+				request,
+				now,
+			)
+			send(teamHome, entry.name, () =>
 				settle(() => {
 					if (endTeamHomeAdmission(entry.limits, TEAM, !refusal)) report(entry)
 					if (!refusal) begin(entry)
@@ -148,21 +154,21 @@
 	}
 
 	function receive(entry: Entry): void {
-		const home = findTeamHome(TEAM, entry.names)!
+		const teamHome = findTeamHome(TEAM, entry.names)!
 		if (!isEnforcedAtTeamHome(limit, entry.names.length)) admitLocally(entry)
-		else if (home !== entry.name) askHome(entry, home)
+		else if (teamHome !== entry.name) requestAdmission(entry, teamHome)
 		else if (!admitAtTeamHome(entry.limits, TEAM, limit, tokens, now))
 			begin(entry)
 	}
 
-	function stopHome(): void {
-		const home = findTeamHome(TEAM, names)!
-		byName.delete(home)
-		const left = names.filter(name => name !== home)
+	function stopTeamHome(): void {
+		const teamHome = findTeamHome(TEAM, names)!
+		byName.delete(teamHome)
+		const remaining = names.filter(name => name !== teamHome)
 		for (const entry of byName.values()) {
-			entry.names = left
-			const isHome = () => findTeamHome(TEAM, left) === entry.name
-			pruneInFlightElsewhere(entry.limits, new Set(left), isHome)
+			entry.names = remaining
+			const isTeamHome = () => findTeamHome(TEAM, remaining) === entry.name
+			pruneInFlightElsewhere(entry.limits, new Set(remaining), isTeamHome)
 		}
 	}
 
@@ -185,7 +191,7 @@
 			},
 		})
 	if (scenario.teamHomeStopsAt !== undefined)
-		queue.push({ at: scenario.teamHomeStopsAt, run: stopHome })
+		queue.push({ at: scenario.teamHomeStopsAt, run: stopTeamHome })
 	runAll(queue, at => {
 		now = at
 	})
--- a/packages/core/test/permitNet.test.ts
+++ b/packages/core/test/permitNet.test.ts
@@ -31,18 +31,18 @@
 
 /** Returns the largest number of sends in any window while the limit must be met. */
 function maxPerWindow(sends: readonly PermitSend[]): number {
-	const judged = sends
+	const measured = sends
 		.filter(
 			({ at }) => at >= ANNOUNCED_FROM + CONVERGENCE_MS && at < ANNOUNCED_TO,
 		)
 		.map(({ at }) => at)
-	let most = 0
+	let maxCount = 0
 	let first = 0
-	for (const [last, at] of judged.entries()) {
-		while (judged[first]! <= at - WINDOW_MS) first++
-		most = Math.max(most, last - first + 1)
+	for (const [last, at] of measured.entries()) {
+		while (measured[first]! <= at - WINDOW_MS) first++
+		maxCount = Math.max(maxCount, last - first + 1)
 	}
-	return most
+	return maxCount
 }
 
 function countBetween(
@@ -70,14 +70,14 @@
 						seed,
 					})
 					const allowed = 1.5 * perSecond * 4 + 5
-					const most = maxPerWindow(sends)
-					assert.ok(most <= allowed, `seed ${seed}: ${most} of ${allowed}`)
+					const count = maxPerWindow(sends)
+					assert.ok(count <= allowed, `seed ${seed}: ${count} of ${allowed}`)
 					const from = ANNOUNCED_FROM + CONVERGENCE_MS
 					const used = countBetween(sends, from, ANNOUNCED_TO)
-					const given = (perSecond * (ANNOUNCED_TO - from)) / 1_000
+					const granted = (perSecond * (ANNOUNCED_TO - from)) / 1_000
 					// Rounded down, since one request is a large share of a few.
-					const least = Math.floor(MIN_USED_SHARE * given)
-					assert.ok(used >= least, `seed ${seed}: ${used} of ${given} used`)
+					const minUsed = Math.floor(MIN_USED_SHARE * granted)
+					assert.ok(used >= minUsed, `seed ${seed}: ${used} of ${granted} used`)
 				}
 			})
 
@@ -147,8 +147,8 @@
 				})
 				// An entry without links learns of the limit only from its first answer.
 				const known = sends.filter(({ knownSince }) => knownSince !== undefined)
-				const most = maxPerWindow(known)
-				assert.ok(most <= 11, `seed ${seed}: ${most} of 11`)
+				const count = maxPerWindow(known)
+				assert.ok(count <= 11, `seed ${seed}: ${count} of 11`)
 			}
 		})
 
@@ -184,9 +184,9 @@
 					seed,
 				})
 				const known = sends.filter(({ knownSince }) => knownSince !== undefined)
-				const most = maxPerWindow(known)
+				const count = maxPerWindow(known)
 				const allowed = 1.5 * perSecond * 4 + 5
-				assert.ok(most <= allowed, `seed ${seed}: ${most} of ${allowed}`)
+				assert.ok(count <= allowed, `seed ${seed}: ${count} of ${allowed}`)
 			}
 		})
 
@@ -196,10 +196,10 @@
 			const sends = simulatePermits({ ...SCENARIO, entries, seed })
 			const from = ANNOUNCED_TO + LIMIT_END_MS
 			const after = countBetween(sends, from, ENDS_AT)
-			const asked = (SCENARIO.demand * (ENDS_AT - from)) / 1_000
+			const requested = (SCENARIO.demand * (ENDS_AT - from)) / 1_000
 			assert.ok(
-				after > 0.8 * asked,
-				`${entries}, ${seed}: ${after} of ${asked}`,
+				after > 0.8 * requested,
+				`${entries}, ${seed}: ${after} of ${requested}`,
 			)
 		}
 })
--- a/packages/core/test/quarantine.test.ts
+++ b/packages/core/test/quarantine.test.ts
@@ -238,11 +238,11 @@
 	const quarantine = createQuarantine()
 	record(quarantine, ['a', 0, { bad: 40 }], ['b', 4_000, { bad: 40 }])
 	for (let at = 0; at < 1_000; at++) {
-		const crowd = Array.from({ length: 50 }, (_, one) => [`x${at}-${one}`, 5])
+		const others = Array.from({ length: 50 }, (_, one) => [`x${at}-${one}`, 5])
 		record(quarantine, [
 			`s${at}`,
 			10_000 + at * 1_000,
-			Object.fromEntries(crowd),
+			Object.fromEntries(others),
 		])
 	}
 	assert.ok(quarantine.crashes.size <= 256)
--- a/packages/core/test/quarantineNet.test.ts
+++ b/packages/core/test/quarantineNet.test.ts
@@ -57,8 +57,8 @@
 		for (let seed = 1; seed <= SEEDS; seed++) {
 			const scenario = { entries, arrivals, lossRate, restarts, seed }
 			const { crashes, sends } = simulateQuarantine(scenario)
-			const judgedFrom = (crashes[2] ?? DURATION_MS) + CONVERGENCE_MS
-			const late = sends.filter(at => at > judgedFrom).length
+			const convergedBy = (crashes[2] ?? DURATION_MS) + CONVERGENCE_MS
+			const late = sends.filter(at => at > convergedBy).length
 			assert.ok(
 				late <= MAX_LATE_SENDS,
 				`seed ${seed}: ${late} late sends, ${crashes.length} crashes`,
--- a/packages/core/test/retryAfter.test.ts
+++ b/packages/core/test/retryAfter.test.ts
@@ -16,38 +16,38 @@
 	scheduleRetryAfter,
 } from '../src/index.ts'
 
-const OUTAGES = [
+const BLOCKAGES = [
 	{ name: 'at its start', elapsedMs: 0, expected: 1_000 },
-	{ name: 'after half its usual length', elapsedMs: 500, expected: 500 },
-	{ name: 'beyond its usual length', elapsedMs: 3_000, expected: 1_500 },
+	{ name: 'after half its typical duration', elapsedMs: 500, expected: 500 },
+	{ name: 'beyond its typical duration', elapsedMs: 3_000, expected: 1_500 },
 ]
 
-for (const { name, elapsedMs, expected } of OUTAGES)
-	test(`outage ${name}: expected to end in ${expected} ms`, () => {
-		const outage = createBlockageTracker(1_000)
-		assert.is(estimateBlockageMs(outage, 0), 0)
-		markBlocked(outage, 0)
-		markBlocked(outage, elapsedMs / 2)
-		assert.is(estimateBlockageMs(outage, elapsedMs), expected)
+for (const { name, elapsedMs, expected } of BLOCKAGES)
+	test(`blockage ${name}: expected to end in ${expected} ms`, () => {
+		const blockage = createBlockageTracker(1_000)
+		assert.is(estimateBlockageMs(blockage, 0), 0)
+		markBlocked(blockage, 0)
+		markBlocked(blockage, elapsedMs / 2)
+		assert.is(estimateBlockageMs(blockage, elapsedMs), expected)
 	})
 
-test('outages: the usual length adapts to those observed', () => {
-	const outage = createBlockageTracker(1_000)
+test('blockages: the typical duration adapts to those observed', () => {
+	const blockage = createBlockageTracker(1_000)
 	for (let at = 0; at < 20; at++) {
-		markBlocked(outage, at * 10_000)
-		markUnblocked(outage, at * 10_000 + 3_000)
+		markBlocked(blockage, at * 10_000)
+		markUnblocked(blockage, at * 10_000 + 3_000)
 	}
-	assert.ok(Math.abs(outage.typicalMs - 3_000) < 10)
-	assert.is(estimateBlockageMs(outage, 0), 0)
+	assert.ok(Math.abs(blockage.typicalMs - 3_000) < 10)
+	assert.is(estimateBlockageMs(blockage, 0), 0)
 })
 
 test('free slots: a wait is predicted from the interval between free slots', () => {
-	const flow = createDispatchRate()
-	for (let at = 0; at <= 60; at++) recordDispatch(flow, at * 50)
-	assert.ok(Math.abs(currentIntervalMs(flow, 3_000) - 50) < 1)
-	assert.ok(Math.abs(predictWaitMs(flow, 3, 3_000) - 200) < 4)
+	const rate = createDispatchRate()
+	for (let at = 0; at <= 60; at++) recordDispatch(rate, at * 50)
+	assert.ok(Math.abs(currentIntervalMs(rate, 3_000) - 50) < 1)
+	assert.ok(Math.abs(predictWaitMs(rate, 3, 3_000) - 200) < 4)
 	assert.is(
-		currentIntervalMs(flow, 3_400),
+		currentIntervalMs(rate, 3_400),
 		400,
 		'no slot has become free since',
 	)
@@ -58,34 +58,34 @@
 		name: 'an open service',
 		availableInMs: 0,
 		maxHonoredMs: 2_560,
-		least: 50,
-		most: 125,
+		minMs: 50,
+		maxMs: 125,
 	},
 	{
 		name: 'a full service',
 		availableInMs: 900,
 		maxHonoredMs: 2_560,
-		least: 975,
-		most: 1_025,
+		minMs: 975,
+		maxMs: 1_025,
 	},
 	{
 		name: 'little time left',
 		availableInMs: 900,
 		maxHonoredMs: 480,
-		least: 455,
-		most: 480,
+		minMs: 455,
+		maxMs: 480,
 	},
 	{
 		name: 'no time left',
 		availableInMs: 900,
 		maxHonoredMs: 3.2,
-		least: 50,
-		most: 50,
+		minMs: 50,
+		maxMs: 50,
 	},
 ]
 
-for (const { name, availableInMs, maxHonoredMs, least, most } of CASES)
-	test(`Retry-After, ${name}: ${least} to ${most} ms`, () => {
+for (const { name, availableInMs, maxHonoredMs, minMs, maxMs } of CASES)
+	test(`Retry-After, ${name}: ${minMs} to ${maxMs} ms`, () => {
 		const random = createRandom(3)
 		for (let draw = 0; draw < 50; draw++) {
 			const forecast = {
@@ -101,7 +101,7 @@
 				random,
 			)
 			assert.ok(
-				retryAfterMs >= least && retryAfterMs <= most,
+				retryAfterMs >= minMs && retryAfterMs <= maxMs,
 				`${retryAfterMs}`,
 			)
 		}
@@ -138,7 +138,7 @@
 	assert.equal(delays, [400, 490, 580])
 })
 
-test('Retry-After: callers of an earlier outage do not delay those of a new one', () => {
+test('Retry-After: callers of an earlier blockage do not delay those of a new one', () => {
 	const schedule = createRetryAfterSchedule()
 	const forecast = { ...FORECAST, availableInMs: 300 }
 	scheduleRetryAfter(schedule, forecast, 0, () => 0.5)
--- a/packages/core/test/retryWindow.test.ts
+++ b/packages/core/test/retryWindow.test.ts
@@ -10,21 +10,21 @@
 	name: string
 	entries: number
 	requests: number
-	most: number
+	allowed: number
 }[] = [
-	{ name: 'a single entry, no requests', entries: 1, requests: 0, most: 20 },
-	{ name: 'one of four, no requests', entries: 4, requests: 0, most: 5 },
-	{ name: 'one of four, 100 requests', entries: 4, requests: 100, most: 15 },
+	{ name: 'a single entry, no requests', entries: 1, requests: 0, allowed: 20 },
+	{ name: 'one of four, no requests', entries: 4, requests: 0, allowed: 5 },
+	{ name: 'one of four, 100 requests', entries: 4, requests: 100, allowed: 15 },
 ]
 
-for (const { name, entries, requests, most } of BUDGETS)
-	test(`retry window: ${name} allows ${most}`, () => {
+for (const { name, entries, requests, allowed } of BUDGETS)
+	test(`retry window: ${name} allows ${allowed}`, () => {
 		const window = createRetryWindow()
 		for (let count = 0; count < requests; count++)
 			recordRequest(window, ALLOWANCE, 100)
 		let taken = 0
 		while (takeRetry(window, ALLOWANCE, entries, 200)) taken++
-		assert.is(taken, most)
+		assert.is(taken, allowed)
 		assert.ok(takeRetry(window, ALLOWANCE, entries, 10_700))
 	})
 
--- a/packages/core/test/serverUpdates.test.ts
+++ b/packages/core/test/serverUpdates.test.ts
@@ -84,8 +84,8 @@
 	updates: readonly ServerUpdate[],
 	at: number,
 ) {
-	const fresh = sim.merge(sim.replicas[entry]!, updates, at)
-	for (const one of fresh) sim.outboxes[entry]!.set(updateKeyOf(one), one)
+	const changes = sim.merge(sim.replicas[entry]!, updates, at)
+	for (const one of changes) sim.outboxes[entry]!.set(updateKeyOf(one), one)
 }
 
 function flushOutbox(sim: Simulation, entry: number): void {
@@ -101,8 +101,8 @@
 	const which = randomIndex(sim.random, sim.inTransit.length)
 	const message = sim.inTransit[which]
 	if (!message) return
-	const isDoubled = sim.random() < 0.1
-	if (!isDoubled) sim.inTransit.splice(which, 1)
+	const isDuplicated = sim.random() < 0.1
+	if (!isDuplicated) sim.inTransit.splice(which, 1)
 	receive(sim, message.to, message.updates, at)
 }
 
@@ -113,7 +113,10 @@
 	receive(sim, other!, listServerUpdates(sim.replicas[one!]!, MAX_DEPARTED), at)
 }
 
-/** Whether an entry would report it: one that knows no limit sees no end of it. */
+/**
+ * Whether an entry would report the update: the end of a limit only if it knows of the
+ * limit, an answer only if the request is suspected.
+ */
 function isObservable(state: SharedState, update: ServerUpdate): boolean {
 	switch (update.kind) {
 		case 'limit':
@@ -129,19 +132,19 @@
 }
 
 function step(sim: Simulation, at: number): void {
-	const dice = sim.random()
+	const draw = sim.random()
 	const entry = randomIndex(sim.random, ENTRIES)
-	if (dice < 0.3) {
+	if (draw < 0.3) {
 		const update = randomUpdate(sim.random, at)
 		if (!isObservable(sim.replicas[entry]!, update)) return
 		mergeServerUpdates(sim.reference, [update], at)
 		receive(sim, entry, [update], at)
-	} else if (dice < 0.5) flushOutbox(sim, entry)
-	else if (dice < 0.85) deliver(sim, at)
-	else if (dice < 0.9) {
+	} else if (draw < 0.5) flushOutbox(sim, entry)
+	else if (draw < 0.85) deliver(sim, at)
+	else if (draw < 0.9) {
 		// A lost link: messages to the entry are lost until a link reconnects.
 		sim.inTransit = sim.inTransit.filter(({ to }) => to !== entry)
-	} else if (dice < 0.95) reconnect(sim, at)
+	} else if (draw < 0.95) reconnect(sim, at)
 	else restart(sim, entry, at)
 }
 
@@ -209,10 +212,10 @@
 	)
 	// Which answers clear a request depends on when it was suspected, and so on the order
 	// of updates: quarantines are compared between entries only, not with the reference.
-	const verdicts = sim.replicas.map(state =>
+	const quarantined = sim.replicas.map(state =>
 		listQuarantined(state.quarantine).sort(),
 	)
-	return isEqual && new Set(verdicts.map(String)).size === 1
+	return isEqual && new Set(quarantined.map(String)).size === 1
 }
 
 test('server updates: random histories converge at all entries', () => {
@@ -248,10 +251,10 @@
 	{
 		name: 'the end of a limit is not retained',
 		merge: (state, updates, now) => {
-			const fresh = mergeServerUpdates(state, updates, now)
+			const changes = mergeServerUpdates(state, updates, now)
 			for (const [server, { perSecond }] of state.rateLimits)
 				if (perSecond === undefined) state.rateLimits.delete(server)
-			return fresh
+			return changes
 		},
 	},
 	{
@@ -306,8 +309,8 @@
 			ran: new Map([[fingerprint, 40]]),
 		}) as const
 	mergeServerUpdates(state, [crashOf('x')], 10)
-	const [fresh] = mergeServerUpdates(state, [crashOf('y')], 10)
-	assert.equal([...(fresh?.ran.keys() ?? [])].sort(), ['x', 'y'])
+	const [change] = mergeServerUpdates(state, [crashOf('y')], 10)
+	assert.equal([...(change?.ran.keys() ?? [])].sort(), ['x', 'y'])
 })
 
 test.run()
--- a/packages/core/test/staleLoads.test.ts
+++ b/packages/core/test/staleLoads.test.ts
@@ -2,9 +2,9 @@
  * Entries select ranks by stale loads, as under normal traffic with several entries, in
  * virtual time and without a network. Guards against requests queued behind a rank's
  * slots: such a request waits for a stream to end, longer than the 0.4 s within which it
- * has to begin. Rates, ranks and stream durations (mean 1.3 to 1.6 s, a tail of half an
- * order of magnitude) are those of services of three sizes; entries exchange loads every
- * 150 ms, with 36 entries every 216 ms.
+ * has to begin. Rates, ranks and stream durations (mean 1.3 to 1.6 s, up to 2.5 times the
+ * mean) are those of services of three sizes; entries exchange loads every 150 ms, with
+ * 36 entries every 216 ms.
  */
 
 import { test } from 'uvu'
@@ -24,6 +24,7 @@
 const DATA_CENTRES = 3
 /** Standard deviation of the logarithm of a stream's duration. */
 const SIGMA = 0.75
+/** Maximum duration of a stream relative to the mean. */
 const MAX_FACTOR = 2.5
 
 interface Scenario {
@@ -42,7 +43,7 @@
 
 const SCENARIOS: Scenario[] = [
 	{
-		name: 'half of 64 ranks, 16 entries',
+		name: 'half of the slots of 64 ranks, 16 entries',
 		entries: 16,
 		ranks: 64,
 		slots: 7,
@@ -53,7 +54,7 @@
 		minQueuedLeastLoaded: 1.5,
 	},
 	{
-		name: 'two thirds of 64 ranks, 16 entries',
+		name: 'two thirds of the slots of 64 ranks, 16 entries',
 		entries: 16,
 		ranks: 64,
 		slots: 7,
@@ -64,7 +65,7 @@
 		minQueuedLeastLoaded: 4,
 	},
 	{
-		name: 'two thirds of 16 ranks, 4 entries',
+		name: 'two thirds of the slots of 16 ranks, 4 entries',
 		entries: 4,
 		ranks: 16,
 		slots: 8,
@@ -75,7 +76,7 @@
 		minQueuedLeastLoaded: 0,
 	},
 	{
-		name: 'three fifths of 192 ranks, 36 entries',
+		name: 'three fifths of the slots of 192 ranks, 36 entries',
 		entries: 36,
 		ranks: 192,
 		slots: 4,
@@ -119,13 +120,13 @@
 	const size = table.slots.length
 	const from = Math.floor(random() * size)
 	let best = 0
-	let least = Number.POSITIVE_INFINITY
+	let minLoad = Number.POSITIVE_INFINITY
 	for (let at = 0; at < size; at++) {
 		const row = (from + at) % size
-		const held =
+		const load =
 			countInFlight(table, row) + 0.75 * table.assignedElsewhere[row]!
-		if (held >= least) continue
-		least = held
+		if (load >= minLoad) continue
+		minLoad = load
 		best = row
 	}
 	return best
--- a/packages/core/test/teamLimits.test.ts
+++ b/packages/core/test/teamLimits.test.ts
@@ -45,12 +45,12 @@
 	// A request that ends frees its slot for one that begins at the same time.
 	steps.sort((a, b) => a.at - b.at || a.by - b.by)
 	let running = 0
-	let most = 0
+	let max = 0
 	for (const { by } of steps) {
 		running += by
-		most = Math.max(most, running)
+		max = Math.max(max, running)
 	}
-	return most
+	return max
 }
 
 function maxPerWindow(runs: readonly TeamRun[]): number {
@@ -105,9 +105,12 @@
 				})
 				const allowed = 1.5 * WINDOW_SECONDS + 5
 				assert.ok(maxPerWindow(runs) <= allowed, `${maxPerWindow(runs)}`)
-				const owed = (ENDS_AT - STEADY_FROM) / 1_000
+				const available = (ENDS_AT - STEADY_FROM) / 1_000
 				const used = countStarted(runs)
-				assert.ok(used >= Math.floor(MIN_USED_SHARE * owed), `${used} used`)
+				assert.ok(
+					used >= Math.floor(MIN_USED_SHARE * available),
+					`${used} used`,
+				)
 			}
 		})
 
@@ -123,9 +126,9 @@
 			const runs = simulateTeam({ ...SCENARIO, ...overrides })
 			const allowed = 1.5 * WINDOW_SECONDS * 4 + 5
 			assert.ok(maxPerWindow(runs) <= allowed, `${maxPerWindow(runs)}`)
-			const owed = (4 * (ENDS_AT - STEADY_FROM)) / 1_000
+			const available = (4 * (ENDS_AT - STEADY_FROM)) / 1_000
 			const used = countStarted(runs)
-			assert.ok(used >= MIN_USED_SHARE * owed, `${used} used`)
+			assert.ok(used >= MIN_USED_SHARE * available, `${used} used`)
 		})
 	}
 
@@ -147,9 +150,9 @@
 	const limit = { ...LIMIT, concurrency: 10 }
 	const overrides = { entries: 3, lossRate: 0.3, limit, seed: 5, runMs: 300 }
 	const runs = simulateTeam({ ...SCENARIO, ...overrides, endsAt: 60_000 })
-	const lasts = runs.filter(({ from }) => from >= 50_000).length
+	const lateRuns = runs.filter(({ from }) => from >= 50_000).length
 	// Ten concurrent requests of 300 ms each are 33 per second.
-	assert.ok(lasts >= 0.5 * 10 * 33, `${lasts}`)
+	assert.ok(lateRuns >= 0.5 * 10 * 33, `${lateRuns}`)
 })
 
 test('a single entry, or one with a large enough share, needs no team home', () => {
