--- a/packages/core/src/core/mapChangePlan.ts
+++ b/packages/core/src/core/mapChangePlan.ts
@@ -34,10 +34,10 @@
 	/** Reported state of each rank; `undefined` until it has replied. */
 	readonly learned: (LearnedReply | undefined)[]
 	/** Ranks that have not replied to the current request yet. */
-	readonly open: Set<number>
+	readonly pendingRanks: Set<number>
 	change: MapChange | undefined
 	/** Highest fence reported in a refusal. */
-	highest: number
+	highestRefusedFence: number
 	/** Number of changes whose commit every rank has acknowledged. */
 	finished: number
 }
--- a/packages/core/src/core/mapCoordinator.ts
+++ b/packages/core/src/core/mapCoordinator.ts
@@ -33,9 +33,9 @@
 		lead: 1,
 		initialMapId,
 		learned: new Array(size).fill(undefined),
-		open: new Set(),
+		pendingRanks: new Set(),
 		change: undefined,
-		highest: 0,
+		highestRefusedFence: 0,
 		finished: 0,
 	}
 }
@@ -49,7 +49,7 @@
 	id: number,
 	ids: number,
 ): number {
-	const highestSeen = Math.max(state.fence, state.highest)
+	const highestSeen = Math.max(state.fence, state.highestRefusedFence)
 	const round = Math.floor(highestSeen / ids) + 1
 	return round * ids + id
 }
@@ -80,7 +80,10 @@
 	reply: RankReply,
 ): AddressedRequest[] {
 	if (reply.type === 'refused')
-		state.highest = Math.max(state.highest, reply.highest)
+		state.highestRefusedFence = Math.max(
+			state.highestRefusedFence,
+			reply.highest,
+		)
 	if (reply.fence !== state.fence) return []
 	switch (reply.type) {
 		case 'learned':
@@ -107,15 +110,15 @@
 		case 'idle':
 			return []
 		case 'learning':
-			return sendToOpen(state, { type: 'learn', fence: state.fence })
+			return sendToPending(state, { type: 'learn', fence: state.fence })
 		case 'closing':
 			return closeUndecidedChanges(state)
 		case 'preparing':
 			return abortChange(state)
 		case 'committing':
-			return sendToOpen(state, createCommit(state))
+			return sendToPending(state, createCommit(state))
 		case 'aborting':
-			return sendToOpen(state, createAbort(state))
+			return sendToPending(state, createAbort(state))
 		default:
 			return state.phase satisfies never
 	}
@@ -128,8 +131,8 @@
 ): AddressedRequest[] {
 	if (state.phase !== 'learning') return []
 	state.learned[rank] = reply
-	state.open.delete(rank)
-	if (state.open.size > 0) return []
+	state.pendingRanks.delete(rank)
+	if (state.pendingRanks.size > 0) return []
 	return closeUndecidedChanges(state)
 }
 
@@ -137,11 +140,11 @@
 function closeUndecidedChanges(state: MapCoordinatorState): AddressedRequest[] {
 	const reported = listLearnedReplies(state)
 	state.phase = 'closing'
-	state.open.clear()
+	state.pendingRanks.clear()
 	const requests: AddressedRequest[] = []
 	for (const [rank, { promised }] of reported.entries()) {
 		if (!promised) continue
-		state.open.add(rank)
+		state.pendingRanks.add(rank)
 		requests.push({
 			rank,
 			req: createClosingRequest(state, reported, promised),
@@ -181,8 +184,8 @@
 	// The rank has restarted since its state was learned: this promise does not count.
 	if (state.learned[rank]?.incarnation !== incarnation)
 		return abortChange(state)
-	state.open.delete(rank)
-	if (state.open.size > 0) return []
+	state.pendingRanks.delete(rank)
+	if (state.pendingRanks.size > 0) return []
 	state.phase = 'committing'
 	return sendToAll(state, createCommit(state))
 }
@@ -199,8 +202,8 @@
 		case 'committing':
 		case 'aborting':
 			if (changeFence !== state.change?.fence) return []
-			state.open.delete(rank)
-			if (state.open.size > 0) return []
+			state.pendingRanks.delete(rank)
+			if (state.pendingRanks.size > 0) return []
 			if (state.phase === 'committing') state.finished++
 			return endRound(state)
 		case 'idle':
@@ -216,8 +219,8 @@
 	state: MapCoordinatorState,
 	rank: number,
 ): AddressedRequest[] {
-	state.open.delete(rank)
-	if (state.open.size > 0) return []
+	state.pendingRanks.delete(rank)
+	if (state.pendingRanks.size > 0) return []
 	// The changes just completed may not be in effect yet: the states are learned again.
 	return startMapRound(state, state.fence, state.targetMapId, state.lead)
 }
@@ -234,7 +237,7 @@
 		case 'aborting':
 		case 'committing':
 			// Another coordinator has a higher fence and will complete the change.
-			return state.highest > state.fence ? endRound(state) : []
+			return state.highestRefusedFence > state.fence ? endRound(state) : []
 		case 'idle':
 			return []
 		default:
@@ -249,7 +252,7 @@
 
 function endRound(state: MapCoordinatorState): AddressedRequest[] {
 	state.phase = 'idle'
-	state.open.clear()
+	state.pendingRanks.clear()
 	return []
 }
 
@@ -266,14 +269,14 @@
 	state: MapCoordinatorState,
 	req: RankRequest,
 ): AddressedRequest[] {
-	state.open.clear()
-	for (let rank = 0; rank < state.size; rank++) state.open.add(rank)
-	return sendToOpen(state, req)
+	state.pendingRanks.clear()
+	for (let rank = 0; rank < state.size; rank++) state.pendingRanks.add(rank)
+	return sendToPending(state, req)
 }
 
-function sendToOpen(
+function sendToPending(
 	state: MapCoordinatorState,
 	req: RankRequest,
 ): AddressedRequest[] {
-	return [...state.open].map(rank => ({ rank, req }))
+	return [...state.pendingRanks].map(rank => ({ rank, req }))
 }
--- a/packages/core/src/core/placementSearch.ts
+++ b/packages/core/src/core/placementSearch.ts
@@ -33,7 +33,7 @@
 	/** Share of each expert in the demand of the set. */
 	readonly share: Float64Array
 	/** Expert in each place, rank by rank. */
-	readonly slots: Int16Array
+	readonly expertByPlace: Int16Array
 	/** 1 if the rank held the expert before the search, `rank * experts + expert`. */
 	readonly hadBefore: Uint8Array
 	/** 1 if the rank holds the expert now, `rank * experts + expert`. */
@@ -50,7 +50,7 @@
 	readonly loadScale: Float64Array
 	/** Change of each rank's load by the candidate under evaluation. */
 	readonly loadDeltas: Float64Array
-	/** Ranks with an entry in `loadDeltas`; only the first `changedCount` elements are valid. */
+	/** Ranks with an entry in `loadDeltas`, in the first `changedCount` elements. */
 	readonly changedRanks: Int16Array
 	changedCount: number
 }
@@ -71,7 +71,7 @@
 		maxNew,
 		budget,
 		share,
-		slots: new Int16Array(ranks * places).fill(FREE_PLACE),
+		expertByPlace: new Int16Array(ranks * places).fill(FREE_PLACE),
 		hadBefore: new Uint8Array(ranks * experts),
 		hasNow: new Uint8Array(ranks * experts),
 		copies: new Int16Array(experts),
@@ -87,8 +87,8 @@
 		changedCount: 0,
 	}
 	for (const [rank, own] of placement.entries())
-		for (const [slot, expert] of own.entries()) {
-			search.slots[rank * places + slot] = expert
+		for (const [place, expert] of own.entries()) {
+			search.expertByPlace[rank * places + place] = expert
 			search.hadBefore[rank * experts + expert] = 1
 			search.hasNow[rank * experts + expert] = 1
 			search.copies[expert]!++
@@ -100,10 +100,10 @@
 
 /** Recomputes the load of a rank. */
 export function refreshLoad(search: PlacementSearch, rank: number): void {
-	const { places, slots, share, copies, loads, loadScale } = search
+	const { places, expertByPlace, share, copies, loads, loadScale } = search
 	let load = 0
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
-		const expert = slots[at]!
+		const expert = expertByPlace[at]!
 		if (expert !== FREE_PLACE) load += share[expert]! / copies[expert]!
 	}
 	loads[rank] = load * loadScale[rank]!
@@ -146,16 +146,16 @@
 	at: number,
 	expert: number,
 ): void {
-	const { slots, hasNow, copies, holders, places, share } = search
+	const { expertByPlace, hasNow, copies, holders, places, share } = search
 	const rank = Math.floor(at / places)
-	const previous = slots[at]!
+	const previous = expertByPlace[at]!
 	if (previous !== FREE_PLACE) {
 		hasNow[rank * share.length + previous] = 0
 		copies[previous]!--
 		holders[previous] = holders[previous]!.filter(holder => holder !== rank)
 		if (isNewCopy(search, rank, previous)) adjustNewCopies(search, rank, -1)
 	}
-	slots[at] = expert
+	expertByPlace[at] = expert
 	if (expert === FREE_PLACE) return
 	hasNow[rank * share.length + expert] = 1
 	copies[expert]!++
@@ -181,10 +181,10 @@
 
 /** Returns the placement as lists of experts by rank. */
 export function readPlacement(search: PlacementSearch): number[][] {
-	const { ranks, places, slots } = search
+	const { ranks, places, expertByPlace } = search
 	// Sorted, so that maps with the same content are equal.
 	return Array.from({ length: ranks }, (_, rank) =>
-		[...slots.subarray(rank * places, (rank + 1) * places)]
+		[...expertByPlace.subarray(rank * places, (rank + 1) * places)]
 			.filter(expert => expert !== FREE_PLACE)
 			.sort((a, b) => a - b),
 	)
--- a/packages/core/src/core/placementStep.ts
+++ b/packages/core/src/core/placementStep.ts
@@ -38,8 +38,8 @@
 export function findBestChange(
 	search: PlacementSearch,
 ): PlaceChange | undefined {
-	const hottest = findMostLoaded(search.loads)
-	const targets = listLeastLoaded(search.loads, hottest)
+	const mostLoaded = findMostLoaded(search.loads)
+	const targets = listLeastLoaded(search.loads, mostLoaded)
 	const minWorth = sumOfPowers(search) * MIN_PROGRESS
 	const best: PlaceChange = {
 		at: -1,
@@ -57,8 +57,12 @@
 		best.worth = worth
 	}
 	const { places } = search
-	for (let from = hottest * places; from < (hottest + 1) * places; from++) {
-		const expert = search.slots[from]!
+	for (
+		let from = mostLoaded * places;
+		from < (mostLoaded + 1) * places;
+		from++
+	) {
+		const expert = search.expertByPlace[from]!
 		if (expert === FREE_PLACE) continue
 		for (const rank of targets) evaluateTarget(search, from, rank, evaluate)
 		if (search.copies[expert]! >= 2)
@@ -68,22 +72,22 @@
 }
 
 function findMostLoaded(loads: Float64Array): number {
-	let hottest = 0
+	let mostLoaded = 0
 	for (let rank = 1; rank < loads.length; rank++)
-		if (loads[rank]! > loads[hottest]!) hottest = rank
-	return hottest
+		if (loads[rank]! > loads[mostLoaded]!) mostLoaded = rank
+	return mostLoaded
 }
 
 /**
- * Lists the least loaded ranks except `hottest` in ascending order of load. An insertion
+ * Lists the least loaded ranks except `mostLoaded` in ascending order of load. An insertion
  * into a short list is faster than sorting all ranks.
  */
-function listLeastLoaded(loads: Float64Array, hottest: number): number[] {
+function listLeastLoaded(loads: Float64Array, mostLoaded: number): number[] {
 	const leastLoaded: number[] = []
 	for (let rank = 0; rank < loads.length; rank++) {
 		const load = loads[rank]!
 		const isFull = leastLoaded.length === MAX_TARGETS
-		if (rank === hottest || (isFull && load >= loads[leastLoaded.at(-1)!]!))
+		if (rank === mostLoaded || (isFull && load >= loads[leastLoaded.at(-1)!]!))
 			continue
 		if (isFull) leastLoaded.pop()
 		let at = leastLoaded.length
@@ -102,20 +106,21 @@
 	rank: number,
 	evaluate: Evaluate,
 ): void {
-	const { places, slots, copies } = search
-	const expert = slots[from]!
+	const { places, expertByPlace, copies } = search
+	const expert = expertByPlace[from]!
 	if (hasExpert(search, rank, expert)) return
-	const hottest = Math.floor(from / places)
+	const mostLoaded = Math.floor(from / places)
 	const canCopy = canHold(search, rank, expert)
 	for (let at = rank * places; at < (rank + 1) * places; at++) {
-		const other = slots[at]!
+		const other = expertByPlace[at]!
 		const replacesNewCopy =
 			other !== FREE_PLACE && isNewCopy(search, rank, other)
 		if (!canCopy && !replacesNewCopy) continue
 		if (other === FREE_PLACE || copies[other]! >= 2) evaluate(at, expert)
-		if (other === FREE_PLACE || hasExpert(search, hottest, other)) continue
+		if (other === FREE_PLACE || hasExpert(search, mostLoaded, other)) continue
 		const canExchange =
-			canHold(search, hottest, other) || isNewCopy(search, hottest, expert)
+			canHold(search, mostLoaded, other) ||
+			isNewCopy(search, mostLoaded, expert)
 		if (canExchange) evaluate(at, expert, from)
 	}
 }
@@ -130,17 +135,18 @@
 	targets: readonly number[],
 	evaluate: Evaluate,
 ): void {
-	const { places, slots } = search
-	const hottest = Math.floor(from / places)
-	const dropped = slots[from]!
+	const { places, expertByPlace } = search
+	const mostLoaded = Math.floor(from / places)
+	const dropped = expertByPlace[from]!
 	evaluate(from, FREE_PLACE)
 	for (const rank of targets)
 		for (let at = rank * places; at < (rank + 1) * places; at++) {
-			const expert = slots[at]!
-			if (expert === FREE_PLACE || hasExpert(search, hottest, expert)) continue
+			const expert = expertByPlace[at]!
+			if (expert === FREE_PLACE || hasExpert(search, mostLoaded, expert))
+				continue
 			if (
-				!canHold(search, hottest, expert) &&
-				!isNewCopy(search, hottest, dropped)
+				!canHold(search, mostLoaded, expert) &&
+				!isNewCopy(search, mostLoaded, dropped)
 			)
 				continue
 			evaluate(from, expert)
@@ -157,7 +163,7 @@
 	const there = countCopiesAt(search, at, expert)
 	return backAt < 0
 		? there
-		: there + countCopiesAt(search, backAt, search.slots[at]!)
+		: there + countCopiesAt(search, backAt, search.expertByPlace[at]!)
 }
 
 function countCopiesAt(
@@ -183,7 +189,7 @@
 	} else {
 		// In an exchange both experts keep their number of copies.
 		addReplacement(search, at, expert)
-		addReplacement(search, backAt, search.slots[at]!)
+		addReplacement(search, backAt, search.expertByPlace[at]!)
 	}
 	let gain = 0
 	for (let index = 0; index < search.changedCount; index++) {
@@ -199,8 +205,8 @@
 
 /** Adds the load changes of removing a place's expert; its other holders take over. */
 function addRemoval(search: PlacementSearch, at: number): void {
-	const { places, slots, share, copies, loadScale } = search
-	const expert = slots[at]!
+	const { places, expertByPlace, share, copies, loadScale } = search
+	const expert = expertByPlace[at]!
 	if (expert === FREE_PLACE) return
 	const rank = Math.floor(at / places)
 	const count = copies[expert]!
@@ -224,8 +230,8 @@
 	at: number,
 	expert: number,
 ): void {
-	const { places, slots, share, copies, loadScale } = search
-	const old = slots[at]!
+	const { places, expertByPlace, share, copies, loadScale } = search
+	const old = expertByPlace[at]!
 	const rank = Math.floor(at / places)
 	const change = share[expert]! / copies[expert]! - share[old]! / copies[old]!
 	addDelta(search, rank, change * loadScale[rank]!)
@@ -266,7 +272,7 @@
 	search: PlacementSearch,
 	{ at, expert, backAt }: PlaceChange,
 ): void {
-	const old = search.slots[at]!
+	const old = search.expertByPlace[at]!
 	const affectedRanks = new Set<number>()
 	addHolders(search, at, affectedRanks)
 	setPlace(search, at, expert)
@@ -281,12 +287,12 @@
 
 /** Adds the rank of a place and all ranks that hold the expert there. */
 function addHolders(
-	{ slots, places, holders }: PlacementSearch,
+	{ expertByPlace, places, holders }: PlacementSearch,
 	at: number,
 	affectedRanks: Set<number>,
 ): void {
 	affectedRanks.add(Math.floor(at / places))
-	const expert = slots[at]!
+	const expert = expertByPlace[at]!
 	if (expert === FREE_PLACE) return
 	for (const rank of holders[expert]!) affectedRanks.add(rank)
 }
--- a/packages/core/src/core/quarantine.ts
+++ b/packages/core/src/core/quarantine.ts
@@ -296,9 +296,9 @@
 			lastAt: Number.NEGATIVE_INFINITY,
 		}
 		if (at - ranMs < suspicion.lastAt - MAX_SKEW_MS) continue
-		const isOnAll = correlated.every(one => one.ran.has(fingerprint))
+		const ranOnAll = correlated.every(one => one.ran.has(fingerprint))
 		const isSingledOut = repeated.length === 1 && repeated[0] === fingerprint
-		suspicion.points += pointsOf(isOnAll, isSingledOut)
+		suspicion.points += pointsOf(ranOnAll, isSingledOut)
 		suspicion.servers.push(server)
 		suspicion.ranMs += ranMs
 		suspicion.lastAt = at
@@ -306,8 +306,8 @@
 	}
 }
 
-function pointsOf(isOnAll: boolean, isSingledOut: boolean): number {
-	if (!isOnAll) return CORRELATED_CRASH_POINTS
+function pointsOf(ranOnAll: boolean, isSingledOut: boolean): number {
+	if (!ranOnAll) return CORRELATED_CRASH_POINTS
 	return isSingledOut ? SINGLED_OUT_POINTS : ISOLATED_CRASH_POINTS
 }
 
--- a/packages/core/src/core/serverList.ts
+++ b/packages/core/src/core/serverList.ts
@@ -41,7 +41,7 @@
 	readonly departed: Set<string>
 	/** Ids of incarnations whose record was removed without notice; the oldest first. */
 	readonly removed: Set<string>
-	/** Removed incarnations that a restored source lists again, by name; see `RETURN_DELAY_MS`. */
+	/** Removed incarnations that a restored source lists again, by name. */
 	readonly pendingReturns: Map<string, { record: ServerRecord; until: number }>
 	/** Latest revision among all records received. */
 	revision: TermRevision
--- a/packages/core/test/models/mapModel.ts
+++ b/packages/core/test/models/mapModel.ts
@@ -236,9 +236,9 @@
 		coordinatorState.phase === 'preparing' && reply.type === 'promised'
 	if (mutant !== 'nOfN' || !firstPromise) return requests
 	// The mutant counts the first promise as the promises of all ranks.
-	const missing = [...coordinatorState.open][0]!
-	coordinatorState.open.clear()
-	coordinatorState.open.add(missing)
+	const missing = [...coordinatorState.pendingRanks][0]!
+	coordinatorState.pendingRanks.clear()
+	coordinatorState.pendingRanks.add(missing)
 	return handleRankReply(coordinatorState, missing, reply)
 }
 
@@ -279,7 +279,8 @@
 	const ranks = state.ranks.map(rank => ({ ...rank }))
 	const ids = bounds.coordinators + 1
 	const coordinator = createMapCoordinator(bounds.ranks, FIRST_MAP)
-	coordinator.highest = Math.max(...ranks.map(rank => rank.fence)) + 1
+	coordinator.highestRefusedFence =
+		Math.max(...ranks.map(rank => rank.fence)) + 1
 	const fence = nextFence(coordinator, bounds.coordinators, ids)
 	const queue = startMapRound(coordinator, fence, undefined, 1)
 	for (let next = queue.shift(); next; next = queue.shift()) {
@@ -299,11 +300,19 @@
 }
 
 function toJson(state: MapCoordinatorState): CoordinatorJson {
-	return { ...state, learned: [...state.learned], open: [...state.open].sort() }
+	return {
+		...state,
+		learned: [...state.learned],
+		pendingRanks: [...state.pendingRanks].sort(),
+	}
 }
 
 function fromJson(json: CoordinatorJson): MapCoordinatorState {
 	// JSON text would turn undefined into null, but the model converts states to text
 	// only for their keys and never reads them back.
-	return { ...json, learned: [...json.learned], open: new Set(json.open) }
+	return {
+		...json,
+		learned: [...json.learned],
+		pendingRanks: new Set(json.pendingRanks),
+	}
 }
--- a/packages/core/test/models/mapModelState.ts
+++ b/packages/core/test/models/mapModelState.ts
@@ -73,8 +73,8 @@
 }
 
 /** JSON-compatible state of a coordinator. */
-export type CoordinatorJson = Omit<MapCoordinatorState, 'open'> & {
-	readonly open: number[]
+export type CoordinatorJson = Omit<MapCoordinatorState, 'pendingRanks'> & {
+	readonly pendingRanks: number[]
 }
 
 /** An event of the model. */
--- a/packages/core/test/models/storeRollback.ts
+++ b/packages/core/test/models/storeRollback.ts
@@ -53,7 +53,7 @@
 	readonly servers: number
 	/** Time during which failures occur, ms; a time without failures follows. */
 	readonly forMs: number
-	/** Fraction of answers that are lost. */
+	/** Share of answers that are lost. */
 	readonly lossRate: number
 	/** Rate of each event, per second. */
 	readonly perSecond: {
--- a/packages/core/test/rebalance.test.ts
+++ b/packages/core/test/rebalance.test.ts
@@ -159,10 +159,10 @@
 	const [oldShares, newShares] = [zipf(1), zipf(1).reverse()]
 	for (let n = 0; n < 30; n++) observeTokens(estimate, oldShares)
 	for (let n = 0; n < 8; n++) observeTokens(estimate, newShares)
-	const hottest = expectedShares(estimate).indexOf(
+	const mostPopular = expectedShares(estimate).indexOf(
 		Math.max(...expectedShares(estimate)),
 	)
-	assert.is(hottest, newShares.indexOf(Math.max(...newShares)))
+	assert.is(mostPopular, newShares.indexOf(Math.max(...newShares)))
 })
 
 test.run()
