--- a/packages/groups/test/agents.test.ts
+++ b/packages/groups/test/agents.test.ts
@@ -61,7 +61,7 @@
 
 test('agents: with a skewed demand all ranks change to a new map at the same pass', async () => {
 	await awaitChange()
-	assert.equal(group.mixed, [])
+	assert.equal(group.mixedPasses, [])
 })
 
 test('agents: no pass has different maps with a third of the orders lost or late', async () => {
@@ -70,7 +70,7 @@
 	await awaitChange()
 	group.reform()
 	await awaitChange()
-	assert.equal(group.mixed, [])
+	assert.equal(group.mixedPasses, [])
 })
 
 const UNREACHABLE_RANKS = [1, 2, 3]
@@ -85,14 +85,14 @@
 		group.cutOff.clear()
 		await awaitChange()
 		await until(() => group.held === undefined)
-		assert.equal(group.mixed, [])
+		assert.equal(group.mixedPasses, [])
 	})
 
 test('agents: a hold of a coordinator that is gone is released', async () => {
 	group.held = group.step + 3
 	const { step } = group
 	await until(() => group.step > step + 20)
-	assert.equal(group.mixed, [])
+	assert.equal(group.mixedPasses, [])
 })
 
 test.after(() => {
--- a/packages/groups/test/fakeGroup.ts
+++ b/packages/groups/test/fakeGroup.ts
@@ -39,7 +39,7 @@
 	/** Addresses of unreachable engines. */
 	readonly cutOff: Set<string>
 	/** Passes that began with different maps; has to remain empty. */
-	readonly mixed: string[]
+	readonly mixedPasses: string[]
 	/** Slowdown factor of each engine, by rank. */
 	readonly paces: number[]
 	/** Resets all engines and begins a new epoch, as when a group re-forms. */
@@ -88,7 +88,7 @@
 		held: undefined,
 		lossRate: 0,
 		cutOff: new Set(),
-		mixed: [],
+		mixedPasses: [],
 		group: {
 			members: Array.from({ length: ranks }, (_, rank) => ({
 				rank,
@@ -156,7 +156,7 @@
 		}
 	}
 	const maps = new Set(group.engines.map(engine => engine.map))
-	if (maps.size > 1) group.mixed.push(`pass ${group.step}: ${[...maps]}`)
+	if (maps.size > 1) group.mixedPasses.push(`pass ${group.step}: ${[...maps]}`)
 }
 
 function handleOrder(
--- a/packages/groups/test/largeGroup.test.ts
+++ b/packages/groups/test/largeGroup.test.ts
@@ -53,7 +53,7 @@
 		await new Promise(resolve => setTimeout(resolve, 20))
 	assert.ok(isReported(), JSON.stringify(reports.at(-1)))
 	assert.is(Object.keys(reports.at(-1)!).length, 1)
-	assert.equal(group.mixed, [])
+	assert.equal(group.mixedPasses, [])
 })
 
 test('large group: all ranks change at the same pass to a map that agents relay', async () => {
@@ -78,7 +78,7 @@
 		await new Promise(resolve => setTimeout(resolve, 20))
 	}
 	assert.ok(seen.size >= 2, JSON.stringify([...seen]))
-	assert.equal(group.mixed, [])
+	assert.equal(group.mixedPasses, [])
 }
 
 const ADDRESSES = ['127.0.0.60:22643', '127.0.0.61:22643', '127.0.0.62:22643']
--- a/soak/src/finalChecks.ts
+++ b/soak/src/finalChecks.ts
@@ -32,7 +32,7 @@
 	stalledMs: number,
 ): void {
 	const { record, servers } = world
-	for (const mixed of servers.group.mixed) recordViolation(record, 'MAP', mixed)
+	for (const mixed of servers.group.mixedPasses) recordViolation(record, 'MAP', mixed)
 	if (servers.group.held !== undefined)
 		recordViolation(
 			record,
