--- a/packages/core/src/core/groupClosure.ts
+++ b/packages/core/src/core/groupClosure.ts
@@ -35,8 +35,8 @@
 ): void {
 	const current = closures.get(group)
 	const since = current?.since ?? now
-	const tryMs = current?.probeIntervalMs ?? GROUP_PROBE_INTERVAL_MS
-	closures.set(group, { since, until: now + tryMs, probeIntervalMs: tryMs })
+	const probeIntervalMs = current?.probeIntervalMs ?? GROUP_PROBE_INTERVAL_MS
+	closures.set(group, { since, until: now + probeIntervalMs, probeIntervalMs })
 }
 
 /** Records that a group's coordinator reported it broken. */
--- a/packages/core/src/core/mapPlan.ts
+++ b/packages/core/src/core/mapPlan.ts
@@ -44,13 +44,13 @@
  *
  * With copies of 0.4 s and a demand shift every 3.5 s, the share of requested streams in
  * time rose from 0.67 to 0.87, compared with complete plans made when passes came near
- * the pause limit (two emulated days of 12 ranks with low load).
+ * the pause limit (two emulated workloads of 12 ranks with low load).
  */
 export function* planMap(
-	basis: MapPlanInput,
+	input: MapPlanInput,
 ): Generator<void, MapPlan | undefined> {
-	const { map, shares, layout, slowdowns: paces, cost } = basis
-	const search = createGroupSearch(map, shares, layout, paces, TARGET_SKEW)
+	const { map, shares, layout, slowdowns, cost } = input
+	const search = createGroupSearch(map, shares, layout, slowdowns, TARGET_SKEW)
 	const before = passFactor(
 		search.sets.map(computeSearchSkew),
 		layout.expertShare,
--- a/packages/core/src/core/permits.ts
+++ b/packages/core/src/core/permits.ts
@@ -53,8 +53,8 @@
 /** Unclaimed permits accumulate for this long, ms. */
 const BURST_MS = 250
 /**
- * Minimum requests per second let through at any limit: only an answer of the server can
- * show that the limit has ended.
+ * Minimum rate of permits at any limit, per second: only an answer of the server can show
+ * that the limit has ended.
  */
 const MIN_PER_SECOND = 0.1
 /**
@@ -72,7 +72,7 @@
 	return { nextAt: Number.NEGATIVE_INFINITY }
 }
 
-/** Grants permits from a pool. */
+/** Grants up to `count` permits that become usable within `withinMs`. */
 export function grantPermits(
 	pool: PermitPool,
 	schedule: PermitSchedule,
@@ -89,10 +89,13 @@
 	return { dueMs, waitMs: Math.max(0, nextAt - now) }
 }
 
-function alignToPhase(at: number, { intervalMs: gapMs, phase }: PermitSchedule): number {
+function alignToPhase(
+	at: number,
+	{ intervalMs, phase }: PermitSchedule,
+): number {
 	if (phase === undefined) return at
-	const first = phase * gapMs
-	return first + Math.ceil((at - first) / gapMs) * gapMs
+	const first = phase * intervalMs
+	return first + Math.ceil((at - first) / intervalMs) * intervalMs
 }
 
 /** Returns how long a permit stays valid once it is usable, ms. */
@@ -110,9 +113,9 @@
 	perSecond: number,
 	{ reachable, known, index }: EntryCount,
 ): PermitSchedule {
-	const gapMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
-	if (2 * reachable > known) return { intervalMs: gapMs, phase: undefined }
-	return { intervalMs: (gapMs * known) / reachable, phase: index / known }
+	const intervalMs = SECOND_MS / Math.max(perSecond, MIN_PER_SECOND)
+	if (2 * reachable > known) return { intervalMs, phase: undefined }
+	return { intervalMs: (intervalMs * known) / reachable, phase: index / known }
 }
 
 /** Returns a server's permit home among the reachable entries, by rendezvous hashing. */
--- a/packages/core/test/decisions.test.ts
+++ b/packages/core/test/decisions.test.ts
@@ -48,7 +48,13 @@
 	const random = createRandom(1)
 	const counts = table.names.map(() => 0)
 	const rows = [...counts.keys()]
-	const fullQuery = { rows, avoid: -1, cachedRow: -1, credit: 0, ...query }
+	const fullQuery = {
+		rows,
+		avoid: -1,
+		cachedRow: -1,
+		cacheConfidence: 0,
+		...query,
+	}
 	for (let n = 0; n < 2_000; n++) {
 		const row = chooseServer(table, fullQuery, now, random)
 		if (row >= 0) counts[row]!++
@@ -260,7 +266,7 @@
 	assert.ok(Math.abs((found?.credit ?? 0) - 0.5) < 0.01)
 })
 
-test('key home: a server is the home of a moved key only since the move', () => {
+test('key home: a server is the key home of a moved key only since the move', () => {
 	const history: Parameters<typeof recordServerSet>[0] = []
 	recordServerSet(history, ['a', 'b'], 1_000)
 	recordServerSet(history, ['b', 'a'], 2_000)
--- a/packages/core/test/models/mapModelState.ts
+++ b/packages/core/test/models/mapModelState.ts
@@ -73,8 +73,8 @@
 }
 
 /** JSON-compatible state of a coordinator. */
-export type CoordinatorJson = Omit<MapCoordinatorState, 'open'> & {
-	readonly open: number[]
+export type CoordinatorJson = Omit<MapCoordinatorState, 'pendingRanks'> & {
+	readonly pendingRanks: number[]
 }
 
 /** An event of the model. */
@@ -84,7 +84,7 @@
 	| {
 			readonly do: 'deliver'
 			readonly message: string
-			readonly replyFate: 'prompt' | 'lost' | 'late'
+			readonly replyDelivery: 'prompt' | 'lost' | 'late'
 			/** Whether the message stays in flight, to be delivered again. */
 			readonly again: boolean
 	  }
