--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -119,7 +119,7 @@
 		)
 		table.open.fill(1)
 		const all = [...table.open.keys()]
-		const query = { rows: all, avoid: -1, cachedRow: -1, credit: 0 }
+		const query = { rows: all, avoid: -1, cachedRow: -1, cacheConfidence: 0 }
 		const ms = timeOf(() => chooseServer(table, query, 1, random), 2_000)
 		points.push({ x: size, y: ms * MS })
 		return [String(size), (ms * MS).toFixed(1)]
--- a/bench/config.ts
+++ b/bench/config.ts
@@ -71,7 +71,9 @@
 			runNet(net, SETTLE_MS)
 			fail(net)
 			publishChange(net, 2)
-			const delaysMs = measurePropagation(net, 2, LIMIT_MS).sort((a, b) => a - b)
+			const delaysMs = measurePropagation(net, 2, LIMIT_MS).sort(
+				(a, b) => a - b,
+			)
 			const quantile = (fraction: number) =>
 				delaysMs[
 					Math.min(delaysMs.length - 1, Math.floor(delaysMs.length * fraction))
--- a/bench/overloadSimulation.ts
+++ b/bench/overloadSimulation.ts
@@ -165,7 +165,7 @@
 	const rows = [...sim.agents.keys()]
 	switch (sim.strategy) {
 		case 'juniperhook': {
-			const query = { rows, avoid: job.row, cachedRow: -1, credit: 0 }
+			const query = { rows, avoid: job.row, cachedRow: -1, cacheConfidence: 0 }
 			return chooseServer(sim.table, query, now, sim.random)
 		}
 		case 'round robin':
--- a/bench/schedule.ts
+++ b/bench/schedule.ts
@@ -179,7 +179,7 @@
 				overheadMs: ARM_MS,
 				steadyMs: group.workload.shiftEveryMs,
 			}
-			const basis = { map: group.map, shares, layout, paces: slowdowns, cost }
+			const basis = { map: group.map, shares, layout, slowdowns, cost }
 			return runToEnd(planMap(basis))?.placements
 		}
 		default:
--- a/packages/gateway/src/retryAfter.ts
+++ b/packages/gateway/src/retryAfter.ts
@@ -39,10 +39,13 @@
 			maxHonoredMs,
 		}
 		// While nothing is sent, the observed intervals say nothing about the server's rate.
-		const gapMs = Math.max(dispatchRate.intervalMs, availability.intervalMs)
+		const slotIntervalMs = Math.max(
+			dispatchRate.intervalMs,
+			availability.intervalMs,
+		)
 		return scheduleRetryAfter(
 			retryAfterSchedule,
-			{ ...forecast, slotIntervalMs: gapMs },
+			{ ...forecast, slotIntervalMs },
 			now,
 			ctx.random,
 		)
@@ -53,11 +56,11 @@
 		estimateBlockageMs(blockage, now),
 		permitMs,
 	)
-	const gapMs = currentIntervalMs(dispatchRate, now)
+	const slotIntervalMs = currentIntervalMs(dispatchRate, now)
 	const forecast = {
 		availableInMs,
 		notBeforeMs: 0,
-		gapMs,
+		slotIntervalMs,
 		maxHonoredMs,
 	}
 	return scheduleRetryAfter(retryAfterSchedule, forecast, now, ctx.random)
--- a/packages/gateway/test/pressure.test.ts
+++ b/packages/gateway/test/pressure.test.ts
@@ -121,7 +121,11 @@
 	fleet.table.maxInFlight.fill(2.5)
 	const meter = meterOf(fleet, SERVICE)
 	// 2.5 slots within 50 ms, in which 5 requests arrive: half of them are admitted.
-	meter.traffic = { arrivalsPerSecond: 100, completionsPerSecond: 0, horizonMs: 50 }
+	meter.traffic = {
+		arrivalsPerSecond: 100,
+		completionsPerSecond: 0,
+		horizonMs: 50,
+	}
 	const { blockage } = pressureOf(ctx.pressures, SERVICE)
 	blockage.since = undefined
 	assert.is((await acquire(-1, true, 0.9)).kind, 'full')
@@ -132,7 +136,11 @@
 		'the blockage goes on while others are refused',
 	)
 	meter.minAdmittedFraction = 1
-	meter.traffic = { arrivalsPerSecond: 1, completionsPerSecond: 0, horizonMs: 50 }
+	meter.traffic = {
+		arrivalsPerSecond: 1,
+		completionsPerSecond: 0,
+		horizonMs: 50,
+	}
 	assert.is((await acquire(-1, true, 0.9)).kind, 'server')
 	assert.is(blockage.since, undefined)
 })
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -271,7 +271,11 @@
 		const { entries, servers } = await openWorld(1, 2, ENGINE)
 		const [entry] = entries as [OpenGateway]
 		const now = performance.now()
-		const closure = { since: now - forMs, until: now + 500, tryMs: 500 }
+		const closure = {
+			since: now - forMs,
+			until: now + 500,
+			probeIntervalMs: 500,
+		}
 		const [rank] = entry.ctx.fleet.servers
 		entry.ctx.closures.set(groupOf(rank!), closure)
 		recordBrokenConnection(entry.ctx, rank!)
--- a/packages/runtime/src/io/follower.ts
+++ b/packages/runtime/src/io/follower.ts
@@ -312,18 +312,18 @@
 function applyConfig(follower: Follower, revision: number, text: string): void {
 	const { state, metrics, node } = follower
 	const result = offerRevision(state, revision, text)
-	const { active: held } = state
+	const { active } = state
 	switch (result) {
 		case 'adopted':
 			metrics.revision.set(revision)
 			setLastValid(node, 'config', undefined)
-			if (held) follower.events.onConfigActivated(held)
+			if (active) follower.events.onConfigActivated(active)
 			updateMembers(follower)
 			break
 		case 'invalid':
 			metrics.invalidConfigs.inc()
-			if (held) {
-				const lastValid = { revision: held.revision, text: held.document }
+			if (active) {
+				const lastValid = { revision: active.revision, text: active.document }
 				setLastValid(node, 'config', lastValid)
 			}
 			log({ msg: 'invalid configuration rejected', revision })
--- a/scripts/ablation.ts
+++ b/scripts/ablation.ts
@@ -140,8 +140,8 @@
 	{
 		name: 'closures',
 		file: 'packages/core/src/core/groupClosure.ts',
-		on: '	closures.set(group, { since, until: now + tryMs, tryMs })',
-		off: '	closures.set(group, { since, until: since, tryMs })\n	closures.delete(group)',
+		on: '	closures.set(group, { since, until: now + probeIntervalMs, probeIntervalMs })',
+		off: '	closures.set(group, { since, until: since, probeIntervalMs })\n	closures.delete(group)',
 	},
 	{
 		name: 'toldOpen',
