--- a/packages/agent/src/io/backend.ts
+++ b/packages/agent/src/io/backend.ts
@@ -157,7 +157,7 @@
 		await new Promise(r => setTimeout(r, ENGINE_RESUME_DELAY_MS))
 		res = await resumeOnEngine(run, lastNumber + 1)
 	}
-	return { how: 'broken', detail: 'the event stream ended without [DONE]' }
+	return { how: 'broken', detail: 'the stream ended without its end mark' }
 }
 
 async function resumeOnEngine(
--- a/packages/agent/src/io/rankPort.ts
+++ b/packages/agent/src/io/rankPort.ts
@@ -52,15 +52,12 @@
 	switch (port.kind) {
 		case 'fenced': {
 			const { reply } = await sendOrder(port.address, { order: 'rank', req })
-			if (!reply)
-				throw new Error('the engine returned no reply to a map request')
+			if (!reply) throw new Error('the engine gave no reply')
 			return reply
 		}
 		case 'unfenced': {
 			if (now < port.refuseUntil)
-				throw new Error(
-					'orders of an earlier agent process may still be in transit',
-				)
+				throw new Error('orders of an earlier agent may be on their way')
 			const answer = port.lastCall.then(() => callUnfencedRank(port, req))
 			port.lastCall = answer.catch(() => {})
 			return await answer
--- a/packages/runtime/src/io/rpc.ts
+++ b/packages/runtime/src/io/rpc.ts
@@ -150,7 +150,7 @@
 	} catch {
 		rpcCounts.badFrames++
 		const code = JSONRPCErrorCode.ParseError
-		const res = createJSONRPCErrorResponse(null, code, 'invalid JSON')
+		const res = createJSONRPCErrorResponse(null, code, 'not a JSON text')
 		send(link.socket, res)
 		return
 	}
@@ -189,7 +189,7 @@
 		if (rest.length > 0) parts.push(rest)
 		if (bufferedBytes <= MAX_LINE_BYTES) return
 		rpcCounts.badFrames++
-		sendInvalidRequest(socket, `line exceeds ${MAX_LINE_BYTES} bytes`)
+		sendInvalidRequest(socket, `a line of more than ${MAX_LINE_BYTES} bytes`)
 		socket.destroySoon()
 		parts = []
 		bufferedBytes = 0
