--- a/spec/expertMap.qnt
+++ b/spec/expertMap.qnt
@@ -1,7 +1,7 @@
 // One expert map per step: the protocol of packages/core/src/core/
 // mapProtocol.ts and mapCoordinator.ts, small enough to read in ten minutes.
 //
-// A rank takes requests only under the highest fence that it has heard of. A
+// A rank accepts requests only under the highest fence that it has received. A
 // change is prepared with a promise of every rank not to begin its step before
 // the decision, then committed or aborted. Messages are a set that only grows:
 // each may be delivered now, later, again, or never.
@@ -20,7 +20,7 @@
   type Learned = { promised: Set[Change], committed: Set[Change], step: int }
 
   var ranks: int -> Rank
-  // What each coordinator has been told, by fence and rank.
+  // Replies that each coordinator has received, by fence and rank.
   var learned: int -> (int -> Set[Learned])
   var promises: int -> Set[int]
   // Decisions on a change: made once by its own coordinator, or by a recovery.
@@ -68,7 +68,7 @@
   def seenCommitted(f: int): Set[Change] =
     told(f).map(l => l.committed).flatten()
 
-  // With n of n answers: finish what any rank saw committed, give up the rest.
+  // With replies from all ranks: commit what any rank saw committed, abort the rest.
   action close(f: int): bool = all {
     allLearned(f),
     inDoubt(f) != Set(),
@@ -80,7 +80,7 @@
     promises' = promises, prepared' = prepared,
   }
 
-  // Nothing in doubt: prepare a change some steps ahead, once a fence.
+  // Nothing in doubt: prepare a change some steps ahead, once per fence.
   action prepare(f: int, lead: int): bool = {
     val last = told(f).map(l => l.step).fold(0, (a, b) => if (a > b) a else b)
     all {
@@ -109,7 +109,7 @@
     }
   }
 
-  // n of n promises; a coordinator decides its own change only once.
+  // Promises from all ranks; a coordinator decides its own change only once.
   action decide(c: Change): bool = all {
     aborts.forall(d => d.by != c.fence or d.change != c),
     commits.forall(d => d.by != c.fence or d.change != c),
@@ -154,7 +154,7 @@
     }
   }
 
-  // In lock-step no rank is more than one step ahead; a gate holds a rank.
+  // In lock-step no rank is more than one step ahead; a step gate holds a rank.
   action begin(r: int): bool = {
     val rank = ranks.get(r)
     val upcoming = rank.step + 1
@@ -199,7 +199,7 @@
     ranks.get(a).step == ranks.get(b).step
       implies ranks.get(a).map == ranks.get(b).map))
 
-  // No change is both put in force by one rank and given up by another.
+  // No change is both put in force by one rank and aborted by another.
   val oneDecision = RANKS.forall(a => RANKS.forall(b =>
     ranks.get(a).committed.forall(c =>
       c.in(ranks.get(b).promised) or c.in(ranks.get(b).committed)
